--- a/benchmarks/knowledge.py
+++ b/benchmarks/knowledge.py
@@ -21,11 +21,11 @@
 
 from corkdeal.decisions import interface as t
 from corkdeal.decisions.gateway import Gateway
-from corkdeal.knowledge import clock
-from corkdeal.knowledge.collect import Collector
-from corkdeal.knowledge.document import decode, encode
-from corkdeal.knowledge.recall import Recall
-from corkdeal.knowledge.store import Store
+from corkdeal.persistence import clock
+from corkdeal.persistence.capture import Collector
+from corkdeal.persistence.document import decode, encode
+from corkdeal.persistence.restore import Recall
+from corkdeal.persistence.store import Store
 
 SIZES = (1_000, 10_000, 100_000)
 # accounts that move between two writes: requests a second of one gateway
--- a/benchmarks/upgrade.py
+++ b/benchmarks/upgrade.py
@@ -165,12 +165,11 @@
 def turns(accounts: int) -> dict[str, float]:
     """The longest turns of both lives for so many accounts, in ms: the rest made and written, and taken."""
     from benchmarks.knowledge import gateway_with
-    from corkdeal import succession
-    from corkdeal.knowledge import clock
-    from corkdeal.knowledge.collect import Collector
-    from corkdeal.knowledge.document import decode, encode
-    from corkdeal.knowledge.recall import Recall
     from corkdeal.net.__main__ import GC_EVERY
+    from corkdeal.persistence import clock, quota_handover
+    from corkdeal.persistence.capture import Collector
+    from corkdeal.persistence.document import decode, encode
+    from corkdeal.persistence.restore import Recall
 
     old, now = gateway_with(accounts), 1000.0
     gc.collect()
@@ -185,7 +184,7 @@
     made = time.perf_counter() - began
     known = Recall(decode(data)[2], 0.1, now, old.s, lambda name: "", Counter())
     new = gateway_with(0)
-    steps = succession.take_rest(new, lambda: now, succession.Given(known, 0.3), known, 0.7)
+    steps = quota_handover.take_rest(new, lambda: now, quota_handover.Given(known, 0.3), known, 0.7)
     longest, whole, ended = 0.0, 0.0, False
     while not ended:
         began = time.perf_counter()
--- a/corkdeal/cli/knowledge.py
+++ b/corkdeal/cli/knowledge.py
@@ -8,11 +8,11 @@
 
 import click
 
-from ..knowledge import ageing, clock, merge
-from ..knowledge.document import Document, decode, encode, entry, page
-from ..knowledge.envelope import MOST_FILE, Damaged, TooNew
-from ..knowledge.files import Files
-from ..knowledge.store import NAME
+from ..persistence import clock, expiry, merge
+from ..persistence.document import Document, decode, encode, entry, page
+from ..persistence.envelope import MOST_FILE, Damaged, TooNew
+from ..persistence.files import Files
+from ..persistence.store import NAME
 from . import json_option, tell
 
 MOST_ROWS = 20
@@ -87,12 +87,12 @@
         "odd": list(odd),
         "clean": head.clean,
         "unseen": head.every,
-        "ledgers_hold": age < ageing.LEDGERS_HORIZON and head.fleet.born > 0,
+        "ledgers_hold": age < expiry.LEDGERS_HORIZON and head.fleet.born > 0,
         "fleet": {
             "pace": head.fleet.pace,
-            "pace_weight": ageing.WORK.weight(age),
+            "pace_weight": expiry.WORK.weight(age),
             "slow": head.fleet.slow,
-            "slow_weight": ageing.FLEET.weight(age),
+            "slow_weight": expiry.FLEET.weight(age),
             "retries": head.fleet.retries,
         },
         "work": [
@@ -101,7 +101,7 @@
                 "size": w.size,
                 "seconds": w.seconds,
                 "age": number(since(w.at)),
-                "weight": ageing.WORK.weight(since(w.at)),
+                "weight": expiry.WORK.weight(since(w.at)),
             }
             for w in head.fleet.work
         ],
@@ -111,10 +111,10 @@
                 "started": s.started,
                 "age": number(since(s.at)),
                 "slow": s.slow,
-                "weight": ageing.SLOWNESS.weight(since(s.at)),
+                "weight": expiry.SLOWNESS.weight(since(s.at)),
                 "failures": s.failures,
                 "ejected": s.ejected,
-                "failures_weight": ageing.FAILURES.weight(since(s.at)),
+                "failures_weight": expiry.FAILURES.weight(since(s.at)),
                 "address": s.address,
                 "shut": [x.cls for x in s.shut],
             }
@@ -131,7 +131,7 @@
                 "demand": a.demand,
                 "open": a.open,
                 "ledgers": len(a.pairs) + len(a.edges),
-                "counts": since(a.at) < ageing.ACCOUNT_HORIZON,
+                "counts": since(a.at) < expiry.ACCOUNT_HORIZON,
             }
             for key, a in sorted(accounts.items())
         ],
--- a/corkdeal/cli/version.py
+++ b/corkdeal/cli/version.py
@@ -15,7 +15,7 @@
 @json_option
 def command(as_json: bool) -> None:
     """Tell versions of the program, of the knowledge format and of the libraries that matter for both."""
-    from ..knowledge.document import FORMAT
+    from ..persistence.document import FORMAT
 
     said = {"corkdeal": __version__, "knowledge_format": FORMAT, "python": platform.python_version()}
     said |= {name: metadata.version(name) for name in ("Twisted", "msgspec", "zstandard", "blake3", "kdl-py")}
--- a/corkdeal/decisions/persisted_state.py
+++ b/corkdeal/decisions/persisted_state.py
@@ -1,6 +1,6 @@
 """What the decisions learned, as plain records, and how it goes into and out of their own state.
 
-Nothing is decided and nothing is aged here: `corkdeal.knowledge` weighs each record by its age before it
+Nothing is decided and nothing is aged here: `corkdeal.persistence` weighs each record by its age before it
 comes back. Times in a record are seconds of whatever clock the caller names; in the decisions they are the
 module's.
 """
--- a/corkdeal/decisions/plumbing.py
+++ b/corkdeal/decisions/plumbing.py
@@ -13,8 +13,8 @@
 
 if TYPE_CHECKING:  # imported where an earlier life's knowledge is used; without one it costs nothing
     from ..membership.members import Members
-    from ..recovery.ledgers import Ledgers
-    from ..recovery.opening import AfterPause, AfterStart
+    from ..recovery.admission_ramp import AfterPause, AfterStart
+    from ..recovery.quota_restore import Ledgers
     from . import aggregation_tree, persisted_state
 
 
--- a/corkdeal/experiment/explore.py
+++ b/corkdeal/experiment/explore.py
@@ -16,7 +16,7 @@
 
 from ..decisions import interface as t
 from ..decisions.gateway import Gateway
-from ..recovery.ledgers import Ledgers
+from ..recovery.quota_restore import Ledgers
 from .measure import bound
 
 GATEWAYS, CUSTOMER = 3, 7
--- a/corkdeal/experiment/kills.py
+++ b/corkdeal/experiment/kills.py
@@ -14,8 +14,8 @@
 import time
 from typing import Any
 
-from ..knowledge.document import read_account
-from ..knowledge.store import NAME, Store, folder_of
+from ..persistence.document import read_account
+from ..persistence.store import NAME, Store, folder_of
 from ..standin import clients, fleet
 from ..standin.discovery import Discovery
 from ..standin.servers import Model, Server, work_drawer
--- a/corkdeal/experiment/measure.py
+++ b/corkdeal/experiment/measure.py
@@ -9,7 +9,7 @@
 from typing import Any
 
 from ..decisions.gateway import NARROW
-from ..recovery.ledgers import WIDE_FILL
+from ..recovery.quota_restore import WIDE_FILL
 from ..standin import clients
 
 FULL_FOR, FULL_PART = 2.0, 0.98  # s for which service must be at that part of before to be full
--- a/corkdeal/experiment/members.py
+++ b/corkdeal/experiment/members.py
@@ -2,7 +2,7 @@
 order of cuts and pauses to a depth. Deterministic by seed; no sockets, no clock.
 
 A message takes 1 to 30 ms; a gateway looks at its timers every STEP. One that stands still gets no message
-that came meanwhile where it notices (`recovery/pulse.py`), and gets them late where it does not.
+that came meanwhile where it notices (`recovery/stall_detector.py`), and gets them late where it does not.
 """
 
 from __future__ import annotations
@@ -20,10 +20,10 @@
 from ..decisions import interface as t
 from ..decisions.gateway import Gateway
 from ..decisions.plumbing import later
+from ..membership.failure_detector import GONE
 from ..membership.members import Members
-from ..membership.table import GONE
-from ..recovery import waking
-from ..recovery.pulse import LEAST
+from ..recovery import resume
+from ..recovery.stall_detector import LEAST
 from .explore import decisions
 
 STEP = 0.05  # s
@@ -92,7 +92,7 @@
                 if (gap := self.now - since) >= LEAST and me in self.up:
                     self.flight = [m for m in self.flight if m[3] != me or m[0] > self.now]
                     heapq.heapify(self.flight)
-                    waking.wake(self.up[me], self.now, gap)
+                    resume.wake(self.up[me], self.now, gap)
         waiting = []
         while self.flight and self.flight[0][0] <= self.now:
             message = heapq.heappop(self.flight)
--- a/corkdeal/experiment/tier.py
+++ b/corkdeal/experiment/tier.py
@@ -458,8 +458,8 @@
 
 def older(file: pathlib.Path, seconds: float = 3600.0) -> None:
     """Let an hour pass for a stored document."""
-    from ..knowledge import merge
-    from ..knowledge.document import decode, encode, entry, page
+    from ..persistence import merge
+    from ..persistence.document import decode, encode, entry, page
 
     generation, _, document = decode(file.read_bytes())
     made = merge.older(document, seconds)
--- a/corkdeal/membership/table.py
+++ b/corkdeal/membership/failure_detector.py
@@ -14,7 +14,7 @@
 from dataclasses import dataclass
 from typing import NamedTuple
 
-from .beats import LEFT, NEWS, ROWS, WRAP, Row, newer
+from .messages import LEFT, NEWS, ROWS, WRAP, Row, newer
 
 ALIVE, SUSPECT, GONE, AWAY = "alive", "suspect", "gone", "left"
 PAUSE = 2.0  # s that a member may stand still without being held for gone
--- a/corkdeal/membership/members.py
+++ b/corkdeal/membership/members.py
@@ -12,10 +12,10 @@
 from typing import TYPE_CHECKING
 
 from ..decisions import interface as t
-from . import beats
-from .beats import ASK, GRANT, LEAVING, LEFT, NEWS, PROMPT, Beat, Row
+from . import messages
+from .failure_detector import AWAY, GONE, SUSPECT, WHOLE, Table
 from .leases import ASK_EVERY, KEEP, LEASE, TAKE, Leases
-from .table import AWAY, GONE, SUSPECT, WHOLE, Table
+from .messages import ASK, GRANT, LEAVING, LEFT, NEWS, PROMPT, Beat, Row
 
 if TYPE_CHECKING:
     from ..decisions.gateway import Gateway
@@ -108,7 +108,7 @@
 
     def unpack(self, payload: bytes, peer: int) -> Beat | None:
         """A payload as a beat, or None for another kind of message."""
-        return beats.unpack(payload, peer, self.d.s)
+        return messages.unpack(payload, peer, self.d.s)
 
     def speaks(self, member: int) -> bool:
         """Whether a member tells beats, so that no other sign of life is needed between the two."""
@@ -158,7 +158,7 @@
 
         The first goes by the clock, so that a life that goes on as another's incarnation goes on behind it.
         """
-        self.number = beats.following(self.number or int(self.d.now * FIRST_BEATS) % (beats.WRAP - 1))
+        self.number = messages.following(self.number or int(self.d.now * FIRST_BEATS) % (messages.WRAP - 1))
         self.leases.beat(self.d.now, self.number)
 
     def tell(self, member: int, *rows: Row) -> None:
@@ -171,7 +171,7 @@
                 self.leases.confirm(member, ack, now)
         lapsed = now >= self.leases.until.get(member, 0.0) and (member in self.d.neighbours or self.unheard())
         flags = LEAVING * self.left + PROMPT * (lapsed and bool(self.d.neighbours))
-        news = self.table.rows(member, beats.ROWS - len(rows), self.chance)
+        news = self.table.rows(member, messages.ROWS - len(rows), self.chance)
         beat = Beat(
             self.d.born,
             self.d.peer_born.get(member, 0),
@@ -182,7 +182,7 @@
             (*rows, *news),
         )
         if self.d.s.may_tell_peers:
-            self.d.out.append(t.Tell(member, beats.pack(beat)))
+            self.d.out.append(t.Tell(member, messages.pack(beat)))
 
     def hear(self, peer: int, beat: Beat) -> None:
         """A member's beat; its incarnation was looked at before."""
@@ -193,7 +193,7 @@
             self.heard.pop(peer, None)
         leaving = beat.flags & LEAVING
         self.table.heard(now, Row(LEFT if leaving else NEWS, peer, beat.born, beat.beat))
-        if not self.heard.get(peer) or beats.newer(beat.beat, self.heard[peer]):
+        if not self.heard.get(peer) or messages.newer(beat.beat, self.heard[peer]):
             self.heard[peer] = beat.beat
         if mine:
             self.leases.heard(peer, beat.heard)
--- a/corkdeal/net/application.py
+++ b/corkdeal/net/application.py
@@ -11,8 +11,8 @@
 from .invariants import count, counts
 
 if TYPE_CHECKING:
-    from ..knowledge.keeper import Keeper
     from ..options import Options
+    from ..persistence.snapshot_writer import Keeper
 
 
 class Application:
@@ -53,7 +53,7 @@
 
     def succeed(self) -> None:
         """Begin beside the process before this one, if there is one, with what it gives."""
-        from .succession import Succession
+        from .upgrade import Succession
 
         try:
             self.gateway.succession = Succession(self.reactor, self.gateway)
@@ -66,7 +66,7 @@
 
     def keep(self, options: Options) -> Keeper:
         """Make the keeper of knowledge."""
-        from ..knowledge.keeper import Keeper
+        from ..persistence.snapshot_writer import Keeper
 
         self.keeper = Keeper(self.reactor, self.gateway, options.knowledge, counts)
         self.gateway.before_end.append(self.keeper)
--- a/corkdeal/net/config.py
+++ b/corkdeal/net/config.py
@@ -9,8 +9,8 @@
 
 import orjson
 
-from .. import wire
 from ..decisions import interface as t
+from ..simulator import protocol
 from .discovery_snapshot import DiscoverySnapshot, ListError, parse_list
 
 Address = tuple[str, int]
@@ -81,8 +81,8 @@
     pairs: dict[str, str] = {}
     flatten(raw, "", pairs)
     try:
-        made = wire.settings_from(pairs)
-    except wire.WireError as error:
+        made = protocol.settings_from(pairs)
+    except protocol.WireError as error:
         raise ConfigError(f"settings: {error}") from None
     if made.me >= made.gateways:
         raise ConfigError(f"settings: me is {made.me}, but balancers is {made.gateways}")
--- a/corkdeal/net/gateway.py
+++ b/corkdeal/net/gateway.py
@@ -37,7 +37,7 @@
 if TYPE_CHECKING:
     from .membership import Membership
     from .recovery import Recovery
-    from .succession import Succession
+    from .upgrade import Succession
 
 START_WAIT = 0.25  # s that a start waits for discovery's first word before it goes by `known`
 STAY_UP = 0.5  # s after SIGTERM that new connections are taken; they keep coming for 0.4
--- a/corkdeal/net/recovery.py
+++ b/corkdeal/net/recovery.py
@@ -9,11 +9,11 @@
 from typing import Any
 
 from .. import logs
-from ..recovery import waking
-from ..recovery.ledgers import Ledgers
-from ..recovery.opening import AfterPause, AfterStart, Usual
-from ..recovery.pulse import Pulse
-from ..recovery.standing import RETRIES, Left, Standing
+from ..recovery import resume
+from ..recovery.admission_ramp import AfterPause, AfterStart, Usual
+from ..recovery.quota_restore import Ledgers
+from ..recovery.readiness import RETRIES, Left, Standing
+from ..recovery.stall_detector import Pulse
 from .invariants import count
 from .tcp_state import since_last_data
 
@@ -93,7 +93,7 @@
         self.gateway.decisions.opening = AfterPause(now, self.usual.rate)
         self.woke_at, self.gap = now, gap
         self.gateway.decisions.blind = self.gateway.begun
-        waking.wake(self.gateway.decisions, now, gap)
+        resume.wake(self.gateway.decisions, now, gap)
         for attempt in self.gateway.out.values():
             attempt.sent_at += gap  # its server had no time to answer meanwhile
         self.gateway.pool.drop_connecting()
--- a/corkdeal/net/succession.py
+++ b/corkdeal/net/upgrade.py
@@ -2,7 +2,8 @@
 
 Made only where the clients' listening socket is handed down, which is how the platform starts a new version
 beside the old one. Both share the temporary folder and nothing else. `docs/upgrade.md` says who spends what
-at which moment; `corkdeal/succession.py` divides the quotas, `knowledge/lives.py` keeps the files.
+at which moment; `persistence/quota_handover.py` divides the quotas, `persistence/handover_files.py` keeps the
+files.
 """
 
 from __future__ import annotations
@@ -12,13 +13,13 @@
 from collections.abc import Callable, Iterator
 from typing import Any
 
-from .. import __version__, logs, succession
-from ..knowledge import clock
-from ..knowledge.collect import Collector
-from ..knowledge.document import Document, encode
-from ..knowledge.lives import FIRST, REST, Lives
-from ..knowledge.recall import Recall
-from ..knowledge.store import folder_of
+from .. import __version__, logs
+from ..persistence import clock, quota_handover
+from ..persistence.capture import Collector
+from ..persistence.document import Document, encode
+from ..persistence.handover_files import FIRST, REST, Lives
+from ..persistence.restore import Recall
+from ..persistence.store import folder_of
 from .invariants import count, counts
 
 ASK_EVERY, ASK_MOST = 0.02, 1.0  # s between looks for what the old life gives, and until it starts without
@@ -33,7 +34,7 @@
         folder = os.path.join(tempfile.gettempdir(), "corkdeal-lives")
         self.lives = Lives(folder_of(folder, gateway.config.name))
         self.before: int | None = None  # the life that still holds a part of the quota
-        self.given: succession.Given | None = None  # what it gave at first
+        self.given: quota_handover.Given | None = None  # what it gave at first
         self.kept_there = 0.0  # its part
         self.after: int | None = None  # the life that holds a part that came from here
         self.part_there = 0.0
@@ -74,10 +75,10 @@
             logs.event("handover_none", life=self.lives.me, before=self.before)
         else:
             whole = document.head.fleet.part
-            self.kept_there = whole * (1 - succession.NEW_PART)
-            self.given = succession.Given(self.recall(document), succession.NEW_PART)
+            self.kept_there = whole * (1 - quota_handover.NEW_PART)
+            self.given = quota_handover.Given(self.recall(document), quota_handover.NEW_PART)
             self.decisions.remember(self.given)
-            self.decisions.part = whole * succession.NEW_PART
+            self.decisions.part = whole * quota_handover.NEW_PART
             logs.event(
                 "handover_begun",
                 life=self.lives.me,
@@ -99,10 +100,10 @@
             return
         if document is None:
             count("handover_cut_short")
-            succession.take_rate(self.decisions, now, self.kept_there)
+            quota_handover.take_rate(self.decisions, now, self.kept_there)
         else:
             part = document.head.fleet.part
-            self.taking = succession.take_rest(
+            self.taking = quota_handover.take_rest(
                 self.decisions, self.gateway.now, self.given, self.recall(document), part
             )
             return self.take()
@@ -160,7 +161,7 @@
         waits, self.done = self.waits and self.taking is None, True
         self.before = None if self.taking is None else self.before
         if waits:
-            succession.take_rate(self.decisions, self.gateway.now(), self.kept_there)
+            quota_handover.take_rate(self.decisions, self.gateway.now(), self.kept_there)
             self.gateway.hear()
 
     def look_at_lives(self) -> None:
@@ -171,7 +172,7 @@
             self.follow()
         if self.after is not None and not self.lives.lives(self.after):
             logs.event("handover_taken_back", life=self.lives.me, after=self.after)
-            succession.take_rate(self.decisions, self.gateway.now(), self.part_there)
+            quota_handover.take_rate(self.decisions, self.gateway.now(), self.part_there)
             self.after = None
         if self.after is None and (after := self.lives.successor()) is not None and self.gateway.begun:
             self.give(after)
@@ -179,8 +180,8 @@
     def give(self, after: int) -> None:
         """The next life has started: its part, and all that is known."""
         if self.write(after, FIRST):
-            self.after, self.part_there = after, self.decisions.part * succession.NEW_PART
-            succession.keep(self.decisions, 1 - succession.NEW_PART)
+            self.after, self.part_there = after, self.decisions.part * quota_handover.NEW_PART
+            quota_handover.keep(self.decisions, 1 - quota_handover.NEW_PART)
             logs.event("handover_given", life=self.lives.me, after=after, part=round(self.part_there, 3))
 
     def end(self) -> None:
@@ -189,14 +190,14 @@
             return
         if self.write(self.after, REST):
             self.done = True
-            succession.keep_nothing(self.decisions)
+            quota_handover.keep_nothing(self.decisions)
             self.gateway.be_silent()
             logs.event("handover_rest", life=self.lives.me, after=self.after)
 
     def write(self, to: int, what: str) -> bool:
         """One document of all that is known, made in one turn, so that what is divided is what it says."""
         now = self.gateway.now()
-        succession.settle(self.decisions, now)
+        quota_handover.settle(self.decisions, now)
         touched = self.decisions.touched  # a keeper of knowledge, if there is one, goes by it
         collector = Collector(self.decisions, self.gateway.config.name, __version__)
         try:
--- a/corkdeal/knowledge/collect.py
+++ b/corkdeal/persistence/capture.py
@@ -15,7 +15,7 @@
 from ..decisions.persisted_state import FleetMemory, ServerMemory
 from .clock import Reading
 from .document import Head, entry, pack_account, page
-from .recall import Recall
+from .restore import Recall
 
 BATCH = 32  # accounts packed between two looks at the clock
 TURN = 0.0007  # s that one step may take before it yields
--- a/corkdeal/succession.py
+++ b/corkdeal/persistence/quota_handover.py
@@ -11,11 +11,11 @@
 from collections.abc import Callable, Iterable, Iterator
 from typing import TYPE_CHECKING, Protocol
 
-from .decisions import interface as t
-from .decisions import persisted_state
+from ..decisions import interface as t
+from ..decisions import persisted_state
 
 if TYPE_CHECKING:
-    from .decisions.gateway import Gateway
+    from ..decisions.gateway import Gateway
 
 STEP = 100  # accounts taken in one turn of the reactor, about 4 ms
 NEW_PART = 0.3  # given at first: clients keep their connections, so most still comes to the old one
--- a/corkdeal/knowledge/recall.py
+++ b/corkdeal/persistence/restore.py
@@ -13,9 +13,9 @@
 from ..decisions import interface as t
 from ..decisions.peer_messages import SLICE_UNIT
 from ..decisions.persisted_state import AccountMemory, FleetMemory, ServerMemory, WorkMemory
-from . import ageing
-from .ageing import towards
+from . import expiry
 from .document import Document, entry, pack_account, read_account
+from .expiry import towards
 
 ROUND_LEAP = 1 << 17  # rounds; more than any gateway counts in ageing.LEDGERS_HORIZON, so none comes twice
 ROUND_MOST = 1 << 31  # past that a new incarnation begins, long before 32 bits of rounds are used up
@@ -49,7 +49,7 @@
         self.classes = {c.name for c in settings.classes}
         self.plans = {p.name for p in settings.plans}
         self.servers = {s.server: s for s in self.head.servers}
-        self.raw = document.raw_accounts() if age < ageing.ACCOUNT_HORIZON else {}
+        self.raw = document.raw_accounts() if age < expiry.ACCOUNT_HORIZON else {}
         if not self.raw and document.accounts:
             self.counts["knowledge_account_too_old"] += sum(map(len, document.accounts))
 
@@ -60,7 +60,7 @@
     @property
     def useless(self) -> bool:
         """Whether nothing in it counts any more."""
-        return not self.age < ageing.WORK.horizon
+        return not self.age < expiry.WORK.horizon
 
     def resumes(self) -> bool:
         """Ledgers go on if peers may still hold their side, and if it is this gateway's place in the same
@@ -68,7 +68,7 @@
         """
         f, s = self.head.fleet, self.settings
         return (
-            self.age < ageing.LEDGERS_HORIZON
+            self.age < expiry.LEDGERS_HORIZON
             and f.born > 0
             and f.round < ROUND_MOST
             and (f.me, f.gateways) == (s.me, s.gateways)
@@ -77,17 +77,17 @@
     def fleet(self, now: float, first_work: dict[str, float]) -> FleetMemory:
         """The fleet's record, each figure as far as it still counts."""
         f, age = self.head.fleet, self.age_of(self.head.clock.boot, now)
-        work, lasting = [], ageing.WORK.weight(age)
+        work, lasting = [], expiry.WORK.weight(age)
         for w in f.work:
-            weight = ageing.WORK.weight(self.age_of(w.at, now))
+            weight = expiry.WORK.weight(self.age_of(w.at, now))
             if w.cls not in first_work:
                 self.counts["knowledge_class_unknown"] += 1
             elif weight and w.seconds > 0:
                 work.append(WorkMemory(w.cls, w.size, towards(w.seconds, first_work[w.cls], weight)))
         return f._replace(
             pace=towards(f.pace, PACE, lasting),
-            slow=towards(f.slow, 1.0, ageing.FLEET.weight(age)),
-            retries=towards(min(f.retries, RETRIES), RETRIES, ageing.RETRIES.weight(age)),
+            slow=towards(f.slow, 1.0, expiry.FLEET.weight(age)),
+            retries=towards(min(f.retries, RETRIES), RETRIES, expiry.RETRIES.weight(age)),
             work=tuple(work),
             round=f.round + ROUND_LEAP,
         )
@@ -114,7 +114,7 @@
         known = tuple(s for s in m.shut if s.cls in self.classes)
         if len(known) < len(m.shut):
             self.counts["knowledge_class_unknown"] += len(m.shut) - len(known)
-        aged = ageing.aged_server(m._replace(shut=known), self.age_of(m.at, now))
+        aged = expiry.aged_server(m._replace(shut=known), self.age_of(m.at, now))
         self.counts["knowledge_server_used" if aged else "knowledge_server_too_old"] += 1
         return aged
 
@@ -140,7 +140,7 @@
             self.counts["knowledge_account_moved"] += 1
             return None
         age = self.age_of(m.at, now)
-        if age >= ageing.ACCOUNT_HORIZON:
+        if age >= expiry.ACCOUNT_HORIZON:
             self.counts["knowledge_account_too_old"] += 1
             return None
         self.counts["knowledge_account_used"] += 1
@@ -148,7 +148,7 @@
         if not self.head.clean:
             traded = 1 / m.spread + sum(p.slice for p in m.pairs) / SLICE_UNIT
             share = 1.0 if m.edges else min(1.0, max(0.0, traded))
-            level -= ageing.spent_unseen(m, plan.rate, share, self.head.clock.boot - m.at, self.head.every)
+            level -= expiry.spent_unseen(m, plan.rate, share, self.head.clock.boot - m.at, self.head.every)
         return m._replace(
             at=m.at + shift,
             asked_at=min(now, m.asked_at + shift),
@@ -173,7 +173,7 @@
 
     def unlisted(self, now: float, boot: float) -> list[ServerMemory]:
         """Records of servers that no list has named yet, in this boot's seconds; none when too old."""
-        if self.servers and self.age_of(self.head.clock.boot, now) >= ageing.SLOWNESS.horizon:
+        if self.servers and self.age_of(self.head.clock.boot, now) >= expiry.SLOWNESS.horizon:
             self.counts["knowledge_server_gone"] += len(self.servers)
             self.servers.clear()
         return [m._replace(at=boot - self.age_of(m.at, now)) for m in self.servers.values()]
@@ -184,7 +184,7 @@
 
         Their stamps hold on within one boot; after another boot they are made anew, in this boot's seconds.
         """
-        if now - self.loaded_at + self.age >= ageing.ACCOUNT_HORIZON:
+        if now - self.loaded_at + self.age >= expiry.ACCOUNT_HORIZON:
             self.raw.clear()
         made: dict[int, bytes] = {}
         for customer, raw in self.raw.items():
--- a/corkdeal/knowledge/keeper.py
+++ b/corkdeal/persistence/snapshot_writer.py
@@ -19,10 +19,10 @@
 from .. import __version__, logs
 from ..options import KnowledgeOptions
 from . import clock
-from .collect import Collector
+from .capture import Collector
 from .document import Head, encode
 from .files import Locked
-from .recall import Recall
+from .restore import Recall
 from .store import Loaded, Store, folder_of
 
 AGAIN_MOST = 10.0  # s between tries while writing fails
--- a/corkdeal/wire.py
+++ b/corkdeal/simulator/protocol.py
@@ -7,7 +7,7 @@
 from collections.abc import Iterable
 from typing import Any
 
-from .decisions import interface as t
+from ..decisions import interface as t
 
 
 class WireError(ValueError):
--- a/tests/test_wide.py
+++ b/tests/decisions/test_aggregation_tree.py
@@ -9,8 +9,7 @@
 from corkdeal.decisions import interface as t
 from corkdeal.decisions.gateway import NARROW, SUBSET, Gateway
 from corkdeal.experiment import quotas
-
-from .helpers import SAFE, UNSAFE, outcome, pick, request, servers, settings
+from tests.helpers import SAFE, UNSAFE, outcome, pick, request, servers, settings
 
 PLAN = t.Plan(rate=4.0, burst=16.0)
 
--- a/tests/test_defences.py
+++ b/tests/decisions/test_defences.py
@@ -4,8 +4,7 @@
 
 from corkdeal.decisions import interface as t
 from corkdeal.decisions.gateway import RETRY_STORE, Gateway
-
-from .helpers import PLAN, outcome, pick, request, servers, settings
+from tests.helpers import PLAN, outcome, pick, request, servers, settings
 
 WIDE = t.Plan(rate=1e6, burst=1e6)
 
--- a/tests/test_rules.py
+++ b/tests/decisions/test_gateway.py
@@ -4,8 +4,7 @@
 
 from corkdeal.decisions import interface as t
 from corkdeal.decisions.gateway import Gateway
-
-from .helpers import SAFE, outcome, pick, request, servers, settings
+from tests.helpers import SAFE, outcome, pick, request, servers, settings
 
 
 def gateway(*events, **more):
--- a/tests/test_ledger.py
+++ b/tests/decisions/test_quota_exchange.py
@@ -4,8 +4,7 @@
 
 from corkdeal.decisions import interface as t
 from corkdeal.decisions import peer_messages
-
-from .helpers import PLAN, Ring, pick, request
+from tests.helpers import PLAN, Ring, pick, request
 
 
 def busy_at(one):
--- a/tests/test_slow_start.py
+++ b/tests/decisions/test_slow_start.py
@@ -10,8 +10,7 @@
 from corkdeal.decisions.records import FadingRate, Server
 from corkdeal.decisions.slow_start import SlowStartBudget
 from corkdeal.experiment.slow_start import Play, draw
-
-from .helpers import outcome, pick, request, servers, settings
+from tests.helpers import outcome, pick, request, servers, settings
 
 WORK, RATE, CAPACITY = 0.2, 8.0, 11.0  # s a request; requests a second that a warm server gets, and could
 
--- a/tests/membership/test_explore.py
+++ b/tests/membership/test_explore.py
@@ -4,7 +4,7 @@
 
 from corkdeal.experiment import members
 from corkdeal.membership import leases
-from corkdeal.membership.table import GONE
+from corkdeal.membership.failure_detector import GONE
 
 
 def world(seed=1):
--- a/tests/knowledge/samples.py
+++ b/tests/persistence/samples.py
@@ -15,9 +15,9 @@
     ShutMemory,
     WorkMemory,
 )
-from corkdeal.knowledge.clock import Reading
-from corkdeal.knowledge.document import Document, Head, encode, entry, pack_account, page
-from corkdeal.knowledge.envelope import seal
+from corkdeal.persistence.clock import Reading
+from corkdeal.persistence.document import Document, Head, encode, entry, pack_account, page
+from corkdeal.persistence.envelope import seal
 
 DATA = pathlib.Path(__file__).parent / "data"
 CLOCK = Reading(1_790_000_000.0, 5000.0, "boot-a")
--- a/tests/knowledge/test_program.py
+++ b/tests/persistence/test_program.py
@@ -10,8 +10,8 @@
 import threading
 import time
 
-from corkdeal.knowledge.document import decode, read_account
-from corkdeal.knowledge.store import NAME, Store
+from corkdeal.persistence.document import decode, read_account
+from corkdeal.persistence.store import NAME, Store
 
 from ..net_world import PATIENCE, Program, served
 
--- a/tests/knowledge/test_recall.py
+++ b/tests/persistence/test_restore.py
@@ -10,11 +10,11 @@
 from corkdeal.decisions import peer_messages
 from corkdeal.decisions.gateway import Gateway
 from corkdeal.decisions.persisted_state import ServerMemory, ShutMemory
-from corkdeal.knowledge import document
-from corkdeal.knowledge.clock import Reading
-from corkdeal.knowledge.clock import age as clock_age
-from corkdeal.knowledge.collect import Collector
-from corkdeal.knowledge.recall import ROUND_LEAP, Recall
+from corkdeal.persistence import document
+from corkdeal.persistence.capture import Collector
+from corkdeal.persistence.clock import Reading
+from corkdeal.persistence.clock import age as clock_age
+from corkdeal.persistence.restore import ROUND_LEAP, Recall
 
 from .. import helpers
 from . import samples
--- a/tests/knowledge/test_keeper.py
+++ b/tests/persistence/test_snapshot_writer.py
@@ -12,10 +12,10 @@
 
 from corkdeal import logs
 from corkdeal.decisions.gateway import Gateway
-from corkdeal.knowledge.files import Files
-from corkdeal.knowledge.keeper import Keeper
-from corkdeal.knowledge.store import Store
 from corkdeal.options import KnowledgeOptions
+from corkdeal.persistence.files import Files
+from corkdeal.persistence.snapshot_writer import Keeper
+from corkdeal.persistence.store import Store
 
 from .. import helpers
 
@@ -200,7 +200,7 @@
 
 
 def helpers_clock():
-    from corkdeal.knowledge.clock import Reading
+    from corkdeal.persistence.clock import Reading
 
     return Reading(0.0, 100.0, "x")
 
--- a/tests/knowledge/test_store.py
+++ b/tests/persistence/test_store.py
@@ -8,8 +8,8 @@
 import msgspec
 import pytest
 
-from corkdeal.knowledge.files import Files, Locked, Unsafe
-from corkdeal.knowledge.store import Store, file_of, folder_of
+from corkdeal.persistence.files import Files, Locked, Unsafe
+from corkdeal.persistence.store import Store, file_of, folder_of
 
 from . import samples
 
--- a/tests/test_cli.py
+++ b/tests/test_cli.py
@@ -10,9 +10,9 @@
 from click.testing import CliRunner
 
 from corkdeal.cli import COMMANDS, main
-from corkdeal.knowledge.store import file_of
+from corkdeal.persistence.store import file_of
 
-from .knowledge import samples
+from .persistence import samples
 
 ROOT = pathlib.Path(__file__).parents[1]
 CONFIG, OPTIONS = str(ROOT / "examples" / "config.json"), str(ROOT / "deploy" / "corkdeal.kdl")
--- a/tests/test_explore.py
+++ b/tests/test_explore.py
@@ -4,7 +4,7 @@
 
 from corkdeal.decisions.records import Pair
 from corkdeal.experiment import explore
-from corkdeal.recovery.ledgers import Ledgers
+from corkdeal.recovery.quota_restore import Ledgers
 
 
 def test_slices_are_conserved_and_the_bound_is_kept_after_every_way():
