--- /dev/null
+++ b/tests/persistence/test_stored_form.py
@@ -0,0 +1,64 @@
+"""The stored form stays as it is, to the byte.
+
+`data/format-3-full.know` is generation 2 of a folder that the store of revision 42616ba (version 0.2.0) wrote
+from the records below.
+"""
+
+import shutil
+
+from corkdeal.decisions.persisted_state import (
+    AccountMemory,
+    EdgeMemory,
+    FleetMemory,
+    PairMemory,
+    ServerMemory,
+    ShutMemory,
+    WorkMemory,
+)
+from corkdeal.persistence import merge
+from corkdeal.persistence.clock import Reading
+from corkdeal.persistence.document import Head, encode, entry, pack_account, page
+from corkdeal.persistence.store import Store, file_of
+
+from . import samples
+
+FULL = samples.DATA / "format-3-full.know"
+SERVERS = (
+    ServerMemory("s-1", 1000.0, 4990.0, 4.0, 3, True, 2.0, (ShutMemory("note", 2.0, 1.5),), "10.1.0.1:6379"),
+    ServerMemory("s-2", 0.0, 4991.25, 1.0, 0, False, 0.0),
+)
+WORK = (WorkMemory("look", 1, 0.3, 5000.0), WorkMemory("note", 2, 0.7, 4999.5))
+FLEET = FleetMemory(0.6, 1.5, 4.0, WORK, 1, 3, 77, 12, ((0, 55), (2, 99)), 0.7)
+LEDGERS = (
+    PairMemory(1, 1500, 0.5, 9, 0.45, 1.0, 4994.0, True, 55),
+    PairMemory(2, -10, 0.0, 0, None, 0.0, 0.0, False),
+)
+TOTALS = (EdgeMemory(0, 1.5, 2.5, (3.0, 4.0), 0.5, 55), EdgeMemory(2, 0.0, 0.0, None, 0.0))
+ACCOUNTS = {
+    7: AccountMemory("small", 0, 2, 4995.0, 4995.0, 1.5, 0.0, 0.5, 1, 0.0, 0.0, LEDGERS),
+    2**33 - 1: AccountMemory("large", 1, 40, 4996.0, 4997.0, -1.5, 2.5, 0.25, 0, 12.5, 3.5, (), TOTALS),
+}
+HEAD = Head("n0", "0.2.0", Reading(1_790_000_000.0, 5000.0, "boot-a"), 1.25, True, FLEET, SERVERS)
+
+
+def full_parts(generation):
+    """The file's parts, each account in a page of its own."""
+    pages = [page([entry(customer, pack_account(a))], 1) for customer, a in ACCOUNTS.items()]
+    return encode(generation, HEAD, pages)
+
+
+def test_each_kind_of_record_is_encoded_to_the_bytes_that_version_0_2_0_wrote():
+    assert b"".join(full_parts(2)) == FULL.read_bytes()
+
+
+def test_a_folder_that_version_0_2_0_wrote_is_loaded_and_gone_on_with(tmp_path):
+    shutil.copy(FULL, tmp_path / file_of(2))
+    store = Store(str(tmp_path))
+    store.open()
+    loaded = store.load()
+    assert (loaded.file, loaded.format, loaded.refused) == ("0000000000000002.know", 3, [])
+    assert loaded.document.head == HEAD
+    assert merge.accounts_of(loaded.document) == ACCOUNTS
+    assert store.write(full_parts) == 3
+    assert (tmp_path / "0000000000000003.know").read_bytes() == b"".join(full_parts(3))
+    store.close()
