--- a/corkdeal/cli/knowledge.py
+++ b/corkdeal/cli/knowledge.py
@@ -10,7 +10,8 @@
 
 from ..persistence import clock, expiry, merge
 from ..persistence.document import Document, decode, encode, entry, page
-from ..persistence.envelope import MOST_FILE, Damaged, TooNew
+from ..persistence.envelope import MOST_FILE
+from ..persistence.errors import DamagedSnapshotError, UnsupportedFormatError
 from ..persistence.files import Files
 from ..persistence.store import NAME
 from . import json_option, tell
@@ -22,8 +23,8 @@
     """A file's generation, format and document; a click error where it can't be used."""
     try:
         return decode(bytes_of(path))
-    except (Damaged, TooNew, OSError) as error:
-        raise click.ClickException(f"{path}: {error}") from None
+    except (DamagedSnapshotError, UnsupportedFormatError, OSError) as error:
+        raise click.ClickException(f"{path}: {error}") from error
 
 
 def bytes_of(path: str) -> bytes:
@@ -221,7 +222,7 @@
             if named and int(named[1]) != generation:
                 fault = f"byte 16: generation {generation} under the name of {int(named[1])}"
             found.append({"file": path, "format": form, "good": not fault, "fault": fault})
-        except (Damaged, TooNew, OSError) as error:
+        except (DamagedSnapshotError, UnsupportedFormatError, OSError) as error:
             found.append({"file": path, "format": None, "good": False, "fault": str(error)})
     lines = [f"{f['file']}: {'good' if f['good'] else f['fault']}" for f in found]
     tell(found, as_json, "\n".join(lines) or "no files")
--- a/corkdeal/persistence/document.py
+++ b/corkdeal/persistence/document.py
@@ -17,7 +17,14 @@
 from ..decisions.persisted_state import AccountMemory, FleetMemory, ServerMemory
 from . import migrate
 from .clock import Reading
-from .envelope import MOST_RAW, Damaged, TooNew, seal, unseal
+from .envelope import MOST_RAW, seal, unseal
+from .errors import (
+    DamagedSnapshotError,
+    MalformedRecordError,
+    MigrationError,
+    SnapshotTooLargeError,
+    UnsupportedFormatError,
+)
 
 FORMAT, LEAST_READER = 3, 3
 LEVEL = 1  # of zstandard: higher ones cost more processor than the bytes are worth here
@@ -59,13 +66,13 @@
 
 
 def read_account(raw: bytes | msgspec.Raw) -> AccountMemory:
-    """One account's record; `ValueError` for what is none."""
+    """One account's record; `MalformedRecordError` for what is none."""
     try:
         made = _account.decode(raw)
     except msgspec.MsgspecError as error:
-        raise ValueError(str(error)) from None
+        raise MalformedRecordError(str(error)) from error
     if not finite(made):
-        raise ValueError("a figure is not finite")
+        raise MalformedRecordError("a figure is not finite")
     return made
 
 
@@ -98,7 +105,7 @@
     raw = list(raw_parts(head, pages, len(pages)))
     size = sum(map(len, raw))
     if size > MOST_RAW:
-        raise ValueError(f"{size} bytes of knowledge are over {MOST_RAW}")
+        raise SnapshotTooLargeError(f"{size} bytes of knowledge are over {MOST_RAW}")
     packer = zstandard.ZstdCompressor(level=LEVEL, write_content_size=True).compressobj(size=size)
     packed = [part for part in map(packer.compress, raw) if part]
     return seal(FORMAT, LEAST_READER, generation, size, [*packed, packer.flush()])
@@ -109,27 +116,27 @@
     try:
         stated = zstandard.frame_content_size(body)
         if stated != raw_size:
-            raise Damaged(f"byte 80: unpacks to {stated} bytes, not to {raw_size}")
+            raise DamagedSnapshotError(f"byte 80: unpacks to {stated} bytes, not to {raw_size}")
         return zstandard.ZstdDecompressor().decompress(body, max_output_size=raw_size, allow_extra_data=False)
     except zstandard.ZstdError as error:
-        raise Damaged(f"byte 80: {error}") from None
+        raise DamagedSnapshotError(f"byte 80: {error}") from error
 
 
 def decode(data: bytes) -> tuple[int, int, Document]:
     """A file's generation, the format that it has, and its document in today's form."""
     outside = unseal(data)
     if outside.least_reader > FORMAT:
-        raise TooNew(f"format {outside.format} needs a reader of format {outside.least_reader}, not {FORMAT}")
+        raise UnsupportedFormatError(
+            f"format {outside.format} needs a reader of format {outside.least_reader}, not {FORMAT}"
+        )
     try:
         if outside.format >= FORMAT:
             document = _document.decode(unpack(outside.body, outside.raw_size))
         else:
             raw = bytes(outside.body) if outside.format == 1 else unpack(outside.body, outside.raw_size)
             document = _document.decode(_encoder.encode(migrate.to_newest(outside.format, raw)))
-    except msgspec.MsgspecError as error:
-        raise Damaged(f"body: {error}") from None
-    except migrate.CannotMigrate as error:
-        raise Damaged(f"body: {error}") from None
+    except (msgspec.MsgspecError, MigrationError) as error:
+        raise DamagedSnapshotError(f"body: {error}") from error
     checked(document)
     return outside.generation, outside.format, document
 
@@ -138,9 +145,9 @@
     """What the types do not say: sizes, and that every figure is one."""
     head = document.head
     if len(head.servers) > MOST_SERVERS or sum(map(len, document.accounts)) > MOST_ACCOUNTS:
-        raise Damaged("body: more servers or accounts than any gateway has")
+        raise DamagedSnapshotError("body: more servers or accounts than any gateway has")
     for name in ("clock", "fleet", "servers", "every"):
         if not finite(getattr(head, name)):
-            raise Damaged(f"body: {name}: a figure is not finite")
+            raise DamagedSnapshotError(f"body: {name}: a figure is not finite")
     if head.every < 0:
-        raise Damaged("body: every: below 0")
+        raise DamagedSnapshotError("body: every: below 0")
--- a/corkdeal/persistence/envelope.py
+++ b/corkdeal/persistence/envelope.py
@@ -25,6 +25,8 @@
 
 from blake3 import blake3
 
+from .errors import DamagedSnapshotError
+
 MAGIC = b"CORKKNOW"
 HEADER = struct.Struct("<8sHHHHQQQQ32s")
 DIGEST_AT = 48
@@ -33,14 +35,6 @@
 MOST_FILE = MOST_BODY + 4096
 
 
-class Damaged(ValueError):
-    """A file that is not whole; the text names the byte."""
-
-
-class TooNew(ValueError):
-    """A whole file that needs a newer reader; it is left untouched."""
-
-
 class Envelope(NamedTuple):
     """A checked header, and the body as it lies in the file."""
 
@@ -63,21 +57,23 @@
 
 
 def unseal(data: bytes) -> Envelope:
-    """Check a file's bytes; `Damaged` where they are not whole."""
+    """Check a file's bytes; `DamagedSnapshotError` where they are not whole."""
     if len(data) < HEADER.size:
-        raise Damaged(f"byte {len(data)}: ends within the header of {HEADER.size} bytes")
+        raise DamagedSnapshotError(f"byte {len(data)}: ends within the header of {HEADER.size} bytes")
     if len(data) > MOST_FILE:
-        raise Damaged(f"byte {MOST_FILE}: larger than any file of ours")
+        raise DamagedSnapshotError(f"byte {MOST_FILE}: larger than any file of ours")
     magic, form, least, head_size, _, generation, size, raw_size, _, digest = HEADER.unpack_from(data)
     if magic != MAGIC:
-        raise Damaged("byte 0: no file of knowledge")
+        raise DamagedSnapshotError("byte 0: no file of knowledge")
     view = memoryview(data)
     check = blake3(view[:DIGEST_AT])
     check.update(view[HEADER.size :])
     if check.digest() != digest:
-        raise Damaged(f"byte {DIGEST_AT}: the checksum does not fit; it was cut short, changed or mixed")
+        raise DamagedSnapshotError(
+            f"byte {DIGEST_AT}: the checksum does not fit; it was cut short, changed or mixed"
+        )
     if head_size < HEADER.size or head_size + size != len(data):
-        raise Damaged(f"byte 12: header and body do not make {len(data)} bytes")
+        raise DamagedSnapshotError(f"byte 12: header and body do not make {len(data)} bytes")
     if raw_size > MOST_RAW:
-        raise Damaged(f"byte 32: would unpack to {raw_size} bytes, over {MOST_RAW}")
+        raise DamagedSnapshotError(f"byte 32: would unpack to {raw_size} bytes, over {MOST_RAW}")
     return Envelope(form, least, generation, raw_size, view[head_size:])
--- a/corkdeal/persistence/files.py
+++ b/corkdeal/persistence/files.py
@@ -12,18 +12,12 @@
 import stat
 from collections.abc import Iterable
 
+from .errors import FolderLockedError, UnsafeFileError
+
 OPEN = os.O_CLOEXEC | os.O_NOFOLLOW | os.O_NONBLOCK  # a FIFO in a file's place must not hang the reader
 PIECE = 1 << 20  # bytes in one write, so that no single call holds much
 
 
-class Unsafe(OSError):
-    """Something that is not a plain file or folder of this user's; the text names it."""
-
-
-class Locked(OSError):
-    """Another process keeps this folder."""
-
-
 class Files:
     """One open folder."""
 
@@ -36,7 +30,7 @@
         found = os.fstat(self.folder)
         if found.st_uid != os.geteuid() or (make and found.st_mode & 0o022):
             self.close()
-            raise Unsafe(f"{path}: not this user's alone to write")
+            raise UnsafeFileError(f"{path}: not this user's alone to write")
 
     def close(self) -> None:
         """Let go of the folder."""
@@ -54,7 +48,7 @@
             checked(os.fstat(file.fileno()), name)
             data, size = bytearray(), os.fstat(file.fileno()).st_size
             if size > most:
-                raise Unsafe(f"{name}: {size} bytes, more than any file of ours")
+                raise UnsafeFileError(f"{name}: {size} bytes, more than any file of ours")
             while piece := file.read(min(PIECE, most + 1 - len(data))):
                 data += piece
             return bytes(data)
@@ -98,14 +92,17 @@
             return False
 
     def lock(self, name: str) -> int:
-        """Hold a lock until the descriptor is closed or the process ends; `Locked` if another holds it."""
+        """Hold a lock until the descriptor is closed or the process ends.
+
+        Raises `FolderLockedError` if another process holds it.
+        """
         file = os.open(name, os.O_RDWR | os.O_CREAT | OPEN, 0o600, dir_fd=self.folder)
         try:
             checked(os.fstat(file), name)
             fcntl.flock(file, fcntl.LOCK_EX | fcntl.LOCK_NB)
-        except BlockingIOError:
+        except BlockingIOError as error:
             os.close(file)
-            raise Locked(f"{self.path}: kept by another process") from None
+            raise FolderLockedError(f"{self.path}: kept by another process") from error
         except BaseException:
             os.close(file)
             raise
@@ -115,6 +112,6 @@
 def checked(found: os.stat_result, name: str) -> None:
     """Refuse what is no regular file of this user's."""
     if not stat.S_ISREG(found.st_mode):
-        raise Unsafe(f"{name}: no regular file")
+        raise UnsafeFileError(f"{name}: no regular file")
     if found.st_uid != os.geteuid():
-        raise Unsafe(f"{name}: another user's file")
+        raise UnsafeFileError(f"{name}: another user's file")
--- a/corkdeal/persistence/handover_files.py
+++ b/corkdeal/persistence/handover_files.py
@@ -18,8 +18,9 @@
 from collections.abc import Callable
 
 from .document import Document, decode
-from .envelope import MOST_FILE, Damaged
-from .files import Files, Locked
+from .envelope import MOST_FILE
+from .errors import DamagedSnapshotError, FolderLockedError
+from .files import Files
 
 LIFE = re.compile(r"([0-9]{16})\.life").fullmatch
 GIVEN = re.compile(r"([0-9]{16})-([0-9]{1,16})\.(?:first|rest|tmp)").fullmatch
@@ -66,7 +67,7 @@
             return number == self.me
         try:
             os.close(self.files.lock(self.name(number)))
-        except Locked:
+        except FolderLockedError:
             return True
         self.ended.add(number)
         return False
@@ -84,14 +85,17 @@
         self.files.rename(part, name)
 
     def read(self, of: int, what: str) -> Document | None:
-        """What that life handed on to this one; None while there is none, `Damaged` for what is not whole."""
+        """What that life handed on to this one; None while there is none.
+
+        Raises `DamagedSnapshotError` for a file that is not whole.
+        """
         try:
             data = self.files.read(f"{of:016d}-{self.me}.{what}", MOST_FILE)
         except FileNotFoundError:
             return None
         said, _, document = decode(data)
         if said != of:
-            raise Damaged(f"byte 16: life {said} under the name of {of}")
+            raise DamagedSnapshotError(f"byte 16: life {said} under the name of {of}")
         return document
 
     def clean(self, living: list[int]) -> None:
--- a/corkdeal/persistence/migrate.py
+++ b/corkdeal/persistence/migrate.py
@@ -12,23 +12,21 @@
 
 import msgspec
 
-UNKNOWN_RETRIES = 1e6  # the decisions save up fewer and cut it to their own bound
-
+from .errors import MigrationError
 
-class CannotMigrate(ValueError):
-    """A body that is not of the format it claims."""
+UNKNOWN_RETRIES = 1e6  # the decisions save up fewer and cut it to their own bound
 
 
 def to_newest(form: int, raw: bytes) -> dict[str, Any]:
     """A body of an older format as format 3's plain form."""
     if form not in READERS:
-        raise CannotMigrate(f"there is no format {form}")
+        raise MigrationError(f"there is no format {form}")
     try:
         made = READERS[form](raw)
         while form in STEPS:
             made, form = STEPS[form](made), form + 1
     except (KeyError, TypeError, AttributeError, IndexError, ValueError, msgspec.MsgspecError) as error:
-        raise CannotMigrate(f"not of format {form}: {type(error).__name__}: {error}") from None
+        raise MigrationError(f"not of format {form}: {type(error).__name__}: {error}") from error
     return made
 
 
--- a/corkdeal/persistence/snapshot_writer.py
+++ b/corkdeal/persistence/snapshot_writer.py
@@ -21,7 +21,7 @@
 from . import clock
 from .capture import Collector
 from .document import Head, encode
-from .files import Locked
+from .errors import FolderLockedError
 from .restore import Recall
 from .store import Loaded, Store, folder_of
 
@@ -244,7 +244,7 @@
 
     def failed(self, error: BaseException) -> None:
         """Opening or writing failed; one line until it heals."""
-        if isinstance(error, Locked):
+        if isinstance(error, FolderLockedError):
             self.counts["knowledge_locked"] += 1
             if not self.locked:
                 logs.event("knowledge_locked", folder=self.folder)
--- a/corkdeal/persistence/store.py
+++ b/corkdeal/persistence/store.py
@@ -15,7 +15,8 @@
 from typing import NamedTuple
 
 from .document import FORMAT, Document, decode
-from .envelope import MOST_FILE, Damaged, TooNew, unseal
+from .envelope import MOST_FILE, unseal
+from .errors import DamagedSnapshotError, GenerationsExhaustedError, UnsupportedFormatError
 from .files import Files
 
 LOCK = "lock"
@@ -64,7 +65,10 @@
         self.ours: set[int] = set()  # known to be of a format that this program may replace
 
     def open(self) -> None:
-        """Take the folder for this process: `Locked` if another has it, `OSError` where it can't be used."""
+        """Take the folder for this process.
+
+        Raises `FolderLockedError` if another process has it and `OSError` where it can't be used.
+        """
         if self.files is not None and not self.files.present():  # vanished or replaced: begin anew there
             self.close()
         if self.files is None:
@@ -104,13 +108,13 @@
             try:
                 said, form, document = decode(self.files.read(name, MOST_FILE))
                 if said != generation:
-                    raise Damaged(f"byte 16: generation {said} under the name of {generation}")
+                    raise DamagedSnapshotError(f"byte 16: generation {said} under the name of {generation}")
                 return Loaded(name, form, document, refused)
-            except TooNew as error:
+            except UnsupportedFormatError as error:
                 self.foreign.add(generation)
                 self.kept.remove(generation)
                 refused.append(Refused(name, str(error)))
-            except (Damaged, OSError) as error:
+            except (DamagedSnapshotError, OSError) as error:
                 self.kept.remove(generation)
                 refused.append(Refused(name, str(error)))
         return Loaded("", 0, None, refused)
@@ -121,7 +125,7 @@
         assert self.files is not None
         files, generation = self.files, self.newest + 1
         if generation > MOST_GENERATION:
-            raise OSError("no generation is left")
+            raise GenerationsExhaustedError("no generation is left")
         parts, temporary = make(generation), f"{generation:016d}.tmp"
         try:
             file = files.create(temporary)
@@ -170,7 +174,7 @@
         """Whether a file may be removed: one of a newer format may not, though this life never loaded it."""
         assert self.files is not None
         if generation not in self.ours:
-            with contextlib.suppress(Damaged):
+            with contextlib.suppress(DamagedSnapshotError):
                 if unseal(self.files.read(file_of(generation), MOST_FILE)).least_reader > FORMAT:
                     self.foreign.add(generation)
                     return False
--- a/tests/persistence/test_forms.py
+++ b/tests/persistence/test_forms.py
@@ -15,7 +15,8 @@
 from corkdeal.persistence import expiry, merge
 from corkdeal.persistence.clock import Reading, age
 from corkdeal.persistence.document import decode, read_account
-from corkdeal.persistence.envelope import HEADER, MOST_RAW, Damaged, TooNew
+from corkdeal.persistence.envelope import HEADER, MOST_RAW
+from corkdeal.persistence.errors import DamagedSnapshotError, UnsupportedFormatError
 
 from . import samples
 
@@ -195,7 +196,7 @@
 
 
 def test_a_newer_format_is_told_apart_from_a_damaged_one():
-    with pytest.raises(TooNew, match="needs a reader of format 4"):
+    with pytest.raises(UnsupportedFormatError, match="needs a reader of format 4"):
         decode((samples.DATA / "format-4.know").read_bytes())
 
 
@@ -203,13 +204,13 @@
 def test_a_file_cut_short_or_changed_anywhere_is_refused(form):
     whole = (samples.DATA / f"format-{form}.know").read_bytes()
     for size in range(len(whole)):
-        with pytest.raises(Damaged, match=r"^byte [0-9]+: "):
+        with pytest.raises(DamagedSnapshotError, match=r"^byte [0-9]+: "):
             decode(whole[:size])
     for at in range(len(whole)):
         for flip in (0x01, 0x80, 0xFF):
-            with pytest.raises(Damaged, match=r"^byte [0-9]+: "):
+            with pytest.raises(DamagedSnapshotError, match=r"^byte [0-9]+: "):
                 decode(whole[:at] + bytes([whole[at] ^ flip]) + whole[at + 1 :])
-    with pytest.raises(Damaged):
+    with pytest.raises(DamagedSnapshotError):
         decode(whole + b"\0")
 
 
@@ -246,16 +247,16 @@
     ],
 )
 def test_a_sealed_file_with_a_bad_body_is_refused(data, why):
-    with pytest.raises(Damaged, match=why):
+    with pytest.raises(DamagedSnapshotError, match=why):
         decode(data)
 
 
 def test_a_bomb_takes_no_memory():
     code = (
         "import resource, sys; from corkdeal.persistence.document import decode\n"
-        "from corkdeal.persistence.envelope import Damaged\n"
+        "from corkdeal.persistence.errors import DamagedSnapshotError\n"
         "resource.setrlimit(resource.RLIMIT_AS, (1 << 29, 1 << 29))\n"
-        "try:\n    decode(sys.stdin.buffer.read())\nexcept Damaged as e:\n    print(e)"
+        "try:\n    decode(sys.stdin.buffer.read())\nexcept DamagedSnapshotError as e:\n    print(e)"
     )
     bomb = zstandard.compress(bytes(3 << 30))  # 3 GiB of nothing in about 100 kB
     for data in (resized(3 << 30, bomb), resized(1 << 20, bomb)):
--- a/tests/persistence/test_store.py
+++ b/tests/persistence/test_store.py
@@ -8,7 +8,8 @@
 import msgspec
 import pytest
 
-from corkdeal.persistence.files import Files, Locked, Unsafe
+from corkdeal.persistence.errors import FolderLockedError, UnsafeFileError
+from corkdeal.persistence.files import Files
 from corkdeal.persistence.store import Store, file_of, folder_of
 
 from . import samples
@@ -256,16 +257,16 @@
 
 def test_a_folder_that_others_may_write_is_refused(tmp_path):
     os.chmod(tmp_path, 0o777)
-    with pytest.raises(Unsafe):
+    with pytest.raises(UnsafeFileError):
         Store(str(tmp_path)).open()
 
 
 def test_a_second_process_of_one_name_goes_without_until_the_first_is_gone(tmp_path):
     one, other = Store(str(tmp_path)), Store(str(tmp_path))
     one.write(numbered)
-    with pytest.raises(Locked):
+    with pytest.raises(FolderLockedError):
         other.open()
-    with pytest.raises(Locked):
+    with pytest.raises(FolderLockedError):
         other.write(numbered)
     one.close()
     assert other.write(numbered) == 2
--- a/tests/test_layout.py
+++ b/tests/test_layout.py
@@ -46,7 +46,17 @@
     "__main__": {"cli"},
     "__init__": {"decisions"},
 }
-PERSISTENCE_PURE = {"clock", "expiry", "restore", "capture", "merge", "migrate", "document", "envelope"}
+PERSISTENCE_PURE = {
+    "clock",
+    "expiry",
+    "restore",
+    "capture",
+    "merge",
+    "migrate",
+    "document",
+    "envelope",
+    "errors",
+}
 PERSISTENCE_PURE |= {"quota_handover"}
 NET_PURE = {"discovery_snapshot", "discovery_retry"}
 DOING = {"os", "socket", "threading", "subprocess", "queue", "fcntl", "twisted", "asyncio"}  # what does I/O
