--- a/benchmarks/knowledge.py
+++ b/benchmarks/knowledge.py
@@ -26,7 +26,7 @@
 from corkdeal.persistence.capture import Collector
 from corkdeal.persistence.document import decode, encode
 from corkdeal.persistence.restore import Recall
-from corkdeal.persistence.store import Store
+from corkdeal.persistence.store import SnapshotStore
 
 SIZES = (1_000, 10_000, 100_000)
 # accounts that move between two writes: requests a second of one gateway
@@ -77,7 +77,7 @@
 def measure(accounts: int, folder: str) -> dict[str, float]:
     """Both forms at one size, in ms and bytes."""
     gateway, now = gateway_with(accounts), 1000.0
-    collector, store = Collector(gateway, "n0", "bench"), Store(folder)
+    collector, store = Collector(gateway, "n0", "bench"), SnapshotStore(folder)
     keys, rows, size = list(gateway.accounts), [], 0
     gc.collect()
     log = os.open(os.path.join(folder, "log"), os.O_WRONLY | os.O_CREAT | os.O_APPEND)
--- a/corkdeal/cli/knowledge.py
+++ b/corkdeal/cli/knowledge.py
@@ -10,10 +10,10 @@
 
 from ..persistence import clock, expiry, merge
 from ..persistence.document import Document, decode, encode, entry, page
-from ..persistence.envelope import MOST_FILE
+from ..persistence.envelope import MAX_FILE_SIZE
 from ..persistence.errors import DamagedSnapshotError, UnsupportedFormatError
-from ..persistence.files import Files
-from ..persistence.store import NAME
+from ..persistence.files import StateFolder
+from ..persistence.store import match_snapshot_name
 from . import json_option, tell
 
 MOST_ROWS = 20
@@ -29,9 +29,9 @@
 
 def bytes_of(path: str) -> bytes:
     """A file's bytes, by the same care as the gateway takes: no symlink, FIFO or other user's file."""
-    files = Files(os.path.dirname(os.path.abspath(path)), make=False)
+    files = StateFolder(os.path.dirname(os.path.abspath(path)), create_missing=False)
     try:
-        return files.read(os.path.basename(path), MOST_FILE)
+        return files.read(os.path.basename(path), MAX_FILE_SIZE)
     finally:
         files.close()
 
@@ -40,7 +40,7 @@
     """A new file with a document; an existing one is never overwritten."""
     entries = [entry(customer, raw) for each in document.accounts for customer, raw in each.items()]
     parts = encode(generation, document.head, [page(entries, len(entries))])
-    files = Files(os.path.dirname(os.path.abspath(path)), make=False)
+    files = StateFolder(os.path.dirname(os.path.abspath(path)), create_missing=False)
     name = os.path.basename(path)
     try:
         file = files.create(name)
@@ -48,7 +48,7 @@
             files.write(file, parts)
             files.sync(file)
         finally:
-            files.finish(file)
+            files.close_file(file)
         files.sync_folder()
     except OSError as error:
         raise click.ClickException(f"{path}: {error.strerror or error}") from None
@@ -60,7 +60,7 @@
     """The file itself, or the newest generation in a folder."""
     if not os.path.isdir(path):
         return path
-    names = sorted(filter(NAME, os.listdir(path)))
+    names = sorted(filter(match_snapshot_name, os.listdir(path)))
     if not names:
         raise click.ClickException(f"{path}: holds no knowledge")
     return os.path.join(path, names[-1])
@@ -210,14 +210,14 @@
     """Say what is wrong with files and where; of a folder all generations. Exit code 1 if any is not good."""
     files: list[str] = []
     for path in paths:
-        inside = sorted(filter(NAME, os.listdir(path))) if os.path.isdir(path) else None
+        inside = sorted(filter(match_snapshot_name, os.listdir(path))) if os.path.isdir(path) else None
         files += [path] if inside is None else [os.path.join(path, name) for name in inside]
     found = []
     for path in files:
         try:
             generation, form, document = decode(bytes_of(path))
             bad = sum(map(len, document.accounts)) - len(merge.accounts_of(document))
-            named = NAME(os.path.basename(path))
+            named = match_snapshot_name(os.path.basename(path))
             fault = f"{bad} accounts can't be read" if bad else ""
             if named and int(named[1]) != generation:
                 fault = f"byte 16: generation {generation} under the name of {int(named[1])}"
@@ -262,7 +262,7 @@
     target = newest_in(target)
     generation, form, document = read(target)
     made = merge.merge(document, [read(newest_in(other))[2] for other in others])
-    named = NAME(os.path.basename(out))
+    named = match_snapshot_name(os.path.basename(out))
     write(out, made, int(named[1]) if named else generation + 1)
     said = {"file": out, "servers": len(made.head.servers), "accounts": sum(map(len, made.accounts))}
     tell(said, as_json, f"{out}: {said['servers']} servers, {said['accounts']} accounts")
--- a/corkdeal/experiment/kills.py
+++ b/corkdeal/experiment/kills.py
@@ -15,7 +15,7 @@
 from typing import Any
 
 from ..persistence.document import read_account
-from ..persistence.store import NAME, Store, folder_of
+from ..persistence.store import SnapshotStore, gateway_folder, match_snapshot_name
 from ..standin import clients, fleet
 from ..standin.discovery import Discovery
 from ..standin.servers import Model, Server, work_drawer
@@ -30,17 +30,17 @@
 
 def looked_into(folder: str, least: int) -> tuple[int, int]:
     """The newest generation and its accounts; `Broken` where a file is damaged or a generation went back."""
-    store = Store(folder)
+    store = SnapshotStore(folder)
     store.open()
     loaded = store.load()
     store.close()
-    if loaded.refused:
-        raise Broken(f"{folder}: {loaded.refused}")
+    if loaded.rejected:
+        raise Broken(f"{folder}: {loaded.rejected}")
     if loaded.document is None:
         if least:
             raise Broken(f"{folder}: generation {least} is gone")
         return 0, 0
-    named = NAME(loaded.file)
+    named = match_snapshot_name(loaded.file)
     generation = int(named[1]) if named else 0
     if generation < least:
         raise Broken(f"{folder}: generation {generation} after {least}")
@@ -90,7 +90,7 @@
                 one(
                     g,
                     discovery,
-                    folder_of(f"{folder}/state", g.config["name"]),
+                    gateway_folder(f"{folder}/state", g.config["name"]),
                     kills // together,
                     random.Random(f"{seed}-{g.number}"),
                 )
--- a/corkdeal/net/upgrade.py
+++ b/corkdeal/net/upgrade.py
@@ -19,7 +19,7 @@
 from ..persistence.document import Document, encode
 from ..persistence.handover_files import FIRST, REST, Lives
 from ..persistence.restore import Recall
-from ..persistence.store import folder_of
+from ..persistence.store import gateway_folder
 from .invariants import count, counts
 
 ASK_EVERY, ASK_MOST = 0.02, 1.0  # s between looks for what the old life gives, and until it starts without
@@ -32,7 +32,7 @@
     def __init__(self, reactor: Any, gateway: Any) -> None:
         self.reactor, self.gateway, self.decisions = reactor, gateway, gateway.decisions
         folder = os.path.join(tempfile.gettempdir(), "corkdeal-lives")
-        self.lives = Lives(folder_of(folder, gateway.config.name))
+        self.lives = Lives(gateway_folder(folder, gateway.config.name))
         self.before: int | None = None  # the life that still holds a part of the quota
         self.given: quota_handover.Given | None = None  # what it gave at first
         self.kept_there = 0.0  # its part
--- a/corkdeal/persistence/document.py
+++ b/corkdeal/persistence/document.py
@@ -17,7 +17,7 @@
 from ..decisions.persisted_state import AccountMemory, FleetMemory, ServerMemory
 from . import migrate
 from .clock import Reading
-from .envelope import MOST_RAW, seal, unseal
+from .envelope import MAX_UNPACKED_SIZE, build_envelope, parse_envelope
 from .errors import (
     DamagedSnapshotError,
     MalformedRecordError,
@@ -104,36 +104,38 @@
     """A whole file, in parts: compressed and sealed. May run beside the reactor."""
     raw = list(raw_parts(head, pages, len(pages)))
     size = sum(map(len, raw))
-    if size > MOST_RAW:
-        raise SnapshotTooLargeError(f"{size} bytes of knowledge are over {MOST_RAW}")
+    if size > MAX_UNPACKED_SIZE:
+        raise SnapshotTooLargeError(f"{size} bytes of knowledge are over {MAX_UNPACKED_SIZE}")
     packer = zstandard.ZstdCompressor(level=LEVEL, write_content_size=True).compressobj(size=size)
     packed = [part for part in map(packer.compress, raw) if part]
-    return seal(FORMAT, LEAST_READER, generation, size, [*packed, packer.flush()])
+    return build_envelope(FORMAT, LEAST_READER, generation, size, [*packed, packer.flush()])
 
 
-def unpack(body: memoryview, raw_size: int) -> bytes:
+def unpack(body: memoryview, unpacked_size: int) -> bytes:
     """A zstandard frame's content, which must have exactly the stated size; memory is taken for no more."""
     try:
         stated = zstandard.frame_content_size(body)
-        if stated != raw_size:
-            raise DamagedSnapshotError(f"byte 80: unpacks to {stated} bytes, not to {raw_size}")
-        return zstandard.ZstdDecompressor().decompress(body, max_output_size=raw_size, allow_extra_data=False)
+        if stated != unpacked_size:
+            raise DamagedSnapshotError(f"byte 80: unpacks to {stated} bytes, not to {unpacked_size}")
+        return zstandard.ZstdDecompressor().decompress(
+            body, max_output_size=unpacked_size, allow_extra_data=False
+        )
     except zstandard.ZstdError as error:
         raise DamagedSnapshotError(f"byte 80: {error}") from error
 
 
 def decode(data: bytes) -> tuple[int, int, Document]:
     """A file's generation, the format that it has, and its document in today's form."""
-    outside = unseal(data)
-    if outside.least_reader > FORMAT:
+    outside = parse_envelope(data)
+    if outside.minimum_reader > FORMAT:
         raise UnsupportedFormatError(
-            f"format {outside.format} needs a reader of format {outside.least_reader}, not {FORMAT}"
+            f"format {outside.format} needs a reader of format {outside.minimum_reader}, not {FORMAT}"
         )
     try:
         if outside.format >= FORMAT:
-            document = _document.decode(unpack(outside.body, outside.raw_size))
+            document = _document.decode(unpack(outside.body, outside.unpacked_size))
         else:
-            raw = bytes(outside.body) if outside.format == 1 else unpack(outside.body, outside.raw_size)
+            raw = bytes(outside.body) if outside.format == 1 else unpack(outside.body, outside.unpacked_size)
             document = _document.decode(_encoder.encode(migrate.to_newest(outside.format, raw)))
     except (msgspec.MsgspecError, MigrationError) as error:
         raise DamagedSnapshotError(f"body: {error}") from error
--- a/corkdeal/persistence/envelope.py
+++ b/corkdeal/persistence/envelope.py
@@ -29,51 +29,57 @@
 
 MAGIC = b"CORKKNOW"
 HEADER = struct.Struct("<8sHHHHQQQQ32s")
-DIGEST_AT = 48
-MOST_BODY = 64 << 20  # bytes as it lies on disk
-MOST_RAW = 192 << 20  # bytes unpacked
-MOST_FILE = MOST_BODY + 4096
+CHECKSUM_OFFSET = 48
+MAX_BODY_SIZE = 64 << 20  # bytes as it lies on disk
+MAX_UNPACKED_SIZE = 192 << 20  # bytes unpacked
+MAX_FILE_SIZE = MAX_BODY_SIZE + 4096
 
 
 class Envelope(NamedTuple):
     """A checked header, and the body as it lies in the file."""
 
     format: int
-    least_reader: int
+    minimum_reader: int
     generation: int
-    raw_size: int
+    unpacked_size: int
     body: memoryview
 
 
-def seal(form: int, least_reader: int, generation: int, raw_size: int, parts: Iterable[bytes]) -> list[bytes]:
+def build_envelope(
+    form: int, minimum_reader: int, generation: int, unpacked_size: int, parts: Iterable[bytes]
+) -> list[bytes]:
     """The file's parts, header first; nothing is joined, so large bodies are not copied."""
     parts = list(parts)
     size = sum(map(len, parts))
-    head = HEADER.pack(MAGIC, form, least_reader, HEADER.size, 0, generation, size, raw_size, 0, bytes(32))
-    digest = blake3(head[:DIGEST_AT])
+    head = HEADER.pack(
+        MAGIC, form, minimum_reader, HEADER.size, 0, generation, size, unpacked_size, 0, bytes(32)
+    )
+    digest = blake3(head[:CHECKSUM_OFFSET])
     for part in parts:
         digest.update(part)
-    return [head[:DIGEST_AT] + digest.digest(), *parts]
+    return [head[:CHECKSUM_OFFSET] + digest.digest(), *parts]
 
 
-def unseal(data: bytes) -> Envelope:
+def parse_envelope(data: bytes) -> Envelope:
     """Check a file's bytes; `DamagedSnapshotError` where they are not whole."""
     if len(data) < HEADER.size:
         raise DamagedSnapshotError(f"byte {len(data)}: ends within the header of {HEADER.size} bytes")
-    if len(data) > MOST_FILE:
-        raise DamagedSnapshotError(f"byte {MOST_FILE}: larger than any file of ours")
-    magic, form, least, head_size, _, generation, size, raw_size, _, digest = HEADER.unpack_from(data)
+    if len(data) > MAX_FILE_SIZE:
+        raise DamagedSnapshotError(f"byte {MAX_FILE_SIZE}: larger than any file of ours")
+    magic, form, least, head_size, _, generation, size, unpacked_size, _, digest = HEADER.unpack_from(data)
     if magic != MAGIC:
         raise DamagedSnapshotError("byte 0: no file of knowledge")
     view = memoryview(data)
-    check = blake3(view[:DIGEST_AT])
+    check = blake3(view[:CHECKSUM_OFFSET])
     check.update(view[HEADER.size :])
     if check.digest() != digest:
         raise DamagedSnapshotError(
-            f"byte {DIGEST_AT}: the checksum does not fit; it was cut short, changed or mixed"
+            f"byte {CHECKSUM_OFFSET}: the checksum does not fit; it was cut short, changed or mixed"
         )
     if head_size < HEADER.size or head_size + size != len(data):
         raise DamagedSnapshotError(f"byte 12: header and body do not make {len(data)} bytes")
-    if raw_size > MOST_RAW:
-        raise DamagedSnapshotError(f"byte 32: would unpack to {raw_size} bytes, over {MOST_RAW}")
-    return Envelope(form, least, generation, raw_size, view[head_size:])
+    if unpacked_size > MAX_UNPACKED_SIZE:
+        raise DamagedSnapshotError(
+            f"byte 32: would unpack to {unpacked_size} bytes, over {MAX_UNPACKED_SIZE}"
+        )
+    return Envelope(form, least, generation, unpacked_size, view[head_size:])
--- a/corkdeal/persistence/files.py
+++ b/corkdeal/persistence/files.py
@@ -14,80 +14,82 @@
 
 from .errors import FolderLockedError, UnsafeFileError
 
-OPEN = os.O_CLOEXEC | os.O_NOFOLLOW | os.O_NONBLOCK  # a FIFO in a file's place must not hang the reader
-PIECE = 1 << 20  # bytes in one write, so that no single call holds much
+OPEN_FLAGS = os.O_CLOEXEC | os.O_NOFOLLOW | os.O_NONBLOCK  # a FIFO in a file's place must not hang the reader
+WRITE_CHUNK_SIZE = 1 << 20  # bytes in one write, so that no single call holds much
 
 
-class Files:
+class StateFolder:
     """One open folder."""
 
-    def __init__(self, path: str, make: bool = True) -> None:
+    def __init__(self, path: str, create_missing: bool = True) -> None:
         """Open it, made with mode 0700 if it isn't there; `OSError` where that can't be."""
-        if make:
+        if create_missing:
             os.makedirs(path, mode=0o700, exist_ok=True)
         self.path = path
-        self.folder = os.open(path, os.O_RDONLY | os.O_DIRECTORY | OPEN)
-        found = os.fstat(self.folder)
-        if found.st_uid != os.geteuid() or (make and found.st_mode & 0o022):
+        self.descriptor = os.open(path, os.O_RDONLY | os.O_DIRECTORY | OPEN_FLAGS)
+        found = os.fstat(self.descriptor)
+        if found.st_uid != os.geteuid() or (create_missing and found.st_mode & 0o022):
             self.close()
             raise UnsafeFileError(f"{path}: not this user's alone to write")
 
     def close(self) -> None:
         """Let go of the folder."""
-        if self.folder >= 0:
-            os.close(self.folder)
-            self.folder = -1
+        if self.descriptor >= 0:
+            os.close(self.descriptor)
+            self.descriptor = -1
 
-    def list(self) -> list[str]:
+    def list_names(self) -> list[str]:
         """The names in it."""
-        return os.listdir(self.folder)
-
-    def read(self, name: str, most: int) -> bytes:
-        """A file's bytes; one that is larger than `most` is read no further than one byte past it."""
-        with os.fdopen(os.open(name, os.O_RDONLY | OPEN, dir_fd=self.folder), "rb", buffering=0) as file:
-            checked(os.fstat(file.fileno()), name)
+        return os.listdir(self.descriptor)
+
+    def read(self, name: str, max_size: int) -> bytes:
+        """A file's bytes; one that is larger than `max_size` is read no further than one byte past it."""
+        with os.fdopen(
+            os.open(name, os.O_RDONLY | OPEN_FLAGS, dir_fd=self.descriptor), "rb", buffering=0
+        ) as file:
+            require_own_regular_file(os.fstat(file.fileno()), name)
             data, size = bytearray(), os.fstat(file.fileno()).st_size
-            if size > most:
+            if size > max_size:
                 raise UnsafeFileError(f"{name}: {size} bytes, more than any file of ours")
-            while piece := file.read(min(PIECE, most + 1 - len(data))):
+            while piece := file.read(min(WRITE_CHUNK_SIZE, max_size + 1 - len(data))):
                 data += piece
             return bytes(data)
 
     def create(self, name: str) -> int:
         """A new file's descriptor, mode 0600; an error if the name is taken."""
-        return os.open(name, os.O_WRONLY | os.O_CREAT | os.O_EXCL | OPEN, 0o600, dir_fd=self.folder)
+        return os.open(name, os.O_WRONLY | os.O_CREAT | os.O_EXCL | OPEN_FLAGS, 0o600, dir_fd=self.descriptor)
 
     def write(self, file: int, parts: Iterable[bytes]) -> None:
         """Append all of it."""
         for part in parts:
             view = memoryview(part)
             while view:
-                view = view[os.write(file, view[:PIECE]) :]
+                view = view[os.write(file, view[:WRITE_CHUNK_SIZE]) :]
 
     def sync(self, file: int) -> None:
         """Return once its content outlives a crash."""
         os.fsync(file)
 
-    def finish(self, file: int) -> None:
+    def close_file(self, file: int) -> None:
         """Close a file."""
         os.close(file)
 
     def rename(self, old: str, new: str) -> None:
         """Put a file in a name's place, at one stroke."""
-        os.rename(old, new, src_dir_fd=self.folder, dst_dir_fd=self.folder)
+        os.rename(old, new, src_dir_fd=self.descriptor, dst_dir_fd=self.descriptor)
 
     def sync_folder(self) -> None:
         """Return once the names in it outlive a crash."""
-        os.fsync(self.folder)
+        os.fsync(self.descriptor)
 
     def unlink(self, name: str) -> None:
         """Remove a name."""
-        os.unlink(name, dir_fd=self.folder)
+        os.unlink(name, dir_fd=self.descriptor)
 
-    def present(self) -> bool:
+    def is_current(self) -> bool:
         """Whether the path still leads to this folder."""
         try:
-            return os.path.samestat(os.stat(self.path), os.fstat(self.folder))
+            return os.path.samestat(os.stat(self.path), os.fstat(self.descriptor))
         except OSError:
             return False
 
@@ -96,9 +98,9 @@
 
         Raises `FolderLockedError` if another process holds it.
         """
-        file = os.open(name, os.O_RDWR | os.O_CREAT | OPEN, 0o600, dir_fd=self.folder)
+        file = os.open(name, os.O_RDWR | os.O_CREAT | OPEN_FLAGS, 0o600, dir_fd=self.descriptor)
         try:
-            checked(os.fstat(file), name)
+            require_own_regular_file(os.fstat(file), name)
             fcntl.flock(file, fcntl.LOCK_EX | fcntl.LOCK_NB)
         except BlockingIOError as error:
             os.close(file)
@@ -109,7 +111,7 @@
         return file
 
 
-def checked(found: os.stat_result, name: str) -> None:
+def require_own_regular_file(found: os.stat_result, name: str) -> None:
     """Refuse what is no regular file of this user's."""
     if not stat.S_ISREG(found.st_mode):
         raise UnsafeFileError(f"{name}: no regular file")
--- a/corkdeal/persistence/handover_files.py
+++ b/corkdeal/persistence/handover_files.py
@@ -18,9 +18,9 @@
 from collections.abc import Callable
 
 from .document import Document, decode
-from .envelope import MOST_FILE
+from .envelope import MAX_FILE_SIZE
 from .errors import DamagedSnapshotError, FolderLockedError
-from .files import Files
+from .files import StateFolder
 
 LIFE = re.compile(r"([0-9]{16})\.life").fullmatch
 GIVEN = re.compile(r"([0-9]{16})-([0-9]{1,16})\.(?:first|rest|tmp)").fullmatch
@@ -30,7 +30,7 @@
 class Lives:
     """One life's view of the folder. Every call is a few small operations on files."""
 
-    def __init__(self, folder: str, opener: Callable[[str], Files] = Files) -> None:
+    def __init__(self, folder: str, opener: Callable[[str], StateFolder] = StateFolder) -> None:
         self.files = opener(folder)
         self.lock = -1  # held while this life goes on
         self.ended: set[int] = set()
@@ -55,7 +55,7 @@
 
     def numbers(self) -> list[int]:
         """All numbers that were given."""
-        return sorted(int(m[1]) for m in map(LIFE, self.files.list()) if m)
+        return sorted(int(m[1]) for m in map(LIFE, self.files.list_names()) if m)
 
     def successor(self) -> int | None:
         """The next life after this one that lives."""
@@ -81,7 +81,7 @@
         try:
             self.files.write(file, make(self.me))
         finally:
-            self.files.finish(file)
+            self.files.close_file(file)
         self.files.rename(part, name)
 
     def read(self, of: int, what: str) -> Document | None:
@@ -90,7 +90,7 @@
         Raises `DamagedSnapshotError` for a file that is not whole.
         """
         try:
-            data = self.files.read(f"{of:016d}-{self.me}.{what}", MOST_FILE)
+            data = self.files.read(f"{of:016d}-{self.me}.{what}", MAX_FILE_SIZE)
         except FileNotFoundError:
             return None
         said, _, document = decode(data)
@@ -100,7 +100,7 @@
 
     def clean(self, living: list[int]) -> None:
         """Remove what ended lives left, but for the newest number."""
-        for name in self.files.list():
+        for name in self.files.list_names():
             life, given = LIFE(name), GIVEN(name)
             number = int((life or given)[1]) if life or given else self.me  # type: ignore[index]
             if number < self.me and number not in living:
--- a/corkdeal/persistence/snapshot_writer.py
+++ b/corkdeal/persistence/snapshot_writer.py
@@ -23,7 +23,7 @@
 from .document import Head, encode
 from .errors import FolderLockedError
 from .restore import Recall
-from .store import Loaded, Store, folder_of
+from .store import LoadedSnapshot, SnapshotStore, gateway_folder
 
 AGAIN_MOST = 10.0  # s between tries while writing fails
 RELOCK_EVERY = 2.0  # s between looks whether another process has let go of the folder
@@ -66,7 +66,7 @@
         gateway: Any,
         options: KnowledgeOptions,
         counts: Counter[str],
-        opener: Callable[..., Store] = Store,
+        opener: Callable[..., SnapshotStore] = SnapshotStore,
     ) -> None:
         self.reactor, self.gateway, self.options, self.counts, self.opener = (
             reactor,
@@ -76,7 +76,7 @@
             opener,
         )
         self.worker = Worker()
-        self.folder = folder_of(options.path, gateway.config.name)
+        self.folder = gateway_folder(options.path, gateway.config.name)
         self.store = opener(self.folder, options.generations)
         self.collector = Collector(gateway.decisions, gateway.config.name, __version__)
         self.busy = False  # a document is being made or written
@@ -92,9 +92,9 @@
     def load(self) -> None:
         """Have the knowledge in force, or give up after `read_wait`; a late answer is dropped."""
         answered, began = threading.Event(), time.monotonic()
-        box: list[tuple[Loaded | None, BaseException | None]] = []
+        box: list[tuple[LoadedSnapshot | None, BaseException | None]] = []
 
-        def work() -> Loaded:
+        def work() -> LoadedSnapshot:
             self.store.open()
             return self.store.load()
 
@@ -106,14 +106,14 @@
         if error is not None:
             return self.failed(error)
         assert loaded is not None
-        for each in loaded.refused:
+        for each in loaded.rejected:
             self.counts["knowledge_refused"] += 1
-            logs.event("knowledge_refused", file=each.file, why=each.why)
+            logs.event("knowledge_refused", file=each.file, why=each.reason)
         if loaded.document is None:
             return logs.event("knowledge_none", folder=self.folder)
         self.put(loaded)
 
-    def put(self, loaded: Loaded) -> None:
+    def put(self, loaded: LoadedSnapshot) -> None:
         """Give a document to the decisions."""
         document = loaded.document
         assert document is not None
@@ -267,11 +267,11 @@
         """Follow the operators' file; another path is another store, from the next write on."""
         old, self.options = self.options, options
         if old.path != options.path:
-            store, self.folder = self.store, folder_of(options.path, self.gateway.config.name)
+            store, self.folder = self.store, gateway_folder(options.path, self.gateway.config.name)
             self.store = self.opener(self.folder, options.generations)
             self.worker.submit(store.close, lambda *_: None)
             self.locked, self.failures = False, 0
-        self.store.generations = options.generations
+        self.store.retained = options.generations
         if not self.busy:
             self.again(options.every)
 
--- a/corkdeal/persistence/store.py
+++ b/corkdeal/persistence/store.py
@@ -15,116 +15,120 @@
 from typing import NamedTuple
 
 from .document import FORMAT, Document, decode
-from .envelope import MOST_FILE, unseal
+from .envelope import MAX_FILE_SIZE, parse_envelope
 from .errors import DamagedSnapshotError, GenerationsExhaustedError, UnsupportedFormatError
-from .files import Files
+from .files import StateFolder
 
-LOCK = "lock"
-NAME = re.compile(r"([0-9]{16})\.know").fullmatch
-TEMPORARY = re.compile(r"[0-9]{16}\.tmp").fullmatch
-PLAIN = re.compile(r"[^A-Za-z0-9_-]")
-MOST_GENERATION = 10**16 - 1
+LOCK_NAME = "lock"
+match_snapshot_name = re.compile(r"([0-9]{16})\.know").fullmatch
+match_temporary_name = re.compile(r"[0-9]{16}\.tmp").fullmatch
+UNSAFE_CHARACTER = re.compile(r"[^A-Za-z0-9_-]")
+MAX_GENERATION = 10**16 - 1
 
 
-class Refused(NamedTuple):
+class RejectedFile(NamedTuple):
     """A file that was not loaded, and why."""
 
     file: str
-    why: str
+    reason: str
 
 
-class Loaded(NamedTuple):
+class LoadedSnapshot(NamedTuple):
     """The newest document that can be read, if there is one."""
 
     file: str
     format: int
     document: Document | None
-    refused: list[Refused]
+    rejected: list[RejectedFile]
 
 
-def folder_of(path: str, name: str) -> str:
+def gateway_folder(path: str, name: str) -> str:
     """A gateway's own folder: its name with all that could lead elsewhere written as %XX."""
-    return os.path.join(path, PLAIN.sub(lambda m: "".join(f"%{b:02X}" for b in m[0].encode()), name) or "%")
+    return os.path.join(
+        path, UNSAFE_CHARACTER.sub(lambda m: "".join(f"%{b:02X}" for b in m[0].encode()), name) or "%"
+    )
 
 
-def file_of(generation: int) -> str:
+def snapshot_name(generation: int) -> str:
     """A generation's file."""
     return f"{generation:016d}.know"
 
 
-class Store:
+class SnapshotStore:
     """One gateway's folder. All of it may block; it runs in a thread of its own."""
 
-    def __init__(self, folder: str, generations: int = 2, opener: Callable[[str], Files] = Files) -> None:
-        self.folder, self.generations, self.opener = folder, generations, opener
-        self.files: Files | None = None
-        self.held: int | None = None
-        self.newest = 0  # highest generation that any file's name bears
-        self.kept: list[int] = []  # whole ones, oldest first
-        self.foreign: set[int] = set()  # of newer formats: never touched
-        self.ours: set[int] = set()  # known to be of a format that this program may replace
+    def __init__(
+        self, folder: str, retained: int = 2, opener: Callable[[str], StateFolder] = StateFolder
+    ) -> None:
+        self.folder, self.retained, self.opener = folder, retained, opener
+        self.files: StateFolder | None = None
+        self.lock: int | None = None
+        self.newest_generation = 0  # highest generation that any file's name bears
+        self.generations_found: list[int] = []  # whole ones, oldest first
+        self.newer_formats: set[int] = set()  # of newer formats: never touched
+        self.replaceable: set[int] = set()  # known to be of a format that this program may replace
 
     def open(self) -> None:
         """Take the folder for this process.
 
         Raises `FolderLockedError` if another process has it and `OSError` where it can't be used.
         """
-        if self.files is not None and not self.files.present():  # vanished or replaced: begin anew there
+        if self.files is not None and not self.files.is_current():  # vanished or replaced: begin anew there
             self.close()
         if self.files is None:
             files = self.opener(self.folder)
             try:
-                self.held = files.lock(LOCK)
+                self.lock = files.lock(LOCK_NAME)
             except BaseException:
                 files.close()
                 raise
             self.files = files
-            self.look()
+            self.scan()
 
     def close(self) -> None:
         """Let go of it."""
         if self.files is not None:
-            if self.held is not None:
-                os.close(self.held)
+            if self.lock is not None:
+                os.close(self.lock)
             self.files.close()
-            self.files = self.held = None
+            self.files = self.lock = None
 
-    def look(self) -> None:
+    def scan(self) -> None:
         """See which generations are there, and remove what a crash left half written."""
         assert self.files is not None
-        names = self.files.list()
-        for name in filter(TEMPORARY, names):
+        names = self.files.list_names()
+        for name in filter(match_temporary_name, names):
             with contextlib.suppress(OSError):
                 self.files.unlink(name)
-        found = sorted(int(m[1]) for m in map(NAME, names) if m)
-        self.newest, self.kept = max([self.newest, *found]), found
+        found = sorted(int(m[1]) for m in map(match_snapshot_name, names) if m)
+        self.newest_generation, self.generations_found = max([self.newest_generation, *found]), found
 
-    def load(self) -> Loaded:
+    def load(self) -> LoadedSnapshot:
         """The newest document that is whole and of a known format."""
         assert self.files is not None
-        refused: list[Refused] = []
-        for generation in reversed(self.kept[:]):
-            name = file_of(generation)
+        rejected: list[RejectedFile] = []
+        for generation in reversed(self.generations_found[:]):
+            name = snapshot_name(generation)
             try:
-                said, form, document = decode(self.files.read(name, MOST_FILE))
+                said, form, document = decode(self.files.read(name, MAX_FILE_SIZE))
                 if said != generation:
                     raise DamagedSnapshotError(f"byte 16: generation {said} under the name of {generation}")
-                return Loaded(name, form, document, refused)
+                return LoadedSnapshot(name, form, document, rejected)
             except UnsupportedFormatError as error:
-                self.foreign.add(generation)
-                self.kept.remove(generation)
-                refused.append(Refused(name, str(error)))
+                self.newer_formats.add(generation)
+                self.generations_found.remove(generation)
+                rejected.append(RejectedFile(name, str(error)))
             except (DamagedSnapshotError, OSError) as error:
-                self.kept.remove(generation)
-                refused.append(Refused(name, str(error)))
-        return Loaded("", 0, None, refused)
+                self.generations_found.remove(generation)
+                rejected.append(RejectedFile(name, str(error)))
+        return LoadedSnapshot("", 0, None, rejected)
 
     def write(self, make: Callable[[int], list[bytes]]) -> int:
         """Write what `make` gives for the next generation; returns its number once it is durable."""
         self.open()
         assert self.files is not None
-        files, generation = self.files, self.newest + 1
-        if generation > MOST_GENERATION:
+        files, generation = self.files, self.newest_generation + 1
+        if generation > MAX_GENERATION:
             raise GenerationsExhaustedError("no generation is left")
         parts, temporary = make(generation), f"{generation:016d}.tmp"
         try:
@@ -133,49 +137,57 @@
                 files.write(file, parts)
                 files.sync(file)
             finally:
-                files.finish(file)
-            files.rename(temporary, file_of(generation))
-            self.newest = generation  # from here on the name may be there, durable or not: never used again
+                files.close_file(file)
+            files.rename(temporary, snapshot_name(generation))
+            self.newest_generation = (
+                generation  # from here on the name may be there, durable or not: never used again
+            )
             files.sync_folder()
         except BaseException:
             with contextlib.suppress(OSError):
                 files.unlink(temporary)
-            self.look_again()
+            self.rescan()
             raise
-        self.kept.append(generation)
-        self.ours.add(generation)
-        self.rotate()
+        self.generations_found.append(generation)
+        self.replaceable.add(generation)
+        self.remove_old_generations()
         return generation
 
-    def look_again(self) -> None:
+    def rescan(self) -> None:
         """After a failure nothing that was remembered of the folder is believed."""
         try:
-            foreign = self.foreign
-            self.look()
-            self.kept = [g for g in self.kept if g not in foreign]
+            newer_formats = self.newer_formats
+            self.scan()
+            self.generations_found = [g for g in self.generations_found if g not in newer_formats]
         except OSError:
             self.close()
 
-    def rotate(self) -> None:
+    def remove_old_generations(self) -> None:
         """Remove all but the newest whole generations; what is of a newer format stays."""
         assert self.files is not None
-        gone, self.kept = self.kept[: -self.generations], self.kept[-self.generations :]
+        gone, self.generations_found = (
+            self.generations_found[: -self.retained],
+            self.generations_found[-self.retained :],
+        )
         for generation in gone:
             try:
-                if self.replaceable(generation):
-                    self.files.unlink(file_of(generation))
-                    self.ours.discard(generation)
+                if self.may_replace(generation):
+                    self.files.unlink(snapshot_name(generation))
+                    self.replaceable.discard(generation)
             except FileNotFoundError:
                 pass
             except OSError:
-                self.kept.insert(0, generation)  # tried again after the next write
+                self.generations_found.insert(0, generation)  # tried again after the next write
 
-    def replaceable(self, generation: int) -> bool:
+    def may_replace(self, generation: int) -> bool:
         """Whether a file may be removed: one of a newer format may not, though this life never loaded it."""
         assert self.files is not None
-        if generation not in self.ours:
+        if generation not in self.replaceable:
             with contextlib.suppress(DamagedSnapshotError):
-                if unseal(self.files.read(file_of(generation), MOST_FILE)).least_reader > FORMAT:
-                    self.foreign.add(generation)
+                if (
+                    parse_envelope(self.files.read(snapshot_name(generation), MAX_FILE_SIZE)).minimum_reader
+                    > FORMAT
+                ):
+                    self.newer_formats.add(generation)
                     return False
         return True
--- a/tests/persistence/samples.py
+++ b/tests/persistence/samples.py
@@ -17,7 +17,7 @@
 )
 from corkdeal.persistence.clock import Reading
 from corkdeal.persistence.document import Document, Head, encode, entry, pack_account, page
-from corkdeal.persistence.envelope import seal
+from corkdeal.persistence.envelope import build_envelope
 
 DATA = pathlib.Path(__file__).parent / "data"
 CLOCK = Reading(1_790_000_000.0, 5000.0, "boot-a")
@@ -58,7 +58,7 @@
 
 def sealed(form, raw, least=None, packed=True, generation=1):
     body = zstandard.compress(raw) if packed else raw
-    return b"".join(seal(form, least or form, generation, len(raw), [body]))
+    return b"".join(build_envelope(form, least or form, generation, len(raw), [body]))
 
 
 ONE = {
--- a/tests/persistence/test_errors.py
+++ b/tests/persistence/test_errors.py
@@ -7,7 +7,7 @@
 from corkdeal.errors import CorkdealError
 from corkdeal.persistence import errors
 from corkdeal.persistence.document import encode, read_account
-from corkdeal.persistence.store import MOST_GENERATION, Store, file_of
+from corkdeal.persistence.store import MAX_GENERATION, SnapshotStore, snapshot_name
 
 from . import samples
 
@@ -41,14 +41,14 @@
 
 
 def test_a_snapshot_over_the_readers_bound_is_not_encoded(monkeypatch):
-    monkeypatch.setattr("corkdeal.persistence.document.MOST_RAW", 100)
+    monkeypatch.setattr("corkdeal.persistence.document.MAX_UNPACKED_SIZE", 100)
     with pytest.raises(errors.SnapshotTooLargeError, match="bytes of knowledge are over 100"):
         encode(1, samples.HEAD, [])
 
 
 def test_after_the_highest_generation_none_is_written(tmp_path):
-    (tmp_path / file_of(MOST_GENERATION)).write_bytes(b"")
-    store = Store(str(tmp_path))
+    (tmp_path / snapshot_name(MAX_GENERATION)).write_bytes(b"")
+    store = SnapshotStore(str(tmp_path))
     with pytest.raises(errors.GenerationsExhaustedError):
         store.write(samples.parts)
     store.close()
--- a/tests/persistence/test_forms.py
+++ b/tests/persistence/test_forms.py
@@ -15,7 +15,7 @@
 from corkdeal.persistence import expiry, merge
 from corkdeal.persistence.clock import Reading, age
 from corkdeal.persistence.document import decode, read_account
-from corkdeal.persistence.envelope import HEADER, MOST_RAW
+from corkdeal.persistence.envelope import HEADER, MAX_UNPACKED_SIZE
 from corkdeal.persistence.errors import DamagedSnapshotError, UnsupportedFormatError
 
 from . import samples
@@ -214,16 +214,16 @@
         decode(whole + b"\0")
 
 
-def resized(raw_size, body):
-    from corkdeal.persistence.envelope import seal
+def resized(unpacked_size, body):
+    from corkdeal.persistence.envelope import build_envelope
 
-    return b"".join(seal(3, 3, 1, raw_size, [body]))
+    return b"".join(build_envelope(3, 3, 1, unpacked_size, [body]))
 
 
 @pytest.mark.parametrize(
     ("data", "why"),
     [
-        (resized(MOST_RAW + 1, b"x"), "would unpack to"),
+        (resized(MAX_UNPACKED_SIZE + 1, b"x"), "would unpack to"),
         (resized(100, zstandard.compress(bytes(1 << 28))), "unpacks to 268435456 bytes, not to 100"),
         (
             resized(100, zstandard.ZstdCompressor(write_content_size=False).compress(bytes(1 << 28))),
--- a/tests/persistence/test_program.py
+++ b/tests/persistence/test_program.py
@@ -11,7 +11,7 @@
 import time
 
 from corkdeal.persistence.document import decode, read_account
-from corkdeal.persistence.store import NAME, Store
+from corkdeal.persistence.store import SnapshotStore, match_snapshot_name
 
 from ..net_world import PATIENCE, Program, served
 
@@ -51,7 +51,7 @@
         self.fail("it never came true")
 
     def newest(self):
-        store = Store(str(self.state / "n0"))
+        store = SnapshotStore(str(self.state / "n0"))
         store.open()
         loaded = store.load()
         store.close()
@@ -99,9 +99,9 @@
             killer.join()
             self.process.wait(PATIENCE)
             loaded = self.newest()
-            self.assertEqual(loaded.refused, [])
+            self.assertEqual(loaded.rejected, [])
             if loaded.document is not None:
-                generation = int(NAME(loaded.file)[1])
+                generation = int(match_snapshot_name(loaded.file)[1])
                 self.assertGreaterEqual(generation, seen)
                 seen = generation
                 for raw in loaded.document.raw_accounts().values():
--- a/tests/persistence/test_snapshot_writer.py
+++ b/tests/persistence/test_snapshot_writer.py
@@ -13,9 +13,9 @@
 from corkdeal import logs
 from corkdeal.decisions.gateway import Gateway
 from corkdeal.options import KnowledgeOptions
-from corkdeal.persistence.files import Files
+from corkdeal.persistence.files import StateFolder
 from corkdeal.persistence.snapshot_writer import Keeper
-from corkdeal.persistence.store import Store
+from corkdeal.persistence.store import SnapshotStore
 
 from .. import helpers
 
@@ -45,7 +45,7 @@
             self.advance(0)
 
 
-class Faulty(Files):
+class Faulty(StateFolder):
     """A folder whose writes hang while `gate` is clear, or fail while `broken`."""
 
     gate, broken = threading.Event(), False
@@ -56,9 +56,9 @@
         assert Faulty.gate.wait(WAIT)
         return super().create(name)
 
-    def list(self):
+    def list_names(self):
         assert Faulty.gate.wait(WAIT)
-        return super().list()
+        return super().list_names()
 
 
 @pytest.fixture
@@ -80,7 +80,7 @@
 
     def keeper(**more):
         options = KnowledgeOptions(path=str(tmp_path), **more)
-        return Keeper(reactor, gateway, options, counts, lambda *a: Store(*a, opener=Faulty))
+        return Keeper(reactor, gateway, options, counts, lambda *a: SnapshotStore(*a, opener=Faulty))
 
     yield SimpleNamespace(keeper=keeper, reactor=reactor, counts=counts, lines=lines, path=tmp_path)
     Faulty.gate.set()
@@ -152,7 +152,7 @@
 
 
 def test_a_locked_folder_is_told_once_and_taken_when_it_is_free(world):
-    holder = Store(str(world.path / "n0"))
+    holder = SnapshotStore(str(world.path / "n0"))
     holder.open()
     keeper = world.keeper()
     keeper.load()
--- a/tests/persistence/test_store.py
+++ b/tests/persistence/test_store.py
@@ -9,8 +9,8 @@
 import pytest
 
 from corkdeal.persistence.errors import FolderLockedError, UnsafeFileError
-from corkdeal.persistence.files import Files
-from corkdeal.persistence.store import Store, file_of, folder_of
+from corkdeal.persistence.files import StateFolder
+from corkdeal.persistence.store import SnapshotStore, gateway_folder, snapshot_name
 
 from . import samples
 
@@ -28,7 +28,7 @@
     return int(slow)
 
 
-class Recording(Files):
+class Recording(StateFolder):
     """Writes as the real one does, and keeps the list of what it did."""
 
     log = []
@@ -49,9 +49,9 @@
         super().sync(file)
         self.log.append(("sync", file))
 
-    def finish(self, file):
-        super().finish(file)
-        self.log.append(("finish", file))
+    def close_file(self, file):
+        super().close_file(file)
+        self.log.append(("close_file", file))
 
     def rename(self, old, new):
         super().rename(old, new)
@@ -129,7 +129,7 @@
 
 def test_no_crash_state_loads_a_damaged_file_or_loses_a_durable_generation(tmp_path):
     Recording.log = []
-    store = Store(str(tmp_path / "recorded"), opener=Recording)
+    store = SnapshotStore(str(tmp_path / "recorded"), opener=Recording)
     for _ in range(4):
         Recording.log.append(("durable", store.write(numbered)))
     store.close()
@@ -141,14 +141,14 @@
         folder.mkdir(mode=0o700)
         for name, content in state:
             (folder / name).write_bytes(content)
-        opened = Store(str(folder))
+        opened = SnapshotStore(str(folder))
         opened.open()
         loaded = opened.load()
         if loaded.document is None:
-            assert durable == 0, (number, [n for n, _ in state], loaded.refused)
+            assert durable == 0, (number, [n for n, _ in state], loaded.rejected)
         else:  # exactly one generation's content, of one that was written, under its own name
             found = generation_of(loaded.document)
-            assert found >= durable and loaded.file == file_of(found)
+            assert found >= durable and loaded.file == snapshot_name(found)
             newer += found > durable
         after = opened.write(numbered)  # and whatever was left, the next write is whole
         assert generation_of(opened.load().document) == after > durable
@@ -160,7 +160,7 @@
 def test_without_the_sync_before_the_rename_the_same_states_do_lose_one(tmp_path):
     """That the enumeration can fail: a store that leaves out one step is caught."""
     Recording.log = []
-    store = Store(str(tmp_path / "recorded"), opener=Recording)
+    store = SnapshotStore(str(tmp_path / "recorded"), opener=Recording)
     for _ in range(3):
         Recording.log.append(("durable", store.write(numbered)))
     store.close()
@@ -169,8 +169,8 @@
         assert any(
             durable
             and not any(
-                (name == file_of(durable) and content == b"".join(numbered(durable)))
-                or (name > file_of(durable) and content == b"".join(numbered(int(name[:16]))))
+                (name == snapshot_name(durable) and content == b"".join(numbered(durable)))
+                or (name > snapshot_name(durable) and content == b"".join(numbered(int(name[:16]))))
                 for name, content in state
             )
             for durable, state in crash_states(log)
@@ -178,42 +178,42 @@
 
 
 def test_two_generations_are_kept_and_a_damaged_one_falls_back(tmp_path):
-    store = Store(str(tmp_path))
+    store = SnapshotStore(str(tmp_path))
     for _ in range(5):
         store.write(numbered)
-    assert sorted(os.listdir(tmp_path)) == [file_of(4), file_of(5), "lock"]
-    assert (tmp_path / file_of(5)).stat().st_mode & 0o777 == 0o600
+    assert sorted(os.listdir(tmp_path)) == [snapshot_name(4), snapshot_name(5), "lock"]
+    assert (tmp_path / snapshot_name(5)).stat().st_mode & 0o777 == 0o600
     store.close()
-    (tmp_path / file_of(5)).write_bytes(b"".join(numbered(5))[:-1])
-    (tmp_path / file_of(6)).write_bytes(b"".join(numbered(5)))  # whole, but not what its name says
-    again = Store(str(tmp_path))
+    (tmp_path / snapshot_name(5)).write_bytes(b"".join(numbered(5))[:-1])
+    (tmp_path / snapshot_name(6)).write_bytes(b"".join(numbered(5)))  # whole, but not what its name says
+    again = SnapshotStore(str(tmp_path))
     again.open()
     loaded = again.load()
-    assert generation_of(loaded.document) == 4 and [r.file for r in loaded.refused] == [
-        file_of(6),
-        file_of(5),
+    assert generation_of(loaded.document) == 4 and [r.file for r in loaded.rejected] == [
+        snapshot_name(6),
+        snapshot_name(5),
     ]
-    assert "checksum" in loaded.refused[1].why and "under the name of 6" in loaded.refused[0].why
+    assert "checksum" in loaded.rejected[1].reason and "under the name of 6" in loaded.rejected[0].reason
     assert again.write(numbered) == 7
     again.close()
 
 
 def test_a_newer_format_is_neither_loaded_nor_touched(tmp_path):
     newer = (samples.DATA / "format-4.know").read_bytes()
-    (tmp_path / file_of(3)).write_bytes(newer)
-    (tmp_path / file_of(2)).write_bytes(b"".join(numbered(2)))
-    store = Store(str(tmp_path))
+    (tmp_path / snapshot_name(3)).write_bytes(newer)
+    (tmp_path / snapshot_name(2)).write_bytes(b"".join(numbered(2)))
+    store = SnapshotStore(str(tmp_path))
     store.open()
     loaded = store.load()
-    assert generation_of(loaded.document) == 2 and "needs a reader of format 4" in loaded.refused[0].why
+    assert generation_of(loaded.document) == 2 and "needs a reader of format 4" in loaded.rejected[0].reason
     for _ in range(4):
         store.write(numbered)
     store.close()
-    unread = Store(str(tmp_path))  # writes without ever having loaded
+    unread = SnapshotStore(str(tmp_path))  # writes without ever having loaded
     for _ in range(4):
         unread.write(numbered)
     unread.close()
-    assert (tmp_path / file_of(3)).read_bytes() == newer and len(os.listdir(tmp_path)) == 4
+    assert (tmp_path / snapshot_name(3)).read_bytes() == newer and len(os.listdir(tmp_path)) == 4
 
 
 def put(path, kind):
@@ -236,33 +236,33 @@
 def test_what_is_no_plain_file_of_ours_is_passed_over_without_waiting(tmp_path, kind):
     if kind == "stranger" and os.geteuid():
         pytest.skip("only root can give a file away")
-    (tmp_path / file_of(1)).write_bytes(b"".join(numbered(1)))
-    put(tmp_path / file_of(9), kind)
-    store = Store(str(tmp_path))
+    (tmp_path / snapshot_name(1)).write_bytes(b"".join(numbered(1)))
+    put(tmp_path / snapshot_name(9), kind)
+    store = SnapshotStore(str(tmp_path))
     store.open()
     loaded = store.load()
-    assert generation_of(loaded.document) == 1 and loaded.refused[0].file == file_of(9)
+    assert generation_of(loaded.document) == 1 and loaded.rejected[0].file == snapshot_name(9)
     assert store.write(numbered) == 10
     store.close()
     if kind in ("symlink", "fifo", "folder"):  # nor in the lock's place, nor in the folder's
         (tmp_path / "lock").unlink()
         put(tmp_path / "lock", kind)
         with pytest.raises(OSError):
-            Store(str(tmp_path)).open()
+            SnapshotStore(str(tmp_path)).open()
         put(tmp_path / "instead", kind)
         if kind != "folder":
             with pytest.raises(OSError):
-                Store(str(tmp_path / "instead")).open()
+                SnapshotStore(str(tmp_path / "instead")).open()
 
 
 def test_a_folder_that_others_may_write_is_refused(tmp_path):
     os.chmod(tmp_path, 0o777)
     with pytest.raises(UnsafeFileError):
-        Store(str(tmp_path)).open()
+        SnapshotStore(str(tmp_path)).open()
 
 
 def test_a_second_process_of_one_name_goes_without_until_the_first_is_gone(tmp_path):
-    one, other = Store(str(tmp_path)), Store(str(tmp_path))
+    one, other = SnapshotStore(str(tmp_path)), SnapshotStore(str(tmp_path))
     one.write(numbered)
     with pytest.raises(FolderLockedError):
         other.open()
@@ -275,11 +275,11 @@
 
 @pytest.mark.parametrize("name", ["n0", "../../etc", ".", "", "a/b", "halle-ä"])
 def test_a_name_never_leads_out_of_the_path(name):
-    folder = pathlib.PurePath(folder_of("/var/lib/corkdeal", name))
+    folder = pathlib.PurePath(gateway_folder("/var/lib/corkdeal", name))
     assert folder.parent == pathlib.PurePath("/var/lib/corkdeal") and folder.name not in (".", "..")
 
 
-class Failing(Files):
+class Failing(StateFolder):
     """Fails one kind of step while `failing` names it."""
 
     failing = ""
@@ -314,7 +314,7 @@
 
 @pytest.mark.parametrize("step", ["create", "write", "sync", "rename", "sync_folder"])
 def test_a_disk_that_fails_costs_that_write_only_and_heals(tmp_path, step):
-    store = Store(str(tmp_path), opener=Failing)
+    store = SnapshotStore(str(tmp_path), opener=Failing)
     assert store.write(numbered) == 1
     for number in (errno.ENOSPC, errno.EROFS, errno.EIO):
         Failing.failing, Failing.number = step, number
@@ -330,8 +330,8 @@
 
 
 def test_a_folder_that_vanished_is_made_anew(tmp_path):
-    store = Store(str(tmp_path / "here"))
+    store = SnapshotStore(str(tmp_path / "here"))
     store.write(numbered)
     os.rename(tmp_path / "here", tmp_path / "away")
-    assert store.write(numbered) == 2 and os.listdir(tmp_path / "away").count(file_of(2)) == 0
+    assert store.write(numbered) == 2 and os.listdir(tmp_path / "away").count(snapshot_name(2)) == 0
     store.close()
--- a/tests/persistence/test_stored_form.py
+++ b/tests/persistence/test_stored_form.py
@@ -18,7 +18,7 @@
 from corkdeal.persistence import merge
 from corkdeal.persistence.clock import Reading
 from corkdeal.persistence.document import Head, encode, entry, pack_account, page
-from corkdeal.persistence.store import Store, file_of
+from corkdeal.persistence.store import SnapshotStore, snapshot_name
 
 from . import samples
 
@@ -52,11 +52,11 @@
 
 
 def test_a_folder_that_version_0_2_0_wrote_is_loaded_and_gone_on_with(tmp_path):
-    shutil.copy(FULL, tmp_path / file_of(2))
-    store = Store(str(tmp_path))
+    shutil.copy(FULL, tmp_path / snapshot_name(2))
+    store = SnapshotStore(str(tmp_path))
     store.open()
     loaded = store.load()
-    assert (loaded.file, loaded.format, loaded.refused) == ("0000000000000002.know", 3, [])
+    assert (loaded.file, loaded.format, loaded.rejected) == ("0000000000000002.know", 3, [])
     assert loaded.document.head == HEAD
     assert merge.accounts_of(loaded.document) == ACCOUNTS
     assert store.write(full_parts) == 3
--- a/tests/test_cli.py
+++ b/tests/test_cli.py
@@ -10,7 +10,7 @@
 from click.testing import CliRunner
 
 from corkdeal.cli import COMMANDS, main
-from corkdeal.persistence.store import file_of
+from corkdeal.persistence.store import snapshot_name
 
 from .persistence import samples
 
@@ -29,7 +29,7 @@
 @pytest.fixture
 def folder(tmp_path):
     for generation in (1, 2):
-        (tmp_path / file_of(generation)).write_bytes(samples.data(generation))
+        (tmp_path / snapshot_name(generation)).write_bytes(samples.data(generation))
     return tmp_path
 
 
@@ -71,16 +71,16 @@
     said = json.loads(run("knowledge", "show", folder, "--json"))
     assert said["generation"] == 2 and said["accounts"][0]["customer"] == "0000000000000007"
     assert said["servers"][0]["server"] == "s-1" and said["servers"][0]["weight"] == 0
-    text = run("knowledge", "show", folder / file_of(1))
+    text = run("knowledge", "show", folder / snapshot_name(1))
     assert "servers (1):" in text and "s-1" in text and "accounts (1):" in text
 
 
 def test_verify_says_what_is_wrong_and_where(folder):
     run("knowledge", "verify", folder)
     whole = samples.data(3)
-    (folder / file_of(3)).write_bytes(whole[:-1])
-    (folder / file_of(4)).write_bytes(whole)
-    (folder / file_of(5)).write_bytes((samples.DATA / "format-4.know").read_bytes())
+    (folder / snapshot_name(3)).write_bytes(whole[:-1])
+    (folder / snapshot_name(4)).write_bytes(whole)
+    (folder / snapshot_name(5)).write_bytes((samples.DATA / "format-4.know").read_bytes())
     said = json.loads(run("knowledge", "verify", folder, "--json", code=1))
     assert [f["good"] for f in said] == [True, True, False, False, False]
     assert "byte 48" in said[2]["fault"] and "byte 16" in said[3]["fault"] and "format 4" in said[4]["fault"]
@@ -89,7 +89,7 @@
 
 
 def test_merge_and_age_write_new_files_only(folder):
-    other, out = folder / "other.know", folder / file_of(3)
+    other, out = folder / "other.know", folder / snapshot_name(3)
     other.write_bytes(samples.data(1, accounts={9: samples.ACCOUNT}))
     assert "1 servers, 2 accounts" in run("knowledge", "merge", folder, other, "--out", out)
     assert "exists" in run("knowledge", "merge", folder, other, "--out", out, code=1)
