--- a/benchmarks/knowledge.py
+++ b/benchmarks/knowledge.py
@@ -24,7 +24,7 @@
 from corkdeal.decisions.settings import Plan, RequestClass, Settings
 from corkdeal.persistence import clock
 from corkdeal.persistence.capture import Collector
-from corkdeal.persistence.document import decode, encode
+from corkdeal.persistence.codec import decode, encode
 from corkdeal.persistence.restore import Recall
 from corkdeal.persistence.store import SnapshotStore
 
--- a/benchmarks/upgrade.py
+++ b/benchmarks/upgrade.py
@@ -168,7 +168,7 @@
     from corkdeal.net.__main__ import GC_EVERY
     from corkdeal.persistence import clock, quota_handover
     from corkdeal.persistence.capture import Collector
-    from corkdeal.persistence.document import decode, encode
+    from corkdeal.persistence.codec import decode, encode
     from corkdeal.persistence.restore import Recall
 
     old, now = gateway_with(accounts), 1000.0
--- a/corkdeal/cli/knowledge.py
+++ b/corkdeal/cli/knowledge.py
@@ -9,7 +9,7 @@
 import click
 
 from ..persistence import clock, expiry, merge
-from ..persistence.document import Document, decode, encode, entry, page
+from ..persistence.codec import Snapshot, decode, encode, entry, page
 from ..persistence.envelope import MAX_FILE_SIZE
 from ..persistence.errors import DamagedSnapshotError, UnsupportedFormatError
 from ..persistence.files import StateFolder
@@ -19,7 +19,7 @@
 MOST_ROWS = 20
 
 
-def read(path: str) -> tuple[int, int, Document]:
+def read(path: str) -> tuple[int, int, Snapshot]:
     """A file's generation, format and document; a click error where it can't be used."""
     try:
         return decode(bytes_of(path))
@@ -36,7 +36,7 @@
         files.close()
 
 
-def write(path: str, document: Document, generation: int) -> None:
+def write(path: str, document: Snapshot, generation: int) -> None:
     """A new file with a document; an existing one is never overwritten."""
     entries = [entry(customer, raw) for each in document.accounts for customer, raw in each.items()]
     parts = encode(generation, document.head, [page(entries, len(entries))])
@@ -67,11 +67,11 @@
 
 
 def described(
-    path: str, generation: int, form: int, document: Document, extra: float = 0.0
+    path: str, generation: int, form: int, document: Snapshot, extra: float = 0.0
 ) -> dict[str, Any]:
     """All that a person may ask of a document, with ages and weights as they count now, or in `extra` s."""
     head = document.head
-    age, odd = clock.age(head.clock, clock.read_clocks())
+    age, odd = clock.measure_age(head.clock, clock.read_clocks())
     age += extra
 
     def since(stamp: float) -> float:
@@ -86,14 +86,14 @@
         "program": head.program,
         "age": number(age),
         "odd": list(odd),
-        "clean": head.clean,
-        "unseen": head.every,
-        "ledgers_hold": age < expiry.LEDGERS_HORIZON and head.fleet.born > 0,
+        "clean": head.is_clean,
+        "unseen": head.write_interval,
+        "ledgers_hold": age < expiry.LEDGER_HORIZON and head.fleet.born > 0,
         "fleet": {
             "pace": head.fleet.pace,
-            "pace_weight": expiry.WORK.weight(age),
+            "pace_weight": expiry.USUAL_LATENCY.weight(age),
             "slow": head.fleet.slow,
-            "slow_weight": expiry.FLEET.weight(age),
+            "slow_weight": expiry.FLEET_SLOWNESS.weight(age),
             "retries": head.fleet.retries,
         },
         "work": [
@@ -102,7 +102,7 @@
                 "size": w.size,
                 "seconds": w.seconds,
                 "age": number(since(w.at)),
-                "weight": expiry.WORK.weight(since(w.at)),
+                "weight": expiry.USUAL_LATENCY.weight(since(w.at)),
             }
             for w in head.fleet.work
         ],
@@ -112,10 +112,10 @@
                 "started": s.started,
                 "age": number(since(s.at)),
                 "slow": s.slow,
-                "weight": expiry.SLOWNESS.weight(since(s.at)),
+                "weight": expiry.SERVER_SLOWNESS.weight(since(s.at)),
                 "failures": s.failures,
                 "ejected": s.ejected,
-                "failures_weight": expiry.FAILURES.weight(since(s.at)),
+                "failures_weight": expiry.SERVER_FAILURES.weight(since(s.at)),
                 "address": s.address,
                 "shut": [x.cls for x in s.shut],
             }
@@ -239,7 +239,7 @@
     path = newest_in(path)
     generation, form, document = read(path)
     if out:
-        write(out, merge.older(document, by), generation)
+        write(out, merge.backdated(document, by), generation)
     said = described(path, generation, form, document, by)
     tell(said, as_json, as_text(said))
 
--- a/corkdeal/cli/version.py
+++ b/corkdeal/cli/version.py
@@ -15,8 +15,8 @@
 @json_option
 def command(as_json: bool) -> None:
     """Tell versions of the program, of the knowledge format and of the libraries that matter for both."""
-    from ..persistence.document import FORMAT
+    from ..persistence.codec import CURRENT_FORMAT
 
-    said = {"corkdeal": __version__, "knowledge_format": FORMAT, "python": platform.python_version()}
+    said = {"corkdeal": __version__, "knowledge_format": CURRENT_FORMAT, "python": platform.python_version()}
     said |= {name: metadata.version(name) for name in ("Twisted", "msgspec", "zstandard", "blake3", "kdl-py")}
     tell(said, as_json, "\n".join(f"{name} {version}" for name, version in said.items()))
--- a/corkdeal/experiment/kills.py
+++ b/corkdeal/experiment/kills.py
@@ -14,7 +14,7 @@
 import time
 from typing import Any
 
-from ..persistence.document import read_account
+from ..persistence.codec import decode_account
 from ..persistence.store import SnapshotStore, gateway_folder, match_snapshot_name
 from ..standin import clients, fleet
 from ..standin.discovery import Discovery
@@ -44,7 +44,7 @@
     generation = int(named[1]) if named else 0
     if generation < least:
         raise Broken(f"{folder}: generation {generation} after {least}")
-    accounts = [read_account(raw) for raw in loaded.document.raw_accounts().values()]
+    accounts = [decode_account(raw) for raw in loaded.document.encoded_accounts().values()]
     return generation, len(accounts)
 
 
--- a/corkdeal/experiment/tier.py
+++ b/corkdeal/experiment/tier.py
@@ -459,10 +459,10 @@
 def older(file: pathlib.Path, seconds: float = 3600.0) -> None:
     """Let an hour pass for a stored document."""
     from ..persistence import merge
-    from ..persistence.document import decode, encode, entry, page
+    from ..persistence.codec import decode, encode, entry, page
 
     generation, _, document = decode(file.read_bytes())
-    made = merge.older(document, seconds)
+    made = merge.backdated(document, seconds)
     entries = [entry(customer, raw) for each in made.accounts for customer, raw in each.items()]
     file.write_bytes(b"".join(encode(generation, made.head, [page(entries, len(entries))])))
 
--- a/corkdeal/net/upgrade.py
+++ b/corkdeal/net/upgrade.py
@@ -16,7 +16,7 @@
 from .. import __version__, logs
 from ..persistence import clock, quota_handover
 from ..persistence.capture import Collector
-from ..persistence.document import Document, encode
+from ..persistence.codec import Snapshot, encode
 from ..persistence.handover_files import FIRST, REST, Lives
 from ..persistence.restore import Recall
 from ..persistence.store import gateway_folder
@@ -128,7 +128,7 @@
         self.before = None
         self.gateway.hear()
 
-    def read(self, what: str) -> Document | None:
+    def read(self, what: str) -> Snapshot | None:
         """A document for this life; one that can't be read counts as none, and is logged."""
         try:
             return self.lives.read(self.before, what)
@@ -137,9 +137,9 @@
             logs.event("handover_unreadable", what=what, before=self.before, error=str(error)[:200])
             return None
 
-    def recall(self, document: Document) -> Recall:
+    def recall(self, document: Snapshot) -> Recall:
         """Its records, aged to now."""
-        age, _ = clock.age(document.head.clock, clock.read_clocks())
+        age, _ = clock.measure_age(document.head.clock, clock.read_clocks())
         return Recall(document, age, self.gateway.now(), self.gateway.settings, lambda name: "", counts)
 
     # The old life
--- a/corkdeal/persistence/capture.py
+++ b/corkdeal/persistence/capture.py
@@ -13,8 +13,8 @@
 
 from ..decisions import persisted_state
 from ..decisions.persisted_state import FleetMemory, ServerMemory
-from .clock import Reading
-from .document import Head, entry, pack_account, page
+from .clock import ClockReading
+from .codec import SnapshotHead, encode_account, entry, page
 from .restore import Recall
 
 BATCH = 32  # accounts packed between two looks at the clock
@@ -37,7 +37,7 @@
     def steps(
         self,
         now: Callable[[], float],
-        clock: Callable[[], Reading],
+        clock: Callable[[], ClockReading],
         tick: Callable[[], float],
     ) -> Iterator[None]:
         """Bring the packed accounts up to date; yields whenever `tick` says that `TURN` has passed."""
@@ -51,7 +51,9 @@
             for key in batch:
                 a = d.accounts.get(key)
                 if a is not None:
-                    packed[key] = entry(key, pack_account(persisted_state.account_of(a, shift, d.peer_born)))
+                    packed[key] = entry(
+                        key, encode_account(persisted_state.account_of(a, shift, d.peer_born))
+                    )
                     if a.open:  # will end, of which nothing else tells
                         self.open.add(key)
             if tick() - began > TURN:
@@ -61,7 +63,7 @@
         for key in packed.keys() - d.accounts.keys() if len(packed) > len(d.accounts) else ():
             del packed[key]
 
-    def left_over(self, now: float, clock: Reading) -> dict[int, bytes]:
+    def left_over(self, now: float, clock: ClockReading) -> dict[int, bytes]:
         """Accounts of the earlier life that nobody has asked for yet."""
         if self.recall is None:
             return {}
@@ -83,7 +85,9 @@
             while batch := list(islice(rest, PAGE)):
                 yield page(batch, len(batch))
 
-    def head(self, now: float, clock: Reading, every: float, clean: bool, addresses: dict[str, str]) -> Head:
+    def head(
+        self, now: float, clock: ClockReading, every: float, clean: bool, addresses: dict[str, str]
+    ) -> SnapshotHead:
         """All but the accounts, as it stands."""
         d, shift = self.decisions, clock.boot - now
         servers: list[ServerMemory] = []
@@ -94,4 +98,4 @@
             servers += self.recall.unlisted(now, clock.boot)
         fleet: FleetMemory = d.learned()
         fleet = fleet._replace(work=tuple([w._replace(at=clock.boot) for w in fleet.work]))
-        return Head(self.name, self.program, clock, every, clean, fleet, tuple(servers))
+        return SnapshotHead(self.name, self.program, clock, every, clean, fleet, tuple(servers))
--- a/corkdeal/persistence/document.py
+++ b/corkdeal/persistence/codec.py
@@ -16,7 +16,7 @@
 
 from ..decisions.persisted_state import AccountMemory, FleetMemory, ServerMemory
 from . import migrate
-from .clock import Reading
+from .clock import ClockReading
 from .envelope import MAX_UNPACKED_SIZE, build_envelope, parse_envelope
 from .errors import (
     DamagedSnapshotError,
@@ -26,31 +26,35 @@
     UnsupportedFormatError,
 )
 
-FORMAT, LEAST_READER = 3, 3
-LEVEL = 1  # of zstandard: higher ones cost more processor than the bytes are worth here
-MOST_SERVERS, MOST_ACCOUNTS = 100_000, 1_000_000
+CURRENT_FORMAT = 3
+MINIMUM_READER = 3
+COMPRESSION_LEVEL = 1  # of zstandard: higher ones cost more processor than the bytes are worth here
+MAX_SERVERS = 100_000
+MAX_ACCOUNTS = 1_000_000
 MAP32 = b"\xdf"
 
 
-class Head(msgspec.Struct, frozen=True, forbid_unknown_fields=False):
+class SnapshotHead(msgspec.Struct, frozen=True, forbid_unknown_fields=False):
     """All but the accounts."""
 
     name: str
     program: str
-    clock: Reading
-    every: float  # s between writes: so much may have been spent unseen
-    clean: bool  # written at a planned end, after which nothing was spent
+    clock: ClockReading
+    # seconds between writes: so much may have been spent unrecorded
+    write_interval: float = msgspec.field(name="every")
+    # written at a planned end, after which nothing was spent
+    is_clean: bool = msgspec.field(name="clean")
     fleet: FleetMemory
     servers: tuple[ServerMemory, ...]
 
 
-class Document(msgspec.Struct):
+class Snapshot(msgspec.Struct):
     """A file's knowledge."""
 
-    head: Head
+    head: SnapshotHead
     accounts: list[dict[int, msgspec.Raw]]
 
-    def raw_accounts(self) -> dict[int, msgspec.Raw]:
+    def encoded_accounts(self) -> dict[int, msgspec.Raw]:
         """All accounts by customer, still in their bytes; of one that stands twice the later."""
         return (
             self.accounts[0]
@@ -59,28 +63,28 @@
         )
 
 
-_document = msgspec.msgpack.Decoder(Document)
-_account = msgspec.msgpack.Decoder(AccountMemory)
+_snapshot_decoder = msgspec.msgpack.Decoder(Snapshot)
+_account_decoder = msgspec.msgpack.Decoder(AccountMemory)
 _encoder = msgspec.msgpack.Encoder()
-pack_account = _encoder.encode
+encode_account = _encoder.encode
 
 
-def read_account(raw: bytes | msgspec.Raw) -> AccountMemory:
+def decode_account(raw: bytes | msgspec.Raw) -> AccountMemory:
     """One account's record; `MalformedRecordError` for what is none."""
     try:
-        made = _account.decode(raw)
+        made = _account_decoder.decode(raw)
     except msgspec.MsgspecError as error:
         raise MalformedRecordError(str(error)) from error
-    if not finite(made):
+    if not is_finite(made):
         raise MalformedRecordError("a figure is not finite")
     return made
 
 
-def finite(value: Any) -> bool:
+def is_finite(value: Any) -> bool:
     """Whether no figure in nested records is infinite or none at all."""
     if isinstance(value, float):
         return math.isfinite(value)
-    return all(map(finite, value)) if isinstance(value, tuple) else True
+    return all(map(is_finite, value)) if isinstance(value, tuple) else True
 
 
 def page(entries: Iterable[bytes], count: int) -> bytes:
@@ -90,25 +94,25 @@
 
 def entry(customer: int, record: bytes | msgspec.Raw) -> bytes:
     """A page's entry."""
-    return pack_account(customer) + bytes(record)
+    return encode_account(customer) + bytes(record)
 
 
-def raw_parts(head: Head, pages: Iterable[bytes], count: int) -> Iterator[bytes]:
+def _document_parts(head: SnapshotHead, pages: Iterable[bytes], count: int) -> Iterator[bytes]:
     """The document's msgpack, in parts."""
     yield b"\x82" + _encoder.encode("head") + _encoder.encode(head) + _encoder.encode("accounts")
     yield b"\xdd" + count.to_bytes(4, "big")
     yield from pages
 
 
-def encode(generation: int, head: Head, pages: list[bytes]) -> list[bytes]:
+def encode(generation: int, head: SnapshotHead, pages: list[bytes]) -> list[bytes]:
     """A whole file, in parts: compressed and sealed. May run beside the reactor."""
-    raw = list(raw_parts(head, pages, len(pages)))
+    raw = list(_document_parts(head, pages, len(pages)))
     size = sum(map(len, raw))
     if size > MAX_UNPACKED_SIZE:
         raise SnapshotTooLargeError(f"{size} bytes of knowledge are over {MAX_UNPACKED_SIZE}")
-    packer = zstandard.ZstdCompressor(level=LEVEL, write_content_size=True).compressobj(size=size)
+    packer = zstandard.ZstdCompressor(level=COMPRESSION_LEVEL, write_content_size=True).compressobj(size=size)
     packed = [part for part in map(packer.compress, raw) if part]
-    return build_envelope(FORMAT, LEAST_READER, generation, size, [*packed, packer.flush()])
+    return build_envelope(CURRENT_FORMAT, MINIMUM_READER, generation, size, [*packed, packer.flush()])
 
 
 def unpack(body: memoryview, unpacked_size: int) -> bytes:
@@ -124,32 +128,40 @@
         raise DamagedSnapshotError(f"byte 80: {error}") from error
 
 
-def decode(data: bytes) -> tuple[int, int, Document]:
+def decode(data: bytes) -> tuple[int, int, Snapshot]:
     """A file's generation, the format that it has, and its document in today's form."""
     outside = parse_envelope(data)
-    if outside.minimum_reader > FORMAT:
+    if outside.minimum_reader > CURRENT_FORMAT:
         raise UnsupportedFormatError(
-            f"format {outside.format} needs a reader of format {outside.minimum_reader}, not {FORMAT}"
+            f"format {outside.format} needs a reader of format {outside.minimum_reader}, not {CURRENT_FORMAT}"
         )
     try:
-        if outside.format >= FORMAT:
-            document = _document.decode(unpack(outside.body, outside.unpacked_size))
+        if outside.format >= CURRENT_FORMAT:
+            document = _snapshot_decoder.decode(unpack(outside.body, outside.unpacked_size))
         else:
             raw = bytes(outside.body) if outside.format == 1 else unpack(outside.body, outside.unpacked_size)
-            document = _document.decode(_encoder.encode(migrate.to_newest(outside.format, raw)))
+            document = _snapshot_decoder.decode(
+                _encoder.encode(migrate.migrate_to_current(outside.format, raw))
+            )
     except (msgspec.MsgspecError, MigrationError) as error:
         raise DamagedSnapshotError(f"body: {error}") from error
-    checked(document)
+    validate(document)
     return outside.generation, outside.format, document
 
 
-def checked(document: Document) -> None:
+def validate(document: Snapshot) -> None:
     """What the types do not say: sizes, and that every figure is one."""
     head = document.head
-    if len(head.servers) > MOST_SERVERS or sum(map(len, document.accounts)) > MOST_ACCOUNTS:
+    if len(head.servers) > MAX_SERVERS or sum(map(len, document.accounts)) > MAX_ACCOUNTS:
         raise DamagedSnapshotError("body: more servers or accounts than any gateway has")
-    for name in ("clock", "fleet", "servers", "every"):
-        if not finite(getattr(head, name)):
+    figures = {
+        "clock": head.clock,
+        "fleet": head.fleet,
+        "servers": head.servers,
+        "every": head.write_interval,
+    }
+    for name, value in figures.items():
+        if not is_finite(value):
             raise DamagedSnapshotError(f"body: {name}: a figure is not finite")
-    if head.every < 0:
+    if head.write_interval < 0:
         raise DamagedSnapshotError("body: every: below 0")
--- a/corkdeal/persistence/expiry.py
+++ b/corkdeal/persistence/expiry.py
@@ -24,7 +24,7 @@
 from ..decisions.persisted_state import AccountMemory, ServerMemory
 
 
-class Fading(NamedTuple):
+class ExpiryRule(NamedTuple):
     """How one kind of knowledge fades."""
 
     half_life: float  # s
@@ -37,49 +37,51 @@
         return 0.5 ** (max(0.0, age) / self.half_life)
 
 
-SLOWNESS = Fading(20.0, 120.0)
-FAILURES = Fading(15.0, 90.0)
-WORK = Fading(3600.0, 86400.0)
-FLEET = Fading(5.0, 30.0)
-RETRIES = Fading(10.0, 60.0)
-LEDGERS_HORIZON = 30.0  # s; also how far the round number is moved on, see recall.ROUND_LEAP
+SERVER_SLOWNESS = ExpiryRule(20.0, 120.0)
+SERVER_FAILURES = ExpiryRule(15.0, 90.0)
+USUAL_LATENCY = ExpiryRule(3600.0, 86400.0)
+FLEET_SLOWNESS = ExpiryRule(5.0, 30.0)
+RETRY_BUDGET = ExpiryRule(10.0, 60.0)
+LEDGER_HORIZON = 30.0  # s; also how far the round number is moved on, see recall.ROUND_LEAP
 ACCOUNT_HORIZON = 3600.0  # s
-DEMAND_FADE = 2.0  # s, as the decisions average demand
-LEAST_FAILURES = 0.5  # a faded run of failures below this is none
+DEMAND_TIME_CONSTANT = 2.0  # s, as the decisions average demand
+MIN_FAILURES = 0.5  # a faded run of failures below this is none
 
 
-def towards(recorded: float, unknown: float, weight: float) -> float:
+def interpolate(recorded: float, unknown: float, weight: float) -> float:
     """The recorded figure as far as it still counts, for the rest the unknown one; never outside the two."""
     low, high = min(recorded, unknown), max(recorded, unknown)  # rounding could pass them
     return min(high, max(low, unknown + (recorded - unknown) * weight))
 
 
-def aged_server(m: ServerMemory, age: float) -> ServerMemory | None:
+def expire_server(record: ServerMemory, age: float) -> ServerMemory | None:
     """A server's record after that time; None where nothing is left of it.
 
     An ejection stays one only as the need of a trial, with its length faded; it is never a verdict.
     """
-    slowness, failing = SLOWNESS.weight(age), FAILURES.weight(age)
+    slowness, failing = SERVER_SLOWNESS.weight(age), SERVER_FAILURES.weight(age)
     if not slowness and not failing:
         return None
-    failures = m.failures * failing
-    shut = [s._replace(wait=s.wait * failing, left=max(0.0, s.left - age)) for s in m.shut if failing]
-    return m._replace(
-        slow=towards(m.slow, 1.0, slowness),
-        failures=math.ceil(failures) if failures >= LEAST_FAILURES else 0,
-        ejected=m.ejected and failing > 0,
-        out_for=m.out_for * failing,
+    failures = record.failures * failing
+    shut = [s._replace(wait=s.wait * failing, left=max(0.0, s.left - age)) for s in record.shut if failing]
+    return record._replace(
+        slow=interpolate(record.slow, 1.0, slowness),
+        failures=math.ceil(failures) if failures >= MIN_FAILURES else 0,
+        ejected=record.ejected and failing > 0,
+        out_for=record.out_for * failing,
         shut=tuple(shut),
     )
 
 
-def spent_unseen(m: AccountMemory, rate: float, share: float, quiet: float, unseen: float) -> float:
+def unrecorded_spending(
+    record: AccountMemory, rate: float, share: float, quiet: float, unseen: float
+) -> float:
     """Units assumed spent between the last write and the death, `unseen` seconds at the most.
 
     The demand at the write goes on for that long. It is bounded by what the bucket held then and gained in
     the meantime, so an account begins at empty at the worst and never in debt that it did not have. `quiet`
     is how long before the write the record was made: nothing was asked in between, or it would be newer.
     """
-    demand = m.demand * math.exp(-max(0.0, quiet) / DEMAND_FADE)
-    held = max(0.0, m.level) + rate * share * unseen
+    demand = record.demand * math.exp(-max(0.0, quiet) / DEMAND_TIME_CONSTANT)
+    held = max(0.0, record.level) + rate * share * unseen
     return min(held, max(0.0, demand) * unseen)
--- a/corkdeal/persistence/handover_files.py
+++ b/corkdeal/persistence/handover_files.py
@@ -17,7 +17,7 @@
 import re
 from collections.abc import Callable
 
-from .document import Document, decode
+from .codec import Snapshot, decode
 from .envelope import MAX_FILE_SIZE
 from .errors import DamagedSnapshotError, FolderLockedError
 from .files import StateFolder
@@ -84,7 +84,7 @@
             self.files.close_file(file)
         self.files.rename(part, name)
 
-    def read(self, of: int, what: str) -> Document | None:
+    def read(self, of: int, what: str) -> Snapshot | None:
         """What that life handed on to this one; None while there is none.
 
         Raises `DamagedSnapshotError` for a file that is not whole.
--- a/corkdeal/persistence/merge.py
+++ b/corkdeal/persistence/merge.py
@@ -14,81 +14,88 @@
 import msgspec
 
 from ..decisions.persisted_state import AccountMemory, FleetMemory, ServerMemory, WorkMemory
-from .document import Document, Head, pack_account, read_account
+from .codec import Snapshot, SnapshotHead, decode_account, encode_account
 
 Record = TypeVar("Record", ServerMemory, WorkMemory, AccountMemory)
 
 
-def shift_of(head: Head, target: Head) -> float:
+def clock_offset(head: SnapshotHead, target: SnapshotHead) -> float:
     """What is added to a stamp of one document to make it one of the target's boot clock."""
     if head.clock.boot_id and head.clock.boot_id == target.clock.boot_id:
         return 0.0
     return (head.clock.wall - head.clock.boot) - (target.clock.wall - target.clock.boot)
 
 
-def newest(records: Iterable[tuple[Hashable, Record]]) -> dict[Any, Record]:
+def newest_records(records: Iterable[tuple[Hashable, Record]]) -> dict[Any, Record]:
     """The record that counts for each key."""
     best: dict[Any, Record] = {}
     for key, record in records:
-        if key not in best or rank(record) > rank(best[key]):
+        if key not in best or precedence(record) > precedence(best[key]):
             best[key] = record
     return best
 
 
-def rank(record: Record) -> tuple[float, float, bytes]:
+def precedence(record: Record) -> tuple[float, float, bytes]:
     """Later starts and moments first; then any order, so long as it is always the same."""
     started = record.started if isinstance(record, ServerMemory) else 0.0
-    return started, record.at, pack_account(record)
+    return started, record.at, encode_account(record)
 
 
-def foreign_server(m: ServerMemory, shift: float) -> ServerMemory:
+def server_from_other_machine(m: ServerMemory, offset: float) -> ServerMemory:
     """A server's record of another machine."""
-    return m._replace(at=m.at + shift, address="")
+    return m._replace(at=m.at + offset, address="")
 
 
-def foreign_account(m: AccountMemory, shift: float) -> AccountMemory:
+def account_from_other_machine(m: AccountMemory, offset: float) -> AccountMemory:
     """An account of another machine: its ledgers are that one's."""
     return m._replace(
-        at=m.at + shift, asked_at=m.asked_at + shift, open=0, asked=0.0, spent=0.0, pairs=(), edges=()
+        at=m.at + offset, asked_at=m.asked_at + offset, open=0, asked=0.0, spent=0.0, pairs=(), edges=()
     )
 
 
-def accounts_of(document: Document) -> dict[int, AccountMemory]:
+def accounts_of(document: Snapshot) -> dict[int, AccountMemory]:
     """All accounts that can be read."""
     made: dict[int, AccountMemory] = {}
-    for customer, raw in document.raw_accounts().items():
+    for customer, raw in document.encoded_accounts().items():
         try:
-            made[customer] = read_account(raw)
+            made[customer] = decode_account(raw)
         except ValueError:
             continue
     return made
 
 
-def merge(target: Document, others: Iterable[Document]) -> Document:
+def merge(target: Snapshot, others: Iterable[Snapshot]) -> Snapshot:
     """The target with what the others know better."""
     servers = [(m.server, m) for m in target.head.servers]
     work = [((m.cls, m.size), m) for m in target.head.fleet.work]
     accounts = list(accounts_of(target).items())
-    clean, every = target.head.clean, target.head.every
+    is_clean, write_interval = target.head.is_clean, target.head.write_interval
     for other in others:
-        shift = shift_of(other.head, target.head)
-        servers += [(m.server, foreign_server(m, shift)) for m in other.head.servers]
-        work += [((m.cls, m.size), m._replace(at=m.at + shift)) for m in other.head.fleet.work]
-        clean, every = clean and other.head.clean, max(every, other.head.every)
-        accounts += [(key, foreign_account(m, shift)) for key, m in accounts_of(other).items()]
-    merged = newest(servers)
+        offset = clock_offset(other.head, target.head)
+        servers += [(m.server, server_from_other_machine(m, offset)) for m in other.head.servers]
+        work += [((m.cls, m.size), m._replace(at=m.at + offset)) for m in other.head.fleet.work]
+        is_clean, write_interval = (
+            is_clean and other.head.is_clean,
+            max(write_interval, other.head.write_interval),
+        )
+        accounts += [(key, account_from_other_machine(m, offset)) for key, m in accounts_of(other).items()]
+    merged = newest_records(servers)
     for m in target.head.servers:  # the same process under the target's own address
         if m.address and merged[m.server].started == m.started:
             merged[m.server] = merged[m.server]._replace(address=m.address)
-    fleet = target.head.fleet._replace(work=tuple(sorted(newest(work).values())))
+    fleet = target.head.fleet._replace(work=tuple(sorted(newest_records(work).values())))
     head = msgspec.structs.replace(
-        target.head, fleet=fleet, servers=tuple(sorted(merged.values())), clean=clean, every=every
+        target.head,
+        fleet=fleet,
+        servers=tuple(sorted(merged.values())),
+        is_clean=is_clean,
+        write_interval=write_interval,
     )
-    records = {key: msgspec.Raw(pack_account(m)) for key, m in sorted(newest(accounts).items())}
-    return Document(head, [records])
+    records = {key: msgspec.Raw(encode_account(m)) for key, m in sorted(newest_records(accounts).items())}
+    return Snapshot(head, [records])
 
 
-def older(document: Document, seconds: float) -> Document:
+def backdated(document: Snapshot, seconds: float) -> Snapshot:
     """The same document as if it had been written that much earlier; for trying out what age does."""
     clock = document.head.clock._replace(
         wall=document.head.clock.wall - seconds, boot=document.head.clock.boot - seconds
@@ -98,8 +105,8 @@
     )
     servers = tuple(m._replace(at=m.at - seconds) for m in document.head.servers)
     accounts = {
-        key: msgspec.Raw(pack_account(m._replace(at=m.at - seconds, asked_at=m.asked_at - seconds)))
+        key: msgspec.Raw(encode_account(m._replace(at=m.at - seconds, asked_at=m.asked_at - seconds)))
         for key, m in accounts_of(document).items()
     }
     head = msgspec.structs.replace(document.head, clock=clock, fleet=fleet, servers=servers)
-    return Document(head, [accounts])
+    return Snapshot(head, [accounts])
--- a/corkdeal/persistence/migrate.py
+++ b/corkdeal/persistence/migrate.py
@@ -17,7 +17,7 @@
 UNKNOWN_RETRIES = 1e6  # the decisions save up fewer and cut it to their own bound
 
 
-def to_newest(form: int, raw: bytes) -> dict[str, Any]:
+def migrate_to_current(form: int, raw: bytes) -> dict[str, Any]:
     """A body of an older format as format 3's plain form."""
     if form not in READERS:
         raise MigrationError(f"there is no format {form}")
@@ -30,7 +30,7 @@
     return made
 
 
-def one_to_two(old: dict[str, Any]) -> dict[str, Any]:
+def format_1_to_2(old: dict[str, Any]) -> dict[str, Any]:
     """Turn wall times into those of a boot clock that was 0 at the writing; no boot id is known."""
     wall = old["wall"]
     return {
@@ -59,7 +59,7 @@
     }
 
 
-def two_to_three(old: dict[str, Any]) -> dict[str, Any]:
+def format_2_to_3(old: dict[str, Any]) -> dict[str, Any]:
     """Records become arrays; ledgers are dropped, since no incarnation says whether they may go on."""
     clock, fleet = old["clock"], old["fleet"]
     work = [[*w[:3], clock["boot"]] for w in fleet["work"]]
@@ -110,4 +110,4 @@
 
 
 READERS = {1: msgspec.json.decode, 2: lambda raw: msgspec.msgpack.decode(raw, strict=False)}
-STEPS = {1: one_to_two, 2: two_to_three}
+STEPS = {1: format_1_to_2, 2: format_2_to_3}
--- a/corkdeal/persistence/restore.py
+++ b/corkdeal/persistence/restore.py
@@ -15,10 +15,10 @@
 from ..decisions.persisted_state import AccountMemory, FleetMemory, ServerMemory, WorkMemory
 from ..decisions.settings import Plan, Settings
 from . import expiry
-from .document import Document, entry, pack_account, read_account
-from .expiry import towards
+from .codec import Snapshot, decode_account, encode_account, entry
+from .expiry import interpolate
 
-ROUND_LEAP = 1 << 17  # rounds; more than any gateway counts in ageing.LEDGERS_HORIZON, so none comes twice
+ROUND_LEAP = 1 << 17  # rounds; more than any gateway counts in ageing.LEDGER_HORIZON, so none comes twice
 ROUND_MOST = 1 << 31  # past that a new incarnation begins, long before 32 bits of rounds are used up
 PACE, RETRIES = 0.5, 10.0  # what the decisions begin with where nothing is known
 SAME_START = 0.0015  # s; starts are told in whole milliseconds
@@ -31,7 +31,7 @@
 
     def __init__(
         self,
-        document: Document,
+        document: Snapshot,
         age: float,
         now: float,
         settings: Settings,
@@ -50,7 +50,7 @@
         self.classes = {c.name for c in settings.classes}
         self.plans = {p.name for p in settings.plans}
         self.servers = {s.server: s for s in self.head.servers}
-        self.raw = document.raw_accounts() if age < expiry.ACCOUNT_HORIZON else {}
+        self.raw = document.encoded_accounts() if age < expiry.ACCOUNT_HORIZON else {}
         if not self.raw and document.accounts:
             self.counts["knowledge_account_too_old"] += sum(map(len, document.accounts))
 
@@ -61,7 +61,7 @@
     @property
     def useless(self) -> bool:
         """Whether nothing in it counts any more."""
-        return not self.age < expiry.WORK.horizon
+        return not self.age < expiry.USUAL_LATENCY.horizon
 
     def resumes(self) -> bool:
         """Ledgers go on if peers may still hold their side, and if it is this gateway's place in the same
@@ -69,7 +69,7 @@
         """
         f, s = self.head.fleet, self.settings
         return (
-            self.age < expiry.LEDGERS_HORIZON
+            self.age < expiry.LEDGER_HORIZON
             and f.born > 0
             and f.round < ROUND_MOST
             and (f.me, f.gateways) == (s.gateway_index, s.gateway_count)
@@ -78,17 +78,17 @@
     def fleet(self, now: float, first_work: dict[str, float]) -> FleetMemory:
         """The fleet's record, each figure as far as it still counts."""
         f, age = self.head.fleet, self.age_of(self.head.clock.boot, now)
-        work, lasting = [], expiry.WORK.weight(age)
+        work, lasting = [], expiry.USUAL_LATENCY.weight(age)
         for w in f.work:
-            weight = expiry.WORK.weight(self.age_of(w.at, now))
+            weight = expiry.USUAL_LATENCY.weight(self.age_of(w.at, now))
             if w.cls not in first_work:
                 self.counts["knowledge_class_unknown"] += 1
             elif weight and w.seconds > 0:
-                work.append(WorkMemory(w.cls, w.size, towards(w.seconds, first_work[w.cls], weight)))
+                work.append(WorkMemory(w.cls, w.size, interpolate(w.seconds, first_work[w.cls], weight)))
         return f._replace(
-            pace=towards(f.pace, PACE, lasting),
-            slow=towards(f.slow, 1.0, expiry.FLEET.weight(age)),
-            retries=towards(min(f.retries, RETRIES), RETRIES, expiry.RETRIES.weight(age)),
+            pace=interpolate(f.pace, PACE, lasting),
+            slow=interpolate(f.slow, 1.0, expiry.FLEET_SLOWNESS.weight(age)),
+            retries=interpolate(min(f.retries, RETRIES), RETRIES, expiry.RETRY_BUDGET.weight(age)),
             work=tuple(work),
             round=f.round + ROUND_LEAP,
         )
@@ -115,7 +115,7 @@
         known = tuple(s for s in m.shut if s.cls in self.classes)
         if len(known) < len(m.shut):
             self.counts["knowledge_class_unknown"] += len(m.shut) - len(known)
-        aged = expiry.aged_server(m._replace(shut=known), self.age_of(m.at, now))
+        aged = expiry.expire_server(m._replace(shut=known), self.age_of(m.at, now))
         self.counts["knowledge_server_used" if aged else "knowledge_server_too_old"] += 1
         return aged
 
@@ -128,7 +128,7 @@
         if raw is None:
             return None
         try:
-            m = read_account(raw)
+            m = decode_account(raw)
         except ValueError:
             self.counts["knowledge_account_malformed"] += 1
             return None
@@ -144,10 +144,12 @@
             return None
         self.counts["knowledge_account_used"] += 1
         shift, level = now - age - m.at, m.level
-        if not self.head.clean:
+        if not self.head.is_clean:
             traded = 1 / m.spread + sum(p.slice for p in m.pairs) / SLICE_UNIT
             share = 1.0 if m.edges else min(1.0, max(0.0, traded))
-            level -= expiry.spent_unseen(m, plan.rate, share, self.head.clock.boot - m.at, self.head.every)
+            level -= expiry.unrecorded_spending(
+                m, plan.rate, share, self.head.clock.boot - m.at, self.head.write_interval
+            )
         return m._replace(
             at=m.at + shift,
             asked_at=min(now, m.asked_at + shift),
@@ -161,7 +163,7 @@
         numbers = {p.name: i for i, p in enumerate(self.settings.plans)}
         for customer, raw in list(self.raw.items()):
             try:
-                m = read_account(raw)
+                m = decode_account(raw)
             except ValueError:
                 self.counts["knowledge_account_malformed"] += 1
                 continue
@@ -172,7 +174,7 @@
 
     def unlisted(self, now: float, boot: float) -> list[ServerMemory]:
         """Records of servers that no list has named yet, in this boot's seconds; none when too old."""
-        if self.servers and self.age_of(self.head.clock.boot, now) >= expiry.SLOWNESS.horizon:
+        if self.servers and self.age_of(self.head.clock.boot, now) >= expiry.SERVER_SLOWNESS.horizon:
             self.counts["knowledge_server_gone"] += len(self.servers)
             self.servers.clear()
         return [m._replace(at=boot - self.age_of(m.at, now)) for m in self.servers.values()]
@@ -190,11 +192,11 @@
             record: Any = raw
             if not same_boot:
                 try:
-                    m = read_account(raw)
+                    m = decode_account(raw)
                 except ValueError:
                     self.counts["knowledge_account_malformed"] += 1
                     continue
                 at = boot - self.age_of(m.at, now)
-                record = pack_account(m._replace(at=at, asked_at=at, pairs=(), edges=()))
+                record = encode_account(m._replace(at=at, asked_at=at, pairs=(), edges=()))
             made[customer] = entry(customer, record)
         return made
--- a/corkdeal/persistence/snapshot_writer.py
+++ b/corkdeal/persistence/snapshot_writer.py
@@ -20,7 +20,7 @@
 from ..options import KnowledgeOptions
 from . import clock
 from .capture import Collector
-from .document import Head, encode
+from .codec import SnapshotHead, encode
 from .errors import FolderLockedError
 from .restore import Recall
 from .store import LoadedSnapshot, SnapshotStore, gateway_folder
@@ -120,7 +120,7 @@
         if document.head.name != self.gateway.config.name:
             self.counts["knowledge_foreign"] += 1
             return logs.event("knowledge_foreign", file=loaded.file, name=document.head.name)
-        age, odd = clock.age(document.head.clock, clock.read_clocks())
+        age, odd = clock.measure_age(document.head.clock, clock.read_clocks())
         self.counts.update(odd)
         pool = self.gateway.pool
         recall = Recall(
@@ -192,7 +192,7 @@
         """Go on in the reactor's next turn."""
         self.reactor.callLater(0, self.step, steps, pages, paging)
 
-    def head(self, clean: bool) -> Head:
+    def head(self, clean: bool) -> SnapshotHead:
         """All but the accounts; what a write may take counts as unseen too."""
         pool = self.gateway.pool
         addresses = {name: address_text(at) for name, at in pool.addresses.items()}
@@ -204,7 +204,7 @@
             addresses,
         )
 
-    def submit(self, head: Head, pages: list[bytes], done: Done) -> None:
+    def submit(self, head: SnapshotHead, pages: list[bytes], done: Done) -> None:
         """Have the thread compress, seal and write it."""
         began = time.monotonic()
 
--- a/corkdeal/persistence/store.py
+++ b/corkdeal/persistence/store.py
@@ -14,7 +14,7 @@
 from collections.abc import Callable
 from typing import NamedTuple
 
-from .document import FORMAT, Document, decode
+from .codec import CURRENT_FORMAT, Snapshot, decode
 from .envelope import MAX_FILE_SIZE, parse_envelope
 from .errors import DamagedSnapshotError, GenerationsExhaustedError, UnsupportedFormatError
 from .files import StateFolder
@@ -38,7 +38,7 @@
 
     file: str
     format: int
-    document: Document | None
+    document: Snapshot | None
     rejected: list[RejectedFile]
 
 
@@ -186,7 +186,7 @@
             with contextlib.suppress(DamagedSnapshotError):
                 if (
                     parse_envelope(self.files.read(snapshot_name(generation), MAX_FILE_SIZE)).minimum_reader
-                    > FORMAT
+                    > CURRENT_FORMAT
                 ):
                     self.newer_formats.add(generation)
                     return False
--- a/tests/persistence/samples.py
+++ b/tests/persistence/samples.py
@@ -15,12 +15,12 @@
     ShutMemory,
     WorkMemory,
 )
-from corkdeal.persistence.clock import Reading
-from corkdeal.persistence.document import Document, Head, encode, entry, pack_account, page
+from corkdeal.persistence.clock import ClockReading
+from corkdeal.persistence.codec import Snapshot, SnapshotHead, encode, encode_account, entry, page
 from corkdeal.persistence.envelope import build_envelope
 
 DATA = pathlib.Path(__file__).parent / "data"
-CLOCK = Reading(1_790_000_000.0, 5000.0, "boot-a")
+CLOCK = ClockReading(1_790_000_000.0, 5000.0, "boot-a")
 SERVER = ServerMemory(
     "s-1", 1000.0, 4990.0, 4.0, 3, True, 2.0, (ShutMemory("note", 2.0, 1.5),), "10.1.0.1:6379"
 )
@@ -37,18 +37,18 @@
     pairs=(PairMemory(1, 1500, 0.5, 9, 0.45, 1.0, 4994.0, True, 55),),
 )
 FLEET = FleetMemory(0.6, 1.5, 4.0, (WorkMemory("look", 1, 0.3, 5000.0),), 0, 2, 77, 12, ((1, 55),))
-HEAD = Head("n0", "test", CLOCK, 1.0, False, FLEET, (SERVER,))
+HEAD = SnapshotHead("n0", "test", CLOCK, 1.0, False, FLEET, (SERVER,))
 
 
 def document(head=HEAD, accounts=None):
     accounts = {7: ACCOUNT} if accounts is None else accounts
-    return Document(head, [{key: msgspec.Raw(pack_account(a)) for key, a in accounts.items()}])
+    return Snapshot(head, [{key: msgspec.Raw(encode_account(a)) for key, a in accounts.items()}])
 
 
 def parts(generation=1, head=HEAD, accounts=None):
     accounts = {7: ACCOUNT} if accounts is None else accounts
     return encode(
-        generation, head, [page([entry(k, pack_account(a)) for k, a in accounts.items()], len(accounts))]
+        generation, head, [page([entry(k, encode_account(a)) for k, a in accounts.items()], len(accounts))]
     )
 
 
--- a/tests/persistence/test_errors.py
+++ b/tests/persistence/test_errors.py
@@ -6,7 +6,7 @@
 
 from corkdeal.errors import CorkdealError
 from corkdeal.persistence import errors
-from corkdeal.persistence.document import encode, read_account
+from corkdeal.persistence.codec import decode_account, encode
 from corkdeal.persistence.store import MAX_GENERATION, SnapshotStore, snapshot_name
 
 from . import samples
@@ -37,11 +37,11 @@
 
 def test_an_account_that_cannot_be_decoded_is_malformed():
     with pytest.raises(errors.MalformedRecordError):
-        read_account(b"\x01")
+        decode_account(b"\x01")
 
 
 def test_a_snapshot_over_the_readers_bound_is_not_encoded(monkeypatch):
-    monkeypatch.setattr("corkdeal.persistence.document.MAX_UNPACKED_SIZE", 100)
+    monkeypatch.setattr("corkdeal.persistence.codec.MAX_UNPACKED_SIZE", 100)
     with pytest.raises(errors.SnapshotTooLargeError, match="bytes of knowledge are over 100"):
         encode(1, samples.HEAD, [])
 
--- a/tests/persistence/test_forms.py
+++ b/tests/persistence/test_forms.py
@@ -13,15 +13,15 @@
 
 from corkdeal.decisions.persisted_state import AccountMemory, PairMemory, ServerMemory, ShutMemory, WorkMemory
 from corkdeal.persistence import expiry, merge
-from corkdeal.persistence.clock import Reading, age
-from corkdeal.persistence.document import decode, read_account
+from corkdeal.persistence.clock import ClockReading, measure_age
+from corkdeal.persistence.codec import decode, decode_account
 from corkdeal.persistence.envelope import HEADER, MAX_UNPACKED_SIZE
 from corkdeal.persistence.errors import DamagedSnapshotError, UnsupportedFormatError
 
 from . import samples
 
 YEARS = 10 * 365 * 86400.0
-THEN = Reading(1_790_000_000.0, 5000.0, "a")
+THEN = ClockReading(1_790_000_000.0, 5000.0, "a")
 
 
 @pytest.mark.parametrize(
@@ -45,11 +45,17 @@
     ],
 )
 def test_age_by_two_clocks(wall, boot, boot_id, expected, odd):
-    assert age(THEN, Reading(THEN.wall + wall, boot, boot_id)) == (expected, odd)
+    assert measure_age(THEN, ClockReading(THEN.wall + wall, boot, boot_id)) == (expected, odd)
 
 
 AGES = st.floats(0, 2e5)
-KINDS = [expiry.SLOWNESS, expiry.FAILURES, expiry.WORK, expiry.FLEET, expiry.RETRIES]
+KINDS = [
+    expiry.SERVER_SLOWNESS,
+    expiry.SERVER_FAILURES,
+    expiry.USUAL_LATENCY,
+    expiry.FLEET_SLOWNESS,
+    expiry.RETRY_BUDGET,
+]
 FIGURE = st.floats(0.01, 100)
 SERVERS = st.builds(
     ServerMemory,
@@ -78,7 +84,7 @@
 
 @given(SERVERS, AGES, AGES)
 def test_an_aged_server_lies_between_its_record_and_an_unknown_one(m, one, other):
-    young, old = (expiry.aged_server(m, a) for a in sorted((one, other)))
+    young, old = (expiry.expire_server(m, a) for a in sorted((one, other)))
     for made in (young, old):
         if made is not None:
             assert min(m.slow, 1) <= made.slow <= max(m.slow, 1)
@@ -97,7 +103,7 @@
 )
 def test_what_may_have_been_spent_unseen_makes_no_debt(level, demand, rate, share, quiet, unseen):
     m = samples.ACCOUNT._replace(level=level, demand=demand)
-    spent = expiry.spent_unseen(m, rate, share, quiet, unseen)
+    spent = expiry.unrecorded_spending(m, rate, share, quiet, unseen)
     assert 0 <= spent <= level + rate * share * unseen + 1e-9 and spent <= demand * unseen + 1e-9
 
 
@@ -134,10 +140,10 @@
 HEADS = st.builds(
     lambda boot_id, wall, boot, servers, work, clean: msgspec.structs.replace(
         samples.HEAD,
-        clock=Reading(wall, boot, boot_id),
+        clock=ClockReading(wall, boot, boot_id),
         servers=tuple({s.server: s for s in servers}.values()),
         fleet=samples.FLEET._replace(work=tuple({(w.cls, w.size): w for w in work}.values())),
-        clean=clean,
+        is_clean=clean,
     ),
     st.sampled_from("ab"),
     st.floats(1000, 2000),
@@ -181,13 +187,17 @@
 @pytest.mark.parametrize("form", [1, 2, 3])
 def test_frozen_files_of_every_format_are_read(form):
     _, said, document = decode((samples.DATA / f"format-{form}.know").read_bytes())
-    head, account = document.head, read_account(document.raw_accounts()[7])
+    head, account = document.head, decode_account(document.encoded_accounts()[7])
     (server,), (work,) = head.servers, head.fleet.work
     assert said == form and (head.name, server.server, server.started) == ("n0", "s-1", 1000.0)
     assert head.clock.boot - server.at == pytest.approx(10) and head.clock.boot - account.at == pytest.approx(
         5
     )
-    assert (server.slow, account.level, head.every) == {1: (5, 0.5, 1), 2: (5, 0.5, 2), 3: (4, 1.5, 1)}[form]
+    assert (server.slow, account.level, head.write_interval) == {
+        1: (5, 0.5, 1),
+        2: (5, 0.5, 2),
+        3: (4, 1.5, 1),
+    }[form]
     assert (work.cls, work.size, head.clock.boot - work.at) == ("look", 1, 0.0)
     assert [s.cls for s in server.shut] == ([] if form == 1 else ["note"]) and bool(account.pairs) is (
         form == 3
@@ -235,7 +245,7 @@
         (samples.sealed(2, msgspec.msgpack.encode({**samples.TWO, "accounts": 3})), "not of format 2"),
         (samples.sealed(7, b"x", least=3), "body: "),
         (
-            samples.data(head=msgspec.structs.replace(samples.HEAD, every=math.nan)),
+            samples.data(head=msgspec.structs.replace(samples.HEAD, write_interval=math.nan)),
             "every: a figure is not finite",
         ),
         (
@@ -253,7 +263,7 @@
 
 def test_a_bomb_takes_no_memory():
     code = (
-        "import resource, sys; from corkdeal.persistence.document import decode\n"
+        "import resource, sys; from corkdeal.persistence.codec import decode\n"
         "from corkdeal.persistence.errors import DamagedSnapshotError\n"
         "resource.setrlimit(resource.RLIMIT_AS, (1 << 29, 1 << 29))\n"
         "try:\n    decode(sys.stdin.buffer.read())\nexcept DamagedSnapshotError as e:\n    print(e)"
--- a/tests/persistence/test_program.py
+++ b/tests/persistence/test_program.py
@@ -10,7 +10,7 @@
 import threading
 import time
 
-from corkdeal.persistence.document import decode, read_account
+from corkdeal.persistence.codec import decode, decode_account
 from corkdeal.persistence.store import SnapshotStore, match_snapshot_name
 
 from ..net_world import PATIENCE, Program, served
@@ -104,8 +104,8 @@
                 generation = int(match_snapshot_name(loaded.file)[1])
                 self.assertGreaterEqual(generation, seen)
                 seen = generation
-                for raw in loaded.document.raw_accounts().values():
-                    read_account(raw)
+                for raw in loaded.document.encoded_accounts().values():
+                    decode_account(raw)
             self.again()
             self.assertNotIn("knowledge_refused", "".join(self.lines))
         stop.set()
--- a/tests/persistence/test_quota_handover.py
+++ b/tests/persistence/test_quota_handover.py
@@ -27,7 +27,7 @@
 )
 from corkdeal.decisions.gateway import Gateway
 from corkdeal.decisions.settings import Plan, RequestClass, Settings
-from corkdeal.persistence import clock, document, quota_handover
+from corkdeal.persistence import clock, codec, quota_handover
 from corkdeal.persistence.capture import Collector
 from corkdeal.persistence.handover_files import FIRST, REST, Lives
 from corkdeal.persistence.restore import Recall
@@ -67,11 +67,11 @@
     def document(self, now):
         """What it hands on, through its bytes."""
         quota_handover.settle(self.d, now)
-        reading = lambda: clock.Reading(now, now, "boot")  # noqa: E731
+        reading = lambda: clock.ClockReading(now, now, "boot")  # noqa: E731
         made = Collector(self.d, "n0", "test")
         list(made.steps(lambda: now, reading, lambda: 0.0))
-        parts = document.encode(1, made.head(now, reading(), 0.0, True, {}), list(made.pages()))
-        return document.decode(b"".join(parts))[2]
+        parts = codec.encode(1, made.head(now, reading(), 0.0, True, {}), list(made.pages()))
+        return codec.decode(b"".join(parts))[2]
 
     def recall(self, made, now):
         """Its records, as the next life reads them."""
@@ -202,7 +202,7 @@
 def test_a_document_reaches_only_the_life_that_it_was_made_for(tmp_path):
     lives = [Lives(str(tmp_path)) for _ in range(3)]
     old, new, third = lives
-    made = lambda life: document.encode(life, Life().document(EPOCH).head, [])  # noqa: E731
+    made = lambda life: codec.encode(life, Life().document(EPOCH).head, [])  # noqa: E731
     assert old.join() is None and new.join() == old.me == old.successor() - 1
     old.write(new.me, FIRST, made)
     assert new.read(old.me, FIRST) is not None and new.read(old.me, REST) is None
--- a/tests/persistence/test_restore.py
+++ b/tests/persistence/test_restore.py
@@ -11,10 +11,9 @@
 from corkdeal.decisions.gateway import Gateway
 from corkdeal.decisions.persisted_state import ServerMemory, ShutMemory
 from corkdeal.decisions.settings import Effect, Plan, RequestClass
-from corkdeal.persistence import document
+from corkdeal.persistence import codec
 from corkdeal.persistence.capture import Collector
-from corkdeal.persistence.clock import Reading
-from corkdeal.persistence.clock import age as clock_age
+from corkdeal.persistence.clock import ClockReading, measure_age
 from corkdeal.persistence.restore import ROUND_LEAP, Recall
 
 from .. import helpers
@@ -34,13 +33,13 @@
 
 def kept(gateway, now, clean=False, every=1.0, recall=None, collector=None):
     """A gateway's document, read back from its bytes; the boot clock shows 3,000 s less than the module's."""
-    clock = Reading(now, now - 3000.0, "boot")
+    clock = ClockReading(now, now - 3000.0, "boot")
     collector = collector or Collector(gateway, "n0", "test", recall)
     for _ in collector.steps(lambda: now, lambda: clock, lambda: 0.0):
         pass
     pages = list(collector.pages())
     head = collector.head(now, clock, every, clean, {"a": "10.0.0.1:1"})
-    return document.decode(b"".join(document.encode(1, head, pages)))[2]
+    return codec.decode(b"".join(codec.encode(1, head, pages)))[2]
 
 
 def recalled(doc, age, now, s=None, addresses=None):
@@ -227,14 +226,14 @@
         gateway.remember(recall)
         gateway.handle(9000.0, [listed("a"), helpers.request(1, spread=2)])  # customer 7 only
         collector = Collector(gateway, "n0", "test", recall)
-        clock = Reading(0.0, 5002.0 + shift, boot_id)
+        clock = ClockReading(0.0, 5002.0 + shift, boot_id)
         for _ in collector.steps(lambda: 9000.0, lambda c=clock: c, lambda: 0.0):
             pass
         head = collector.head(9000.0, clock, 1.0, False, {})
-        doc = document.decode(b"".join(document.encode(1, head, list(collector.pages()))))[2]
+        doc = codec.decode(b"".join(codec.encode(1, head, list(collector.pages()))))[2]
         again = recalled(doc, 1.0, 9001.0)
-        assert again.age_of(document.read_account(doc.raw_accounts()[8]).at, 9001.0) == pytest.approx(8.0)
-        assert sorted(doc.raw_accounts()) == [7, 8]
+        assert again.age_of(codec.decode_account(doc.encoded_accounts()[8]).at, 9001.0) == pytest.approx(8.0)
+        assert sorted(doc.encoded_accounts()) == [7, 8]
 
 
 def test_servers_that_no_list_names_are_kept_for_a_while_and_then_counted_as_gone():
@@ -257,13 +256,13 @@
     collector = Collector(gateway, "n0", "test")
     docs = []
     for now, wall in ((8000.1, 8000.1), (8001.1, 8001.1 + step)):  # the second write is after the step
-        clock = Reading(wall, now - 3000.0, "boot")
+        clock = ClockReading(wall, now - 3000.0, "boot")
         for _ in collector.steps(lambda n=now: n, lambda c=clock: c, lambda: 0.0):
             pass
         head = collector.head(now, clock, 1.0, False, {})
-        docs.append(document.decode(b"".join(document.encode(1, head, list(collector.pages()))))[2])
+        docs.append(codec.decode(b"".join(codec.encode(1, head, list(collector.pages()))))[2])
     for doc, lived in zip(docs, (2.0, 1.0), strict=True):
-        age, odd = clock_age(doc.head.clock, Reading(8002.1 + step, 5002.1, "boot"))
+        age, odd = measure_age(doc.head.clock, ClockReading(8002.1 + step, 5002.1, "boot"))
         assert age == pytest.approx(lived) and odd == (("clock_stepped",) if doc is docs[0] else ())
         made = recalled(doc, age, 8002.1).account(7, PLAN, 0, 3, 8002.1)
         assert made.at == pytest.approx(8000.0)
@@ -280,9 +279,9 @@
     gateway.handle(8000.4, [helpers.request(3, customer=8)])
     doc = kept(gateway, 8000.5, collector=collector)
     assert collector.packed[7] is before[7] and collector.packed[8] is not before[8]
-    assert document.read_account(doc.raw_accounts()[8]).open == 1
+    assert codec.decode_account(doc.encoded_accounts()[8]).open == 1
     del gateway.accounts[7]
-    assert list(kept(gateway, 8000.6, collector=collector).raw_accounts()) == [8]
+    assert list(kept(gateway, 8000.6, collector=collector).encoded_accounts()) == [8]
 
 
 def test_slices_of_a_ring_stay_one_whole_through_kills_with_knowledge():
--- a/tests/persistence/test_snapshot_writer.py
+++ b/tests/persistence/test_snapshot_writer.py
@@ -107,7 +107,7 @@
     following = world.keeper()
     while "knowledge_loaded" not in world.lines:  # the first may still be letting go of the folder
         following.load()
-    assert following.collector.recall.head.clean
+    assert following.collector.recall.head.is_clean
     following.stop(lambda: None)
 
 
@@ -200,9 +200,9 @@
 
 
 def helpers_clock():
-    from corkdeal.persistence.clock import Reading
+    from corkdeal.persistence.clock import ClockReading
 
-    return Reading(0.0, 100.0, "x")
+    return ClockReading(0.0, 100.0, "x")
 
 
 def test_a_folder_swapped_with_a_neighbours_is_found_out_and_not_used(world):
--- a/tests/persistence/test_stored_form.py
+++ b/tests/persistence/test_stored_form.py
@@ -16,8 +16,8 @@
     WorkMemory,
 )
 from corkdeal.persistence import merge
-from corkdeal.persistence.clock import Reading
-from corkdeal.persistence.document import Head, encode, entry, pack_account, page
+from corkdeal.persistence.clock import ClockReading
+from corkdeal.persistence.codec import SnapshotHead, encode, encode_account, entry, page
 from corkdeal.persistence.store import SnapshotStore, snapshot_name
 
 from . import samples
@@ -38,12 +38,14 @@
     7: AccountMemory("small", 0, 2, 4995.0, 4995.0, 1.5, 0.0, 0.5, 1, 0.0, 0.0, LEDGERS),
     2**33 - 1: AccountMemory("large", 1, 40, 4996.0, 4997.0, -1.5, 2.5, 0.25, 0, 12.5, 3.5, (), TOTALS),
 }
-HEAD = Head("n0", "0.2.0", Reading(1_790_000_000.0, 5000.0, "boot-a"), 1.25, True, FLEET, SERVERS)
+HEAD = SnapshotHead(
+    "n0", "0.2.0", ClockReading(1_790_000_000.0, 5000.0, "boot-a"), 1.25, True, FLEET, SERVERS
+)
 
 
 def full_parts(generation):
     """The file's parts, each account in a page of its own."""
-    pages = [page([entry(customer, pack_account(a))], 1) for customer, a in ACCOUNTS.items()]
+    pages = [page([entry(customer, encode_account(a))], 1) for customer, a in ACCOUNTS.items()]
     return encode(generation, HEAD, pages)
 
 
--- a/tests/test_layout.py
+++ b/tests/test_layout.py
@@ -53,7 +53,7 @@
     "capture",
     "merge",
     "migrate",
-    "document",
+    "codec",
     "envelope",
     "errors",
 }
