--- a/benchmarks/knowledge.py
+++ b/benchmarks/knowledge.py
@@ -23,9 +23,9 @@
 from corkdeal.decisions.gateway import Gateway
 from corkdeal.decisions.settings import Plan, RequestClass, Settings
 from corkdeal.persistence import clock
-from corkdeal.persistence.capture import Collector
+from corkdeal.persistence.capture import StateCapture
 from corkdeal.persistence.codec import decode, encode
-from corkdeal.persistence.restore import Recall
+from corkdeal.persistence.restore import RestoredState
 from corkdeal.persistence.store import SnapshotStore
 
 SIZES = (1_000, 10_000, 100_000)
@@ -77,7 +77,7 @@
 def measure(accounts: int, folder: str) -> dict[str, float]:
     """Both forms at one size, in ms and bytes."""
     gateway, now = gateway_with(accounts), 1000.0
-    collector, store = Collector(gateway, "n0", "bench"), SnapshotStore(folder)
+    capture, store = StateCapture(gateway, "n0", "bench"), SnapshotStore(folder)
     keys, rows, size = list(gateway.accounts), [], 0
     gc.collect()
     log = os.open(os.path.join(folder, "log"), os.O_WRONLY | os.O_CREAT | os.O_APPEND)
@@ -88,10 +88,10 @@
             gateway.account(key, 0, 0, 3).asked_at = now
         gateway.now = now
         cpu = time.process_time()
-        longest, _, _ = turns_of(collector.steps(lambda n=now: n, clock.read_clocks, time.perf_counter))
-        paging, _, pages = turns_of(collector.pages())
+        longest, _, _ = turns_of(capture.steps(lambda n=now: n, clock.read_clocks, time.perf_counter))
+        paging, _, pages = turns_of(capture.pages())
         began = time.perf_counter()
-        head = collector.head(now, clock.read_clocks(), 1.0, False, {})
+        head = capture.head(now, clock.read_clocks(), 1.0, False, {})
         heading = time.perf_counter() - began
         collected = time.process_time() - cpu
         began = time.perf_counter()
@@ -106,7 +106,7 @@
             first = longest
         # The other form: what changed, sealed entry by entry, appended and synced; collecting is the same.
         began, before = time.perf_counter(), time.process_time()
-        changed = b"".join(collector.packed[k] for k in keys[turn * CHANGED % len(keys) :][:CHANGED])
+        changed = b"".join(capture.packed[k] for k in keys[turn * CHANGED % len(keys) :][:CHANGED])
         os.write(log, len(changed).to_bytes(4, "little") + blake3(changed).digest() + changed)
         os.fsync(log)
         if turn:
@@ -118,7 +118,7 @@
     store.close()
     began = time.perf_counter()
     document = decode(data)[2]
-    recall = Recall(document, 1.0, now, SETTINGS, lambda name: "", {})
+    recall = RestoredState(document, 1.0, now, SETTINGS, lambda name: "", {})
     loading = time.perf_counter() - began
     mean = [sum(r[i] for r in rows) / len(rows) for i in range(5)]
     return {
--- a/benchmarks/upgrade.py
+++ b/benchmarks/upgrade.py
@@ -167,24 +167,24 @@
     from benchmarks.knowledge import gateway_with
     from corkdeal.net.__main__ import GC_EVERY
     from corkdeal.persistence import clock, quota_handover
-    from corkdeal.persistence.capture import Collector
+    from corkdeal.persistence.capture import StateCapture
     from corkdeal.persistence.codec import decode, encode
-    from corkdeal.persistence.restore import Recall
+    from corkdeal.persistence.restore import RestoredState
 
     old, now = gateway_with(accounts), 1000.0
     gc.collect()
     gc.freeze()
     gc.set_threshold(GC_EVERY, 10, 50)  # as the program has it
     began = time.perf_counter()
-    collector = Collector(old, "n", "")
-    for _ in collector.steps(lambda: now, clock.read_clocks, lambda: 0.0):
+    capture = StateCapture(old, "n", "")
+    for _ in capture.steps(lambda: now, clock.read_clocks, lambda: 0.0):
         pass
-    head = collector.head(now, clock.read_clocks(), 0.0, True, {})
-    data = b"".join(encode(1, head, list(collector.pages())))
+    head = capture.head(now, clock.read_clocks(), 0.0, True, {})
+    data = b"".join(encode(1, head, list(capture.pages())))
     made = time.perf_counter() - began
-    known = Recall(decode(data)[2], 0.1, now, old.s, lambda name: "", Counter())
+    known = RestoredState(decode(data)[2], 0.1, now, old.s, lambda name: "", Counter())
     new = gateway_with(0)
-    steps = quota_handover.take_rest(new, lambda: now, quota_handover.Given(known, 0.3), known, 0.7)
+    steps = quota_handover.take_rest(new, lambda: now, quota_handover.PartialState(known, 0.3), known, 0.7)
     longest, whole, ended = 0.0, 0.0, False
     while not ended:
         began = time.perf_counter()
--- a/corkdeal/net/application.py
+++ b/corkdeal/net/application.py
@@ -12,7 +12,7 @@
 
 if TYPE_CHECKING:
     from ..options import Options
-    from ..persistence.snapshot_writer import Keeper
+    from ..persistence.snapshot_writer import SnapshotWriter
 
 
 class Application:
@@ -22,7 +22,7 @@
         self.reactor, self.config, self.options_path = reactor, config, options_path
         self.options = options
         self.gateway = Gateway(reactor, config)
-        self.keeper: Keeper | None = None
+        self.snapshot_writer: SnapshotWriter | None = None
         if options and options.recovery:  # before the store is read: neighbours are asked as well
             from .recovery import Recovery
 
@@ -32,7 +32,7 @@
 
             self.gateway.membership = Membership(reactor, self.gateway)
         if options and options.knowledge:
-            self.keep(options).load()
+            self.make_snapshot_writer(options).load()
 
     def start(self) -> None:
         """Begin to serve; knowledge is in force by now."""
@@ -48,8 +48,8 @@
             self.gateway.start()
         else:
             self.succeed()
-        if self.keeper:
-            self.keeper.start()
+        if self.snapshot_writer:
+            self.snapshot_writer.start()
 
     def succeed(self) -> None:
         """Begin beside the process before this one, if there is one, with what it gives."""
@@ -64,13 +64,13 @@
             logs.event("handover_off", error=str(error)[:200])
             self.gateway.start()
 
-    def keep(self, options: Options) -> Keeper:
-        """Make the keeper of knowledge."""
-        from ..persistence.snapshot_writer import Keeper
+    def make_snapshot_writer(self, options: Options) -> SnapshotWriter:
+        """Make the writer of snapshots."""
+        from ..persistence.snapshot_writer import SnapshotWriter
 
-        self.keeper = Keeper(self.reactor, self.gateway, options.knowledge, counts)
-        self.gateway.before_end.append(self.keeper)
-        return self.keeper
+        self.snapshot_writer = SnapshotWriter(self.reactor, self.gateway, options.knowledge, counts)
+        self.gateway.before_end.append(self.snapshot_writer)
+        return self.snapshot_writer
 
     def reload(self) -> None:
         """SIGHUP: the configuration and the operators' file, each whole or not at all."""
@@ -94,14 +94,14 @@
 
     def reload_knowledge(self, options: Options) -> None:
         """Switch keeping on or off, or change how."""
-        if self.keeper and options.knowledge:
-            self.keeper.reload(options.knowledge)
-        elif self.keeper:
-            self.gateway.before_end.remove(self.keeper)
-            self.keeper.stop(lambda: None, clean=False)
-            self.keeper = None
+        if self.snapshot_writer and options.knowledge:
+            self.snapshot_writer.reload(options.knowledge)
+        elif self.snapshot_writer:
+            self.gateway.before_end.remove(self.snapshot_writer)
+            self.snapshot_writer.stop(lambda: None, clean=False)
+            self.snapshot_writer = None
         else:
-            self.keep(options).start()
+            self.make_snapshot_writer(options).start()
 
 
 def log_to(options: Options | None, name: str) -> None:
--- a/corkdeal/net/upgrade.py
+++ b/corkdeal/net/upgrade.py
@@ -15,10 +15,10 @@
 
 from .. import __version__, logs
 from ..persistence import clock, quota_handover
-from ..persistence.capture import Collector
+from ..persistence.capture import StateCapture
 from ..persistence.codec import Snapshot, encode
-from ..persistence.handover_files import FIRST, REST, Lives
-from ..persistence.restore import Recall
+from ..persistence.handover_files import FINAL, PARTIAL, HandoverFiles
+from ..persistence.restore import RestoredState
 from ..persistence.store import gateway_folder
 from .invariants import count, counts
 
@@ -32,9 +32,9 @@
     def __init__(self, reactor: Any, gateway: Any) -> None:
         self.reactor, self.gateway, self.decisions = reactor, gateway, gateway.decisions
         folder = os.path.join(tempfile.gettempdir(), "corkdeal-lives")
-        self.lives = Lives(gateway_folder(folder, gateway.config.name))
+        self.lives = HandoverFiles(gateway_folder(folder, gateway.config.name))
         self.before: int | None = None  # the life that still holds a part of the quota
-        self.given: quota_handover.Given | None = None  # what it gave at first
+        self.given: quota_handover.PartialState | None = None  # what it gave at first
         self.kept_there = 0.0  # its part
         self.after: int | None = None  # the life that holds a part that came from here
         self.part_there = 0.0
@@ -59,7 +59,7 @@
 
     def ask(self, start: Callable[[], None]) -> None:
         """Wait for its first document, but not for long: a process before this one may know nothing of it."""
-        document = self.read(FIRST)
+        document = self.read(PARTIAL)
         self.asked += 1
         try:
             if document is None and not self.lives.lives(self.before):
@@ -75,10 +75,10 @@
             logs.event("handover_none", life=self.lives.me, before=self.before)
         else:
             whole = document.head.fleet.part
-            self.kept_there = whole * (1 - quota_handover.NEW_PART)
-            self.given = quota_handover.Given(self.recall(document), quota_handover.NEW_PART)
+            self.kept_there = whole * (1 - quota_handover.SUCCESSOR_SHARE)
+            self.given = quota_handover.PartialState(self.recall(document), quota_handover.SUCCESSOR_SHARE)
             self.decisions.remember(self.given)
-            self.decisions.part = whole * quota_handover.NEW_PART
+            self.decisions.part = whole * quota_handover.SUCCESSOR_SHARE
             logs.event(
                 "handover_begun",
                 life=self.lives.me,
@@ -95,7 +95,7 @@
         """
         self.decisions.peer_heard = dict.fromkeys(self.decisions.neighbours, self.gateway.now())
         ended = not self.lives.lives(self.before)  # looked at first: it may write and end in between
-        document, now = self.read(REST), self.gateway.now()
+        document, now = self.read(FINAL), self.gateway.now()
         if document is None and not ended:
             return
         if document is None:
@@ -137,10 +137,12 @@
             logs.event("handover_unreadable", what=what, before=self.before, error=str(error)[:200])
             return None
 
-    def recall(self, document: Snapshot) -> Recall:
+    def recall(self, document: Snapshot) -> RestoredState:
         """Its records, aged to now."""
         age, _ = clock.measure_age(document.head.clock, clock.read_clocks())
-        return Recall(document, age, self.gateway.now(), self.gateway.settings, lambda name: "", counts)
+        return RestoredState(
+            document, age, self.gateway.now(), self.gateway.settings, lambda name: "", counts
+        )
 
     # The old life
 
@@ -179,16 +181,16 @@
 
     def give(self, after: int) -> None:
         """The next life has started: its part, and all that is known."""
-        if self.write(after, FIRST):
-            self.after, self.part_there = after, self.decisions.part * quota_handover.NEW_PART
-            quota_handover.keep(self.decisions, 1 - quota_handover.NEW_PART)
+        if self.write(after, PARTIAL):
+            self.after, self.part_there = after, self.decisions.part * quota_handover.SUCCESSOR_SHARE
+            quota_handover.keep(self.decisions, 1 - quota_handover.SUCCESSOR_SHARE)
             logs.event("handover_given", life=self.lives.me, after=after, part=round(self.part_there, 3))
 
     def end(self) -> None:
         """This life takes no new clients any more: the rest goes to the next one, if it had its part."""
         if self.after is None or self.done or not self.lives.lives(self.after):
             return
-        if self.write(self.after, REST):
+        if self.write(self.after, FINAL):
             self.done = True
             quota_handover.keep_nothing(self.decisions)
             self.gateway.be_silent()
@@ -199,12 +201,12 @@
         now = self.gateway.now()
         quota_handover.settle(self.decisions, now)
         touched = self.decisions.touched  # a keeper of knowledge, if there is one, goes by it
-        collector = Collector(self.decisions, self.gateway.config.name, __version__)
+        capture = StateCapture(self.decisions, self.gateway.config.name, __version__)
         try:
-            for _ in collector.steps(self.gateway.now, clock.read_clocks, lambda: 0.0):
+            for _ in capture.steps(self.gateway.now, clock.read_clocks, lambda: 0.0):
                 pass
-            head = collector.head(now, clock.read_clocks(), 0.0, True, {})
-            pages = list(collector.pages())
+            head = capture.head(now, clock.read_clocks(), 0.0, True, {})
+            pages = list(capture.pages())
             self.lives.write(to, what, lambda life: encode(life, head, pages))
         except (OSError, ValueError) as error:
             count("handover_not_written")
--- a/corkdeal/persistence/capture.py
+++ b/corkdeal/persistence/capture.py
@@ -15,18 +15,20 @@
 from ..decisions.persisted_state import FleetMemory, ServerMemory
 from .clock import ClockReading
 from .codec import SnapshotHead, encode_account, entry, page
-from .restore import Recall
+from .restore import RestoredState
 
 BATCH = 32  # accounts packed between two looks at the clock
 TURN = 0.0007  # s that one step may take before it yields
 PAGE = 1000  # accounts in a page
 
 
-class Collector:
+class StateCapture:
     """Makes documents of one gateway's decisions."""
 
-    def __init__(self, decisions: Any, name: str, program: str, recall: Recall | None = None) -> None:
-        self.decisions, self.name, self.program, self.recall = decisions, name, program, recall
+    def __init__(
+        self, decisions: Any, name: str, program: str, restored: RestoredState | None = None
+    ) -> None:
+        self.decisions, self.name, self.program, self.restored = decisions, name, program, restored
         decisions.touched = None  # the first document holds all accounts
         self.packed: dict[int, bytes] = {}
         self.open: set[int] = set()  # accounts packed while attempts of theirs were out
@@ -65,17 +67,17 @@
 
     def left_over(self, now: float, clock: ClockReading) -> dict[int, bytes]:
         """Accounts of the earlier life that nobody has asked for yet."""
-        if self.recall is None:
+        if self.restored is None:
             return {}
-        then = self.recall.head.clock
+        then = self.restored.head.clock
         if self.unclaimed is None:
-            same = bool(clock.boot_id) and clock.boot_id == then.boot_id and self.recall.age < math.inf
-            self.unclaimed = self.recall.unclaimed(now, same, clock.boot)
+            same = bool(clock.boot_id) and clock.boot_id == then.boot_id and self.restored.age < math.inf
+            self.unclaimed = self.restored.unclaimed(now, same, clock.boot)
         else:
-            for key in self.unclaimed.keys() - self.recall.raw.keys():
+            for key in self.unclaimed.keys() - self.restored.raw.keys():
                 del self.unclaimed[key]
-        if not self.recall.raw and not self.recall.servers:
-            self.recall = None
+        if not self.restored.raw and not self.restored.servers:
+            self.restored = None
         return self.unclaimed
 
     def pages(self) -> Iterator[bytes]:
@@ -94,8 +96,8 @@
         for s in d.servers.values():
             made = persisted_state.server_of(s, d.s.classes, now, shift)
             servers.append(made._replace(address=addresses.get(made.server, "")))
-        if self.recall is not None:
-            servers += self.recall.unlisted(now, clock.boot)
+        if self.restored is not None:
+            servers += self.restored.unlisted(now, clock.boot)
         fleet: FleetMemory = d.learned()
         fleet = fleet._replace(work=tuple([w._replace(at=clock.boot) for w in fleet.work]))
         return SnapshotHead(self.name, self.program, clock, every, clean, fleet, tuple(servers))
--- a/corkdeal/persistence/handover_files.py
+++ b/corkdeal/persistence/handover_files.py
@@ -24,10 +24,10 @@
 
 LIFE = re.compile(r"([0-9]{16})\.life").fullmatch
 GIVEN = re.compile(r"([0-9]{16})-([0-9]{1,16})\.(?:first|rest|tmp)").fullmatch
-FIRST, REST = "first", "rest"
+PARTIAL, FINAL = "first", "rest"
 
 
-class Lives:
+class HandoverFiles:
     """One life's view of the folder. Every call is a few small operations on files."""
 
     def __init__(self, folder: str, opener: Callable[[str], StateFolder] = StateFolder) -> None:
--- a/corkdeal/persistence/quota_handover.py
+++ b/corkdeal/persistence/quota_handover.py
@@ -19,7 +19,7 @@
     from ..decisions.gateway import Gateway
 
 STEP = 100  # accounts taken in one turn of the reactor, about 4 ms
-NEW_PART = 0.3  # given at first: clients keep their connections, so most still comes to the old one
+SUCCESSOR_SHARE = 0.3  # given at first: clients keep their connections, so most still comes to the old one
 
 
 def settle(decisions: Gateway, now: float) -> None:
@@ -46,14 +46,14 @@
         a.pairs, a.edges, a.heir_of = {}, {}, None
 
 
-class Rest(persisted_state.Memory, Protocol):
+class CompleteState(persisted_state.Memory, Protocol):
     """A memory that can give all its accounts at once."""
 
     def accounts(self, now: float) -> Iterable[tuple[int, int, persisted_state.AccountMemory]]:
         """Customer, the plan's number and the record of each."""
 
 
-class Given:
+class PartialState:
     """A `memory.Memory` of which only a part was given, at `part` of what it says."""
 
     exact = True
@@ -87,7 +87,7 @@
 
 
 def take_rest(
-    decisions: Gateway, clock: Callable[[], float], first: Given, rest: Rest, part: float
+    decisions: Gateway, clock: Callable[[], float], first: PartialState, rest: CompleteState, part: float
 ) -> Iterator[None]:
     """The old life spends no more: its rest, its ledgers and its place among the peers come over, in steps.
 
--- a/corkdeal/persistence/restore.py
+++ b/corkdeal/persistence/restore.py
@@ -24,7 +24,7 @@
 SAME_START = 0.0015  # s; starts are told in whole milliseconds
 
 
-class Recall:
+class RestoredState:
     """A `memory.Memory` made of one document."""
 
     exact = False
--- a/corkdeal/persistence/snapshot_writer.py
+++ b/corkdeal/persistence/snapshot_writer.py
@@ -19,10 +19,10 @@
 from .. import __version__, logs
 from ..options import KnowledgeOptions
 from . import clock
-from .capture import Collector
+from .capture import StateCapture
 from .codec import SnapshotHead, encode
 from .errors import FolderLockedError
-from .restore import Recall
+from .restore import RestoredState
 from .store import LoadedSnapshot, SnapshotStore, gateway_folder
 
 AGAIN_MOST = 10.0  # s between tries while writing fails
@@ -31,7 +31,7 @@
 Done = Callable[[Any, BaseException | None], None]
 
 
-class Worker:
+class WorkerThread:
     """A daemon thread that runs jobs in turn: a store that hangs must not keep the process from ending."""
 
     def __init__(self) -> None:
@@ -57,7 +57,7 @@
         self.jobs.put(None)
 
 
-class Keeper:
+class SnapshotWriter:
     """One gateway's knowledge; `gateway` is the program's on its sockets."""
 
     def __init__(
@@ -75,10 +75,10 @@
             counts,
             opener,
         )
-        self.worker = Worker()
+        self.worker = WorkerThread()
         self.folder = gateway_folder(options.path, gateway.config.name)
         self.store = opener(self.folder, options.generations)
-        self.collector = Collector(gateway.decisions, gateway.config.name, __version__)
+        self.capture = StateCapture(gateway.decisions, gateway.config.name, __version__)
         self.busy = False  # a document is being made or written
         self.failures = 0
         self.locked = False
@@ -123,7 +123,7 @@
         age, odd = clock.measure_age(document.head.clock, clock.read_clocks())
         self.counts.update(odd)
         pool = self.gateway.pool
-        recall = Recall(
+        recall = RestoredState(
             document,
             age,
             self.gateway.now(),
@@ -134,7 +134,7 @@
         if recall.useless:
             self.counts["knowledge_useless"] += 1
             return logs.event("knowledge_useless", file=loaded.file, age=shown(age), odd=",".join(odd))
-        self.collector.recall = recall
+        self.capture.restored = recall
         self.gateway.decisions.remember(recall)
         logs.event(
             "knowledge_loaded",
@@ -168,7 +168,7 @@
         self.busy = True
         self.again(self.options.every)
         try:
-            steps = self.collector.steps(self.gateway.now, clock.read_clocks, time.perf_counter)
+            steps = self.capture.steps(self.gateway.now, clock.read_clocks, time.perf_counter)
         except Exception:
             return self.broken()
         self.step(steps, [])
@@ -183,7 +183,7 @@
                     pages.append(made)
                 return self.later(steps, pages, paging)
             if not paging:
-                return self.later(self.collector.pages(), pages, True)
+                return self.later(self.capture.pages(), pages, True)
             self.submit(self.head(False), pages, self.written)
         except Exception:
             self.broken()
@@ -196,7 +196,7 @@
         """All but the accounts; what a write may take counts as unseen too."""
         pool = self.gateway.pool
         addresses = {name: address_text(at) for name, at in pool.addresses.items()}
-        return self.collector.head(
+        return self.capture.head(
             self.gateway.now(),
             clock.read_clocks(),
             self.options.every + min(self.took, SLOW_MOST),
@@ -305,9 +305,9 @@
 
         def write() -> None:
             try:
-                for _ in self.collector.steps(self.gateway.now, clock.read_clocks, time.perf_counter):
+                for _ in self.capture.steps(self.gateway.now, clock.read_clocks, time.perf_counter):
                     pass
-                self.submit(self.head(clean), list(self.collector.pages()), last)
+                self.submit(self.head(clean), list(self.capture.pages()), last)
             except Exception:
                 self.broken()
                 finish()
--- a/tests/persistence/test_quota_handover.py
+++ b/tests/persistence/test_quota_handover.py
@@ -28,9 +28,9 @@
 from corkdeal.decisions.gateway import Gateway
 from corkdeal.decisions.settings import Plan, RequestClass, Settings
 from corkdeal.persistence import clock, codec, quota_handover
-from corkdeal.persistence.capture import Collector
-from corkdeal.persistence.handover_files import FIRST, REST, Lives
-from corkdeal.persistence.restore import Recall
+from corkdeal.persistence.capture import StateCapture
+from corkdeal.persistence.handover_files import FINAL, PARTIAL, HandoverFiles
+from corkdeal.persistence.restore import RestoredState
 from tests.helpers import Ring, pick, request
 from tests.net_world import PATIENCE, Program, served
 
@@ -68,22 +68,24 @@
         """What it hands on, through its bytes."""
         quota_handover.settle(self.d, now)
         reading = lambda: clock.ClockReading(now, now, "boot")  # noqa: E731
-        made = Collector(self.d, "n0", "test")
+        made = StateCapture(self.d, "n0", "test")
         list(made.steps(lambda: now, reading, lambda: 0.0))
         parts = codec.encode(1, made.head(now, reading(), 0.0, True, {}), list(made.pages()))
         return codec.decode(b"".join(parts))[2]
 
     def recall(self, made, now):
         """Its records, as the next life reads them."""
-        return Recall(made, now - made.head.clock.boot, now, self.d.s, lambda _: "", collections.Counter())
+        return RestoredState(
+            made, now - made.head.clock.boot, now, self.d.s, lambda _: "", collections.Counter()
+        )
 
 
 def hand_first(old, now):
     made = old.document(now)
-    quota_handover.keep(old.d, 1 - quota_handover.NEW_PART)
-    first = quota_handover.Given(old.recall(made, now), quota_handover.NEW_PART)
+    quota_handover.keep(old.d, 1 - quota_handover.SUCCESSOR_SHARE)
+    first = quota_handover.PartialState(old.recall(made, now), quota_handover.SUCCESSOR_SHARE)
     return (
-        Life(old.d.s, first, made.head.fleet.part * quota_handover.NEW_PART, now),
+        Life(old.d.s, first, made.head.fleet.part * quota_handover.SUCCESSOR_SHARE, now),
         first,
         made.head.fleet.part,
     )
@@ -126,7 +128,7 @@
             now += n
         elif what == "give" and new is None:
             new, first, whole = hand_first(old, now)
-            part_there = whole * (1 - quota_handover.NEW_PART)
+            part_there = whole * (1 - quota_handover.SUCCESSOR_SHARE)
         elif what in ("rest", "kill") and new is not None and old is not None:
             if what == "rest":
                 hand_rest(old, new, first, now, ask_all)
@@ -159,7 +161,7 @@
     levels = {c: a.level for c, a in new.d.accounts.items()}
     assert levels == {7: pytest.approx(PLAN.burst - 2), 8: pytest.approx(PLAN.burst - 1)}
     third, _, whole = hand_first(new, EPOCH)
-    assert whole == pytest.approx(1.0) and third.d.part == pytest.approx(quota_handover.NEW_PART)
+    assert whole == pytest.approx(1.0) and third.d.part == pytest.approx(quota_handover.SUCCESSOR_SHARE)
 
 
 def test_peers_go_on_with_the_new_life_where_they_were_with_the_old():
@@ -200,23 +202,23 @@
 
 
 def test_a_document_reaches_only_the_life_that_it_was_made_for(tmp_path):
-    lives = [Lives(str(tmp_path)) for _ in range(3)]
+    lives = [HandoverFiles(str(tmp_path)) for _ in range(3)]
     old, new, third = lives
     made = lambda life: codec.encode(life, Life().document(EPOCH).head, [])  # noqa: E731
     assert old.join() is None and new.join() == old.me == old.successor() - 1
-    old.write(new.me, FIRST, made)
-    assert new.read(old.me, FIRST) is not None and new.read(old.me, REST) is None
+    old.write(new.me, PARTIAL, made)
+    assert new.read(old.me, PARTIAL) is not None and new.read(old.me, FINAL) is None
     new.close()  # it ends before it served
     assert not old.lives(2) and old.successor() is None
     assert third.join() == old.me and third.me == 3  # a number is never given twice
-    assert third.read(old.me, FIRST) is None
-    old.write(third.me, REST, made)
+    assert third.read(old.me, PARTIAL) is None
+    old.write(third.me, FINAL, made)
     name = next(p for p in tmp_path.iterdir() if p.name.endswith("-3.rest"))
     name.write_bytes(name.read_bytes()[:-1])
     with pytest.raises(ValueError, match="byte"):
-        third.read(old.me, REST)
+        third.read(old.me, FINAL)
     old.close()
-    fourth = Lives(str(tmp_path))
+    fourth = HandoverFiles(str(tmp_path))
     assert fourth.join() == 3 and not any("-3.rest" in p.name for p in tmp_path.iterdir())
 
 
--- a/tests/persistence/test_restore.py
+++ b/tests/persistence/test_restore.py
@@ -12,9 +12,9 @@
 from corkdeal.decisions.persisted_state import ServerMemory, ShutMemory
 from corkdeal.decisions.settings import Effect, Plan, RequestClass
 from corkdeal.persistence import codec
-from corkdeal.persistence.capture import Collector
+from corkdeal.persistence.capture import StateCapture
 from corkdeal.persistence.clock import ClockReading, measure_age
-from corkdeal.persistence.restore import ROUND_LEAP, Recall
+from corkdeal.persistence.restore import ROUND_LEAP, RestoredState
 
 from .. import helpers
 from . import samples
@@ -31,23 +31,23 @@
     return helpers.settings(me, gateways, classes, (plan,))
 
 
-def kept(gateway, now, clean=False, every=1.0, recall=None, collector=None):
+def kept(gateway, now, clean=False, every=1.0, recall=None, capture=None):
     """A gateway's document, read back from its bytes; the boot clock shows 3,000 s less than the module's."""
     clock = ClockReading(now, now - 3000.0, "boot")
-    collector = collector or Collector(gateway, "n0", "test", recall)
-    for _ in collector.steps(lambda: now, lambda: clock, lambda: 0.0):
+    capture = capture or StateCapture(gateway, "n0", "test", recall)
+    for _ in capture.steps(lambda: now, lambda: clock, lambda: 0.0):
         pass
-    pages = list(collector.pages())
-    head = collector.head(now, clock, every, clean, {"a": "10.0.0.1:1"})
+    pages = list(capture.pages())
+    head = capture.head(now, clock, every, clean, {"a": "10.0.0.1:1"})
     return codec.decode(b"".join(codec.encode(1, head, pages)))[2]
 
 
 def recalled(doc, age, now, s=None, addresses=None):
     counts = Counter()
     return (
-        Recall(doc, age, now, s or settings(), (addresses or {}).get, counts)
+        RestoredState(doc, age, now, s or settings(), (addresses or {}).get, counts)
         if addresses
-        else Recall(doc, age, now, s or settings(), lambda name: "", counts)
+        else RestoredState(doc, age, now, s or settings(), lambda name: "", counts)
     )
 
 
@@ -225,12 +225,12 @@
         gateway = Gateway(settings(), seed=1)
         gateway.remember(recall)
         gateway.handle(9000.0, [listed("a"), helpers.request(1, spread=2)])  # customer 7 only
-        collector = Collector(gateway, "n0", "test", recall)
+        capture = StateCapture(gateway, "n0", "test", recall)
         clock = ClockReading(0.0, 5002.0 + shift, boot_id)
-        for _ in collector.steps(lambda: 9000.0, lambda c=clock: c, lambda: 0.0):
+        for _ in capture.steps(lambda: 9000.0, lambda c=clock: c, lambda: 0.0):
             pass
-        head = collector.head(9000.0, clock, 1.0, False, {})
-        doc = codec.decode(b"".join(codec.encode(1, head, list(collector.pages()))))[2]
+        head = capture.head(9000.0, clock, 1.0, False, {})
+        doc = codec.decode(b"".join(codec.encode(1, head, list(capture.pages()))))[2]
         again = recalled(doc, 1.0, 9001.0)
         assert again.age_of(codec.decode_account(doc.encoded_accounts()[8]).at, 9001.0) == pytest.approx(8.0)
         assert sorted(doc.encoded_accounts()) == [7, 8]
@@ -253,14 +253,14 @@
 def test_a_step_of_the_wall_clock_while_it_runs_ages_nothing(step):
     gateway = Gateway(settings(), seed=1)
     gateway.handle(8000.0, [listed("a"), helpers.request(1, customer=7)])
-    collector = Collector(gateway, "n0", "test")
+    capture = StateCapture(gateway, "n0", "test")
     docs = []
     for now, wall in ((8000.1, 8000.1), (8001.1, 8001.1 + step)):  # the second write is after the step
         clock = ClockReading(wall, now - 3000.0, "boot")
-        for _ in collector.steps(lambda n=now: n, lambda c=clock: c, lambda: 0.0):
+        for _ in capture.steps(lambda n=now: n, lambda c=clock: c, lambda: 0.0):
             pass
-        head = collector.head(now, clock, 1.0, False, {})
-        docs.append(codec.decode(b"".join(codec.encode(1, head, list(collector.pages()))))[2])
+        head = capture.head(now, clock, 1.0, False, {})
+        docs.append(codec.decode(b"".join(codec.encode(1, head, list(capture.pages()))))[2])
     for doc, lived in zip(docs, (2.0, 1.0), strict=True):
         age, odd = measure_age(doc.head.clock, ClockReading(8002.1 + step, 5002.1, "boot"))
         assert age == pytest.approx(lived) and odd == (("clock_stepped",) if doc is docs[0] else ())
@@ -271,17 +271,17 @@
 def test_only_what_moved_is_packed_again_and_what_is_forgotten_goes():
     gateway = Gateway(settings(), seed=1)
     gateway.handle(8000.0, [listed("a"), helpers.request(1, customer=7), helpers.request(2, customer=8)])
-    collector = Collector(gateway, "n0", "test")
-    kept(gateway, 8000.1, collector=collector)
+    capture = StateCapture(gateway, "n0", "test")
+    kept(gateway, 8000.1, capture=capture)
     gateway.handle(8000.2, [helpers.outcome(1, 0, "a"), helpers.outcome(2, 0, "a")])
-    kept(gateway, 8000.3, collector=collector)
-    before = dict(collector.packed)
+    kept(gateway, 8000.3, capture=capture)
+    before = dict(capture.packed)
     gateway.handle(8000.4, [helpers.request(3, customer=8)])
-    doc = kept(gateway, 8000.5, collector=collector)
-    assert collector.packed[7] is before[7] and collector.packed[8] is not before[8]
+    doc = kept(gateway, 8000.5, capture=capture)
+    assert capture.packed[7] is before[7] and capture.packed[8] is not before[8]
     assert codec.decode_account(doc.encoded_accounts()[8]).open == 1
     del gateway.accounts[7]
-    assert list(kept(gateway, 8000.6, collector=collector).encoded_accounts()) == [8]
+    assert list(kept(gateway, 8000.6, capture=capture).encoded_accounts()) == [8]
 
 
 def test_slices_of_a_ring_stay_one_whole_through_kills_with_knowledge():
@@ -300,7 +300,7 @@
         del ring.gateways[me]
         ring.run(0.7)
         s = helpers.settings(me, 3, plans=(ring.plan,))
-        recall = Recall(docs[me], 1.5, ring.now, s, lambda name: "", Counter())
+        recall = RestoredState(docs[me], 1.5, ring.now, s, lambda name: "", Counter())
         made = ring.gateways[me] = Gateway(s, seed=9)
         made.remember(recall)
         ring.take(me, made.handle(ring.now, [helpers.servers("a", "b", "c")]))
--- a/tests/persistence/test_snapshot_writer.py
+++ b/tests/persistence/test_snapshot_writer.py
@@ -1,6 +1,4 @@
-"""The keeper beside a reactor of tests: stores that hang, fail, are locked or switched; turns that stay
-short.
-"""
+"""The snapshot writer beside a fake reactor: stores that hang, fail, are locked or switched; short turns."""
 
 import itertools
 import threading
@@ -14,7 +12,7 @@
 from corkdeal.decisions.gateway import Gateway
 from corkdeal.options import KnowledgeOptions
 from corkdeal.persistence.files import StateFolder
-from corkdeal.persistence.snapshot_writer import Keeper
+from corkdeal.persistence.snapshot_writer import SnapshotWriter
 from corkdeal.persistence.store import SnapshotStore
 
 from .. import helpers
@@ -78,11 +76,11 @@
     )
     counts = Counter()
 
-    def keeper(**more):
+    def writer(**more):
         options = KnowledgeOptions(path=str(tmp_path), **more)
-        return Keeper(reactor, gateway, options, counts, lambda *a: SnapshotStore(*a, opener=Faulty))
+        return SnapshotWriter(reactor, gateway, options, counts, lambda *a: SnapshotStore(*a, opener=Faulty))
 
-    yield SimpleNamespace(keeper=keeper, reactor=reactor, counts=counts, lines=lines, path=tmp_path)
+    yield SimpleNamespace(writer=writer, reactor=reactor, counts=counts, lines=lines, path=tmp_path)
     Faulty.gate.set()
     logs.configure(None)
 
@@ -92,36 +90,36 @@
 
 
 def test_it_writes_now_and_then_and_is_read_by_the_next_life(world):
-    keeper = world.keeper(every=2.0)
-    keeper.load()
+    writer = world.writer(every=2.0)
+    writer.load()
     assert world.lines == ["knowledge_none"]
-    keeper.start()
+    writer.start()
     for _ in range(3):
         world.reactor.turn(2.0)
         world.reactor.take()
     assert files(world) == ["2", "3"] and world.counts["knowledge_written"] == 3
     ended = []
-    keeper.stop(lambda: ended.append(1))
+    writer.stop(lambda: ended.append(1))
     world.reactor.take()
     assert ended == [1] and files(world) == ["3", "4"]
-    following = world.keeper()
+    following = world.writer()
     while "knowledge_loaded" not in world.lines:  # the first may still be letting go of the folder
         following.load()
-    assert following.collector.recall.head.is_clean
+    assert following.capture.restored.head.is_clean
     following.stop(lambda: None)
 
 
 def test_a_store_that_hangs_is_given_up_and_service_goes_on(world):
     Faulty.gate.clear()
-    keeper = world.keeper(read_wait=0.05, stop_wait=0.5)
-    keeper.load()
+    writer = world.writer(read_wait=0.05, stop_wait=0.5)
+    writer.load()
     assert world.lines == ["knowledge_late"] and world.counts["knowledge_late"] == 1
-    keeper.start()
+    writer.start()
     for _ in range(3):
         world.reactor.turn(1.0)
     assert world.counts["knowledge_write_skipped"] == 2  # one waits in the thread, none piles up behind it
     ended = []
-    keeper.stop(lambda: ended.append(1))
+    writer.stop(lambda: ended.append(1))
     world.reactor.turn(0.4)
     assert not ended
     world.reactor.turn(0.2)
@@ -130,13 +128,13 @@
 
 
 def test_a_failing_disk_is_told_once_tried_more_rarely_and_heals_by_itself(world):
-    keeper = world.keeper(every=1.0)
-    keeper.load()
-    keeper.start()
+    writer = world.writer(every=1.0)
+    writer.load()
+    writer.start()
     Faulty.broken = True
     tried = []
     for _ in range(5):
-        while not keeper.busy:
+        while not writer.busy:
             world.reactor.turn(0.5)
         tried.append(world.reactor.seconds())
         world.reactor.take()
@@ -144,59 +142,59 @@
     gaps = [b - a for a, b in itertools.pairwise(tried)]
     assert gaps == sorted(gaps) and gaps[0] >= 1 and gaps[-1] == 10.0
     Faulty.broken = False
-    while not keeper.busy:
+    while not writer.busy:
         world.reactor.turn(0.5)
     world.reactor.take()
     assert world.lines[-1] == "knowledge_healed" and files(world) == ["1"]
-    keeper.stop(lambda: None)
+    writer.stop(lambda: None)
 
 
 def test_a_locked_folder_is_told_once_and_taken_when_it_is_free(world):
     holder = SnapshotStore(str(world.path / "n0"))
     holder.open()
-    keeper = world.keeper()
-    keeper.load()
-    keeper.start()
+    writer = world.writer()
+    writer.load()
+    writer.start()
     for _ in range(2):
-        while not keeper.busy:
+        while not writer.busy:
             world.reactor.turn(1.0)
         world.reactor.take()
     assert world.lines == ["knowledge_locked"] and files(world) == []
     holder.close()
-    while not keeper.busy:
+    while not writer.busy:
         world.reactor.turn(1.0)
     world.reactor.take()
     assert world.lines[-1] == "knowledge_unlocked" and files(world) == ["1"]
-    keeper.stop(lambda: None)
+    writer.stop(lambda: None)
 
 
 def test_a_reload_changes_the_pace_the_generations_and_the_folder(world, tmp_path):
-    keeper = world.keeper(every=5.0)
-    keeper.load()
-    keeper.start()
-    keeper.reload(KnowledgeOptions(path=str(tmp_path), every=1.0, generations=3))
+    writer = world.writer(every=5.0)
+    writer.load()
+    writer.start()
+    writer.reload(KnowledgeOptions(path=str(tmp_path), every=1.0, generations=3))
     for _ in range(4):
         world.reactor.turn(1.0)
         world.reactor.take()
     assert files(world) == ["2", "3", "4"]
-    keeper.reload(KnowledgeOptions(path=str(tmp_path / "other"), every=1.0))
+    writer.reload(KnowledgeOptions(path=str(tmp_path / "other"), every=1.0))
     world.reactor.turn(1.0)
     world.reactor.take()
     assert [p.name for p in (tmp_path / "other" / "n0").glob("*.know")] == ["0000000000000001.know"]
-    keeper.stop(lambda: None)
+    writer.stop(lambda: None)
 
 
 def test_many_accounts_are_collected_in_many_turns(world):
-    keeper = world.keeper()
-    decisions = keeper.gateway.decisions
+    writer = world.writer()
+    decisions = writer.gateway.decisions
     for customer in range(3000):
         decisions.account(customer, 0, 0, 3)
     ticks = iter(i * 0.0004 for i in range(10**6))  # each look at the clock, 0.4 ms have passed
     turns = sum(
-        1 for _ in keeper.collector.steps(keeper.gateway.now, lambda: helpers_clock(), lambda: next(ticks))
+        1 for _ in writer.capture.steps(writer.gateway.now, lambda: helpers_clock(), lambda: next(ticks))
     )
-    assert turns >= 7 and len(keeper.collector.packed) == 3001 - 1
-    keeper.stop(lambda: None)
+    assert turns >= 7 and len(writer.capture.packed) == 3001 - 1
+    writer.stop(lambda: None)
 
 
 def helpers_clock():
@@ -206,20 +204,20 @@
 
 
 def test_a_folder_swapped_with_a_neighbours_is_found_out_and_not_used(world):
-    keeper = world.keeper(every=2.0)
-    keeper.load()
-    keeper.start()
+    writer = world.writer(every=2.0)
+    writer.load()
+    writer.start()
     world.reactor.turn(2.0)
     world.reactor.take()
     ended = []
-    keeper.stop(lambda: ended.append(1))
+    writer.stop(lambda: ended.append(1))
     world.reactor.take()
     assert ended and files(world)
     (world.path / "n0").rename(world.path / "n1")
-    other = world.keeper()
+    other = world.writer()
     other.gateway.config.name = "n1"
-    other = world.keeper()
+    other = world.writer()
     while world.lines[-1] != "knowledge_foreign":  # the first may still be letting go of the folder
         other.load()
-    assert other.collector.recall is None and world.counts["knowledge_foreign"]
+    assert other.capture.restored is None and world.counts["knowledge_foreign"]
     other.stop(lambda: None)
--- a/tests/test_net_moments.py
+++ b/tests/test_net_moments.py
@@ -161,7 +161,7 @@
     def run_program(self):
         """Another life holds its lock, and the signal comes while this one waits for it."""
         folder = store.gateway_folder(os.path.join(self.folder.name, "corkdeal-lives"), "n0")
-        self.lives = handover_files.Lives(folder)
+        self.lives = handover_files.HandoverFiles(folder)
         self.lives.join()
         self.addCleanup(self.lives.close)
         super().run_program()
