--- a/corkdeal/persistence/files.py
+++ b/corkdeal/persistence/files.py
@@ -1,7 +1,7 @@
-"""The few operations on one folder that the store needs; tests record, fail or replay each of them.
+"""The operations on one folder that the store needs; tests record, fail or replay each of them.
 
-Everything goes through the folder's descriptor: a folder that is moved or replaced meanwhile is an error,
-never another folder's files. Nothing is followed through a symlink, and only regular files of this user are
+All of them go through the folder's descriptor: a folder that is moved or replaced meanwhile leads to an
+error, never to another folder's files. No symbolic link is followed, and only regular files of this user are
 read.
 """
 
@@ -14,60 +14,71 @@
 
 from .errors import FolderLockedError, UnsafeFileError
 
-OPEN_FLAGS = os.O_CLOEXEC | os.O_NOFOLLOW | os.O_NONBLOCK  # a FIFO in a file's place must not hang the reader
-WRITE_CHUNK_SIZE = 1 << 20  # bytes in one write, so that no single call holds much
+# O_NONBLOCK: a FIFO in a file's place must not block the reader
+OPEN_FLAGS = os.O_CLOEXEC | os.O_NOFOLLOW | os.O_NONBLOCK
+WRITE_CHUNK_SIZE = 1 << 20  # bytes in one call, so that none takes long
+CLOSED = -1  # in a descriptor's place
 
 
 class StateFolder:
-    """One open folder."""
+    """One open folder; close it with `close`."""
 
     def __init__(self, path: str, create_missing: bool = True) -> None:
-        """Open it, made with mode 0700 if it isn't there; `OSError` where that can't be."""
+        """Open the folder, created with mode 0700 if it is missing and `create_missing` is set.
+
+        Raises `OSError` where that fails, and `UnsafeFileError` for a folder that others may write.
+        """
         if create_missing:
             os.makedirs(path, mode=0o700, exist_ok=True)
         self.path = path
         self.descriptor = os.open(path, os.O_RDONLY | os.O_DIRECTORY | OPEN_FLAGS)
-        found = os.fstat(self.descriptor)
-        if found.st_uid != os.geteuid() or (create_missing and found.st_mode & 0o022):
+        status = os.fstat(self.descriptor)
+        may_others_write = create_missing and bool(status.st_mode & 0o022)
+        if status.st_uid != os.geteuid() or may_others_write:
             self.close()
             raise UnsafeFileError(f"{path}: not this user's alone to write")
 
     def close(self) -> None:
-        """Let go of the folder."""
-        if self.descriptor >= 0:
+        """Close the folder; a second call has no effect."""
+        if self.descriptor != CLOSED:
             os.close(self.descriptor)
-            self.descriptor = -1
+            self.descriptor = CLOSED
 
     def list_names(self) -> list[str]:
-        """The names in it."""
+        """Return the names in the folder."""
         return os.listdir(self.descriptor)
 
     def read(self, name: str, max_size: int) -> bytes:
-        """A file's bytes; one that is larger than `max_size` is read no further than one byte past it."""
-        with os.fdopen(
-            os.open(name, os.O_RDONLY | OPEN_FLAGS, dir_fd=self.descriptor), "rb", buffering=0
-        ) as file:
-            require_own_regular_file(os.fstat(file.fileno()), name)
-            data, size = bytearray(), os.fstat(file.fileno()).st_size
-            if size > max_size:
-                raise UnsafeFileError(f"{name}: {size} bytes, more than any file of ours")
-            while piece := file.read(min(WRITE_CHUNK_SIZE, max_size + 1 - len(data))):
-                data += piece
+        """Return a file's bytes, at most one more than `max_size` if it grows while it is read.
+
+        Raises `UnsafeFileError` for a larger file and for one that is not a regular file of this user's.
+        """
+        descriptor = os.open(name, os.O_RDONLY | OPEN_FLAGS, dir_fd=self.descriptor)
+        with os.fdopen(descriptor, "rb", buffering=0) as file:
+            status = os.fstat(descriptor)
+            require_own_regular_file(status, name)
+            if status.st_size > max_size:
+                raise UnsafeFileError(f"{name}: {status.st_size} bytes, more than any file of ours")
+            data = bytearray()
+            while chunk := file.read(min(WRITE_CHUNK_SIZE, max_size + 1 - len(data))):
+                data += chunk
             return bytes(data)
 
     def create(self, name: str) -> int:
-        """A new file's descriptor, mode 0600; an error if the name is taken."""
-        return os.open(name, os.O_WRONLY | os.O_CREAT | os.O_EXCL | OPEN_FLAGS, 0o600, dir_fd=self.descriptor)
+        """Return a new file's descriptor, mode 0600; raises `FileExistsError` if the name is taken."""
+        flags = os.O_WRONLY | os.O_CREAT | os.O_EXCL | OPEN_FLAGS
+        return os.open(name, flags, 0o600, dir_fd=self.descriptor)
 
     def write(self, file: int, parts: Iterable[bytes]) -> None:
-        """Append all of it."""
+        """Append all parts to a file."""
         for part in parts:
             view = memoryview(part)
             while view:
-                view = view[os.write(file, view[:WRITE_CHUNK_SIZE]) :]
+                written = os.write(file, view[:WRITE_CHUNK_SIZE])
+                view = view[written:]
 
     def sync(self, file: int) -> None:
-        """Return once its content outlives a crash."""
+        """Return once a file's content is durable."""
         os.fsync(file)
 
     def close_file(self, file: int) -> None:
@@ -75,11 +86,11 @@
         os.close(file)
 
     def rename(self, old: str, new: str) -> None:
-        """Put a file in a name's place, at one stroke."""
+        """Rename a file, atomically replacing one of the new name."""
         os.rename(old, new, src_dir_fd=self.descriptor, dst_dir_fd=self.descriptor)
 
     def sync_folder(self) -> None:
-        """Return once the names in it outlive a crash."""
+        """Return once the folder's names are durable."""
         os.fsync(self.descriptor)
 
     def unlink(self, name: str) -> None:
@@ -94,9 +105,9 @@
             return False
 
     def lock(self, name: str) -> int:
-        """Hold a lock until the descriptor is closed or the process ends.
+        """Lock a file until the returned descriptor is closed or the process ends.
 
-        Raises `FolderLockedError` if another process holds it.
+        Raises `FolderLockedError` if another process holds the lock.
         """
         file = os.open(name, os.O_RDWR | os.O_CREAT | OPEN_FLAGS, 0o600, dir_fd=self.descriptor)
         try:
@@ -111,9 +122,9 @@
         return file
 
 
-def require_own_regular_file(found: os.stat_result, name: str) -> None:
-    """Refuse what is no regular file of this user's."""
-    if not stat.S_ISREG(found.st_mode):
+def require_own_regular_file(status: os.stat_result, name: str) -> None:
+    """Raise `UnsafeFileError` for what is not a regular file of this user's."""
+    if not stat.S_ISREG(status.st_mode):
         raise UnsafeFileError(f"{name}: no regular file")
-    if found.st_uid != os.geteuid():
+    if status.st_uid != os.geteuid():
         raise UnsafeFileError(f"{name}: another user's file")
--- a/corkdeal/persistence/store.py
+++ b/corkdeal/persistence/store.py
@@ -1,9 +1,8 @@
-"""Generations of documents in one gateway's folder: which is read, how one is written, which go.
+"""Generations of snapshots in one gateway's folder: which is loaded, how one is written, which are removed.
 
-A write is whole or nothing: a temporary file, its content synced, renamed to its generation's name, the
-folder synced. Only then is the generation durable, and only then are older ones removed, so each moment of a
-crash leaves the newest durable generation or a newer one. What can't be read is passed over for the one
-before it.
+A write is atomic: a temporary file, its content synced, renamed to its generation's name, the folder synced.
+Only then is the generation durable, and only then are older ones removed, so a crash at any moment leaves the
+newest durable generation or a newer one. A file that cannot be read is passed over for the one before it.
 """
 
 from __future__ import annotations
@@ -20,21 +19,21 @@
 from .files import StateFolder
 
 LOCK_NAME = "lock"
+MAX_GENERATION = 10**16 - 1  # file names have 16 digits
 match_snapshot_name = re.compile(r"([0-9]{16})\.know").fullmatch
 match_temporary_name = re.compile(r"[0-9]{16}\.tmp").fullmatch
 UNSAFE_CHARACTER = re.compile(r"[^A-Za-z0-9_-]")
-MAX_GENERATION = 10**16 - 1
 
 
 class RejectedFile(NamedTuple):
-    """A file that was not loaded, and why."""
+    """A file that was not loaded, and the reason."""
 
     file: str
     reason: str
 
 
 class LoadedSnapshot(NamedTuple):
-    """The newest document that can be read, if there is one."""
+    """The newest readable snapshot; without one `file` is empty and `document` is None."""
 
     file: str
     format: int
@@ -43,151 +42,178 @@
 
 
 def gateway_folder(path: str, name: str) -> str:
-    """A gateway's own folder: its name with all that could lead elsewhere written as %XX."""
-    return os.path.join(
-        path, UNSAFE_CHARACTER.sub(lambda m: "".join(f"%{b:02X}" for b in m[0].encode()), name) or "%"
-    )
+    """Return a gateway's own folder: its name with all but letters, digits, `_` and `-` written as %XX."""
+
+    def escaped(match: re.Match[str]) -> str:
+        return "".join(f"%{byte:02X}" for byte in match[0].encode())
+
+    return os.path.join(path, UNSAFE_CHARACTER.sub(escaped, name) or "%")
 
 
 def snapshot_name(generation: int) -> str:
-    """A generation's file."""
+    """Return the file name of a generation."""
     return f"{generation:016d}.know"
 
 
+def temporary_name(generation: int) -> str:
+    """Return the file name of a generation that is being written."""
+    return f"{generation:016d}.tmp"
+
+
 class SnapshotStore:
-    """One gateway's folder. All of it may block; it runs in a thread of its own."""
+    """One gateway's folder. Every method may block, so it belongs in a thread of its own."""
 
     def __init__(
         self, folder: str, retained: int = 2, opener: Callable[[str], StateFolder] = StateFolder
     ) -> None:
-        self.folder, self.retained, self.opener = folder, retained, opener
+        self.folder = folder
+        self.retained = retained
+        self.opener = opener
         self.files: StateFolder | None = None
         self.lock: int | None = None
-        self.newest_generation = 0  # highest generation that any file's name bears
-        self.generations_found: list[int] = []  # whole ones, oldest first
-        self.newer_formats: set[int] = set()  # of newer formats: never touched
-        self.replaceable: set[int] = set()  # known to be of a format that this program may replace
+        self.newest_generation = 0  # the highest in any file's name
+        self.generations: list[int] = []  # those that may be loaded, oldest first
+        self.newer_formats: set[int] = set()  # generations that are never removed
+        self.replaceable: set[int] = set()  # generations known to be of a format that may be removed
 
     def open(self) -> None:
-        """Take the folder for this process.
+        """Open and lock the folder; a folder that has vanished or was replaced is opened anew.
 
         Raises `FolderLockedError` if another process has it and `OSError` where it can't be used.
         """
-        if self.files is not None and not self.files.is_current():  # vanished or replaced: begin anew there
+        if self.files is not None and not self.files.is_current():
             self.close()
-        if self.files is None:
-            files = self.opener(self.folder)
-            try:
-                self.lock = files.lock(LOCK_NAME)
-            except BaseException:
-                files.close()
-                raise
-            self.files = files
-            self.scan()
-
-    def close(self) -> None:
-        """Let go of it."""
         if self.files is not None:
-            if self.lock is not None:
-                os.close(self.lock)
-            self.files.close()
-            self.files = self.lock = None
+            return
+        files = self.opener(self.folder)
+        try:
+            self.lock = files.lock(LOCK_NAME)
+        except BaseException:
+            files.close()
+            raise
+        self.files = files
+        self._scan()
 
-    def scan(self) -> None:
-        """See which generations are there, and remove what a crash left half written."""
-        assert self.files is not None
-        names = self.files.list_names()
-        for name in filter(match_temporary_name, names):
-            with contextlib.suppress(OSError):
-                self.files.unlink(name)
-        found = sorted(int(m[1]) for m in map(match_snapshot_name, names) if m)
-        self.newest_generation, self.generations_found = max([self.newest_generation, *found]), found
+    def close(self) -> None:
+        """Unlock and close the folder; a second call has no effect."""
+        if self.files is None:
+            return
+        if self.lock is not None:
+            os.close(self.lock)
+        self.files.close()
+        self.files = None
+        self.lock = None
 
     def load(self) -> LoadedSnapshot:
-        """The newest document that is whole and of a known format."""
-        assert self.files is not None
+        """Return the newest snapshot that is whole and of a supported format."""
         rejected: list[RejectedFile] = []
-        for generation in reversed(self.generations_found[:]):
+        for generation in reversed(self.generations[:]):
             name = snapshot_name(generation)
             try:
-                said, form, document = decode(self.files.read(name, MAX_FILE_SIZE))
-                if said != generation:
-                    raise DamagedSnapshotError(f"byte 16: generation {said} under the name of {generation}")
-                return LoadedSnapshot(name, form, document, rejected)
+                format_number, snapshot = self._read(generation)
+                return LoadedSnapshot(name, format_number, snapshot, rejected)
             except UnsupportedFormatError as error:
                 self.newer_formats.add(generation)
-                self.generations_found.remove(generation)
-                rejected.append(RejectedFile(name, str(error)))
+                reason = str(error)
             except (DamagedSnapshotError, OSError) as error:
-                self.generations_found.remove(generation)
-                rejected.append(RejectedFile(name, str(error)))
+                reason = str(error)
+            self.generations.remove(generation)
+            rejected.append(RejectedFile(name, reason))
         return LoadedSnapshot("", 0, None, rejected)
 
-    def write(self, make: Callable[[int], list[bytes]]) -> int:
-        """Write what `make` gives for the next generation; returns its number once it is durable."""
+    def write(self, encode: Callable[[int], list[bytes]]) -> int:
+        """Write the parts that `encode` returns for the next generation; return its number once durable."""
         self.open()
-        assert self.files is not None
-        files, generation = self.files, self.newest_generation + 1
+        generation = self.newest_generation + 1
         if generation > MAX_GENERATION:
             raise GenerationsExhaustedError("no generation is left")
-        parts, temporary = make(generation), f"{generation:016d}.tmp"
+        parts = encode(generation)
         try:
-            file = files.create(temporary)
-            try:
-                files.write(file, parts)
-                files.sync(file)
-            finally:
-                files.close_file(file)
-            files.rename(temporary, snapshot_name(generation))
-            self.newest_generation = (
-                generation  # from here on the name may be there, durable or not: never used again
-            )
-            files.sync_folder()
+            self._write_file(generation, parts)
         except BaseException:
             with contextlib.suppress(OSError):
-                files.unlink(temporary)
-            self.rescan()
+                self._opened().unlink(temporary_name(generation))
+            self._rescan()
             raise
-        self.generations_found.append(generation)
+        self.generations.append(generation)
         self.replaceable.add(generation)
-        self.remove_old_generations()
+        self._remove_old_generations()
         return generation
 
-    def rescan(self) -> None:
-        """After a failure nothing that was remembered of the folder is believed."""
+    def _opened(self) -> StateFolder:
+        assert self.files is not None
+        return self.files
+
+    def _scan(self) -> None:
+        """List the generations in the folder, and remove temporary files that a crash left."""
+        files = self._opened()
+        names = files.list_names()
+        for name in filter(match_temporary_name, names):
+            with contextlib.suppress(OSError):
+                files.unlink(name)
+        matches = map(match_snapshot_name, names)
+        self.generations = sorted(int(match[1]) for match in matches if match)
+        self.newest_generation = max([self.newest_generation, *self.generations])
+
+    def _rescan(self) -> None:
+        """List the generations again after a failure, which may have left the folder in any state."""
         try:
-            newer_formats = self.newer_formats
-            self.scan()
-            self.generations_found = [g for g in self.generations_found if g not in newer_formats]
+            self._scan()
         except OSError:
             self.close()
-
-    def remove_old_generations(self) -> None:
-        """Remove all but the newest whole generations; what is of a newer format stays."""
-        assert self.files is not None
-        gone, self.generations_found = (
-            self.generations_found[: -self.retained],
-            self.generations_found[-self.retained :],
-        )
-        for generation in gone:
+            return
+        self.generations = [number for number in self.generations if number not in self.newer_formats]
+
+    def _read(self, generation: int) -> tuple[int, Snapshot]:
+        """Return a generation's format and snapshot."""
+        data = self._opened().read(snapshot_name(generation), MAX_FILE_SIZE)
+        stated, format_number, snapshot = decode(data)
+        if stated != generation:
+            raise DamagedSnapshotError(f"byte 16: generation {stated} under the name of {generation}")
+        return format_number, snapshot
+
+    def _write_file(self, generation: int, parts: list[bytes]) -> None:
+        """Write a generation's file; it is durable on return."""
+        files = self._opened()
+        temporary = temporary_name(generation)
+        file = files.create(temporary)
+        try:
+            files.write(file, parts)
+            files.sync(file)
+        finally:
+            files.close_file(file)
+        files.rename(temporary, snapshot_name(generation))
+        # The name may exist from here on, durable or not, so the number is never used again.
+        self.newest_generation = generation
+        files.sync_folder()
+
+    def _remove_old_generations(self) -> None:
+        """Remove all but the newest generations; files of a newer format stay."""
+        surplus = self.generations[: -self.retained]
+        self.generations = self.generations[-self.retained :]
+        for generation in surplus:
             try:
-                if self.may_replace(generation):
-                    self.files.unlink(snapshot_name(generation))
-                    self.replaceable.discard(generation)
+                self._remove(generation)
             except FileNotFoundError:
-                pass
+                continue
             except OSError:
-                self.generations_found.insert(0, generation)  # tried again after the next write
-
-    def may_replace(self, generation: int) -> bool:
-        """Whether a file may be removed: one of a newer format may not, though this life never loaded it."""
-        assert self.files is not None
-        if generation not in self.replaceable:
-            with contextlib.suppress(DamagedSnapshotError):
-                if (
-                    parse_envelope(self.files.read(snapshot_name(generation), MAX_FILE_SIZE)).minimum_reader
-                    > CURRENT_FORMAT
-                ):
-                    self.newer_formats.add(generation)
-                    return False
-        return True
+                self.generations.insert(0, generation)  # tried again after the next write
+
+    def _remove(self, generation: int) -> None:
+        """Remove a generation's file, unless it is of a newer format."""
+        if self._may_remove(generation):
+            self._opened().unlink(snapshot_name(generation))
+            self.replaceable.discard(generation)
+
+    def _may_remove(self, generation: int) -> bool:
+        """Whether a file may be removed: not if its format is newer, also where it was never loaded."""
+        if generation in self.replaceable:
+            return True
+        data = self._opened().read(snapshot_name(generation), MAX_FILE_SIZE)
+        try:
+            is_newer = parse_envelope(data).minimum_reader > CURRENT_FORMAT
+        except DamagedSnapshotError:
+            return True
+        if is_newer:
+            self.newer_formats.add(generation)
+        return not is_newer
