--- a/benchmarks/knowledge.py
+++ b/benchmarks/knowledge.py
@@ -24,7 +24,7 @@
 from corkdeal.decisions.settings import Plan, RequestClass, Settings
 from corkdeal.persistence import clock
 from corkdeal.persistence.capture import StateCapture
-from corkdeal.persistence.codec import decode, encode
+from corkdeal.persistence.codec import decode_snapshot, encode_snapshot
 from corkdeal.persistence.restore import RestoredState
 from corkdeal.persistence.store import SnapshotStore
 
@@ -95,7 +95,7 @@
         heading = time.perf_counter() - began
         collected = time.process_time() - cpu
         began = time.perf_counter()
-        parts = encode(turn + 1, head, pages)
+        parts = encode_snapshot(turn + 1, head, pages)
         encoded = time.perf_counter() - began
         store.write(lambda _, parts=parts: parts)
         wall = time.perf_counter() - began
@@ -117,7 +117,7 @@
     data = (pathlib.Path(folder) / f"{WRITES + 1:016d}.know").read_bytes()
     store.close()
     began = time.perf_counter()
-    document = decode(data)[2]
+    document = decode_snapshot(data)[2]
     recall = RestoredState(document, 1.0, now, SETTINGS, lambda name: "", {})
     loading = time.perf_counter() - began
     mean = [sum(r[i] for r in rows) / len(rows) for i in range(5)]
--- a/benchmarks/upgrade.py
+++ b/benchmarks/upgrade.py
@@ -168,7 +168,7 @@
     from corkdeal.net.__main__ import GC_EVERY
     from corkdeal.persistence import clock, quota_handover
     from corkdeal.persistence.capture import StateCapture
-    from corkdeal.persistence.codec import decode, encode
+    from corkdeal.persistence.codec import decode_snapshot, encode_snapshot
     from corkdeal.persistence.restore import RestoredState
 
     old, now = gateway_with(accounts), 1000.0
@@ -180,9 +180,9 @@
     for _ in capture.steps(lambda: now, clock.read_clocks, lambda: 0.0):
         pass
     head = capture.head(now, clock.read_clocks(), 0.0, True, {})
-    data = b"".join(encode(1, head, list(capture.pages())))
+    data = b"".join(encode_snapshot(1, head, list(capture.pages())))
     made = time.perf_counter() - began
-    known = RestoredState(decode(data)[2], 0.1, now, old.s, lambda name: "", Counter())
+    known = RestoredState(decode_snapshot(data)[2], 0.1, now, old.s, lambda name: "", Counter())
     new = gateway_with(0)
     steps = quota_handover.take_rest(new, lambda: now, quota_handover.PartialState(known, 0.3), known, 0.7)
     longest, whole, ended = 0.0, 0.0, False
--- a/corkdeal/cli/knowledge.py
+++ b/corkdeal/cli/knowledge.py
@@ -9,7 +9,7 @@
 import click
 
 from ..persistence import clock, expiry, merge
-from ..persistence.codec import Snapshot, decode, encode, entry, page
+from ..persistence.codec import Snapshot, decode_snapshot, encode_page, encode_page_entry, encode_snapshot
 from ..persistence.envelope import MAX_FILE_SIZE
 from ..persistence.errors import DamagedSnapshotError, UnsupportedFormatError
 from ..persistence.files import StateFolder
@@ -22,7 +22,7 @@
 def read(path: str) -> tuple[int, int, Snapshot]:
     """A file's generation, format and document; a click error where it can't be used."""
     try:
-        return decode(bytes_of(path))
+        return decode_snapshot(bytes_of(path))
     except (DamagedSnapshotError, UnsupportedFormatError, OSError) as error:
         raise click.ClickException(f"{path}: {error}") from error
 
@@ -38,8 +38,10 @@
 
 def write(path: str, document: Snapshot, generation: int) -> None:
     """A new file with a document; an existing one is never overwritten."""
-    entries = [entry(customer, raw) for each in document.accounts for customer, raw in each.items()]
-    parts = encode(generation, document.head, [page(entries, len(entries))])
+    entries = [
+        encode_page_entry(customer, raw) for each in document.accounts for customer, raw in each.items()
+    ]
+    parts = encode_snapshot(generation, document.head, [encode_page(entries, len(entries))])
     files = StateFolder(os.path.dirname(os.path.abspath(path)), create_missing=False)
     name = os.path.basename(path)
     try:
@@ -215,7 +217,7 @@
     found = []
     for path in files:
         try:
-            generation, form, document = decode(bytes_of(path))
+            generation, form, document = decode_snapshot(bytes_of(path))
             bad = sum(map(len, document.accounts)) - len(merge.accounts_of(document))
             named = match_snapshot_name(os.path.basename(path))
             fault = f"{bad} accounts can't be read" if bad else ""
--- a/corkdeal/experiment/tier.py
+++ b/corkdeal/experiment/tier.py
@@ -459,12 +459,12 @@
 def older(file: pathlib.Path, seconds: float = 3600.0) -> None:
     """Let an hour pass for a stored document."""
     from ..persistence import merge
-    from ..persistence.codec import decode, encode, entry, page
+    from ..persistence.codec import decode_snapshot, encode_page, encode_page_entry, encode_snapshot
 
-    generation, _, document = decode(file.read_bytes())
+    generation, _, document = decode_snapshot(file.read_bytes())
     made = merge.backdated(document, seconds)
-    entries = [entry(customer, raw) for each in made.accounts for customer, raw in each.items()]
-    file.write_bytes(b"".join(encode(generation, made.head, [page(entries, len(entries))])))
+    entries = [encode_page_entry(customer, raw) for each in made.accounts for customer, raw in each.items()]
+    file.write_bytes(b"".join(encode_snapshot(generation, made.head, [encode_page(entries, len(entries))])))
 
 
 async def play(
--- a/corkdeal/net/upgrade.py
+++ b/corkdeal/net/upgrade.py
@@ -16,7 +16,7 @@
 from .. import __version__, logs
 from ..persistence import clock, quota_handover
 from ..persistence.capture import StateCapture
-from ..persistence.codec import Snapshot, encode
+from ..persistence.codec import Snapshot, encode_snapshot
 from ..persistence.handover_files import FINAL, PARTIAL, HandoverFiles
 from ..persistence.restore import RestoredState
 from ..persistence.store import gateway_folder
@@ -207,7 +207,7 @@
                 pass
             head = capture.head(now, clock.read_clocks(), 0.0, True, {})
             pages = list(capture.pages())
-            self.lives.write(to, what, lambda life: encode(life, head, pages))
+            self.lives.write(to, what, lambda life: encode_snapshot(life, head, pages))
         except (OSError, ValueError) as error:
             count("handover_not_written")
             logs.event("handover_not_written", what=what, after=to, error=str(error)[:200])
--- a/corkdeal/persistence/capture.py
+++ b/corkdeal/persistence/capture.py
@@ -14,7 +14,7 @@
 from ..decisions import persisted_state
 from ..decisions.persisted_state import FleetMemory, ServerMemory
 from .clock import ClockReading
-from .codec import SnapshotHead, encode_account, entry, page
+from .codec import SnapshotHead, encode_page, encode_page_entry, encode_record
 from .restore import RestoredState
 
 BATCH = 32  # accounts packed between two looks at the clock
@@ -53,8 +53,8 @@
             for key in batch:
                 a = d.accounts.get(key)
                 if a is not None:
-                    packed[key] = entry(
-                        key, encode_account(persisted_state.account_of(a, shift, d.peer_born))
+                    packed[key] = encode_page_entry(
+                        key, encode_record(persisted_state.account_of(a, shift, d.peer_born))
                     )
                     if a.open:  # will end, of which nothing else tells
                         self.open.add(key)
@@ -85,7 +85,7 @@
         for entries in (self.rest, list(self.packed.values())):
             rest = iter(entries)
             while batch := list(islice(rest, PAGE)):
-                yield page(batch, len(batch))
+                yield encode_page(batch, len(batch))
 
     def head(
         self, now: float, clock: ClockReading, every: float, clean: bool, addresses: dict[str, str]
--- a/corkdeal/persistence/codec.py
+++ b/corkdeal/persistence/codec.py
@@ -66,7 +66,7 @@
 _snapshot_decoder = msgspec.msgpack.Decoder(Snapshot)
 _account_decoder = msgspec.msgpack.Decoder(AccountMemory)
 _encoder = msgspec.msgpack.Encoder()
-encode_account = _encoder.encode
+encode_record = _encoder.encode
 
 
 def decode_account(raw: bytes | msgspec.Raw) -> AccountMemory:
@@ -87,14 +87,14 @@
     return all(map(is_finite, value)) if isinstance(value, tuple) else True
 
 
-def page(entries: Iterable[bytes], count: int) -> bytes:
+def encode_page(entries: Iterable[bytes], count: int) -> bytes:
     """A page from entries that each are a key and a record already packed, see `entry`."""
     return MAP32 + count.to_bytes(4, "big") + b"".join(entries)
 
 
-def entry(customer: int, record: bytes | msgspec.Raw) -> bytes:
+def encode_page_entry(customer: int, record: bytes | msgspec.Raw) -> bytes:
     """A page's entry."""
-    return encode_account(customer) + bytes(record)
+    return encode_record(customer) + bytes(record)
 
 
 def _document_parts(head: SnapshotHead, pages: Iterable[bytes], count: int) -> Iterator[bytes]:
@@ -104,7 +104,7 @@
     yield from pages
 
 
-def encode(generation: int, head: SnapshotHead, pages: list[bytes]) -> list[bytes]:
+def encode_snapshot(generation: int, head: SnapshotHead, pages: list[bytes]) -> list[bytes]:
     """A whole file, in parts: compressed and sealed. May run beside the reactor."""
     raw = list(_document_parts(head, pages, len(pages)))
     size = sum(map(len, raw))
@@ -128,7 +128,7 @@
         raise DamagedSnapshotError(f"byte 80: {error}") from error
 
 
-def decode(data: bytes) -> tuple[int, int, Snapshot]:
+def decode_snapshot(data: bytes) -> tuple[int, int, Snapshot]:
     """A file's generation, the format that it has, and its document in today's form."""
     outside = parse_envelope(data)
     if outside.minimum_reader > CURRENT_FORMAT:
--- a/corkdeal/persistence/handover_files.py
+++ b/corkdeal/persistence/handover_files.py
@@ -17,7 +17,7 @@
 import re
 from collections.abc import Callable
 
-from .codec import Snapshot, decode
+from .codec import Snapshot, decode_snapshot
 from .envelope import MAX_FILE_SIZE
 from .errors import DamagedSnapshotError, FolderLockedError
 from .files import StateFolder
@@ -93,7 +93,7 @@
             data = self.files.read(f"{of:016d}-{self.me}.{what}", MAX_FILE_SIZE)
         except FileNotFoundError:
             return None
-        said, _, document = decode(data)
+        said, _, document = decode_snapshot(data)
         if said != of:
             raise DamagedSnapshotError(f"byte 16: life {said} under the name of {of}")
         return document
--- a/corkdeal/persistence/merge.py
+++ b/corkdeal/persistence/merge.py
@@ -14,7 +14,7 @@
 import msgspec
 
 from ..decisions.persisted_state import AccountMemory, FleetMemory, ServerMemory, WorkMemory
-from .codec import Snapshot, SnapshotHead, decode_account, encode_account
+from .codec import Snapshot, SnapshotHead, decode_account, encode_record
 
 Record = TypeVar("Record", ServerMemory, WorkMemory, AccountMemory)
 
@@ -38,7 +38,7 @@
 def precedence(record: Record) -> tuple[float, float, bytes]:
     """Later starts and moments first; then any order, so long as it is always the same."""
     started = record.started if isinstance(record, ServerMemory) else 0.0
-    return started, record.at, encode_account(record)
+    return started, record.at, encode_record(record)
 
 
 def server_from_other_machine(m: ServerMemory, offset: float) -> ServerMemory:
@@ -91,7 +91,7 @@
         is_clean=is_clean,
         write_interval=write_interval,
     )
-    records = {key: msgspec.Raw(encode_account(m)) for key, m in sorted(newest_records(accounts).items())}
+    records = {key: msgspec.Raw(encode_record(m)) for key, m in sorted(newest_records(accounts).items())}
     return Snapshot(head, [records])
 
 
@@ -105,7 +105,7 @@
     )
     servers = tuple(m._replace(at=m.at - seconds) for m in document.head.servers)
     accounts = {
-        key: msgspec.Raw(encode_account(m._replace(at=m.at - seconds, asked_at=m.asked_at - seconds)))
+        key: msgspec.Raw(encode_record(m._replace(at=m.at - seconds, asked_at=m.asked_at - seconds)))
         for key, m in accounts_of(document).items()
     }
     head = msgspec.structs.replace(document.head, clock=clock, fleet=fleet, servers=servers)
--- a/corkdeal/persistence/restore.py
+++ b/corkdeal/persistence/restore.py
@@ -15,7 +15,7 @@
 from ..decisions.persisted_state import AccountMemory, FleetMemory, ServerMemory, WorkMemory
 from ..decisions.settings import Plan, Settings
 from . import expiry
-from .codec import Snapshot, decode_account, encode_account, entry
+from .codec import Snapshot, decode_account, encode_page_entry, encode_record
 from .expiry import interpolate
 
 ROUND_LEAP = 1 << 17  # rounds; more than any gateway counts in ageing.LEDGER_HORIZON, so none comes twice
@@ -197,6 +197,6 @@
                     self.counts["knowledge_account_malformed"] += 1
                     continue
                 at = boot - self.age_of(m.at, now)
-                record = encode_account(m._replace(at=at, asked_at=at, pairs=(), edges=()))
-            made[customer] = entry(customer, record)
+                record = encode_record(m._replace(at=at, asked_at=at, pairs=(), edges=()))
+            made[customer] = encode_page_entry(customer, record)
         return made
--- a/corkdeal/persistence/snapshot_writer.py
+++ b/corkdeal/persistence/snapshot_writer.py
@@ -20,7 +20,7 @@
 from ..options import KnowledgeOptions
 from . import clock
 from .capture import StateCapture
-from .codec import SnapshotHead, encode
+from .codec import SnapshotHead, encode_snapshot
 from .errors import FolderLockedError
 from .restore import RestoredState
 from .store import LoadedSnapshot, SnapshotStore, gateway_folder
@@ -209,7 +209,7 @@
         began = time.monotonic()
 
         def work() -> tuple[int, float]:
-            generation = self.store.write(lambda number: encode(number, head, pages))
+            generation = self.store.write(lambda number: encode_snapshot(number, head, pages))
             return generation, time.monotonic() - began
 
         self.worker.submit(work, lambda *result: self.reactor.callFromThread(done, *result))
--- a/corkdeal/persistence/store.py
+++ b/corkdeal/persistence/store.py
@@ -13,7 +13,7 @@
 from collections.abc import Callable
 from typing import NamedTuple
 
-from .codec import CURRENT_FORMAT, Snapshot, decode
+from .codec import CURRENT_FORMAT, Snapshot, decode_snapshot
 from .envelope import MAX_FILE_SIZE, parse_envelope
 from .errors import DamagedSnapshotError, GenerationsExhaustedError, UnsupportedFormatError
 from .files import StateFolder
@@ -167,7 +167,7 @@
     def _read(self, generation: int) -> tuple[int, Snapshot]:
         """Return a generation's format and snapshot."""
         data = self._opened().read(snapshot_name(generation), MAX_FILE_SIZE)
-        stated, format_number, snapshot = decode(data)
+        stated, format_number, snapshot = decode_snapshot(data)
         if stated != generation:
             raise DamagedSnapshotError(f"byte 16: generation {stated} under the name of {generation}")
         return format_number, snapshot
--- a/tests/persistence/samples.py
+++ b/tests/persistence/samples.py
@@ -16,7 +16,14 @@
     WorkMemory,
 )
 from corkdeal.persistence.clock import ClockReading
-from corkdeal.persistence.codec import Snapshot, SnapshotHead, encode, encode_account, entry, page
+from corkdeal.persistence.codec import (
+    Snapshot,
+    SnapshotHead,
+    encode_page,
+    encode_page_entry,
+    encode_record,
+    encode_snapshot,
+)
 from corkdeal.persistence.envelope import build_envelope
 
 DATA = pathlib.Path(__file__).parent / "data"
@@ -42,13 +49,15 @@
 
 def document(head=HEAD, accounts=None):
     accounts = {7: ACCOUNT} if accounts is None else accounts
-    return Snapshot(head, [{key: msgspec.Raw(encode_account(a)) for key, a in accounts.items()}])
+    return Snapshot(head, [{key: msgspec.Raw(encode_record(a)) for key, a in accounts.items()}])
 
 
 def parts(generation=1, head=HEAD, accounts=None):
     accounts = {7: ACCOUNT} if accounts is None else accounts
-    return encode(
-        generation, head, [page([entry(k, encode_account(a)) for k, a in accounts.items()], len(accounts))]
+    return encode_snapshot(
+        generation,
+        head,
+        [encode_page([encode_page_entry(k, encode_record(a)) for k, a in accounts.items()], len(accounts))],
     )
 
 
--- a/tests/persistence/test_errors.py
+++ b/tests/persistence/test_errors.py
@@ -6,7 +6,7 @@
 
 from corkdeal.errors import CorkdealError
 from corkdeal.persistence import errors
-from corkdeal.persistence.codec import decode_account, encode
+from corkdeal.persistence.codec import decode_account, encode_snapshot
 from corkdeal.persistence.store import MAX_GENERATION, SnapshotStore, snapshot_name
 
 from . import samples
@@ -43,7 +43,7 @@
 def test_a_snapshot_over_the_readers_bound_is_not_encoded(monkeypatch):
     monkeypatch.setattr("corkdeal.persistence.codec.MAX_UNPACKED_SIZE", 100)
     with pytest.raises(errors.SnapshotTooLargeError, match="bytes of knowledge are over 100"):
-        encode(1, samples.HEAD, [])
+        encode_snapshot(1, samples.HEAD, [])
 
 
 def test_after_the_highest_generation_none_is_written(tmp_path):
--- a/tests/persistence/test_forms.py
+++ b/tests/persistence/test_forms.py
@@ -14,7 +14,7 @@
 from corkdeal.decisions.persisted_state import AccountMemory, PairMemory, ServerMemory, ShutMemory, WorkMemory
 from corkdeal.persistence import expiry, merge
 from corkdeal.persistence.clock import ClockReading, measure_age
-from corkdeal.persistence.codec import decode, decode_account
+from corkdeal.persistence.codec import decode_account, decode_snapshot
 from corkdeal.persistence.envelope import HEADER, MAX_UNPACKED_SIZE
 from corkdeal.persistence.errors import DamagedSnapshotError, UnsupportedFormatError
 
@@ -167,7 +167,7 @@
 
 @given(HEADS, st.dictionaries(st.integers(0, 2**33 - 1), ACCOUNTS, max_size=5), st.integers(1, 10**16 - 1))
 def test_what_is_written_is_read(head, accounts, generation):
-    said, form, document = decode(samples.data(generation, head=head, accounts=accounts))
+    said, form, document = decode_snapshot(samples.data(generation, head=head, accounts=accounts))
     assert (said, form) == (generation, 3) and plain(document) == (head, accounts)
 
 
@@ -186,7 +186,7 @@
 
 @pytest.mark.parametrize("form", [1, 2, 3])
 def test_frozen_files_of_every_format_are_read(form):
-    _, said, document = decode((samples.DATA / f"format-{form}.know").read_bytes())
+    _, said, document = decode_snapshot((samples.DATA / f"format-{form}.know").read_bytes())
     head, account = document.head, decode_account(document.encoded_accounts()[7])
     (server,), (work,) = head.servers, head.fleet.work
     assert said == form and (head.name, server.server, server.started) == ("n0", "s-1", 1000.0)
@@ -207,7 +207,7 @@
 
 def test_a_newer_format_is_told_apart_from_a_damaged_one():
     with pytest.raises(UnsupportedFormatError, match="needs a reader of format 4"):
-        decode((samples.DATA / "format-4.know").read_bytes())
+        decode_snapshot((samples.DATA / "format-4.know").read_bytes())
 
 
 @pytest.mark.parametrize("form", [1, 2, 3, 4])
@@ -215,13 +215,13 @@
     whole = (samples.DATA / f"format-{form}.know").read_bytes()
     for size in range(len(whole)):
         with pytest.raises(DamagedSnapshotError, match=r"^byte [0-9]+: "):
-            decode(whole[:size])
+            decode_snapshot(whole[:size])
     for at in range(len(whole)):
         for flip in (0x01, 0x80, 0xFF):
             with pytest.raises(DamagedSnapshotError, match=r"^byte [0-9]+: "):
-                decode(whole[:at] + bytes([whole[at] ^ flip]) + whole[at + 1 :])
+                decode_snapshot(whole[:at] + bytes([whole[at] ^ flip]) + whole[at + 1 :])
     with pytest.raises(DamagedSnapshotError):
-        decode(whole + b"\0")
+        decode_snapshot(whole + b"\0")
 
 
 def resized(unpacked_size, body):
@@ -258,15 +258,15 @@
 )
 def test_a_sealed_file_with_a_bad_body_is_refused(data, why):
     with pytest.raises(DamagedSnapshotError, match=why):
-        decode(data)
+        decode_snapshot(data)
 
 
 def test_a_bomb_takes_no_memory():
     code = (
-        "import resource, sys; from corkdeal.persistence.codec import decode\n"
+        "import resource, sys; from corkdeal.persistence.codec import decode_snapshot\n"
         "from corkdeal.persistence.errors import DamagedSnapshotError\n"
         "resource.setrlimit(resource.RLIMIT_AS, (1 << 29, 1 << 29))\n"
-        "try:\n    decode(sys.stdin.buffer.read())\nexcept DamagedSnapshotError as e:\n    print(e)"
+        "try:\n    decode_snapshot(sys.stdin.buffer.read())\nexcept DamagedSnapshotError as e:\n    print(e)"
     )
     bomb = zstandard.compress(bytes(3 << 30))  # 3 GiB of nothing in about 100 kB
     for data in (resized(3 << 30, bomb), resized(1 << 20, bomb)):
--- a/tests/persistence/test_program.py
+++ b/tests/persistence/test_program.py
@@ -10,7 +10,7 @@
 import threading
 import time
 
-from corkdeal.persistence.codec import decode, decode_account
+from corkdeal.persistence.codec import decode_account, decode_snapshot
 from corkdeal.persistence.store import SnapshotStore, match_snapshot_name
 
 from ..net_world import PATIENCE, Program, served
@@ -150,4 +150,4 @@
         self.assertEqual(client.read(), [b"v"])
         self.state.unlink()
         self.line("knowledge_healed")
-        decode(max(home.glob("*.know")).read_bytes())
+        decode_snapshot(max(home.glob("*.know")).read_bytes())
--- a/tests/persistence/test_quota_handover.py
+++ b/tests/persistence/test_quota_handover.py
@@ -70,8 +70,8 @@
         reading = lambda: clock.ClockReading(now, now, "boot")  # noqa: E731
         made = StateCapture(self.d, "n0", "test")
         list(made.steps(lambda: now, reading, lambda: 0.0))
-        parts = codec.encode(1, made.head(now, reading(), 0.0, True, {}), list(made.pages()))
-        return codec.decode(b"".join(parts))[2]
+        parts = codec.encode_snapshot(1, made.head(now, reading(), 0.0, True, {}), list(made.pages()))
+        return codec.decode_snapshot(b"".join(parts))[2]
 
     def recall(self, made, now):
         """Its records, as the next life reads them."""
@@ -204,7 +204,7 @@
 def test_a_document_reaches_only_the_life_that_it_was_made_for(tmp_path):
     lives = [HandoverFiles(str(tmp_path)) for _ in range(3)]
     old, new, third = lives
-    made = lambda life: codec.encode(life, Life().document(EPOCH).head, [])  # noqa: E731
+    made = lambda life: codec.encode_snapshot(life, Life().document(EPOCH).head, [])  # noqa: E731
     assert old.join() is None and new.join() == old.me == old.successor() - 1
     old.write(new.me, PARTIAL, made)
     assert new.read(old.me, PARTIAL) is not None and new.read(old.me, FINAL) is None
--- a/tests/persistence/test_restore.py
+++ b/tests/persistence/test_restore.py
@@ -39,7 +39,7 @@
         pass
     pages = list(capture.pages())
     head = capture.head(now, clock, every, clean, {"a": "10.0.0.1:1"})
-    return codec.decode(b"".join(codec.encode(1, head, pages)))[2]
+    return codec.decode_snapshot(b"".join(codec.encode_snapshot(1, head, pages)))[2]
 
 
 def recalled(doc, age, now, s=None, addresses=None):
@@ -230,7 +230,7 @@
         for _ in capture.steps(lambda: 9000.0, lambda c=clock: c, lambda: 0.0):
             pass
         head = capture.head(9000.0, clock, 1.0, False, {})
-        doc = codec.decode(b"".join(codec.encode(1, head, list(capture.pages()))))[2]
+        doc = codec.decode_snapshot(b"".join(codec.encode_snapshot(1, head, list(capture.pages()))))[2]
         again = recalled(doc, 1.0, 9001.0)
         assert again.age_of(codec.decode_account(doc.encoded_accounts()[8]).at, 9001.0) == pytest.approx(8.0)
         assert sorted(doc.encoded_accounts()) == [7, 8]
@@ -260,7 +260,7 @@
         for _ in capture.steps(lambda n=now: n, lambda c=clock: c, lambda: 0.0):
             pass
         head = capture.head(now, clock, 1.0, False, {})
-        docs.append(codec.decode(b"".join(codec.encode(1, head, list(capture.pages()))))[2])
+        docs.append(codec.decode_snapshot(b"".join(codec.encode_snapshot(1, head, list(capture.pages()))))[2])
     for doc, lived in zip(docs, (2.0, 1.0), strict=True):
         age, odd = measure_age(doc.head.clock, ClockReading(8002.1 + step, 5002.1, "boot"))
         assert age == pytest.approx(lived) and odd == (("clock_stepped",) if doc is docs[0] else ())
--- a/tests/persistence/test_stored_form.py
+++ b/tests/persistence/test_stored_form.py
@@ -17,7 +17,13 @@
 )
 from corkdeal.persistence import merge
 from corkdeal.persistence.clock import ClockReading
-from corkdeal.persistence.codec import SnapshotHead, encode, encode_account, entry, page
+from corkdeal.persistence.codec import (
+    SnapshotHead,
+    encode_page,
+    encode_page_entry,
+    encode_record,
+    encode_snapshot,
+)
 from corkdeal.persistence.store import SnapshotStore, snapshot_name
 
 from . import samples
@@ -45,8 +51,10 @@
 
 def full_parts(generation):
     """The file's parts, each account in a page of its own."""
-    pages = [page([entry(customer, encode_account(a))], 1) for customer, a in ACCOUNTS.items()]
-    return encode(generation, HEAD, pages)
+    pages = [
+        encode_page([encode_page_entry(customer, encode_record(a))], 1) for customer, a in ACCOUNTS.items()
+    ]
+    return encode_snapshot(generation, HEAD, pages)
 
 
 def test_each_kind_of_record_is_encoded_to_the_bytes_that_version_0_2_0_wrote():
