--- a/corkdeal/persistence/codec.py
+++ b/corkdeal/persistence/codec.py
@@ -1,15 +1,15 @@
-"""The inside of a file: format 3, and the way there from the older two.
+"""The stored form of a snapshot: format 3, and the way to it from the two older formats.
 
-The body is one zstandard frame of a msgpack document. Accounts lie in pages, maps from the customer's number
-to its record, and a page's records are taken apart only when their customer comes: a start with 100,000
-accounts must not wait for them.
+The body is one Zstandard frame of a msgpack document. Accounts lie in pages, maps from the customer's number
+to its record, and a record is only decoded when its customer comes: a start with 100,000 accounts must not
+wait for them. Field names of the stored form are mapped to those of `SnapshotHead` here and nowhere else.
 """
 
 from __future__ import annotations
 
 import math
 from collections.abc import Iterable, Iterator
-from typing import Any
+from typing import NamedTuple
 
 import msgspec
 import zstandard
@@ -17,7 +17,7 @@
 from ..decisions.persisted_state import AccountMemory, FleetMemory, ServerMemory
 from . import migrate
 from .clock import ClockReading
-from .envelope import MAX_UNPACKED_SIZE, build_envelope, parse_envelope
+from .envelope import HEADER, MAX_UNPACKED_SIZE, Envelope, build_envelope, parse_envelope
 from .errors import (
     DamagedSnapshotError,
     MalformedRecordError,
@@ -28,17 +28,20 @@
 
 CURRENT_FORMAT = 3
 MINIMUM_READER = 3
-COMPRESSION_LEVEL = 1  # of zstandard: higher ones cost more processor than the bytes are worth here
+COMPRESSION_LEVEL = 1  # of Zstandard: higher levels cost more processor time than the bytes are worth
 MAX_SERVERS = 100_000
 MAX_ACCOUNTS = 1_000_000
-MAP32 = b"\xdf"
+
+MSGPACK_MAP_OF_2 = b"\x82"
+MSGPACK_ARRAY_32 = b"\xdd"
+MSGPACK_MAP_32 = b"\xdf"
 
 
 class SnapshotHead(msgspec.Struct, frozen=True, forbid_unknown_fields=False):
-    """All but the accounts."""
+    """All of a snapshot but the accounts."""
 
-    name: str
-    program: str
+    name: str  # the gateway's
+    program: str  # version that wrote it
     clock: ClockReading
     # seconds between writes: so much may have been spent unrecorded
     write_interval: float = msgspec.field(name="every")
@@ -49,110 +52,138 @@
 
 
 class Snapshot(msgspec.Struct):
-    """A file's knowledge."""
+    """A gateway's state at one time; `accounts` holds pages of records that are still encoded."""
 
     head: SnapshotHead
     accounts: list[dict[int, msgspec.Raw]]
 
     def encoded_accounts(self) -> dict[int, msgspec.Raw]:
-        """All accounts by customer, still in their bytes; of one that stands twice the later."""
-        return (
-            self.accounts[0]
-            if len(self.accounts) == 1
-            else {k: v for page in self.accounts for k, v in page.items()}
-        )
+        """Return all accounts by customer, still encoded; of one that occurs twice the later record."""
+        if len(self.accounts) == 1:
+            return self.accounts[0]
+        return {customer: record for page in self.accounts for customer, record in page.items()}
+
+
+class DecodedSnapshot(NamedTuple):
+    """A file's generation, the format it was stored in, and its snapshot in the current form."""
+
+    generation: int
+    format: int
+    snapshot: Snapshot
 
 
 _snapshot_decoder = msgspec.msgpack.Decoder(Snapshot)
 _account_decoder = msgspec.msgpack.Decoder(AccountMemory)
 _encoder = msgspec.msgpack.Encoder()
+
+# Encodes one record, or any other value of the stored form.
 encode_record = _encoder.encode
 
 
-def decode_account(raw: bytes | msgspec.Raw) -> AccountMemory:
-    """One account's record; `MalformedRecordError` for what is none."""
+def decode_account(encoded: bytes | msgspec.Raw) -> AccountMemory:
+    """Decode one account's record; raises `MalformedRecordError` for what is none."""
     try:
-        made = _account_decoder.decode(raw)
+        record = _account_decoder.decode(encoded)
     except msgspec.MsgspecError as error:
         raise MalformedRecordError(str(error)) from error
-    if not is_finite(made):
+    if not is_finite(record):
         raise MalformedRecordError("a figure is not finite")
-    return made
+    return record
 
 
-def is_finite(value: Any) -> bool:
-    """Whether no figure in nested records is infinite or none at all."""
+def is_finite(value: object) -> bool:
+    """Whether every float in nested records is finite."""
     if isinstance(value, float):
         return math.isfinite(value)
-    return all(map(is_finite, value)) if isinstance(value, tuple) else True
+    if isinstance(value, tuple):
+        return all(map(is_finite, value))
+    return True
 
 
 def encode_page(entries: Iterable[bytes], count: int) -> bytes:
-    """A page from entries that each are a key and a record already packed, see `entry`."""
-    return MAP32 + count.to_bytes(4, "big") + b"".join(entries)
+    """Encode a page of `count` entries, each made by `encode_page_entry`."""
+    return MSGPACK_MAP_32 + count.to_bytes(4, "big") + b"".join(entries)
 
 
 def encode_page_entry(customer: int, record: bytes | msgspec.Raw) -> bytes:
-    """A page's entry."""
+    """Encode a page's entry from a record that is encoded already."""
     return encode_record(customer) + bytes(record)
 
 
-def _document_parts(head: SnapshotHead, pages: Iterable[bytes], count: int) -> Iterator[bytes]:
-    """The document's msgpack, in parts."""
-    yield b"\x82" + _encoder.encode("head") + _encoder.encode(head) + _encoder.encode("accounts")
-    yield b"\xdd" + count.to_bytes(4, "big")
-    yield from pages
-
-
 def encode_snapshot(generation: int, head: SnapshotHead, pages: list[bytes]) -> list[bytes]:
-    """A whole file, in parts: compressed and sealed. May run beside the reactor."""
-    raw = list(_document_parts(head, pages, len(pages)))
-    size = sum(map(len, raw))
+    """Encode, compress and seal a whole file, in parts. May run in a thread of its own.
+
+    Raises `SnapshotTooLargeError` for more than any reader accepts.
+    """
+    document = list(_document_parts(head, pages))
+    size = sum(map(len, document))
     if size > MAX_UNPACKED_SIZE:
         raise SnapshotTooLargeError(f"{size} bytes of knowledge are over {MAX_UNPACKED_SIZE}")
-    packer = zstandard.ZstdCompressor(level=COMPRESSION_LEVEL, write_content_size=True).compressobj(size=size)
-    packed = [part for part in map(packer.compress, raw) if part]
-    return build_envelope(CURRENT_FORMAT, MINIMUM_READER, generation, size, [*packed, packer.flush()])
+    compressor = zstandard.ZstdCompressor(level=COMPRESSION_LEVEL, write_content_size=True)
+    frame = compressor.compressobj(size=size)
+    compressed = [part for part in map(frame.compress, document) if part]
+    compressed.append(frame.flush())
+    return build_envelope(CURRENT_FORMAT, MINIMUM_READER, generation, size, compressed)
 
 
-def unpack(body: memoryview, unpacked_size: int) -> bytes:
-    """A zstandard frame's content, which must have exactly the stated size; memory is taken for no more."""
-    try:
-        stated = zstandard.frame_content_size(body)
-        if stated != unpacked_size:
-            raise DamagedSnapshotError(f"byte 80: unpacks to {stated} bytes, not to {unpacked_size}")
-        return zstandard.ZstdDecompressor().decompress(
-            body, max_output_size=unpacked_size, allow_extra_data=False
-        )
-    except zstandard.ZstdError as error:
-        raise DamagedSnapshotError(f"byte 80: {error}") from error
+def _document_parts(head: SnapshotHead, pages: list[bytes]) -> Iterator[bytes]:
+    """Encode the document around pages that are encoded already."""
+    yield MSGPACK_MAP_OF_2 + encode_record("head") + encode_record(head) + encode_record("accounts")
+    yield MSGPACK_ARRAY_32 + len(pages).to_bytes(4, "big")
+    yield from pages
 
 
-def decode_snapshot(data: bytes) -> tuple[int, int, Snapshot]:
-    """A file's generation, the format that it has, and its document in today's form."""
-    outside = parse_envelope(data)
-    if outside.minimum_reader > CURRENT_FORMAT:
-        raise UnsupportedFormatError(
-            f"format {outside.format} needs a reader of format {outside.minimum_reader}, not {CURRENT_FORMAT}"
-        )
+def decode_snapshot(data: bytes) -> DecodedSnapshot:
+    """Decode a file of any supported format.
+
+    Raises `UnsupportedFormatError` where a newer reader is needed, `DamagedSnapshotError` for other faults.
+    """
+    envelope = parse_envelope(data)
+    if envelope.minimum_reader > CURRENT_FORMAT:
+        needed = f"needs a reader of format {envelope.minimum_reader}, not {CURRENT_FORMAT}"
+        raise UnsupportedFormatError(f"format {envelope.format} {needed}")
     try:
-        if outside.format >= CURRENT_FORMAT:
-            document = _snapshot_decoder.decode(unpack(outside.body, outside.unpacked_size))
-        else:
-            raw = bytes(outside.body) if outside.format == 1 else unpack(outside.body, outside.unpacked_size)
-            document = _snapshot_decoder.decode(
-                _encoder.encode(migrate.migrate_to_current(outside.format, raw))
-            )
+        snapshot = _snapshot_decoder.decode(_current_document(envelope))
     except (msgspec.MsgspecError, MigrationError) as error:
         raise DamagedSnapshotError(f"body: {error}") from error
-    validate(document)
-    return outside.generation, outside.format, document
+    validate(snapshot)
+    return DecodedSnapshot(envelope.generation, envelope.format, snapshot)
+
+
+def _current_document(envelope: Envelope) -> bytes:
+    """Return an envelope's document in the current format's msgpack."""
+    if envelope.format == migrate.UNCOMPRESSED_FORMAT:
+        document = bytes(envelope.body)
+    else:
+        document = decompress(envelope.body, envelope.unpacked_size)
+    if envelope.format >= CURRENT_FORMAT:
+        return document
+    return encode_record(migrate.migrate_to_current(envelope.format, document))
+
+
+def decompress(body: memoryview, unpacked_size: int) -> bytes:
+    """Return a Zstandard frame's content, which must have exactly the stated size.
+
+    No more memory than that is allocated. Raises `DamagedSnapshotError` for any other frame.
+    """
+    try:
+        stated_size = zstandard.frame_content_size(body)
+        if stated_size != unpacked_size:
+            raise DamagedSnapshotError(
+                f"byte {HEADER.size}: unpacks to {stated_size} bytes, not to {unpacked_size}"
+            )
+        return zstandard.ZstdDecompressor().decompress(
+            body, max_output_size=unpacked_size, allow_extra_data=False
+        )
+    except zstandard.ZstdError as error:
+        raise DamagedSnapshotError(f"byte {HEADER.size}: {error}") from error
 
 
-def validate(document: Snapshot) -> None:
-    """What the types do not say: sizes, and that every figure is one."""
-    head = document.head
-    if len(head.servers) > MAX_SERVERS or sum(map(len, document.accounts)) > MAX_ACCOUNTS:
+def validate(snapshot: Snapshot) -> None:
+    """Check what the types leave open: sizes, and that every figure of the head is finite."""
+    head = snapshot.head
+    account_count = sum(map(len, snapshot.accounts))
+    if len(head.servers) > MAX_SERVERS or account_count > MAX_ACCOUNTS:
         raise DamagedSnapshotError("body: more servers or accounts than any gateway has")
     figures = {
         "clock": head.clock,
@@ -160,8 +191,8 @@
         "servers": head.servers,
         "every": head.write_interval,
     }
-    for name, value in figures.items():
+    for stored_name, value in figures.items():
         if not is_finite(value):
-            raise DamagedSnapshotError(f"body: {name}: a figure is not finite")
+            raise DamagedSnapshotError(f"body: {stored_name}: a figure is not finite")
     if head.write_interval < 0:
         raise DamagedSnapshotError("body: every: below 0")
--- a/corkdeal/persistence/merge.py
+++ b/corkdeal/persistence/merge.py
@@ -1,112 +1,145 @@
-"""Takes the knowledge of lost machines into another's, record by record, by age; pure.
+"""Merges the snapshots of lost machines into another's, record by record, by age; pure.
 
 Of each server, class and size, and account the newest record counts; where two are of one moment, the one
-whose bytes sort later, so that the order of merging says nothing. Stamps of another machine come over by its
-wall clock. What belongs to a place in the tier stays the target's: its name, pace, incarnation and ledgers,
-and the addresses under which it reaches servers. An account taken from another machine comes without ledgers.
+whose bytes sort later, so that the order of merging makes no difference. Times of another machine are
+translated by its wall clock. What belongs to a place in the tier stays the target's: its name, pace,
+incarnation and ledgers, and the addresses under which it reaches servers. An account taken from another
+machine comes without ledgers.
 """
 
 from __future__ import annotations
 
 from collections.abc import Hashable, Iterable
-from typing import Any, TypeVar
+from typing import TypeVar
 
 import msgspec
 
 from ..decisions.persisted_state import AccountMemory, FleetMemory, ServerMemory, WorkMemory
 from .codec import Snapshot, SnapshotHead, decode_account, encode_record
+from .errors import MalformedRecordError
 
+Key = TypeVar("Key", bound=Hashable)
 Record = TypeVar("Record", ServerMemory, WorkMemory, AccountMemory)
 
 
 def clock_offset(head: SnapshotHead, target: SnapshotHead) -> float:
-    """What is added to a stamp of one document to make it one of the target's boot clock."""
+    """Return the seconds to add to a time of one snapshot to make it one of the target's boot clock."""
     if head.clock.boot_id and head.clock.boot_id == target.clock.boot_id:
         return 0.0
     return (head.clock.wall - head.clock.boot) - (target.clock.wall - target.clock.boot)
 
 
-def newest_records(records: Iterable[tuple[Hashable, Record]]) -> dict[Any, Record]:
-    """The record that counts for each key."""
-    best: dict[Any, Record] = {}
+def newest_records(records: Iterable[tuple[Key, Record]]) -> dict[Key, Record]:
+    """Return the record that counts for each key."""
+    newest: dict[Key, Record] = {}
     for key, record in records:
-        if key not in best or precedence(record) > precedence(best[key]):
-            best[key] = record
-    return best
+        if key not in newest or precedence(record) > precedence(newest[key]):
+            newest[key] = record
+    return newest
 
 
 def precedence(record: Record) -> tuple[float, float, bytes]:
-    """Later starts and moments first; then any order, so long as it is always the same."""
+    """Order by start and time; then by bytes, which is arbitrary but always the same."""
     started = record.started if isinstance(record, ServerMemory) else 0.0
     return started, record.at, encode_record(record)
 
 
-def server_from_other_machine(m: ServerMemory, offset: float) -> ServerMemory:
-    """A server's record of another machine."""
-    return m._replace(at=m.at + offset, address="")
+def server_from_other_machine(record: ServerMemory, offset: float) -> ServerMemory:
+    """Return a server's record of another machine in the target's time, without its address there."""
+    return record._replace(at=record.at + offset, address="")
 
 
-def account_from_other_machine(m: AccountMemory, offset: float) -> AccountMemory:
-    """An account of another machine: its ledgers are that one's."""
-    return m._replace(
-        at=m.at + offset, asked_at=m.asked_at + offset, open=0, asked=0.0, spent=0.0, pairs=(), edges=()
+def account_from_other_machine(record: AccountMemory, offset: float) -> AccountMemory:
+    """Return an account of another machine in the target's time, without ledgers and open attempts."""
+    return record._replace(
+        at=record.at + offset,
+        asked_at=record.asked_at + offset,
+        open=0,
+        asked=0.0,
+        spent=0.0,
+        pairs=(),
+        edges=(),
     )
 
 
-def accounts_of(document: Snapshot) -> dict[int, AccountMemory]:
-    """All accounts that can be read."""
-    made: dict[int, AccountMemory] = {}
-    for customer, raw in document.encoded_accounts().items():
+def accounts_of(snapshot: Snapshot) -> dict[int, AccountMemory]:
+    """Return all accounts that can be decoded, by customer."""
+    accounts: dict[int, AccountMemory] = {}
+    for customer, encoded in snapshot.encoded_accounts().items():
         try:
-            made[customer] = decode_account(raw)
-        except ValueError:
+            accounts[customer] = decode_account(encoded)
+        except MalformedRecordError:
             continue
-    return made
+    return accounts
 
 
 def merge(target: Snapshot, others: Iterable[Snapshot]) -> Snapshot:
-    """The target with what the others know better."""
-    servers = [(m.server, m) for m in target.head.servers]
-    work = [((m.cls, m.size), m) for m in target.head.fleet.work]
-    accounts = list(accounts_of(target).items())
-    is_clean, write_interval = target.head.is_clean, target.head.write_interval
-    for other in others:
-        offset = clock_offset(other.head, target.head)
-        servers += [(m.server, server_from_other_machine(m, offset)) for m in other.head.servers]
-        work += [((m.cls, m.size), m._replace(at=m.at + offset)) for m in other.head.fleet.work]
-        is_clean, write_interval = (
-            is_clean and other.head.is_clean,
-            max(write_interval, other.head.write_interval),
-        )
-        accounts += [(key, account_from_other_machine(m, offset)) for key, m in accounts_of(other).items()]
-    merged = newest_records(servers)
-    for m in target.head.servers:  # the same process under the target's own address
-        if m.address and merged[m.server].started == m.started:
-            merged[m.server] = merged[m.server]._replace(address=m.address)
-    fleet = target.head.fleet._replace(work=tuple(sorted(newest_records(work).values())))
-    head = msgspec.structs.replace(
+    """Return the target with the records of the others that are newer than its own."""
+    sources = list(others)
+    heads = [target.head, *(other.head for other in sources)]
+    merged = msgspec.structs.replace(
         target.head,
-        fleet=fleet,
-        servers=tuple(sorted(merged.values())),
-        is_clean=is_clean,
-        write_interval=write_interval,
+        fleet=_merged_fleet(heads),
+        servers=_merged_servers(heads),
+        is_clean=all(head.is_clean for head in heads),
+        write_interval=max(head.write_interval for head in heads),
     )
-    records = {key: msgspec.Raw(encode_record(m)) for key, m in sorted(newest_records(accounts).items())}
-    return Snapshot(head, [records])
+    accounts = dict(sorted(_merged_accounts(target, sources).items()))
+    return Snapshot(merged, [_encoded(accounts)])
+
+
+def _merged_servers(heads: list[SnapshotHead]) -> tuple[ServerMemory, ...]:
+    """Return the newest record of each server; the first head is the target's."""
+    target = heads[0]
+    records = [(record.server, record) for record in target.servers]
+    for head in heads[1:]:
+        offset = clock_offset(head, target)
+        records += [(record.server, server_from_other_machine(record, offset)) for record in head.servers]
+    merged = newest_records(records)
+    for record in target.servers:
+        is_same_process = merged[record.server].started == record.started
+        if record.address and is_same_process:
+            merged[record.server] = merged[record.server]._replace(address=record.address)
+    return tuple(sorted(merged.values()))
+
+
+def _merged_fleet(heads: list[SnapshotHead]) -> FleetMemory:
+    """Return the target's fleet with the newest usual latencies; the first head is the target's."""
+    target = heads[0]
+    records = [((record.cls, record.size), record) for record in target.fleet.work]
+    for head in heads[1:]:
+        offset = clock_offset(head, target)
+        for record in head.fleet.work:
+            records.append(((record.cls, record.size), record._replace(at=record.at + offset)))
+    return target.fleet._replace(work=tuple(sorted(newest_records(records).values())))
+
+
+def _merged_accounts(target: Snapshot, others: list[Snapshot]) -> dict[int, AccountMemory]:
+    """Return the newest record of each account."""
+    records = list(accounts_of(target).items())
+    for other in others:
+        offset = clock_offset(other.head, target.head)
+        for customer, record in accounts_of(other).items():
+            records.append((customer, account_from_other_machine(record, offset)))
+    return newest_records(records)
 
 
-def backdated(document: Snapshot, seconds: float) -> Snapshot:
-    """The same document as if it had been written that much earlier; for trying out what age does."""
-    clock = document.head.clock._replace(
-        wall=document.head.clock.wall - seconds, boot=document.head.clock.boot - seconds
-    )
-    fleet: FleetMemory = document.head.fleet._replace(
-        work=tuple(w._replace(at=w.at - seconds) for w in document.head.fleet.work)
-    )
-    servers = tuple(m._replace(at=m.at - seconds) for m in document.head.servers)
+def _encoded(accounts: dict[int, AccountMemory]) -> dict[int, msgspec.Raw]:
+    """Return one page of records, by customer, in the order given."""
+    return {customer: msgspec.Raw(encode_record(record)) for customer, record in accounts.items()}
+
+
+def backdated(snapshot: Snapshot, seconds: float) -> Snapshot:
+    """Return the same snapshot as if it had been written that much earlier, to try out what age does."""
+    head = snapshot.head
+    clock = head.clock._replace(wall=head.clock.wall - seconds, boot=head.clock.boot - seconds)
+    work = tuple(record._replace(at=record.at - seconds) for record in head.fleet.work)
+    servers = tuple(record._replace(at=record.at - seconds) for record in head.servers)
     accounts = {
-        key: msgspec.Raw(encode_record(m._replace(at=m.at - seconds, asked_at=m.asked_at - seconds)))
-        for key, m in accounts_of(document).items()
+        customer: record._replace(at=record.at - seconds, asked_at=record.asked_at - seconds)
+        for customer, record in accounts_of(snapshot).items()
     }
-    head = msgspec.structs.replace(document.head, clock=clock, fleet=fleet, servers=servers)
-    return Snapshot(head, [accounts])
+    earlier = msgspec.structs.replace(
+        head, clock=clock, fleet=head.fleet._replace(work=work), servers=servers
+    )
+    return Snapshot(earlier, [_encoded(accounts)])
