--- a/benchmarks/knowledge.py
+++ b/benchmarks/knowledge.py
@@ -131,7 +131,7 @@
         "core_percent": 100 * mean[4],
         "bytes": size,
         "load_ms": 1000 * loading,
-        "loaded": len(recall.raw),
+        "loaded": len(recall.encoded_accounts),
         "log_write_ms": 1000 * log_wall / WRITES,
         "log_core_percent": 100 * (mean[1] + log_cpu / WRITES),
         "log_bytes": logged / WRITES,
--- a/corkdeal/persistence/capture.py
+++ b/corkdeal/persistence/capture.py
@@ -74,9 +74,9 @@
             same = bool(clock.boot_id) and clock.boot_id == then.boot_id and self.restored.age < math.inf
             self.unclaimed = self.restored.unclaimed(now, same, clock.boot)
         else:
-            for key in self.unclaimed.keys() - self.restored.raw.keys():
+            for key in self.unclaimed.keys() - self.restored.encoded_accounts.keys():
                 del self.unclaimed[key]
-        if not self.restored.raw and not self.restored.servers:
+        if not self.restored.encoded_accounts and not self.restored.servers:
             self.restored = None
         return self.unclaimed
 
--- a/corkdeal/persistence/restore.py
+++ b/corkdeal/persistence/restore.py
@@ -1,14 +1,15 @@
-"""Hands an earlier life's records back to the decisions, aged to the moment at which each is asked for.
+"""Gives a stored snapshot's records back to the decisions, expired to the moment at which each is asked for.
 
-Pure: the document, its age and the module's clock are passed in. A record is given once. What no longer fits
-the settings or the list is dropped, and `counts` says how often and why.
+Pure: the snapshot, its age and the module's clock are passed in. A record is given once. What no longer fits
+the settings or the endpoint list is dropped, and `counts` tells how often and why.
 """
 
 from __future__ import annotations
 
 from collections import Counter
 from collections.abc import Callable, Iterator
-from typing import Any
+
+import msgspec
 
 from ..decisions.events import Endpoint
 from ..decisions.peer_messages import SLICE_UNIT
@@ -16,187 +17,226 @@
 from ..decisions.settings import Plan, Settings
 from . import expiry
 from .codec import Snapshot, decode_account, encode_page_entry, encode_record
+from .errors import MalformedRecordError
 from .expiry import interpolate
 
-ROUND_LEAP = 1 << 17  # rounds; more than any gateway counts in ageing.LEDGER_HORIZON, so none comes twice
-ROUND_MOST = 1 << 31  # past that a new incarnation begins, long before 32 bits of rounds are used up
-PACE, RETRIES = 0.5, 10.0  # what the decisions begin with where nothing is known
-SAME_START = 0.0015  # s; starts are told in whole milliseconds
+# Rounds to skip; more than any gateway counts within expiry.LEDGER_HORIZON, so none is used twice.
+ROUND_LEAP = 1 << 17
+MAX_ROUND = 1 << 31  # a new incarnation begins past that, long before 32 bits of rounds are used up
+UNKNOWN_PACE = 0.5  # as the decisions start without a snapshot
+FULL_RETRY_BUDGET = 10.0  # likewise
+START_TOLERANCE = 0.0015  # seconds; starts are given in whole milliseconds
 
 
 class RestoredState:
-    """A `memory.Memory` made of one document."""
+    """One snapshot as the decisions' `persisted_state.Memory`."""
 
     exact = False
 
     def __init__(
         self,
-        document: Snapshot,
+        snapshot: Snapshot,
         age: float,
         now: float,
         settings: Settings,
         address_of: Callable[[str], str],
         counts: Counter[str],
     ) -> None:
-        """`age` is the document's in s, `now` the module's clock; `address_of` tells where a server is."""
-        self.document, self.head, self.age, self.loaded_at, self.settings = (
-            document,
-            document.head,
-            age,
-            now,
-            settings,
-        )
-        self.counts, self.address_of = counts, address_of
-        self.classes = {c.name for c in settings.classes}
-        self.plans = {p.name for p in settings.plans}
-        self.servers = {s.server: s for s in self.head.servers}
-        self.raw = document.encoded_accounts() if age < expiry.ACCOUNT_HORIZON else {}
-        if not self.raw and document.accounts:
-            self.counts["knowledge_account_too_old"] += sum(map(len, document.accounts))
-
-    def age_of(self, stamp: float, now: float) -> float:
-        """Seconds since a stamp of the document's boot clock."""
-        return max(0.0, self.age + self.head.clock.boot - stamp + max(0.0, now - self.loaded_at))
+        """`age` is the snapshot's in seconds, `now` the module's clock.
+
+        `address_of` returns a server's current address, empty where it is unknown.
+        """
+        self.head = snapshot.head
+        self.age = age
+        self.loaded_at = now
+        self.settings = settings
+        self.address_of = address_of
+        self.counts = counts
+        self.class_names = {request_class.name for request_class in settings.classes}
+        self.plan_names = {plan.name for plan in settings.plans}
+        self.servers = {record.server: record for record in self.head.servers}
+        self.encoded_accounts: dict[int, msgspec.Raw] = {}
+        if age < expiry.ACCOUNT_HORIZON:
+            self.encoded_accounts = snapshot.encoded_accounts()
+        if not self.encoded_accounts and snapshot.accounts:
+            self.counts["knowledge_account_too_old"] += sum(map(len, snapshot.accounts))
+
+    def age_of(self, time: float, now: float) -> float:
+        """Return the seconds since a time of the snapshot's boot clock."""
+        age_when_loaded = self.age + self.head.clock.boot - time
+        return max(0.0, age_when_loaded + max(0.0, now - self.loaded_at))
 
     @property
-    def useless(self) -> bool:
-        """Whether nothing in it counts any more."""
-        return not self.age < expiry.USUAL_LATENCY.horizon
+    def is_useless(self) -> bool:
+        """Whether every record has expired."""
+        is_within_longest_horizon = self.age < expiry.USUAL_LATENCY.horizon
+        return not is_within_longest_horizon
 
     def resumes(self) -> bool:
-        """Ledgers go on if peers may still hold their side, and if it is this gateway's place in the same
-        tier.
-        """
-        f, s = self.head.fleet, self.settings
+        """Whether ledgers may be resumed: peers may still hold their side, and the place is the same."""
+        fleet = self.head.fleet
+        stored_place = (fleet.me, fleet.gateways)
+        place = (self.settings.gateway_index, self.settings.gateway_count)
         return (
             self.age < expiry.LEDGER_HORIZON
-            and f.born > 0
-            and f.round < ROUND_MOST
-            and (f.me, f.gateways) == (s.gateway_index, s.gateway_count)
+            and fleet.born > 0
+            and fleet.round < MAX_ROUND
+            and stored_place == place
         )
 
     def fleet(self, now: float, first_work: dict[str, float]) -> FleetMemory:
-        """The fleet's record, each figure as far as it still counts."""
-        f, age = self.head.fleet, self.age_of(self.head.clock.boot, now)
-        work, lasting = [], expiry.USUAL_LATENCY.weight(age)
-        for w in f.work:
-            weight = expiry.USUAL_LATENCY.weight(self.age_of(w.at, now))
-            if w.cls not in first_work:
-                self.counts["knowledge_class_unknown"] += 1
-            elif weight and w.seconds > 0:
-                work.append(WorkMemory(w.cls, w.size, interpolate(w.seconds, first_work[w.cls], weight)))
-        return f._replace(
-            pace=interpolate(f.pace, PACE, lasting),
-            slow=interpolate(f.slow, 1.0, expiry.FLEET_SLOWNESS.weight(age)),
-            retries=interpolate(min(f.retries, RETRIES), RETRIES, expiry.RETRY_BUDGET.weight(age)),
-            work=tuple(work),
-            round=f.round + ROUND_LEAP,
+        """Return the fleet's record, each figure at its weight.
+
+        `first_work` is the latency in seconds of each class of which nothing is known.
+        """
+        stored = self.head.fleet
+        age = self.age_of(self.head.clock.boot, now)
+        pace_weight = expiry.USUAL_LATENCY.weight(age)
+        slowness_weight = expiry.FLEET_SLOWNESS.weight(age)
+        retry_weight = expiry.RETRY_BUDGET.weight(age)
+        retries = min(stored.retries, FULL_RETRY_BUDGET)
+        return stored._replace(
+            pace=interpolate(stored.pace, UNKNOWN_PACE, pace_weight),
+            slow=interpolate(stored.slow, 1.0, slowness_weight),
+            retries=interpolate(retries, FULL_RETRY_BUDGET, retry_weight),
+            work=tuple(self._usual_latencies(now, first_work)),
+            round=stored.round + ROUND_LEAP,
         )
 
+    def _usual_latencies(self, now: float, first_work: dict[str, float]) -> Iterator[WorkMemory]:
+        """Yield the usual latency of each class and size that the settings still name."""
+        for record in self.head.fleet.work:
+            if record.cls not in first_work:
+                self.counts["knowledge_class_unknown"] += 1
+                continue
+            weight = expiry.USUAL_LATENCY.weight(self.age_of(record.at, now))
+            if weight and record.seconds > 0:
+                seconds = interpolate(record.seconds, first_work[record.cls], weight)
+                yield WorkMemory(record.cls, record.size, seconds)
+
     def server(self, entry: Endpoint, now: float) -> ServerMemory | None:
-        """The record of the process that this entry names; none for another process under the same id.
+        """Return the record of the process that this endpoint names; None for another under the same id.
 
-        A list may be older than the record: one that names an earlier start leaves the record where it is.
+        A list may be older than the record: one that names an earlier start leaves the record in its place.
         """
         name = str(entry.server)
-        m = self.servers.get(name)
-        if m is None:
-            return None
-        if entry.started < m.started - SAME_START:
+        record = self.servers.get(name)
+        if record is None or entry.started < record.started - START_TOLERANCE:
             return None
         del self.servers[name]
-        if entry.started > m.started + SAME_START:
+        if entry.started > record.started + START_TOLERANCE:
             self.counts["knowledge_server_restarted"] += 1
             return None
-        at = self.address_of(name)
-        if m.address and at and at != m.address:
+        address = self.address_of(name)
+        if record.address and address and address != record.address:
             self.counts["knowledge_server_moved"] += 1
             return None
-        known = tuple(s for s in m.shut if s.cls in self.classes)
-        if len(known) < len(m.shut):
-            self.counts["knowledge_class_unknown"] += len(m.shut) - len(known)
-        aged = expiry.expire_server(m._replace(shut=known), self.age_of(m.at, now))
-        self.counts["knowledge_server_used" if aged else "knowledge_server_too_old"] += 1
-        return aged
+        expired = expiry.expire_server(self._with_known_classes(record), self.age_of(record.at, now))
+        self.counts["knowledge_server_used" if expired else "knowledge_server_too_old"] += 1
+        return expired
+
+    def _with_known_classes(self, record: ServerMemory) -> ServerMemory:
+        """Drop shut-outs of classes that the settings no longer name."""
+        known = tuple(shut_out for shut_out in record.shut if shut_out.cls in self.class_names)
+        dropped = len(record.shut) - len(known)
+        if dropped:
+            self.counts["knowledge_class_unknown"] += dropped
+        return record._replace(shut=known)
 
     def account(self, customer: int, plan: Plan, first: int, spread: int, now: float) -> AccountMemory | None:
-        """The customer's account in the module's clock, its refill still to come.
+        """Return the customer's account in the module's clock, its refill still to come.
 
         Another plan or another set of gateways makes it another account.
         """
-        raw = self.raw.pop(customer, None)
-        if raw is None:
+        encoded = self.encoded_accounts.pop(customer, None)
+        if encoded is None:
             return None
-        try:
-            m = decode_account(raw)
-        except ValueError:
-            self.counts["knowledge_account_malformed"] += 1
-            return None
-        if m.plan != plan.name:
-            self.counts["knowledge_plan_changed" if m.plan in self.plans else "knowledge_plan_unknown"] += 1
+        record = self._decoded(encoded)
+        if record is None:
             return None
-        if (m.first, m.spread) != (first, spread):
-            self.counts["knowledge_account_moved"] += 1
+        age = self.age_of(record.at, now)
+        misfit = self._misfit(record, plan, (first, spread), age)
+        self.counts[misfit or "knowledge_account_used"] += 1
+        if misfit:
             return None
-        age = self.age_of(m.at, now)
-        if age >= expiry.ACCOUNT_HORIZON:
-            self.counts["knowledge_account_too_old"] += 1
-            return None
-        self.counts["knowledge_account_used"] += 1
-        shift, level = now - age - m.at, m.level
-        if not self.head.is_clean:
-            traded = 1 / m.spread + sum(p.slice for p in m.pairs) / SLICE_UNIT
-            share = 1.0 if m.edges else min(1.0, max(0.0, traded))
-            level -= expiry.unrecorded_spending(
-                m, plan.rate, share, self.head.clock.boot - m.at, self.head.write_interval
-            )
-        return m._replace(
-            at=m.at + shift,
-            asked_at=min(now, m.asked_at + shift),
+        shift = now - age - record.at
+        level = record.level - self._unrecorded_spending(record, plan)
+        return record._replace(
+            at=record.at + shift,
+            asked_at=min(now, record.asked_at + shift),
             level=min(level, plan.burst),
-            demand=max(0.0, m.demand),
-            pairs=tuple(p._replace(told_at=p.told_at + shift) for p in m.pairs),
+            demand=max(0.0, record.demand),
+            pairs=tuple(pair._replace(told_at=pair.told_at + shift) for pair in record.pairs),
         )
 
+    def _decoded(self, encoded: msgspec.Raw) -> AccountMemory | None:
+        """Decode one account; None, and counted, for a malformed one."""
+        try:
+            return decode_account(encoded)
+        except MalformedRecordError:
+            self.counts["knowledge_account_malformed"] += 1
+            return None
+
+    def _misfit(self, record: AccountMemory, plan: Plan, place: tuple[int, int], age: float) -> str:
+        """Return the count of why a record no longer fits its customer; empty where it does."""
+        if record.plan != plan.name:
+            if record.plan in self.plan_names:
+                return "knowledge_plan_changed"
+            return "knowledge_plan_unknown"
+        if (record.first, record.spread) != place:
+            return "knowledge_account_moved"
+        if age >= expiry.ACCOUNT_HORIZON:
+            return "knowledge_account_too_old"
+        return ""
+
+    def _unrecorded_spending(self, record: AccountMemory, plan: Plan) -> float:
+        """Return the units that may have been spent after the snapshot was written."""
+        if self.head.is_clean:
+            return 0.0
+        quota_share = 1.0
+        if not record.edges:
+            traded = sum(pair.slice for pair in record.pairs) / SLICE_UNIT
+            quota_share = min(1.0, max(0.0, 1 / record.spread + traded))
+        quiet = self.head.clock.boot - record.at
+        return expiry.unrecorded_spending(record, plan.rate, quota_share, quiet, self.head.write_interval)
+
     def accounts(self, now: float) -> Iterator[tuple[int, int, AccountMemory]]:
-        """All accounts that still count, each with its customer and its plan's number."""
-        numbers = {p.name: i for i, p in enumerate(self.settings.plans)}
-        for customer, raw in list(self.raw.items()):
-            try:
-                m = decode_account(raw)
-            except ValueError:
-                self.counts["knowledge_account_malformed"] += 1
+        """Yield all accounts that still count, each with its customer and its plan's number."""
+        plan_numbers = {plan.name: number for number, plan in enumerate(self.settings.plans)}
+        for customer, encoded in list(self.encoded_accounts.items()):
+            stored = self._decoded(encoded)
+            if stored is None:
                 continue
-            plan = numbers.get(m.plan, 0)
-            made = self.account(customer, self.settings.plans[plan], m.first, m.spread, now)
-            if made is not None:
-                yield customer, plan, made
+            plan_number = plan_numbers.get(stored.plan, 0)
+            plan = self.settings.plans[plan_number]
+            record = self.account(customer, plan, stored.first, stored.spread, now)
+            if record is not None:
+                yield customer, plan_number, record
 
     def unlisted(self, now: float, boot: float) -> list[ServerMemory]:
-        """Records of servers that no list has named yet, in this boot's seconds; none when too old."""
-        if self.servers and self.age_of(self.head.clock.boot, now) >= expiry.SERVER_SLOWNESS.horizon:
+        """Return records of servers that no list has named yet, in this boot's time; none when too old."""
+        age = self.age_of(self.head.clock.boot, now)
+        if self.servers and age >= expiry.SERVER_SLOWNESS.horizon:
             self.counts["knowledge_server_gone"] += len(self.servers)
             self.servers.clear()
-        return [m._replace(at=boot - self.age_of(m.at, now)) for m in self.servers.values()]
+        return [record._replace(at=boot - self.age_of(record.at, now)) for record in self.servers.values()]
 
-    def unclaimed(self, now: float, same_boot: bool, boot: float) -> dict[int, bytes]:
-        """Accounts that nobody asked for, as entries of the next document: a second restart must not lose
-        them.
+    def unclaimed(self, now: float, is_same_boot: bool, boot: float) -> dict[int, bytes]:
+        """Return accounts that nobody asked for, as entries of the next snapshot.
 
-        Their stamps hold on within one boot; after another boot they are made anew, in this boot's seconds.
+        Without them a second restart would lose them. Their times hold within one boot; after another boot
+        they are encoded anew, in this boot's time.
         """
         if now - self.loaded_at + self.age >= expiry.ACCOUNT_HORIZON:
-            self.raw.clear()
-        made: dict[int, bytes] = {}
-        for customer, raw in self.raw.items():
-            record: Any = raw
-            if not same_boot:
-                try:
-                    m = decode_account(raw)
-                except ValueError:
-                    self.counts["knowledge_account_malformed"] += 1
-                    continue
-                at = boot - self.age_of(m.at, now)
-                record = encode_record(m._replace(at=at, asked_at=at, pairs=(), edges=()))
-            made[customer] = encode_page_entry(customer, record)
-        return made
+            self.encoded_accounts.clear()
+        entries: dict[int, bytes] = {}
+        for customer, encoded in self.encoded_accounts.items():
+            if is_same_boot:
+                entries[customer] = encode_page_entry(customer, encoded)
+                continue
+            record = self._decoded(encoded)
+            if record is not None:
+                at = boot - self.age_of(record.at, now)
+                moved = record._replace(at=at, asked_at=at, pairs=(), edges=())
+                entries[customer] = encode_page_entry(customer, encode_record(moved))
+        return entries
--- a/corkdeal/persistence/snapshot_writer.py
+++ b/corkdeal/persistence/snapshot_writer.py
@@ -131,7 +131,7 @@
             lambda name: address_text(pool.addresses.get(name)),
             self.counts,
         )
-        if recall.useless:
+        if recall.is_useless:
             self.counts["knowledge_useless"] += 1
             return logs.event("knowledge_useless", file=loaded.file, age=shown(age), odd=",".join(odd))
         self.capture.restored = recall
@@ -142,7 +142,7 @@
             format=loaded.format,
             age=shown(age),
             servers=len(recall.servers),
-            accounts=len(recall.raw),
+            accounts=len(recall.encoded_accounts),
             resumes=recall.resumes(),
             odd=",".join(odd),
         )
--- a/tests/persistence/test_restore.py
+++ b/tests/persistence/test_restore.py
@@ -212,7 +212,7 @@
 
 def test_nothing_of_a_document_without_end_of_age_counts():
     recall = recalled(samples.document(), math.inf, 9000.0)
-    assert recall.useless and recall.server(listed("s-1", started=1000.0).entries[0], 9000.0) is None
+    assert recall.is_useless and recall.server(listed("s-1", started=1000.0).entries[0], 9000.0) is None
     assert recall.account(7, PLAN, 0, 2, 9000.0) is None
     fleet = recall.fleet(9000.0, {"look": 0.15})
     assert (fleet.work, fleet.pace, fleet.slow, fleet.retries) == ((), 0.5, 1.0, 10.0)
