--- a/corkdeal/experiment/kills.py
+++ b/corkdeal/experiment/kills.py
@@ -36,7 +36,7 @@
     store.close()
     if loaded.rejected:
         raise Broken(f"{folder}: {loaded.rejected}")
-    if loaded.document is None:
+    if loaded.snapshot is None:
         if least:
             raise Broken(f"{folder}: generation {least} is gone")
         return 0, 0
@@ -44,7 +44,7 @@
     generation = int(named[1]) if named else 0
     if generation < least:
         raise Broken(f"{folder}: generation {generation} after {least}")
-    accounts = [decode_account(raw) for raw in loaded.document.encoded_accounts().values()]
+    accounts = [decode_account(raw) for raw in loaded.snapshot.encoded_accounts().values()]
     return generation, len(accounts)
 
 
--- a/corkdeal/net/application.py
+++ b/corkdeal/net/application.py
@@ -98,7 +98,7 @@
             self.snapshot_writer.reload(options.knowledge)
         elif self.snapshot_writer:
             self.gateway.before_end.remove(self.snapshot_writer)
-            self.snapshot_writer.stop(lambda: None, clean=False)
+            self.snapshot_writer.stop(lambda: None, is_clean=False)
             self.snapshot_writer = None
         else:
             self.make_snapshot_writer(options).start()
--- /dev/null
+++ b/corkdeal/persistence/snapshot_loader.py
@@ -0,0 +1,89 @@
+"""Loads the newest snapshot before a gateway starts, and gives it to the decisions."""
+
+from __future__ import annotations
+
+import concurrent.futures
+import time
+from collections import Counter
+
+from .. import logs
+from . import clock
+from .codec import Snapshot
+from .host import GatewayHost, format_address
+from .restore import RestoredState
+from .store import LoadedSnapshot, SnapshotStore
+from .worker import WorkerThread
+
+MAX_LOGGED_AGE = 1e12  # seconds; a greater one is logged as endless
+
+
+def load_snapshot(
+    worker: WorkerThread, store: SnapshotStore, timeout: float, counts: Counter[str]
+) -> LoadedSnapshot | None:
+    """Open the store and load its newest snapshot, in the worker's thread.
+
+    Returns None if that takes longer than `timeout` seconds; a late answer is dropped. Raises what opening
+    raises.
+    """
+
+    def work() -> LoadedSnapshot:
+        store.open()
+        return store.load()
+
+    began = time.monotonic()
+    future = worker.submit(work)
+    concurrent.futures.wait([future], timeout)
+    if not future.done():
+        counts["knowledge_late"] += 1
+        logs.event("knowledge_late", waited=round(time.monotonic() - began, 3))
+        return None
+    loaded = future.result()
+    for rejected in loaded.rejected:
+        counts["knowledge_refused"] += 1
+        logs.event("knowledge_refused", file=rejected.file, why=rejected.reason)
+    if loaded.snapshot is None:
+        logs.event("knowledge_none", folder=store.folder)
+    return loaded
+
+
+def restore_snapshot(
+    loaded: LoadedSnapshot, snapshot: Snapshot, gateway: GatewayHost, counts: Counter[str]
+) -> RestoredState | None:
+    """Give a snapshot to the decisions; None for another gateway's and for one that has expired."""
+    if snapshot.head.name != gateway.config.name:
+        counts["knowledge_foreign"] += 1
+        logs.event("knowledge_foreign", file=loaded.file, name=snapshot.head.name)
+        return None
+    age, anomalies = clock.measure_age(snapshot.head.clock, clock.read_clocks())
+    counts.update(anomalies)
+    pool = gateway.pool
+    restored = RestoredState(
+        snapshot,
+        age,
+        gateway.now(),
+        gateway.settings,
+        lambda name: format_address(pool.addresses.get(name)),
+        counts,
+    )
+    odd = ",".join(anomalies)
+    if restored.is_useless:
+        counts["knowledge_useless"] += 1
+        logs.event("knowledge_useless", file=loaded.file, age=format_age(age), odd=odd)
+        return None
+    gateway.decisions.remember(restored)
+    logs.event(
+        "knowledge_loaded",
+        file=loaded.file,
+        format=loaded.format,
+        age=format_age(age),
+        servers=len(restored.servers),
+        accounts=len(restored.encoded_accounts),
+        resumes=restored.resumes(),
+        odd=odd,
+    )
+    return restored
+
+
+def format_age(age: float) -> str:
+    """Return an age in seconds as a log line states it."""
+    return f"{age:.3f}" if age < MAX_LOGGED_AGE else "endless"
--- a/corkdeal/persistence/snapshot_writer.py
+++ b/corkdeal/persistence/snapshot_writer.py
@@ -1,330 +1,244 @@
-"""Keeps a gateway's knowledge beside its reactor: loads it before the start, writes it now and then.
+"""Writes a gateway's snapshots beside its reactor: loads one before the start, then writes at intervals.
 
 All that may block (opening, reading, compressing, syncing) runs in one daemon thread, one job at a time. The
-reactor collects in steps of a millisecond. Whatever fails costs a count and, at its first time, a line;
-service goes on.
+reactor captures state in steps of a millisecond. A failure costs a count and, when it is the first, a log
+line; the gateway keeps serving.
 """
 
 from __future__ import annotations
 
-import contextlib
-import queue
-import threading
 import time
-import traceback
 from collections import Counter
-from collections.abc import Callable
-from typing import Any
+from collections.abc import Callable, Iterator
+from concurrent.futures import Future
+from typing import NamedTuple
 
-from .. import __version__, logs
+from .. import __version__
 from ..options import KnowledgeOptions
-from . import clock
+from . import clock, snapshot_loader
 from .capture import StateCapture
 from .codec import SnapshotHead, encode_snapshot
-from .errors import FolderLockedError
-from .restore import RestoredState
-from .store import LoadedSnapshot, SnapshotStore, gateway_folder
+from .host import DelayedCall, GatewayHost, Reactor, format_address
+from .store import SnapshotStore, gateway_folder
+from .worker import WorkerThread
+from .write_health import WriteHealth
 
-AGAIN_MOST = 10.0  # s between tries while writing fails
-RELOCK_EVERY = 2.0  # s between looks whether another process has let go of the folder
-SLOW_MOST = 5.0  # s of one write that count as unseen at the most
-Done = Callable[[Any, BaseException | None], None]
+MAX_UNRECORDED_WRITE_TIME = 5.0  # seconds of one write that count as unrecorded
+THREAD_NAME = "knowledge"
 
 
-class WorkerThread:
-    """A daemon thread that runs jobs in turn: a store that hangs must not keep the process from ending."""
+class Written(NamedTuple):
+    """A generation that is durable, and how long that took."""
 
-    def __init__(self) -> None:
-        self.jobs: queue.SimpleQueue[tuple[Callable[[], Any], Done] | None] = queue.SimpleQueue()
-        threading.Thread(target=self.run, name="knowledge", daemon=True).start()
-
-    def run(self) -> None:
-        """Until told to end."""
-        while (job := self.jobs.get()) is not None:
-            work, done = job
-            try:
-                result, error = work(), None
-            except Exception as raised:
-                result, error = None, raised
-            done(result, error)
-
-    def submit(self, work: Callable[[], Any], done: Done) -> None:
-        """Run `work` in the thread, then `done` with its result or its error, in the thread as well."""
-        self.jobs.put((work, done))
-
-    def end(self) -> None:
-        """Let the thread end after what it has to do."""
-        self.jobs.put(None)
+    generation: int
+    duration: float  # seconds
 
 
 class SnapshotWriter:
-    """One gateway's knowledge; `gateway` is the program's on its sockets."""
+    """One gateway's snapshots: `load`, then `start`, `reload` at will, and one `stop`."""
 
     def __init__(
         self,
-        reactor: Any,
-        gateway: Any,
+        reactor: Reactor,
+        gateway: GatewayHost,
         options: KnowledgeOptions,
         counts: Counter[str],
         opener: Callable[..., SnapshotStore] = SnapshotStore,
     ) -> None:
-        self.reactor, self.gateway, self.options, self.counts, self.opener = (
-            reactor,
-            gateway,
-            options,
-            counts,
-            opener,
-        )
-        self.worker = WorkerThread()
-        self.folder = gateway_folder(options.path, gateway.config.name)
-        self.store = opener(self.folder, options.generations)
+        self.reactor = reactor
+        self.gateway = gateway
+        self.options = options
+        self.counts = counts
+        self.opener = opener
+        folder = gateway_folder(options.path, gateway.config.name)
+        self.store = opener(folder, options.generations)
+        self.worker = WorkerThread(THREAD_NAME)
+        self.health = WriteHealth(folder, counts)
         self.capture = StateCapture(gateway.decisions, gateway.config.name, __version__)
-        self.busy = False  # a document is being made or written
-        self.failures = 0
-        self.locked = False
-        self.took = 0.0  # s, the last write
-        self.timer: Any = None
-        self.stopped = False
-        self.when_idle: Callable[[], None] | None = None
-
-    # At the start, before the reactor runs
+        self.is_busy = False  # a snapshot is being captured or written
+        self.is_stopped = False
+        self._write_duration = 0.0  # seconds, the last write
+        self._timer: DelayedCall | None = None
+        self._stop_deadline: DelayedCall | None = None
+        self._when_idle: Callable[[], None] | None = None
+        self._when_ended: Callable[[], None] | None = None
 
     def load(self) -> None:
-        """Have the knowledge in force, or give up after `read_wait`; a late answer is dropped."""
-        answered, began = threading.Event(), time.monotonic()
-        box: list[tuple[LoadedSnapshot | None, BaseException | None]] = []
-
-        def work() -> LoadedSnapshot:
-            self.store.open()
-            return self.store.load()
-
-        self.worker.submit(work, lambda result, error: (box.append((result, error)), answered.set()))
-        if not answered.wait(self.options.read_wait):
-            self.counts["knowledge_late"] += 1
-            return logs.event("knowledge_late", waited=round(time.monotonic() - began, 3))
-        loaded, error = box[0]
-        if error is not None:
-            return self.failed(error)
-        assert loaded is not None
-        for each in loaded.rejected:
-            self.counts["knowledge_refused"] += 1
-            logs.event("knowledge_refused", file=each.file, why=each.reason)
-        if loaded.document is None:
-            return logs.event("knowledge_none", folder=self.folder)
-        self.put(loaded)
-
-    def put(self, loaded: LoadedSnapshot) -> None:
-        """Give a document to the decisions."""
-        document = loaded.document
-        assert document is not None
-        if document.head.name != self.gateway.config.name:
-            self.counts["knowledge_foreign"] += 1
-            return logs.event("knowledge_foreign", file=loaded.file, name=document.head.name)
-        age, odd = clock.measure_age(document.head.clock, clock.read_clocks())
-        self.counts.update(odd)
-        pool = self.gateway.pool
-        recall = RestoredState(
-            document,
-            age,
-            self.gateway.now(),
-            self.gateway.settings,
-            lambda name: address_text(pool.addresses.get(name)),
-            self.counts,
-        )
-        if recall.is_useless:
-            self.counts["knowledge_useless"] += 1
-            return logs.event("knowledge_useless", file=loaded.file, age=shown(age), odd=",".join(odd))
-        self.capture.restored = recall
-        self.gateway.decisions.remember(recall)
-        logs.event(
-            "knowledge_loaded",
-            file=loaded.file,
-            format=loaded.format,
-            age=shown(age),
-            servers=len(recall.servers),
-            accounts=len(recall.encoded_accounts),
-            resumes=recall.resumes(),
-            odd=",".join(odd),
-        )
-
-    # While it runs
+        """Have the newest snapshot restored, before the reactor runs; given up after `read_wait`."""
+        try:
+            loaded = snapshot_loader.load_snapshot(
+                self.worker, self.store, self.options.read_wait, self.counts
+            )
+        except Exception as error:
+            self.health.record_failure(error)
+            return
+        if loaded is None or loaded.snapshot is None:
+            return
+        restored = snapshot_loader.restore_snapshot(loaded, loaded.snapshot, self.gateway, self.counts)
+        if restored is not None:
+            self.capture.restored = restored
 
     def start(self) -> None:
-        """Write from now on."""
-        self.again(self.options.every)
-
-    def again(self, delay: float) -> None:
-        """Have the next document begun after a while."""
-        if self.timer is not None and self.timer.active():
-            self.timer.cancel()
-        if not self.stopped:
-            self.timer = self.reactor.callLater(delay, self.begin)
-
-    def begin(self) -> None:
-        """Begin a document, unless the last one is not written yet: then this one is left out."""
-        if self.busy:
+        """Write at intervals from now on."""
+        self._schedule(self.options.every)
+
+    def reload(self, options: KnowledgeOptions) -> None:
+        """Follow changed options; another path is another store, from the next write on."""
+        old_path = self.options.path
+        self.options = options
+        if old_path != options.path:
+            self.worker.submit(self.store.close)
+            folder = gateway_folder(options.path, self.gateway.config.name)
+            self.store = self.opener(folder, options.generations)
+            self.health.use_folder(folder)
+        self.store.retained = options.generations
+        if not self.is_busy:
+            self._schedule(options.every)
+
+    def stop(self, done: Callable[[], None], is_clean: bool = True) -> None:
+        """Write a last snapshot, end the thread, then call `done`; at the latest after `stop_wait`.
+
+        `is_clean` tells that nothing is spent after it. A second call only calls its `done`.
+        """
+        if self.is_stopped:
+            done()
+            return
+        self.is_stopped = True
+        cancel(self._timer)
+        self._when_ended = done
+        self._stop_deadline = self.reactor.callLater(self.options.stop_wait, self._end_late)
+        if self.is_busy:
+            self._when_idle = lambda: self._write_last(is_clean)
+        else:
+            self._write_last(is_clean)
+
+    # Capturing, a step a turn of the reactor
+
+    def _schedule(self, delay: float) -> None:
+        """Have the next snapshot begun after `delay` seconds, in place of any other time."""
+        cancel(self._timer)
+        if not self.is_stopped:
+            self._timer = self.reactor.callLater(delay, self._begin)
+
+    def _begin(self) -> None:
+        """Begin a snapshot; it is skipped if the last one is not written yet."""
+        self._schedule(self.options.every)
+        if self.is_busy:
             self.counts["knowledge_write_skipped"] += 1
-            return self.again(self.options.every)
-        self.busy = True
-        self.again(self.options.every)
+            return
+        self.is_busy = True
+        pages: list[bytes] = []
+        self._advance(self._captured(pages), pages)
+
+    def _captured(self, pages: list[bytes]) -> Iterator[None]:
+        """Capture the accounts and append their pages; yields where the reactor may turn."""
+        yield from self._capture_steps()
+        yield
+        for page in self.capture.pages():
+            pages.append(page)
+            yield
+
+    def _advance(self, captured: Iterator[None], pages: list[bytes]) -> None:
+        """Take one step; after the last one the snapshot is written."""
+        if self.is_stopped:
+            self._become_idle()
+            return
         try:
-            steps = self.capture.steps(self.gateway.now, clock.read_clocks, time.perf_counter)
+            for _ in captured:
+                self.reactor.callLater(0, self._advance, captured, pages)
+                return
+            head = self._head(is_clean=False)
         except Exception:
-            return self.broken()
-        self.step(steps, [])
+            self.health.record_capture_failure()
+            self._become_idle()
+            return
+        self._write(head, pages, self._written)
 
-    def step(self, steps: Any, pages: list[bytes], paging: bool = False) -> None:
-        """One step of collecting a turn; then the pages, then the head."""
-        if self.stopped:
-            return self.idle()
-        try:
-            for made in steps:
-                if paging:
-                    pages.append(made)
-                return self.later(steps, pages, paging)
-            if not paging:
-                return self.later(self.capture.pages(), pages, True)
-            self.submit(self.head(False), pages, self.written)
-        except Exception:
-            self.broken()
-
-    def later(self, steps: Any, pages: list[bytes], paging: bool) -> None:
-        """Go on in the reactor's next turn."""
-        self.reactor.callLater(0, self.step, steps, pages, paging)
-
-    def head(self, clean: bool) -> SnapshotHead:
-        """All but the accounts; what a write may take counts as unseen too."""
-        pool = self.gateway.pool
-        addresses = {name: address_text(at) for name, at in pool.addresses.items()}
-        return self.capture.head(
-            self.gateway.now(),
-            clock.read_clocks(),
-            self.options.every + min(self.took, SLOW_MOST),
-            clean,
-            addresses,
-        )
-
-    def submit(self, head: SnapshotHead, pages: list[bytes], done: Done) -> None:
-        """Have the thread compress, seal and write it."""
+    def _capture_steps(self) -> Iterator[None]:
+        return self.capture.steps(self.gateway.now, clock.read_clocks, time.perf_counter)
+
+    def _head(self, is_clean: bool) -> SnapshotHead:
+        """Return all of the snapshot but the accounts; the time a write takes is unrecorded too."""
+        addresses = {name: format_address(address) for name, address in self.gateway.pool.addresses.items()}
+        unrecorded = self.options.every + min(self._write_duration, MAX_UNRECORDED_WRITE_TIME)
+        return self.capture.head(self.gateway.now(), clock.read_clocks(), unrecorded, is_clean, addresses)
+
+    # Writing, in the thread
+
+    def _write(self, head: SnapshotHead, pages: list[bytes], done: Callable[[Future[Written]], None]) -> None:
+        """Compress, seal and write a snapshot in the thread, then call `done` in the reactor's."""
         began = time.monotonic()
 
-        def work() -> tuple[int, float]:
+        def work() -> Written:
             generation = self.store.write(lambda number: encode_snapshot(number, head, pages))
-            return generation, time.monotonic() - began
+            return Written(generation, time.monotonic() - began)
 
-        self.worker.submit(work, lambda *result: self.reactor.callFromThread(done, *result))
+        future = self.worker.submit(work)
+        future.add_done_callback(lambda ended: self.reactor.callFromThread(done, ended))
 
-    def written(self, result: tuple[int, float] | None, error: BaseException | None) -> None:
-        """A write ended."""
-        if error is not None:
-            self.failed(error)
-            later = min(AGAIN_MOST, self.options.every * 2 ** min(self.failures, 8))
-            self.again(max(RELOCK_EVERY if self.locked else later, self.options.every))
-        else:
-            self.healed()
-            assert result is not None
-            self.took = result[1]
+    def _written(self, write: Future[Written]) -> None:
+        """Note how a write ended; a failed one is tried again later."""
+        error = write.exception()
+        if error is None:
+            self.health.record_success()
+            self._write_duration = write.result().duration
             self.counts["knowledge_written"] += 1
-        self.idle()
-
-    def idle(self) -> None:
-        """Nothing is being made or written."""
-        self.busy = False
-        if self.when_idle is not None:
-            then, self.when_idle = self.when_idle, None
+        else:
+            self.health.record_failure(error)
+            self._schedule(self.health.retry_delay(self.options.every))
+        self._become_idle()
+
+    def _become_idle(self) -> None:
+        """Nothing is being captured or written any more."""
+        self.is_busy = False
+        then = self._when_idle
+        self._when_idle = None
+        if then is not None:
             then()
 
-    def broken(self) -> None:
-        """A bug while collecting: no knowledge is worth a gateway."""
-        self.counts["knowledge_collect_failed"] += 1
-        if self.failures == 0:
-            logs.event("knowledge_collect_failed", trace=traceback.format_exc())
-        self.failures += 1
-        self.idle()
-
-    def failed(self, error: BaseException) -> None:
-        """Opening or writing failed; one line until it heals."""
-        if isinstance(error, FolderLockedError):
-            self.counts["knowledge_locked"] += 1
-            if not self.locked:
-                logs.event("knowledge_locked", folder=self.folder)
-            self.locked = True
-            return
-        self.counts["knowledge_write_failed"] += 1
-        if self.failures == 0:
-            logs.event("knowledge_failing", error=f"{type(error).__name__}: {error}")
-        self.failures += 1
-
-    def healed(self) -> None:
-        """Writing works."""
-        if self.locked:
-            logs.event("knowledge_unlocked", folder=self.folder)
-        if self.failures:
-            logs.event("knowledge_healed", after=self.failures)
-        self.locked, self.failures = False, 0
+    # Stopping
 
-    def reload(self, options: KnowledgeOptions) -> None:
-        """Follow the operators' file; another path is another store, from the next write on."""
-        old, self.options = self.options, options
-        if old.path != options.path:
-            store, self.folder = self.store, gateway_folder(options.path, self.gateway.config.name)
-            self.store = self.opener(self.folder, options.generations)
-            self.worker.submit(store.close, lambda *_: None)
-            self.locked, self.failures = False, 0
-        self.store.retained = options.generations
-        if not self.busy:
-            self.again(options.every)
-
-    # At the end
-
-    def stop(self, done: Callable[[], None], clean: bool = True) -> None:
-        """Write once more, then `done`, at once if that takes longer than `stop_wait`."""
-        self.stopped = True
-        if self.timer is not None and self.timer.active():
-            self.timer.cancel()
-        called = self.reactor.callLater(self.options.stop_wait, lambda: finish(late=True))
-
-        def finish(late: bool = False) -> None:
-            nonlocal done
-            if late:
-                self.counts["knowledge_stopped_late"] += 1
-            elif called.active():
-                called.cancel()
-            then, done = done, lambda: None
-            self.gateway.decisions.touched = None
-            self.worker.submit(self.store.close, lambda *_: None)
-            self.worker.end()
-            then()
+    def _write_last(self, is_clean: bool) -> None:
+        """Capture the last snapshot in one turn and have it written."""
+        try:
+            for _ in self._capture_steps():
+                pass
+            head = self._head(is_clean)
+            pages = list(self.capture.pages())
+        except Exception:
+            self.health.record_capture_failure()
+            self._end()
+            return
+        self._write(head, pages, self._last_written)
 
-        def last(result: Any = None, error: BaseException | None = None) -> None:
-            if error is not None:
-                self.failed(error)
-            elif result is not None:
-                self.counts["knowledge_written"] += 1
-            finish()
-
-        def write() -> None:
-            try:
-                for _ in self.capture.steps(self.gateway.now, clock.read_clocks, time.perf_counter):
-                    pass
-                self.submit(self.head(clean), list(self.capture.pages()), last)
-            except Exception:
-                self.broken()
-                finish()
-
-        if self.busy:
-            self.when_idle = write
+    def _last_written(self, write: Future[Written]) -> None:
+        error = write.exception()
+        if error is None:
+            self.counts["knowledge_written"] += 1
         else:
-            write()
-
-
-def address_text(at: tuple[str, int] | None) -> str:
-    """An address as records have it."""
-    return f"{at[0]}:{at[1]}" if at else ""
-
-
-def shown(age: float) -> str:
-    """An age for a line of the log."""
-    with contextlib.suppress(OverflowError):
-        return f"{age:.3f}" if age < 1e12 else "endless"
-    return "endless"
+            self.health.record_failure(error)
+        self._end()
+
+    def _end_late(self) -> None:
+        """Give up the last snapshot: writing it takes longer than `stop_wait`."""
+        self.counts["knowledge_stopped_late"] += 1
+        self._end()
+
+    def _end(self) -> None:
+        """Close the store, end the thread and report it, once."""
+        done = self._when_ended
+        if done is None:
+            return
+        self._when_ended = None
+        self._when_idle = None
+        cancel(self._stop_deadline)
+        self.gateway.decisions.touched = None
+        self.worker.submit(self.store.close)
+        self.worker.stop()
+        done()
+
+
+def cancel(call: DelayedCall | None) -> None:
+    """Cancel a delayed call that is still to be made."""
+    if call is not None and call.active():
+        call.cancel()
--- a/corkdeal/persistence/store.py
+++ b/corkdeal/persistence/store.py
@@ -33,11 +33,11 @@
 
 
 class LoadedSnapshot(NamedTuple):
-    """The newest readable snapshot; without one `file` is empty and `document` is None."""
+    """The newest readable snapshot; without one `file` is empty and `snapshot` is None."""
 
     file: str
     format: int
-    document: Snapshot | None
+    snapshot: Snapshot | None
     rejected: list[RejectedFile]
 
 
--- a/tests/persistence/test_program.py
+++ b/tests/persistence/test_program.py
@@ -100,11 +100,11 @@
             self.process.wait(PATIENCE)
             loaded = self.newest()
             self.assertEqual(loaded.rejected, [])
-            if loaded.document is not None:
+            if loaded.snapshot is not None:
                 generation = int(match_snapshot_name(loaded.file)[1])
                 self.assertGreaterEqual(generation, seen)
                 seen = generation
-                for raw in loaded.document.encoded_accounts().values():
+                for raw in loaded.snapshot.encoded_accounts().values():
                     decode_account(raw)
             self.again()
             self.assertNotIn("knowledge_refused", "".join(self.lines))
--- a/tests/persistence/test_snapshot_writer.py
+++ b/tests/persistence/test_snapshot_writer.py
@@ -134,7 +134,7 @@
     Faulty.broken = True
     tried = []
     for _ in range(5):
-        while not writer.busy:
+        while not writer.is_busy:
             world.reactor.turn(0.5)
         tried.append(world.reactor.seconds())
         world.reactor.take()
@@ -142,7 +142,7 @@
     gaps = [b - a for a, b in itertools.pairwise(tried)]
     assert gaps == sorted(gaps) and gaps[0] >= 1 and gaps[-1] == 10.0
     Faulty.broken = False
-    while not writer.busy:
+    while not writer.is_busy:
         world.reactor.turn(0.5)
     world.reactor.take()
     assert world.lines[-1] == "knowledge_healed" and files(world) == ["1"]
@@ -156,12 +156,12 @@
     writer.load()
     writer.start()
     for _ in range(2):
-        while not writer.busy:
+        while not writer.is_busy:
             world.reactor.turn(1.0)
         world.reactor.take()
     assert world.lines == ["knowledge_locked"] and files(world) == []
     holder.close()
-    while not writer.busy:
+    while not writer.is_busy:
         world.reactor.turn(1.0)
     world.reactor.take()
     assert world.lines[-1] == "knowledge_unlocked" and files(world) == ["1"]
@@ -221,3 +221,64 @@
         other.load()
     assert other.capture.restored is None and world.counts["knowledge_foreign"]
     other.stop(lambda: None)
+
+
+def test_stopping_ends_the_thread_and_lets_go_of_the_folder(world):
+    writer = world.writer()
+    writer.load()
+    writer.start()
+    ended = []
+    writer.stop(lambda: ended.append("first"))
+    writer.stop(lambda: ended.append("second"))  # only calls back
+    assert ended == ["second"]
+    world.reactor.take()
+    assert ended == ["second", "first"] and files(world) == ["1"]
+    assert writer.worker.join(WAIT)
+    assert not [call for call in world.reactor.getDelayedCalls() if call.active()]
+    following = SnapshotStore(str(world.path / "n0"))
+    following.open()  # not locked any more
+    following.close()
+
+
+def test_a_writer_stopped_while_it_writes_writes_once_more_and_ends(world):
+    writer = world.writer(every=1.0)
+    writer.load()
+    writer.start()
+    Faulty.gate.clear()
+    world.reactor.turn(1.0)
+    assert writer.is_busy
+    ended = []
+    writer.stop(lambda: ended.append(1))
+    Faulty.gate.set()
+    world.reactor.take()  # the write that was under way
+    assert not ended
+    world.reactor.take()
+    assert ended == [1] and files(world) == ["1", "2"] and writer.worker.join(WAIT)
+
+
+def test_a_writer_given_up_late_ends_its_thread_and_leaves_the_decisions_alone(world):
+    writer = world.writer(every=1.0, stop_wait=0.5)
+    writer.load()
+    writer.start()
+    Faulty.gate.clear()
+    world.reactor.turn(1.0)
+    ended = []
+    writer.stop(lambda: ended.append(1))
+    world.reactor.turn(0.6)
+    assert ended == [1] and not writer.worker.join(0.01)
+    Faulty.gate.set()
+    world.reactor.take()  # the write that hung ends after all
+    assert writer.worker.join(WAIT) and ended == [1]
+    assert writer.gateway.decisions.touched is None  # nothing collects customers for it any more
+    assert world.counts["knowledge_stopped_late"] == 1
+
+
+def test_a_bug_while_capturing_costs_a_count_and_not_the_gateway(world, monkeypatch):
+    writer = world.writer(every=1.0)
+    monkeypatch.setattr(writer.capture, "head", lambda *_: 1 / 0)
+    writer.start()
+    world.reactor.turn(1.0)
+    assert world.lines == ["knowledge_collect_failed"] and not writer.is_busy
+    ended = []
+    writer.stop(lambda: ended.append(1))
+    assert ended == [1] and world.counts["knowledge_collect_failed"] == 2 and writer.worker.join(WAIT)
--- a/tests/persistence/test_store.py
+++ b/tests/persistence/test_store.py
@@ -144,14 +144,14 @@
         opened = SnapshotStore(str(folder))
         opened.open()
         loaded = opened.load()
-        if loaded.document is None:
+        if loaded.snapshot is None:
             assert durable == 0, (number, [n for n, _ in state], loaded.rejected)
         else:  # exactly one generation's content, of one that was written, under its own name
-            found = generation_of(loaded.document)
+            found = generation_of(loaded.snapshot)
             assert found >= durable and loaded.file == snapshot_name(found)
             newer += found > durable
         after = opened.write(numbered)  # and whatever was left, the next write is whole
-        assert generation_of(opened.load().document) == after > durable
+        assert generation_of(opened.load().snapshot) == after > durable
         assert not [n for n in os.listdir(folder) if n.endswith(".tmp")]
         opened.close()
     assert newer  # some states hold a generation before it was reported
@@ -189,7 +189,7 @@
     again = SnapshotStore(str(tmp_path))
     again.open()
     loaded = again.load()
-    assert generation_of(loaded.document) == 4 and [r.file for r in loaded.rejected] == [
+    assert generation_of(loaded.snapshot) == 4 and [r.file for r in loaded.rejected] == [
         snapshot_name(6),
         snapshot_name(5),
     ]
@@ -205,7 +205,7 @@
     store = SnapshotStore(str(tmp_path))
     store.open()
     loaded = store.load()
-    assert generation_of(loaded.document) == 2 and "needs a reader of format 4" in loaded.rejected[0].reason
+    assert generation_of(loaded.snapshot) == 2 and "needs a reader of format 4" in loaded.rejected[0].reason
     for _ in range(4):
         store.write(numbered)
     store.close()
@@ -241,7 +241,7 @@
     store = SnapshotStore(str(tmp_path))
     store.open()
     loaded = store.load()
-    assert generation_of(loaded.document) == 1 and loaded.rejected[0].file == snapshot_name(9)
+    assert generation_of(loaded.snapshot) == 1 and loaded.rejected[0].file == snapshot_name(9)
     assert store.write(numbered) == 10
     store.close()
     if kind in ("symlink", "fifo", "folder"):  # nor in the lock's place, nor in the folder's
@@ -323,9 +323,9 @@
                 store.write(numbered)
         Failing.failing = ""
         assert not [n for n in os.listdir(tmp_path) if n.endswith(".tmp")]
-        assert generation_of(store.load().document) >= 1
+        assert generation_of(store.load().snapshot) >= 1
     after = store.write(numbered)
-    assert generation_of(store.load().document) == after
+    assert generation_of(store.load().snapshot) == after
     store.close()
 
 
--- a/tests/persistence/test_stored_form.py
+++ b/tests/persistence/test_stored_form.py
@@ -67,8 +67,8 @@
     store.open()
     loaded = store.load()
     assert (loaded.file, loaded.format, loaded.rejected) == ("0000000000000002.know", 3, [])
-    assert loaded.document.head == HEAD
-    assert merge.accounts_of(loaded.document) == ACCOUNTS
+    assert loaded.snapshot.head == HEAD
+    assert merge.accounts_of(loaded.snapshot) == ACCOUNTS
     assert store.write(full_parts) == 3
     assert (tmp_path / "0000000000000003.know").read_bytes() == b"".join(full_parts(3))
     store.close()
