--- a/corkdeal/net/upgrade.py
+++ b/corkdeal/net/upgrade.py
@@ -17,7 +17,7 @@
 from ..persistence import clock, quota_handover
 from ..persistence.capture import StateCapture
 from ..persistence.codec import Snapshot, encode_snapshot
-from ..persistence.handover_files import FINAL, PARTIAL, HandoverFiles
+from ..persistence.handover_files import HandoverFiles, HandoverPart
 from ..persistence.restore import RestoredState
 from ..persistence.store import gateway_folder
 from .invariants import count, counts
@@ -59,10 +59,10 @@
 
     def ask(self, start: Callable[[], None]) -> None:
         """Wait for its first document, but not for long: a process before this one may know nothing of it."""
-        document = self.read(PARTIAL)
+        document = self.read(HandoverPart.PARTIAL)
         self.asked += 1
         try:
-            if document is None and not self.lives.lives(self.before):
+            if document is None and not self.lives.is_running(self.before):
                 self.before = self.lives.predecessor()  # it ended meanwhile, and the one before it may live
         except OSError as error:  # the folder is gone: a start must not fail for that
             self.off(error)
@@ -72,7 +72,7 @@
             return self.reactor.callLater(ASK_EVERY, self.ask, start)
         if document is None:
             count("handover_none")
-            logs.event("handover_none", life=self.lives.me, before=self.before)
+            logs.event("handover_none", life=self.lives.incarnation, before=self.before)
         else:
             whole = document.head.fleet.part
             self.kept_there = whole * (1 - quota_handover.SUCCESSOR_SHARE)
@@ -81,7 +81,7 @@
             self.decisions.part = whole * quota_handover.SUCCESSOR_SHARE
             logs.event(
                 "handover_begun",
-                life=self.lives.me,
+                life=self.lives.incarnation,
                 before=self.before,
                 accounts=sum(map(len, document.accounts)),
                 part=round(self.decisions.part, 3),
@@ -94,8 +94,8 @@
         Until then that life speaks with the peers, and what they don't say to this one says nothing.
         """
         self.decisions.peer_heard = dict.fromkeys(self.decisions.neighbours, self.gateway.now())
-        ended = not self.lives.lives(self.before)  # looked at first: it may write and end in between
-        document, now = self.read(FINAL), self.gateway.now()
+        ended = not self.lives.is_running(self.before)  # looked at first: it may write and end in between
+        document, now = self.read(HandoverPart.FINAL), self.gateway.now()
         if document is None and not ended:
             return
         if document is None:
@@ -120,7 +120,7 @@
         """All that the life before held is here, or lost."""
         logs.event(
             "handover_done",
-            life=self.lives.me,
+            life=self.lives.incarnation,
             before=self.before,
             rest=rest,
             part=round(self.decisions.part, 3),
@@ -128,13 +128,13 @@
         self.before = None
         self.gateway.hear()
 
-    def read(self, what: str) -> Snapshot | None:
+    def read(self, what: HandoverPart) -> Snapshot | None:
         """A document for this life; one that can't be read counts as none, and is logged."""
         try:
             return self.lives.read(self.before, what)
         except (OSError, ValueError) as error:
             count("handover_unreadable")
-            logs.event("handover_unreadable", what=what, before=self.before, error=str(error)[:200])
+            logs.event("handover_unreadable", what=what.value, before=self.before, error=str(error)[:200])
             return None
 
     def recall(self, document: Snapshot) -> RestoredState:
@@ -172,8 +172,8 @@
             return  # what is handed on must be whole
         if self.waits and self.gateway.begun:
             self.follow()
-        if self.after is not None and not self.lives.lives(self.after):
-            logs.event("handover_taken_back", life=self.lives.me, after=self.after)
+        if self.after is not None and not self.lives.is_running(self.after):
+            logs.event("handover_taken_back", life=self.lives.incarnation, after=self.after)
             quota_handover.take_rate(self.decisions, self.gateway.now(), self.part_there)
             self.after = None
         if self.after is None and (after := self.lives.successor()) is not None and self.gateway.begun:
@@ -181,22 +181,24 @@
 
     def give(self, after: int) -> None:
         """The next life has started: its part, and all that is known."""
-        if self.write(after, PARTIAL):
+        if self.write(after, HandoverPart.PARTIAL):
             self.after, self.part_there = after, self.decisions.part * quota_handover.SUCCESSOR_SHARE
             quota_handover.keep(self.decisions, 1 - quota_handover.SUCCESSOR_SHARE)
-            logs.event("handover_given", life=self.lives.me, after=after, part=round(self.part_there, 3))
+            logs.event(
+                "handover_given", life=self.lives.incarnation, after=after, part=round(self.part_there, 3)
+            )
 
     def end(self) -> None:
         """This life takes no new clients any more: the rest goes to the next one, if it had its part."""
-        if self.after is None or self.done or not self.lives.lives(self.after):
+        if self.after is None or self.done or not self.lives.is_running(self.after):
             return
-        if self.write(self.after, FINAL):
+        if self.write(self.after, HandoverPart.FINAL):
             self.done = True
             quota_handover.keep_nothing(self.decisions)
             self.gateway.be_silent()
-            logs.event("handover_rest", life=self.lives.me, after=self.after)
+            logs.event("handover_rest", life=self.lives.incarnation, after=self.after)
 
-    def write(self, to: int, what: str) -> bool:
+    def write(self, to: int, what: HandoverPart) -> bool:
         """One document of all that is known, made in one turn, so that what is divided is what it says."""
         now = self.gateway.now()
         quota_handover.settle(self.decisions, now)
@@ -210,7 +212,7 @@
             self.lives.write(to, what, lambda life: encode_snapshot(life, head, pages))
         except (OSError, ValueError) as error:
             count("handover_not_written")
-            logs.event("handover_not_written", what=what, after=to, error=str(error)[:200])
+            logs.event("handover_not_written", what=what.value, after=to, error=str(error)[:200])
             return False
         finally:
             self.decisions.touched = touched
--- a/tests/persistence/test_quota_handover.py
+++ b/tests/persistence/test_quota_handover.py
@@ -29,7 +29,7 @@
 from corkdeal.decisions.settings import Plan, RequestClass, Settings
 from corkdeal.persistence import clock, codec, quota_handover
 from corkdeal.persistence.capture import StateCapture
-from corkdeal.persistence.handover_files import FINAL, PARTIAL, HandoverFiles
+from corkdeal.persistence.handover_files import HandoverFiles, HandoverPart
 from corkdeal.persistence.restore import RestoredState
 from tests.helpers import Ring, pick, request
 from tests.net_world import PATIENCE, Program, served
@@ -205,18 +205,21 @@
     lives = [HandoverFiles(str(tmp_path)) for _ in range(3)]
     old, new, third = lives
     made = lambda life: codec.encode_snapshot(life, Life().document(EPOCH).head, [])  # noqa: E731
-    assert old.join() is None and new.join() == old.me == old.successor() - 1
-    old.write(new.me, PARTIAL, made)
-    assert new.read(old.me, PARTIAL) is not None and new.read(old.me, FINAL) is None
+    assert old.join() is None and new.join() == old.incarnation == old.successor() - 1
+    old.write(new.incarnation, HandoverPart.PARTIAL, made)
+    assert (
+        new.read(old.incarnation, HandoverPart.PARTIAL) is not None
+        and new.read(old.incarnation, HandoverPart.FINAL) is None
+    )
     new.close()  # it ends before it served
-    assert not old.lives(2) and old.successor() is None
-    assert third.join() == old.me and third.me == 3  # a number is never given twice
-    assert third.read(old.me, PARTIAL) is None
-    old.write(third.me, FINAL, made)
+    assert not old.is_running(2) and old.successor() is None
+    assert third.join() == old.incarnation and third.incarnation == 3  # a number is never given twice
+    assert third.read(old.incarnation, HandoverPart.PARTIAL) is None
+    old.write(third.incarnation, HandoverPart.FINAL, made)
     name = next(p for p in tmp_path.iterdir() if p.name.endswith("-3.rest"))
     name.write_bytes(name.read_bytes()[:-1])
     with pytest.raises(ValueError, match="byte"):
-        third.read(old.me, FINAL)
+        third.read(old.incarnation, HandoverPart.FINAL)
     old.close()
     fourth = HandoverFiles(str(tmp_path))
     assert fourth.join() == 3 and not any("-3.rest" in p.name for p in tmp_path.iterdir())
