--- a/benchmarks/knowledge.py
+++ b/benchmarks/knowledge.py
@@ -85,7 +85,7 @@
     for turn in range(WRITES + 1):
         now += 1.0
         for key in keys[turn * CHANGED % len(keys) :][:CHANGED]:
-            gateway.account(key, 0, 0, 3).asked_at = now
+            gateway.account(key, 0, 0, 3).last_request_at = now
         gateway.now = now
         cpu = time.process_time()
         longest, _, _ = turns_of(collector.steps(lambda n=now: n, clock.read_clocks, time.perf_counter))
--- a/benchmarks/members.py
+++ b/benchmarks/members.py
@@ -30,7 +30,7 @@
         actions = one.handle(world.now, [Request(world.number, 7, 0, 0, 0.001, 0, 3, 3.0)])
         for a in actions:
             if isinstance(a, StartAttempt):
-                one.handle(world.now, [AttemptEnded(a.id, 0, a.server, Status.OK, 0.1, True)])
+                one.handle(world.now, [AttemptEnded(a.id, 0, a.backend, Status.OK, 0.1, True)])
     return time.process_time() - began
 
 
@@ -38,7 +38,7 @@
     """Three gateways in one ring."""
     made = World(3, 3, 1)
     for g in made.up.values():
-        g.members = g.members if with_members else None
+        g.membership = g.membership if with_members else None
     for me in made.up:
         made.ask(me, 0)
     made.run(5.0)
--- a/benchmarks/quotas.py
+++ b/benchmarks/quotas.py
@@ -25,7 +25,7 @@
 
 def mixes(size: int, rig: Any) -> dict[str, Any]:
     """The fleets that are played, by name."""
-    plan, many = rig.t.Plan, size / 200
+    plan, many = rig.Plan, size / 200
     dear = (
         plan(rate=1.3, burst=6.0, price=0.5, over_quota_cost=0.8),
         plan(rate=2.7, burst=11.0, price=0.8, over_quota_cost=1.2),
@@ -60,7 +60,7 @@
             else [
                 me
                 for me, g in world.gateways.items()
-                if any(a.wide and a.edges and a.upward is None for a in g.accounts.values())
+                if any(a.is_aggregated and a.tree_edges and a.parent is None for a in g.accounts.values())
             ]
         )
         for me in dead[: round(0.3 * size)]:
--- a/benchmarks/upgrade.py
+++ b/benchmarks/upgrade.py
@@ -182,7 +182,7 @@
     head = collector.head(now, clock.read_clocks(), 0.0, True, {})
     data = b"".join(encode(1, head, list(collector.pages())))
     made = time.perf_counter() - began
-    known = Recall(decode(data)[2], 0.1, now, old.s, lambda name: "", Counter())
+    known = Recall(decode(data)[2], 0.1, now, old.settings, lambda name: "", Counter())
     new = gateway_with(0)
     steps = quota_handover.take_rest(new, lambda: now, quota_handover.Given(known, 0.3), known, 0.7)
     longest, whole, ended = 0.0, 0.0, False
--- a/corkdeal/decisions/actions.py
+++ b/corkdeal/decisions/actions.py
@@ -11,7 +11,7 @@
     """Start an attempt; timeout 0 lasts as long as the client waits."""
 
     id: int
-    server: Hashable
+    backend: Hashable
     timeout: float = 0.0
 
 
@@ -50,14 +50,14 @@
 class CheckHealth:
     """Send a health check to a backend."""
 
-    server: Hashable
+    backend: Hashable
 
 
 @dataclass(slots=True, frozen=True)
 class CloseIdleConnections:
     """Close the idle connections to a backend."""
 
-    server: Hashable
+    backend: Hashable
 
 
 @dataclass(slots=True, frozen=True)
--- a/corkdeal/decisions/aggregation_tree.py
+++ b/corkdeal/decisions/aggregation_tree.py
@@ -18,7 +18,7 @@
 from typing import TYPE_CHECKING
 
 from .peer_messages import shares_trees
-from .records import Account, Edge
+from .records import Account, TreeEdge
 
 if TYPE_CHECKING:
     from .gateway import Gateway
@@ -80,10 +80,10 @@
     def due(self, d: Gateway) -> dict[int, list[Totals]]:
         """Notes by peer; what has to wait is put off in `d.later`."""
         notes: dict[int, list[Totals]] = {}
-        news, d.untold, rose, pushed = d.untold, {}, set(), False
+        news, d.pending_updates, rose, pushed = d.pending_updates, {}, set(), False
         for key, a in news.items():
             d.refill(a)
-            for peer, edge in a.edges.items():
+            for peer, edge in a.tree_edges.items():
                 at = self.when(d, a, peer, edge)
                 if at is None:
                     continue
@@ -91,23 +91,23 @@
                     d.put_off(key, at)
                     continue
                 notes.setdefault(peer, []).append(d.totals(key, a, edge))
-                if peer == a.upward:
+                if peer == a.parent:
                     rose.add(peer)
-                pushed = pushed or a.upward is None
-            a.from_above = False
+                pushed = pushed or a.parent is None
+            a.has_parent_update = False
         self.rose_at.update(dict.fromkeys(rose, d.now))
         self.pushed_at = d.now if pushed else self.pushed_at
         return notes
 
-    def when(self, d: Gateway, a: Account, peer: int, edge: Edge) -> float | None:
+    def when(self, d: Gateway, a: Account, peer: int, edge: TreeEdge) -> float | None:
         """From when on that neighbour may be told; None while there is nothing for it."""
-        new = a.asked - edge.asked - edge.told
+        new = a.total_asked - edge.remote_asked - edge.sent_asked
         if new <= 0:
             return None
-        if peer == a.upward:
-            return self.rose_at.get(peer, -math.inf) + self.rise_every if len(a.edges) > 1 else d.now
-        if a.upward is not None:  # news goes down as it came
-            return d.now if a.from_above else None
+        if peer == a.parent:
+            return self.rose_at.get(peer, -math.inf) + self.rise_every if len(a.tree_edges) > 1 else d.now
+        if a.parent is not None:  # news goes down as it came
+            return d.now if a.has_parent_update else None
         tight = a.demand > TIGHT * d.rate(a) or a.level < LOW * a.plan.burst
         step = TELL_STEP * (a.plan.burst or d.rate(a) * RING_MEMORY)
         return self.pushed_at + self.push_every if tight and new >= step else None
--- a/corkdeal/decisions/early_rejection.py
+++ b/corkdeal/decisions/early_rejection.py
@@ -20,13 +20,13 @@
     decisions.now = now
     a = decisions.account(e.customer, e.plan, e.first_gateway, e.member_count)
     share = decisions.refill(a)
-    inside = decisions.part > 0 and decisions.admits(a, e.units, share)
+    inside = decisions.quota_fraction > 0 and decisions.admits(a, e.units, share)
     if inside or not a.plan.rate or a.plan.over_quota_weight > a.plan.over_quota_cost:
         return None
-    a.asked_at = now
-    if a.wide:
+    a.last_request_at = now
+    if a.is_aggregated:
         decisions.ask(a, e.units)
-        decisions.untold[e.customer] = a
+        decisions.pending_updates[e.customer] = a
     elif not e.is_retry:
         a.demand += e.units / DEMAND_MEMORY
-    return max(decisions.s.tick, (e.units - a.level) / (decisions.rate(a) * share + 1e-6))
+    return max(decisions.settings.tick, (e.units - a.level) / (decisions.rate(a) * share + 1e-6))
--- a/corkdeal/decisions/events.py
+++ b/corkdeal/decisions/events.py
@@ -44,7 +44,7 @@
 class Endpoint:
     """One backend in the endpoint list."""
 
-    server: Hashable
+    backend: Hashable
     state: EndpointState
     zone: int = 0
     cell: int = 0
@@ -85,7 +85,7 @@
 
     id: int
     attempt: int
-    server: Hashable
+    backend: Hashable
     elapsed: float
 
 
@@ -95,7 +95,7 @@
 
     id: int
     attempt: int
-    server: Hashable
+    backend: Hashable
     status: Status
     elapsed: float
     final: bool
@@ -122,7 +122,7 @@
 class HealthCheckResult:
     """The result of a health check."""
 
-    server: Hashable
+    backend: Hashable
     status: Status
     elapsed: float
     report: dict[str, float] = field(default_factory=dict)
--- a/corkdeal/decisions/peer_messages.py
+++ b/corkdeal/decisions/peer_messages.py
@@ -27,12 +27,12 @@
 
     customer: int
     plan: int
-    first: int
-    spread: int
-    slice: float
+    first_gateway: int
+    member_count: int
+    share: float
     demand: float
     level: float
-    slice_total: int
+    share_total: int
     units_total: float
 
 
@@ -42,8 +42,8 @@
 
     customer: int
     plan: int
-    first: int
-    spread: int
+    first_gateway: int
+    member_count: int
     asked: float
     spent: float
 
@@ -57,12 +57,13 @@
     """Whether settings and set allow such a note between that peer and this gateway."""
     return (
         note.plan < len(s.plans)
-        and note.first < s.gateway_count
-        and 2 <= note.spread <= s.gateway_count
+        and note.first_gateway < s.gateway_count
+        and 2 <= note.member_count <= s.gateway_count
         and (
-            (isinstance(note, Totals) and shares_trees(note.spread, s.gateway_count))
+            (isinstance(note, Totals) and shares_trees(note.member_count, s.gateway_count))
             or all(
-                (member - note.first) % s.gateway_count < note.spread for member in (peer, s.gateway_index)
+                (member - note.first_gateway) % s.gateway_count < note.member_count
+                for member in (peer, s.gateway_index)
             )
         )
     )
@@ -77,12 +78,12 @@
                 n.customer & 0xFFFFFFFF,
                 n.customer >> 32 & 0xFF,
                 n.plan,
-                n.first,
-                n.spread,
-                n.slice,
+                n.first_gateway,
+                n.member_count,
+                n.share,
                 min(HALF, n.demand),
                 max(-HALF, min(HALF, n.level)),
-                max(-SHORT, min(SHORT, n.slice_total)),
+                max(-SHORT, min(SHORT, n.share_total)),
                 n.units_total,
             )
             for n in notes
@@ -100,8 +101,8 @@
                 n.customer & 0xFFFFFFFF,
                 n.customer >> 32 & 0xFF,
                 n.plan,
-                n.first,
-                n.spread,
+                n.first_gateway,
+                n.member_count,
                 round(n.asked * PARTS) & 0xFFFF,
                 round(n.spent * PARTS) & 0xFFFF,
             )
--- a/corkdeal/decisions/persisted_state.py
+++ b/corkdeal/decisions/persisted_state.py
@@ -10,7 +10,7 @@
 from typing import NamedTuple, Protocol
 
 from .events import Endpoint
-from .records import Account, Edge, Pair, Server
+from .records import Account, BackendRecord, PeerLedger, TreeEdge
 from .settings import Plan, RequestClass
 
 
@@ -121,71 +121,77 @@
         """The customer's account, with what may have been spent unseen taken off its level."""
 
 
-def server_of(server: Server, classes: tuple[RequestClass, ...], now: float, shift: float) -> ServerMemory:
+def server_of(
+    server: BackendRecord, classes: tuple[RequestClass, ...], now: float, shift: float
+) -> ServerMemory:
     """A server's record as it stands; `shift` is what the caller's clock shows more than the module's (s)."""
-    fresh = min(now, server.sent_at) if server.sent_at > 0 else now  # the record fades from the last send on
+    fresh = (
+        min(now, server.last_attempt_at) if server.last_attempt_at > 0 else now
+    )  # the record fades from the last send on
     shut = tuple(
         [
             ShutMemory(classes[cls].name, wait, max(0.0, until - fresh))
-            for cls, (wait, until) in server.shut.items()
+            for cls, (wait, until) in server.rejecting_classes.items()
             if wait > 0 and cls is not None
         ]
     )
     return ServerMemory(
-        str(server.entry.server),
-        server.entry.started,
+        str(server.endpoint.backend),
+        server.endpoint.started,
         fresh + shift,
-        server.slow,
+        server.slowness,
         server.failures,
-        server.ejected,
-        server.out_for,
+        server.is_ejected,
+        server.ejection_time,
         shut,
     )
 
 
-def put_server(server: Server, m: ServerMemory, classes: tuple[RequestClass, ...], now: float) -> None:
+def put_server(server: BackendRecord, m: ServerMemory, classes: tuple[RequestClass, ...], now: float) -> None:
     """Give a newly listed server its record; one that was out is due for a trial."""
     names = {c.name: i for i, c in enumerate(classes)}
-    server.slow, server.failures = m.slow, m.failures
-    server.sent_at = now  # its record fades from here on; what faded before is in its weight
-    server.ejected, server.ejected_until, server.out_for = m.ejected, now, m.out_for
-    server.shut = {names[s.cls]: (s.wait, now + s.left) for s in m.shut if s.cls in names}
+    server.slowness, server.failures = m.slow, m.failures
+    server.last_attempt_at = now  # its record fades from here on; what faded before is in its weight
+    server.is_ejected, server.ejected_until, server.ejection_time = m.ejected, now, m.out_for
+    server.rejecting_classes = {names[s.cls]: (s.wait, now + s.left) for s in m.shut if s.cls in names}
 
 
 def account_of(a: Account, shift: float, born: dict[int, int]) -> AccountMemory:
     """An account as it stands, its level that of `at`; `born` has the incarnations of peers."""
     return AccountMemory(
         a.plan.name,
-        a.first,
-        a.spread,
-        a.at + shift,
-        a.asked_at + shift,
+        a.first_gateway,
+        a.member_count,
+        a.refilled_at + shift,
+        a.last_request_at + shift,
         a.level,
-        a.ceiling,
+        a.hard_limit_level,
         a.demand,
-        a.open,
-        a.asked,
-        a.spent,
+        a.in_flight,
+        a.total_asked,
+        a.total_spent,
         tuple(
             [
                 PairMemory(
                     peer,
-                    p.slice,
-                    p.units,
-                    p.round,
-                    p.told_slice,
-                    p.told_level,
-                    max(0.0, p.told_at + shift),
-                    p.told_totals,
+                    p.received_share,
+                    p.received_units,
+                    p.last_round,
+                    p.peer_share,
+                    p.peer_level,
+                    max(0.0, p.peer_state_at + shift),
+                    p.has_peer_totals,
                     born.get(peer, 0),
                 )
-                for peer, p in a.pairs.items()
+                for peer, p in a.ledgers.items()
             ]
         ),
         tuple(
             [
-                EdgeMemory(peer, e.asked, e.spent, e.heard, e.told, born.get(peer, 0))
-                for peer, e in a.edges.items()
+                EdgeMemory(
+                    peer, e.remote_asked, e.remote_spent, e.last_totals, e.sent_asked, born.get(peer, 0)
+                )
+                for peer, e in a.tree_edges.items()
             ]
         ),
     )
@@ -197,24 +203,30 @@
     A peer whose incarnation is not the one in `born` started again, so the ledger begins anew too.
     Attempts that were out ended with the process that had them, so none is open.
     """
-    a.at, a.asked_at, a.level, a.ceiling, a.demand = m.at, m.asked_at, m.level, m.ceiling, m.demand
-    a.caught_up = True  # it knows what it spent; a neighbour need not tell it
+    a.refilled_at, a.last_request_at, a.level, a.hard_limit_level, a.demand = (
+        m.at,
+        m.asked_at,
+        m.level,
+        m.ceiling,
+        m.demand,
+    )
+    a.has_peer_level = True  # it knows what it spent; a neighbour need not tell it
     if not resumes:
         return
     for p in m.pairs:
-        if p.peer in a.pairs and p.born == born.get(p.peer, 0):
-            a.pairs[p.peer] = Pair(
+        if p.peer in a.ledgers and p.born == born.get(p.peer, 0):
+            a.ledgers[p.peer] = PeerLedger(
                 p.slice,
                 p.units,
                 p.round,
                 p.told_slice,
                 p.told_level,
                 p.told_at,
-                told_totals=p.told_totals,
-                sent_at=p.told_at,
+                has_peer_totals=p.told_totals,
+                last_sent_at=p.told_at,
             )
     for e in m.edges:
-        if e.peer in a.edges:
+        if e.peer in a.tree_edges:
             heard = e.heard if e.born == born.get(e.peer, 0) else None
-            a.edges[e.peer] = Edge(e.asked, e.spent, heard, e.told)
-    a.asked, a.spent = m.asked, m.spent
+            a.tree_edges[e.peer] = TreeEdge(e.asked, e.spent, heard, e.told)
+    a.total_asked, a.total_spent = m.asked, m.spent
--- a/corkdeal/decisions/plumbing.py
+++ b/corkdeal/decisions/plumbing.py
@@ -20,7 +20,7 @@
     StreamStarted,
     TimerExpired,
 )
-from .records import Account, Edge, Pair, Pending, Server
+from .records import Account, BackendRecord, PeerLedger, PendingRequest, TreeEdge
 from .settings import Settings
 
 if TYPE_CHECKING:  # imported where an earlier life's knowledge is used; without one it costs nothing
@@ -38,41 +38,54 @@
     return 0 < (a - b) % (1 << 32) < 1 << 31
 
 
-class Plumbing:
+class GatewayState:
     """Records, deadline timers, peers' incarnations and the way from an event to its handler."""
 
     def __init__(self, settings: Settings, seed: int) -> None:
-        self.s, self.rng, self.now = settings, random.Random(seed), 0.0
-        self.servers: dict[object, Server] = {}
+        self.settings, self.random, self.now = settings, random.Random(seed), 0.0
+        self.backends: dict[object, BackendRecord] = {}
         self.accounts: dict[int, Account] = {}
-        self.requests: dict[int, Pending] = {}
-        self.sent: dict[tuple[int, int], tuple[Server, Account]] = {}  # attempts out
-        self.mine: list[Server] = []  # the servers it prefers
-        self.neighbours: set[int] = set()  # adjacent members of narrow rings
-        self.lively: dict[int, Account] = {}  # accounts of narrow rings that may have something to tell
-        self.untold: dict[int, Account] = {}  # accounts of wide rings with news
-        self.work: dict[tuple[int, int], float] = {}  # usual latency by class and size
-        self.later: dict[int, float] = {}  # customers whose news may be told from then on
-        self.later_at = math.inf  # when the first of them may be told
-        self.traded_at = self.asked_list = 0.0
-        self.older_by = 0  # ms
-        self.held: list[int] = []  # requests with no server yet
-        self.timers: dict[int, int] = {}
-        self.token, self.round, self.ticking, self.begun = 0, 0, False, False
-        self.earlier: persisted_state.Memory | None = None  # of an earlier life
-        self.touched: set[int] | None = None  # customers met since a keeper last looked, if there is one
-        self.ledgers: Ledgers | None = None  # of taking up slices after a start, where that is on
-        self.members: Members | None = None  # who is there, and whose slices may be spent, where that is on
-        self.opening: AfterPause | AfterStart | None = None  # the budget of the first seconds
-        self.blind = False  # the list may be old: nothing is sent by it
-        self.part = 1.0  # of this gateway's quota that is this life's, while two of them serve
-        self.born = 0  # own incarnation, ms; 0 until the first event
-        self.peer_born: dict[int, int] = {}
-        self.peer_heard: dict[int, float] = {}
-        self.corrected: dict[int, float] = {}  # peers last told of a later start of theirs
-        self.teller: aggregation_tree.Teller | None = None  # of wide rings
-        self.out: list[Action] = []
-        self.causes: Counter[str] = Counter()  # why requests were given up on, inside and beyond their quotas
+        self.requests: dict[int, PendingRequest] = {}
+        self.attempts_in_flight: dict[tuple[int, int], tuple[BackendRecord, Account]] = {}  # attempts out
+        self.preferred_backends: list[BackendRecord] = []  # the servers it prefers
+        self.ring_neighbours: set[int] = set()  # adjacent members of narrow rings
+        self.active_accounts: dict[
+            int, Account
+        ] = {}  # accounts of narrow rings that may have something to tell
+        self.pending_updates: dict[int, Account] = {}  # accounts of wide rings with news
+        self.usual_latencies: dict[tuple[int, int], float] = {}  # usual latency by class and size
+        self.deferred_updates: dict[int, float] = {}  # customers whose news may be told from then on
+        self.next_deferred_at = math.inf  # when the first of them may be told
+        self.last_exchange_at = self.last_poll_at = 0.0
+        self.older_start_margin = 0  # ms
+        self.waiting_requests: list[int] = []  # requests with no server yet
+        self.deadline_timers: dict[int, int] = {}
+        self.last_timer_token, self.message_round, self.is_scan_scheduled, self.has_started = (
+            0,
+            0,
+            False,
+            False,
+        )
+        self.restored_state: persisted_state.Memory | None = None  # of an earlier life
+        self.changed_customers: set[int] | None = (
+            None  # customers met since a keeper last looked, if there is one
+        )
+        self.quota_restore: Ledgers | None = None  # of taking up slices after a start, where that is on
+        self.membership: Members | None = (
+            None  # who is there, and whose slices may be spent, where that is on
+        )
+        self.admission_ramp: AfterPause | AfterStart | None = None  # the budget of the first seconds
+        self.is_endpoint_list_stale = False  # the list may be old: nothing is sent by it
+        self.quota_fraction = 1.0  # of this gateway's quota that is this life's, while two of them serve
+        self.incarnation = 0  # own incarnation, ms; 0 until the first event
+        self.peer_incarnations: dict[int, int] = {}
+        self.peer_last_heard: dict[int, float] = {}
+        self.peer_corrected_at: dict[int, float] = {}  # peers last told of a later start of theirs
+        self.aggregation_scheduler: aggregation_tree.Teller | None = None  # of wide rings
+        self.actions: list[Action] = []
+        self.rejection_causes: Counter[str] = (
+            Counter()
+        )  # why requests were given up on, inside and beyond their quotas
         self.handlers = {
             EndpointUpdate: self.on_list,
             Request: self.on_request,
@@ -85,24 +98,24 @@
 
     def handle(self, now: float, events: list[Event]) -> list[Action]:
         """Take what happened at `now` and say what to do about it."""
-        self.now, self.out = now, []
-        if not self.begun:
-            self.begun, start = True, int(now * 1000) & 0xFFFFFFFF or 1
-            if not self.born or (not self.resumed() and later(start, self.born)):
-                self.born = start
+        self.now, self.actions = now, []
+        if not self.has_started:
+            self.has_started, start = True, int(now * 1000) & 0xFFFFFFFF or 1
+            if not self.incarnation or (not self.resumed() and later(start, self.incarnation)):
+                self.incarnation = start
             self.scan()
         for event in events:
             if handler := self.handlers.get(type(event)):
                 handler(event)
-        if self.later and now >= self.later_at:
+        if self.deferred_updates and now >= self.next_deferred_at:
             self.recall_news()
-        if self.untold:
-            self.tell_totals(self.teller.due(self))
-        wait = None if self.ticking else self.next_scan()
+        if self.pending_updates:
+            self.tell_totals(self.aggregation_scheduler.due(self))
+        wait = None if self.is_scan_scheduled else self.next_scan()
         if wait is not None:
-            self.ticking = True
-            self.out.append(SetTimer(wait, 0))
-        return self.out
+            self.is_scan_scheduled = True
+            self.actions.append(SetTimer(wait, 0))
+        return self.actions
 
     def resumed(self) -> bool:
         """Whether it goes on as an earlier incarnation, with that one's ledgers.
@@ -110,19 +123,23 @@
         What was stored may be an older copy, so where neighbours are asked it never does on a store's word.
         """
         return (
-            self.earlier is not None
-            and self.earlier.resumes()
-            and (self.ledgers is None or self.earlier.exact)
+            self.restored_state is not None
+            and self.restored_state.resumes()
+            and (self.quota_restore is None or self.restored_state.exact)
         )
 
     def take_fleet(self, known: persisted_state.FleetMemory) -> None:
         """Take usual work from an earlier life, and its incarnation or, where that is over, a later one."""
-        classes = {c.name: i for i, c in enumerate(self.s.classes)}
-        self.work = {(classes[w.cls], w.size): w.seconds for w in known.work}
+        classes = {c.name: i for i, c in enumerate(self.settings.classes)}
+        self.usual_latencies = {(classes[w.cls], w.size): w.seconds for w in known.work}
         if self.resumed():
-            self.born, self.round, self.peer_born = known.born, known.round, dict(known.peers)
+            self.incarnation, self.message_round, self.peer_incarnations = (
+                known.born,
+                known.round,
+                dict(known.peers),
+            )
         elif known.born:  # the wall clock may have been set back, and peers take no earlier start
-            self.born = (known.born + 1) & 0xFFFFFFFF or 1
+            self.incarnation = (known.born + 1) & 0xFFFFFFFF or 1
 
     def learned(self) -> persisted_state.FleetMemory:
         """What is known of the fleet and of peers' incarnations, for a later life."""
@@ -130,145 +147,151 @@
 
         work = tuple(
             [
-                persisted_state.WorkMemory(self.s.classes[cls].name, size, seconds)
-                for (cls, size), seconds in self.work.items()
+                persisted_state.WorkMemory(self.settings.classes[cls].name, size, seconds)
+                for (cls, size), seconds in self.usual_latencies.items()
             ]
         )
         return persisted_state.FleetMemory(
-            self.pace,
-            self.slow,
-            self.retries_left,
+            self.queueing_factor,
+            self.fleet_slowness,
+            self.retry_budget,
             work,
-            self.s.gateway_index,
-            self.s.gateway_count,
-            self.born,
-            self.round,
-            tuple(self.peer_born.items()),
-            self.part,
+            self.settings.gateway_index,
+            self.settings.gateway_count,
+            self.incarnation,
+            self.message_round,
+            tuple(self.peer_incarnations.items()),
+            self.quota_fraction,
         )
 
-    def new_server(self, entry: Endpoint) -> Server:
+    def new_server(self, entry: Endpoint) -> BackendRecord:
         """A server that the list names for the first time, with what an earlier life knew of it."""
-        server = Server(entry, met_at=self.now)
-        if self.earlier and (known := self.earlier.server(entry, self.now)):
+        server = BackendRecord(entry, first_seen_at=self.now)
+        if self.restored_state and (known := self.restored_state.server(entry, self.now)):
             from . import persisted_state
 
-            persisted_state.put_server(server, known, self.s.classes, self.now)
+            persisted_state.put_server(server, known, self.settings.classes, self.now)
         return server
 
     def recall_account(self, a: Account, customer: int) -> None:
         """Give an account that was just made what an earlier life knew of it."""
-        if self.earlier and (known := self.earlier.account(customer, a.plan, a.first, a.spread, self.now)):
+        if self.restored_state and (
+            known := self.restored_state.account(customer, a.plan, a.first_gateway, a.member_count, self.now)
+        ):
             from . import persisted_state
 
-            persisted_state.put_account(a, known, self.resumed(), self.peer_born)
-            if self.ledgers is not None and not self.resumed():
-                self.ledgers.recalled(a, known, self.earlier.resumes())
-        if self.ledgers is not None:
-            self.ledgers.met(self, a)
+            persisted_state.put_account(a, known, self.resumed(), self.peer_incarnations)
+            if self.quota_restore is not None and not self.resumed():
+                self.quota_restore.recalled(a, known, self.restored_state.resumes())
+        if self.quota_restore is not None:
+            self.quota_restore.met(self, a)
 
     def set_deadline(self, rid: int, delay: float) -> None:
         """Have the request's last moment announced."""
-        self.token += 1
-        self.timers[self.token] = rid
-        self.out.append(SetTimer(max(0.0, delay), self.token))
+        self.last_timer_token += 1
+        self.deadline_timers[self.last_timer_token] = rid
+        self.actions.append(SetTimer(max(0.0, delay), self.last_timer_token))
 
     def on_timer(self, e: TimerExpired) -> None:
         """Token 0 is the scan; any other is a request's last moment to be answered."""
-        req = self.requests.get(self.timers.pop(e.token, -1))
-        if req and not req.streaming:
+        req = self.requests.get(self.deadline_timers.pop(e.token, -1))
+        if req and not req.is_streaming:
             self.answer(req)
         elif not e.token:
-            self.ticking = False
+            self.is_scan_scheduled = False
             self.recall_news()
             self.scan()
-            if self.members is not None:
-                self.members.step()
+            if self.membership is not None:
+                self.membership.step()
 
     def put_off(self, key: int, until: float) -> None:
         """A customer's news has to wait until then."""
-        self.later[key] = until
-        self.later_at = min(self.later_at, until)
+        self.deferred_updates[key] = until
+        self.next_deferred_at = min(self.next_deferred_at, until)
 
     def recall_news(self) -> None:
         """Bring back the news that had to wait."""
-        ready = [key for key, at in self.later.items() if at <= self.now]
+        ready = [key for key, at in self.deferred_updates.items() if at <= self.now]
         for key in ready:
-            del self.later[key]
+            del self.deferred_updates[key]
             if key in self.accounts:
-                self.untold[key] = self.accounts[key]
-        self.later_at = min(self.later.values(), default=math.inf)
+                self.pending_updates[key] = self.accounts[key]
+        self.next_deferred_at = min(self.deferred_updates.values(), default=math.inf)
 
     def on_stream(self, e: StreamStarted) -> None:
         """A started stream belongs to the client: no deadline, no further answer.
 
         A long answer to a usual request is work done: however slowly it is taken, it loads no server.
         """
-        server, _ = self.sent.get((e.id, e.attempt), (None, None))
+        server, _ = self.attempts_in_flight.get((e.id, e.attempt), (None, None))
         if server is not None:
-            server.answered_at = self.now
+            server.last_answer_at = self.now
         if req := self.requests.get(e.id):
-            req.streaming = True
-            if server is not None and not req.cls.is_streaming and e.id in server.out:
-                server.giving[e.id] = server.out.pop(e.id)
+            req.is_streaming = True
+            if server is not None and not req.request_class.is_streaming and e.id in server.in_flight:
+                server.streaming[e.id] = server.in_flight.pop(e.id)
 
     def on_peer(self, e: PeerMessage) -> None:
         """Hand on a neighbour's notes; anything malformed, foreign or stale is dropped."""
-        if totals := peer_messages.unpack_totals(e.payload, e.peer, self.s):
+        if totals := peer_messages.unpack_totals(e.payload, e.peer, self.settings):
             born, notes = totals
             if not self.meet(e.peer, born):
                 return self.correct(e.peer)
             for note in notes:
                 self.take_totals(e.peer, born, note)
             return
-        if self.members is not None and (beat := self.members.unpack(e.payload, e.peer)) is not None:
-            return self.members.hear(e.peer, beat) if self.greeted(e.peer, beat.born, beat.yours) else None
-        message = peer_messages.unpack(e.payload, e.peer, self.s)
+        if self.membership is not None and (beat := self.membership.unpack(e.payload, e.peer)) is not None:
+            return self.membership.hear(e.peer, beat) if self.greeted(e.peer, beat.born, beat.yours) else None
+        message = peer_messages.unpack(e.payload, e.peer, self.settings)
         if message is None or not self.greeted(e.peer, *message[:2]):
             return
         born, mine, number, notes = message
-        if self.ledgers is not None and mine == self.born:
-            self.ledgers.told.add(e.peer)
+        if self.quota_restore is not None and mine == self.incarnation:
+            self.quota_restore.told.add(e.peer)
         replies = []
-        for note in notes if mine == self.born else []:
-            if self.ledgers is not None:
-                self.ledgers.take(self, e.peer, note)
+        for note in notes if mine == self.incarnation else []:
+            if self.quota_restore is not None:
+                self.quota_restore.take(self, e.peer, note)
             replies += self.take_note(e.peer, number, note)
         if replies:
             self.tell(e.peer, replies)
 
     def greeted(self, peer: int, born: int, mine: int) -> bool:
         """A peer spoke to this gateway, knowing of its start `mine`; False if by an earlier life."""
-        known = self.peer_born.get(peer, 0)
+        known = self.peer_incarnations.get(peer, 0)
         if not self.meet(peer, born):
             self.correct(peer)
             return False
         self.outlive(mine)
-        self.peer_heard[peer] = self.now
+        self.peer_last_heard[peer] = self.now
         if born != known:
-            given = self.ledgers.given(self, peer) if self.ledgers is not None else []
+            given = self.quota_restore.given(self, peer) if self.quota_restore is not None else []
             self.tell(peer, [self.note(key, a, peer) for key, a in given])
         return True
 
     def meet(self, peer: int, born: int) -> bool:
         """Follow a peer's incarnation: after a restart both ends start over; False for an earlier one."""
-        known = self.peer_born.get(peer)
+        known = self.peer_incarnations.get(peer)
         if known is None or later(born, known):
-            self.peer_born[peer] = born
+            self.peer_incarnations[peer] = born
             for a in self.accounts.values():
-                if peer in a.pairs:
-                    a.pairs[peer] = Pair() if self.ledgers is None else self.ledgers.kept(a.pairs[peer])
-                if peer in a.edges:
-                    a.edges[peer].heard = None
-        return born == self.peer_born[peer]
+                if peer in a.ledgers:
+                    a.ledgers[peer] = (
+                        PeerLedger()
+                        if self.quota_restore is None
+                        else self.quota_restore.kept(a.ledgers[peer])
+                    )
+                if peer in a.tree_edges:
+                    a.tree_edges[peer].last_totals = None
+        return born == self.peer_incarnations[peer]
 
     def correct(self, peer: int) -> None:
         """It speaks as an earlier start than is known of it: tell which, for its clock may have gone back.
 
         What an earlier life sent may come late as well, and costs one bare message in CORRECT_EVERY.
         """
-        if self.now - self.corrected.get(peer, -CORRECT_EVERY) >= CORRECT_EVERY:
-            self.corrected[peer] = self.now
+        if self.now - self.peer_corrected_at.get(peer, -CORRECT_EVERY) >= CORRECT_EVERY:
+            self.peer_corrected_at[peer] = self.now
             self.tell(peer, [])
 
     def outlive(self, mine: int) -> None:
@@ -276,67 +299,86 @@
 
         It goes on as one that started after all that is known, so peers are asked what they hold.
         """
-        if mine and later(mine, self.born):  # 0: it knows of none
+        if mine and later(mine, self.incarnation):  # 0: it knows of none
             last = mine
-            for born in self.peer_born.values():
+            for born in self.peer_incarnations.values():
                 last = born if later(born, last) else last
-            self.born = (last + self.older_by + 1) & 0xFFFFFFFF or 1
-            self.out.append(
+            self.incarnation = (last + self.older_start_margin + 1) & 0xFFFFFFFF or 1
+            self.actions.append(
                 Log(
                     "peers know a later start of this gateway, so its wall clock went back; "
-                    f"it goes on as start {self.born}"
+                    f"it goes on as start {self.incarnation}"
                 )
             )
 
     def tell(self, peer: int, notes: list[peer_messages.Note]) -> None:
         """Both incarnations and a round, then the notes, in as many messages as they need."""
-        self.round += 1
-        if self.s.may_message_peers:
-            messages = peer_messages.pack(self.born, self.peer_born.get(peer, 0), self.round, notes)
-            self.out += [SendToPeer(peer, message) for message in messages]
+        self.message_round += 1
+        if self.settings.may_message_peers:
+            messages = peer_messages.pack(
+                self.incarnation, self.peer_incarnations.get(peer, 0), self.message_round, notes
+            )
+            self.actions += [SendToPeer(peer, message) for message in messages]
 
     def greet(self, peer: int, notes: list[peer_messages.Note]) -> None:
         """Tell a neighbour; where there is nothing to tell and it hears this one's beats, that is enough."""
-        if notes or self.members is None or not self.members.speaks(peer):
+        if notes or self.membership is None or not self.membership.speaks(peer):
             self.tell(peer, notes)
 
     def tell_totals(self, due: dict[int, list[peer_messages.Totals]]) -> None:
         """Notes of wide rings, by peer."""
-        for peer, notes in due.items() if self.s.may_message_peers else ():
-            self.out += [SendToPeer(peer, message) for message in peer_messages.pack_totals(self.born, notes)]
+        for peer, notes in due.items() if self.settings.may_message_peers else ():
+            self.actions += [
+                SendToPeer(peer, message) for message in peer_messages.pack_totals(self.incarnation, notes)
+            ]
 
     def opens(self) -> bool:
         """Whether the budget of the first seconds, if there is one, has room for a first attempt."""
-        return self.opening is None or self.opening.allows(self.now, len(self.sent))
+        return self.admission_ramp is None or self.admission_ramp.allows(
+            self.now, len(self.attempts_in_flight)
+        )
 
     def cleared(self, peer: int) -> bool:
         """Whether that neighbour has told what it holds of an earlier life, so that notes may go to it."""
-        return self.ledgers is None or self.ledgers.cleared(self, peer)
+        return self.quota_restore is None or self.quota_restore.cleared(self, peer)
 
     def note(self, key: int, a: Account, peer: int) -> peer_messages.Note:
         """One customer's state and running totals for one neighbour."""
-        pair = a.pairs[peer]
-        pair.sent_at, pair.due = self.now, False
+        pair = a.ledgers[peer]
+        pair.last_sent_at, pair.is_update_due = self.now, False
         return peer_messages.Note(
-            key, a.plan_number, a.first, a.spread, *self.state(a), pair.slice, pair.units
+            key,
+            a.plan_index,
+            a.first_gateway,
+            a.member_count,
+            *self.state(a),
+            pair.received_share,
+            pair.received_units,
         )
 
-    def totals(self, key: int, a: Account, edge: Edge) -> peer_messages.Totals:
+    def totals(self, key: int, a: Account, edge: TreeEdge) -> peer_messages.Totals:
         """One customer's running totals on this side of an edge."""
-        edge.told, edge.told_at = a.asked - edge.asked, self.now
-        return peer_messages.Totals(key, a.plan_number, a.first, a.spread, edge.told, a.spent - edge.spent)
+        edge.sent_asked, edge.last_sent_at = a.total_asked - edge.remote_asked, self.now
+        return peer_messages.Totals(
+            key,
+            a.plan_index,
+            a.first_gateway,
+            a.member_count,
+            edge.sent_asked,
+            a.total_spent - edge.remote_spent,
+        )
 
     def take_totals(self, peer: int, born: int, n: peer_messages.Totals) -> None:
         """Take what a wide ring's neighbour tells: its side's units asked and spent."""
-        a = self.account(n.customer, n.plan, n.first, n.spread)
-        if peer in a.edges:
+        a = self.account(n.customer, n.plan, n.first_gateway, n.member_count)
+        if peer in a.tree_edges:
             self.refill(a)
-            asked, spent = a.edges[peer].hear(n.asked, n.spent, self.older(born))
+            asked, spent = a.tree_edges[peer].receive(n.asked, n.spent, self.older(born))
             self.ask(a, asked)
             self.spend(a, spent)
-            a.told_at, self.untold[n.customer] = self.now, a
-            a.from_above = a.from_above or peer == a.upward
+            a.last_peer_update_at, self.pending_updates[n.customer] = self.now, a
+            a.has_parent_update = a.has_parent_update or peer == a.parent
 
     def older(self, born: int) -> bool:
         """Whether a peer of that start knows what was spent before this gateway's time."""
-        return later(self.born, born + self.older_by)
+        return later(self.incarnation, born + self.older_start_margin)
--- a/corkdeal/decisions/records.py
+++ b/corkdeal/decisions/records.py
@@ -11,84 +11,90 @@
 
 
 @dataclass(slots=True, eq=False)
-class Server:
+class BackendRecord:
     """What a gateway knows of one server, from its list and its own attempts."""
 
-    entry: Endpoint
-    met_at: float = math.inf  # by this gateway's clock, which may be behind that of `entry.started`
-    out: dict[int, tuple[float, float]] = field(default_factory=dict)  # request -> (sent at, load met)
-    giving: dict[int, tuple[float, float]] = field(default_factory=dict)  # the same, once answered in part
-    slow: float = 1.0  # its latency in terms of what the fleet takes at like load
+    endpoint: Endpoint
+    first_seen_at: float = math.inf  # by this gateway's clock, which may be behind that of `entry.started`
+    in_flight: dict[int, tuple[float, float]] = field(default_factory=dict)  # request -> (sent at, load met)
+    streaming: dict[int, tuple[float, float]] = field(default_factory=dict)  # the same, once answered in part
+    slowness: float = 1.0  # its latency in terms of what the fleet takes at like load
     failures: int = 0  # failed attempts less answered ones, never below 0
-    answered_at: float = 0.0
-    sent_at: float = float("-inf")
+    last_answer_at: float = 0.0
+    last_attempt_at: float = float("-inf")
     ejected_until: float = 0.0
-    ejected: bool = False  # out until a trial, then until its failures are made good
-    out_for: float = 0.0  # s, the last ejection
-    others: float = 0.0  # requests of other gateways by its last report
-    others_at: float = float("-inf")
-    cold_left: float = 0.0  # work it may still be sent while cold
-    cold_at: float | None = None
-    shut: dict[int | None, tuple[float, float]] = field(default_factory=dict)  # class -> (s, until)
+    is_ejected: bool = False  # out until a trial, then until its failures are made good
+    ejection_time: float = 0.0  # s, the last ejection
+    peer_load: float = 0.0  # requests of other gateways by its last report
+    peer_load_at: float = float("-inf")
+    slow_start_credit: float = 0.0  # work it may still be sent while cold
+    slow_start_credit_at: float | None = None
+    rejecting_classes: dict[int | None, tuple[float, float]] = field(
+        default_factory=dict
+    )  # class -> (s, until)
 
 
 @dataclass(slots=True)
 class FadingRate:
     """Amount a second, averaged over the last seconds and right from the first ones."""
 
-    memory: float  # s in which the weight of what was added falls to 1 / e
+    time_constant: float  # s in which the weight of what was added falls to 1 / e
     total: float = 0.0
-    at: float = 0.0
-    since: float = math.inf
+    updated_at: float = 0.0
+    started_at: float = math.inf
 
     def add(self, now: float, amount: float) -> None:
         """Book an amount; the first one only starts the clock, else it would count as a whole rate."""
-        self.total *= math.exp((self.at - now) / self.memory)
-        self.total += amount if self.since < now else 0.0
-        self.at, self.since = now, min(now, self.since)
+        self.total *= math.exp((self.updated_at - now) / self.time_constant)
+        self.total += amount if self.started_at < now else 0.0
+        self.updated_at, self.started_at = now, min(now, self.started_at)
 
     def rate(self, now: float, assumed: float = 0.0, span: float = 0.0) -> float:
         """The rate, averaged with one that is assumed for `span` seconds."""
-        known = self.memory * (1 - math.exp(min(0.0, self.since - now) / self.memory))
-        total = self.total * math.exp((self.at - now) / self.memory) + assumed * span
+        known = self.time_constant * (1 - math.exp(min(0.0, self.started_at - now) / self.time_constant))
+        total = self.total * math.exp((self.updated_at - now) / self.time_constant) + assumed * span
         return total / (known + span) if total else 0.0
 
 
 @dataclass(slots=True)
-class Pair:
+class PeerLedger:
     """The ledger between a gateway and one neighbour for one customer."""
 
-    slice: int = 0  # net slice received so far
-    units: float = 0.0  # net bucket units received so far
-    round: int = 0  # last round heard
-    told_slice: float | None = None
-    told_level: float = 0.0
-    told_at: float = float("-inf")
-    sent_at: float = float("-inf")
-    due: bool = False
-    told_totals: bool = False  # whether it last told of anything moved between the two
+    received_share: int = 0  # net slice received so far
+    received_units: float = 0.0  # net bucket units received so far
+    last_round: int = 0  # last round heard
+    peer_share: float | None = None
+    peer_level: float = 0.0
+    peer_state_at: float = float("-inf")
+    last_sent_at: float = float("-inf")
+    is_update_due: bool = False
+    has_peer_totals: bool = False  # whether it last told of anything moved between the two
 
 
 @dataclass(slots=True)
-class Edge:
+class TreeEdge:
     """Running totals that two gateways of a wide ring told each other for one customer."""
 
-    asked: float = 0.0  # units asked and spent on the other side, as far as told
-    spent: float = 0.0
-    heard: tuple[float, float] | None = None  # the totals as last heard
-    told: float = 0.0  # this side's units asked, as last told
-    told_at: float = float("-inf")
+    remote_asked: float = 0.0  # units asked and spent on the other side, as far as told
+    remote_spent: float = 0.0
+    last_totals: tuple[float, float] | None = None  # the totals as last heard
+    sent_asked: float = 0.0  # this side's units asked, as last told
+    last_sent_at: float = float("-inf")
 
-    def hear(self, asked: float, spent: float, older: bool) -> tuple[float, float]:
+    def receive(self, asked: float, spent: float, older: bool) -> tuple[float, float]:
         """Units new since it was last heard; a total that was overtaken on its way adds nothing.
 
         At first hearing all of a total is new, but for an `older` gateway's: that holds what was before.
         """
-        last = self.heard or ((asked, spent) if older else (0.0, 0.0))
+        last = self.last_totals or ((asked, spent) if older else (0.0, 0.0))
         new = (asked - last[0]) % TOTAL_WRAP, (spent - last[1]) % TOTAL_WRAP
         if max(new) >= TOTAL_WRAP / 2:
             return 0.0, 0.0
-        self.heard, self.asked, self.spent = (asked, spent), self.asked + new[0], self.spent + new[1]
+        self.last_totals, self.remote_asked, self.remote_spent = (
+            (asked, spent),
+            self.remote_asked + new[0],
+            self.remote_spent + new[1],
+        )
         return new
 
 
@@ -97,48 +103,50 @@
     """One customer at one gateway: its slice, its bucket and its part of the ceiling."""
 
     plan: Plan
-    plan_number: int
-    first: int
-    spread: int
-    at: float
-    asked_at: float
-    pairs: dict[int, Pair] = field(default_factory=dict)
-    inside: bool = False  # whether this gateway is one of the customer's
-    heir_of: int | None = None  # ring predecessor
-    before: int | None = None  # that one's predecessor, where it is a third
+    plan_index: int
+    first_gateway: int
+    member_count: int
+    refilled_at: float
+    last_request_at: float
+    ledgers: dict[int, PeerLedger] = field(default_factory=dict)
+    is_member: bool = False  # whether this gateway is one of the customer's
+    predecessor: int | None = None  # ring predecessor
+    second_predecessor: int | None = None  # that one's predecessor, where it is a third
     level: float = 0.0
-    ceiling: float = 0.0
-    open: int = 0
+    hard_limit_level: float = 0.0
+    in_flight: int = 0
     demand: float = 0.0
-    told_at: float = float("-inf")
-    caught_up: bool = False
-    wide: bool = False  # whether the ring is too wide for trades between adjacent gateways
-    upward: int | None = None  # in a wide ring, the neighbour on the way to the ring's collecting point
-    edges: dict[int, Edge] = field(default_factory=dict)
-    from_above: bool = False  # whether there is news from that one, to be passed on
-    asked: float = 0.0  # units asked and spent so far, here and as told by all edges
-    spent: float = 0.0
-
-    def base(self) -> float:
+    last_peer_update_at: float = float("-inf")
+    has_peer_level: bool = False
+    is_aggregated: bool = False  # whether the ring is too wide for trades between adjacent gateways
+    parent: int | None = None  # in a wide ring, the neighbour on the way to the ring's collecting point
+    tree_edges: dict[int, TreeEdge] = field(default_factory=dict)
+    has_parent_update: bool = False  # whether there is news from that one, to be passed on
+    total_asked: float = 0.0  # units asked and spent so far, here and as told by all edges
+    total_spent: float = 0.0
+
+    def base_share(self) -> float:
         """Traded slice, without loans: the even share and what the ledgers moved, never below 0."""
-        return max(0.0, 1 / self.spread + sum(p.slice for p in self.pairs.values()) / SLICE_UNIT)
+        return max(
+            0.0, 1 / self.member_count + sum(p.received_share for p in self.ledgers.values()) / SLICE_UNIT
+        )
 
 
 @dataclass(slots=True, eq=False)
-class Pending:
+class PendingRequest:
     """A request that still needs its final answer."""
 
-    e: Request
-    cls: RequestClass
+    request: Request
+    request_class: RequestClass
     account: Account
     units: float  # what the try counts: its units, or one where only attempts out are limited
-    came: float
+    arrived_at: float
     deadline: float
-    inside: bool = True  # whether the customer's quota had room for it
+    is_inside_quota: bool = True  # whether the customer's quota had room for it
     attempts: int = 0
-    server: Server | None = None  # where an attempt is out
-    streaming: bool = False
-    cancelled: bool = False
-    tried: list[Server] = field(default_factory=list)
-    ran_at: float | None = None  # when the first attempt that may have run was sent
-    ran_on: Server | None = None
+    backend: BackendRecord | None = None  # where an attempt is out
+    is_streaming: bool = False
+    is_cancelled: bool = False
+    tried_backends: list[BackendRecord] = field(default_factory=list)
+    may_have_run_at: float | None = None  # when the first attempt that may have run was sent
+    may_have_run_on: BackendRecord | None = None
--- a/corkdeal/decisions/slow_start.py
+++ b/corkdeal/decisions/slow_start.py
@@ -13,7 +13,7 @@
 import math
 import random
 
-from .records import FadingRate, Server
+from .records import BackendRecord, FadingRate
 from .settings import Settings
 
 FEW, MARGIN = 40, 0.6  # sharers, and the part of N that they gain; the rest is for what each saves
@@ -31,16 +31,16 @@
         self.s, self.rng, self.usual_work, self.largest = settings, rng, usual_work, usual_work
         self.served = FadingRate(MEMORY)  # work by one whole warm server
 
-    def warmth(self, server: Server, now: float) -> float:
+    def warmth(self, server: BackendRecord, now: float) -> float:
         """Least share of its capacity that a just-started server has by now."""
-        age = max(0.0, now - min(server.entry.started, server.met_at)) / self.s.warm_up_time
+        age = max(0.0, now - min(server.endpoint.started, server.first_seen_at)) / self.s.warm_up_time
         return (
             min(1.0, self.s.initial_capacity + (1 - self.s.initial_capacity) * age)
-            if server.entry.started
+            if server.endpoint.started
             else 1.0
         )
 
-    def part(self, server: Server, now: float, sharers: float) -> tuple[float, float]:
+    def part(self, server: BackendRecord, now: float, sharers: float) -> tuple[float, float]:
         """Work gained in a window for this server, and the most that may be saved."""
         rate = self.served.rate(now, START_CORES / sharers, START_SPAN) * self.s.overload_window
         allowed = self.s.overload_multiple * self.warmth(server, now) * rate
@@ -51,20 +51,21 @@
         gain = max(LEAST * allowed, min(SURE * allowed, drawn))
         return gain, gain * held
 
-    def room(self, server: Server, now: float, need: float, sharers: float) -> bool:
+    def room(self, server: BackendRecord, now: float, need: float, sharers: float) -> bool:
         """Whether it may be sent `need` more, or a draw may be made for it."""
         self.largest = max(need, self.largest)
         gain, most = self.part(server, now, max(1.0, sharers))
-        if server.cold_at is None:  # by chance, so that not all send at once
-            server.cold_at, server.cold_left = now, self.rng.random() * need
-        server.cold_left = min(
-            most, server.cold_left + gain * (now - server.cold_at) / self.s.overload_window
+        if server.slow_start_credit_at is None:  # by chance, so that not all send at once
+            server.slow_start_credit_at, server.slow_start_credit = now, self.rng.random() * need
+        server.slow_start_credit = min(
+            most,
+            server.slow_start_credit + gain * (now - server.slow_start_credit_at) / self.s.overload_window,
         )
-        server.cold_at = now
-        return server.cold_left >= need or most < need
+        server.slow_start_credit_at = now
+        return server.slow_start_credit >= need or most < need
 
-    def takes(self, server: Server, need: float) -> bool:
+    def takes(self, server: BackendRecord, need: float) -> bool:
         """Spend what a request needs that would go there, or stake what is saved; whether it goes."""
-        goes = self.rng.random() * need < server.cold_left
-        server.cold_left = max(0.0, server.cold_left - need)
+        goes = self.rng.random() * need < server.slow_start_credit
+        server.slow_start_credit = max(0.0, server.slow_start_credit - need)
         return goes
--- a/corkdeal/experiment/explore.py
+++ b/corkdeal/experiment/explore.py
@@ -62,7 +62,7 @@
         peer_message_rate=60.0,
     )
     made = Gateway(settings, seed=me)
-    made.ledgers = Ledgers()
+    made.quota_restore = Ledgers()
     return made
 
 
@@ -98,7 +98,7 @@
                 self.flight.setdefault((me, action.peer), []).append(action.payload)
             elif isinstance(action, StartAttempt):
                 self.let_in.append(self.now)
-                served = AttemptEnded(action.id, 0, action.server, Status.OK, 0.1, True)
+                served = AttemptEnded(action.id, 0, action.backend, Status.OK, 0.1, True)
                 self.take(me, self.tell(me, [served]))
 
     def tick(self) -> None:
@@ -152,14 +152,20 @@
         """What does not hold after a calm time."""
         made = []
         accounts = {me: g.accounts[CUSTOMER] for me, g in self.up.items()}
-        total = sum(a.base() for a in accounts.values())
+        total = sum(a.base_share() for a in accounts.values())
         if abs(total - 1) > 1e-9:
             made.append(f"slices add up to {total:.6f}")
         for me, a in accounts.items():
-            for peer, pair in a.pairs.items():
-                other = accounts[peer].pairs[me]
-                if pair.slice + other.slice or abs(pair.units + other.units) > 1e-6:
-                    made.append(f"{me}, {peer} hold {pair.slice}, {pair.units}; {other.slice}, {other.units}")
+            for peer, pair in a.ledgers.items():
+                other = accounts[peer].ledgers[me]
+                if (
+                    pair.received_share + other.received_share
+                    or abs(pair.received_units + other.received_units) > 1e-6
+                ):
+                    made.append(
+                        f"{me}, {peer} hold {pair.received_share}, {pair.received_units}; "
+                        f"{other.received_share}, {other.received_units}"
+                    )
         quota = PLAN.burst + PLAN.rate * (self.now - self.let_in[0]) if self.let_in else 0.0
         over = len(self.let_in) - quota - bound(PLAN.burst, GATEWAYS, self.starts)
         if over > 0:
--- a/corkdeal/experiment/members.py
+++ b/corkdeal/experiment/members.py
@@ -63,7 +63,7 @@
     def start(self, me: int) -> None:
         """A gateway starts with nothing known; a customer's ring begins at each."""
         made = decisions(me, self.size)
-        made.members = Members(made, later)
+        made.membership = Members(made, later)
         self.up[me] = made
         self.take(me, made.handle(self.now, [LIST]))
 
@@ -75,7 +75,7 @@
         self.take(me, actions)
         for a in actions:
             if isinstance(a, StartAttempt):
-                served = AttemptEnded(a.id, 0, a.server, Status.OK, 0.1, True)
+                served = AttemptEnded(a.id, 0, a.backend, Status.OK, 0.1, True)
                 self.take(me, self.up[me].handle(self.now, [served]))
 
     def take(self, me: int, actions: Iterable[Action]) -> None:
@@ -132,7 +132,7 @@
     def gone(self, member: int) -> int:
         """How many of the others hold it for gone."""
         seen = [
-            g.members.table.members.get(member)
+            g.membership.table.members.get(member)
             for me, g in self.up.items()
             if me != member and me not in self.still
         ]
@@ -144,16 +144,16 @@
         for me, g in self.up.items():
             g.now = self.now
             for key, a in g.accounts.items():
-                if me in self.still or not a.pairs:
+                if me in self.still or not a.ledgers:
                     continue
                 heirs = [
                     (i, h)
                     for i, h in self.up.items()
-                    if i not in self.still and key in h.accounts and h.accounts[key].heir_of == me
+                    if i not in self.still and key in h.accounts and h.accounts[key].predecessor == me
                 ]
                 for i, h in heirs:
                     h.now = self.now
-                    if (part := g.members.part(a) + h.members.lends(h.accounts[key], me)) > 1 + 1e-9:
+                    if (part := g.membership.part(a) + h.membership.lends(h.accounts[key], me)) > 1 + 1e-9:
                         made.append(f"{part:.2f} of {me}'s slice, with {i}, at {self.now - 1000:.2f} s")
         return made
 
@@ -191,7 +191,7 @@
     world = World(gateways, spread, seed, loss)
     world.join()
     world.run(SETTLE)
-    sent, total, lapses = world.sent, world.bytes, sum(g.members.lapses for g in world.up.values())
+    sent, total, lapses = world.sent, world.bytes, sum(g.membership.lapses for g in world.up.values())
     wrong: Counter[int] = Counter()
     before = {(i, j): False for i in range(gateways) for j in range(gateways)}
     began, cpu = world.now, time.process_time()
@@ -206,7 +206,7 @@
         looked += 1
         if looked % 5 == 0:
             for i, g in world.up.items():
-                for j, m in g.members.table.members.items():
+                for j, m in g.membership.table.members.items():
                     if (m.state == GONE) and not before[i, j]:
                         wrong[j] += 1
                     before[i, j] = m.state == GONE
@@ -219,7 +219,7 @@
         "member_hours": round(hours, 2),
         "gone_wrongly": wrong.total(),
         "members_gone_wrongly": len(wrong),
-        "slices_unsure": sum(g.members.lapses for g in world.up.values()) - lapses,
+        "slices_unsure": sum(g.membership.lapses for g in world.up.values()) - lapses,
         "messages_per_gateway_s": round((world.sent - sent) / gateways / seconds, 1),
         "bytes_per_gateway_s": round((world.bytes - total) / gateways / seconds),
         "cpu_part_of_a_core": round(spent / gateways / seconds, 4),
@@ -282,7 +282,7 @@
         for me, g in after.up.items():
             g.now = after.now
             a = g.accounts[CUSTOMER]
-            if not g.members.sure(a) or g.members.taken or after.gone(me):
+            if not g.membership.sure(a) or g.membership.taken or after.gone(me):
                 faults.append(f"{me} is unsure, has taken, or is held for gone after all healed")
         yield here, faults
 
--- a/corkdeal/experiment/quotas.py
+++ b/corkdeal/experiment/quotas.py
@@ -301,7 +301,7 @@
     def answered(self, me: int, a: StartAttempt, c: Customer, lasts: float) -> None:
         """The attempt is over."""
         c.out -= 1
-        self.give(me, AttemptEnded(a.id, 0, a.server, Status.OK, lasts, True))
+        self.give(me, AttemptEnded(a.id, 0, a.backend, Status.OK, lasts, True))
 
     def run(self, seconds: float | None = None) -> dict[str, Any]:
         """Play it to that second; what the judge counted and what was told."""
--- a/corkdeal/experiment/slow_start.py
+++ b/corkdeal/experiment/slow_start.py
@@ -20,7 +20,7 @@
 from dataclasses import dataclass
 
 from ..decisions.events import Endpoint, EndpointState
-from ..decisions.records import Server
+from ..decisions.records import BackendRecord
 from ..decisions.settings import Plan, RequestClass, Settings
 from ..decisions.slow_start import SlowStartBudget
 
@@ -136,8 +136,8 @@
     def __init__(self, start: ColdStart, told_at: float, seed: int) -> None:
         self.start, self.told_at, self.sharers = start, told_at, start.sharers
         self.budget = SlowStartBudget(start.settings, random.Random(seed), start.mean_work)
-        self.server = Server(Endpoint("new", EndpointState.READY, started=0.0), met_at=told_at)
-        self.server.entry = Endpoint("new", EndpointState.READY, started=1e-9)  # 0 means long ago
+        self.server = BackendRecord(Endpoint("new", EndpointState.READY, started=0.0), first_seen_at=told_at)
+        self.server.endpoint = Endpoint("new", EndpointState.READY, started=1e-9)  # 0 means long ago
 
     def sends(self, age: float, work: float) -> bool:
         """Whether this request goes to the started server, of whose start it was told."""
--- a/corkdeal/membership/members.py
+++ b/corkdeal/membership/members.py
@@ -34,13 +34,13 @@
     """One gateway's, for as long as it runs."""
 
     def __init__(self, decisions: Gateway, later: Callable[[int, int], bool]) -> None:
-        self.d, self.me = decisions, decisions.s.gateway_index
-        self.table, self.leases = Table(later, decisions.s.gateway_count), Leases()
-        self.leased = 2 < decisions.s.gateway_count <= WHOLE  # else all go on with their own
+        self.d, self.me = decisions, decisions.settings.gateway_index
+        self.table, self.leases = Table(later, decisions.settings.gateway_count), Leases()
+        self.leased = 2 < decisions.settings.gateway_count <= WHOLE  # else all go on with their own
         self.number, self.beaten, self.every, self.left = 0, -math.inf, BEAT_EVERY, False
         self.looked = -math.inf
         self.trusts = False  # another life of this gateway holds the leases, and gave this one its part
-        self.chance = random.Random(decisions.rng.random())
+        self.chance = random.Random(decisions.random.random())
         self.heard: dict[int, int] = {}  # by member: its last beat that came from itself
         self.replied: dict[int, float] = {}
         self.asked: dict[tuple[int, int], float] = {}
@@ -54,10 +54,10 @@
 
     def slice(self, a: Account) -> float:
         """What this gateway may spend of an account: of its own slice, and of a silent predecessor's."""
-        made, lost = a.base() * self.part(a), a.heir_of
+        made, lost = a.base_share() * self.part(a), a.predecessor
         if lost in self.taken:
-            told = a.pairs[lost].told_slice
-            made += self.lends(a, lost) * (1 / a.spread if told is None else told)
+            told = a.ledgers[lost].peer_share
+            made += self.lends(a, lost) * (1 / a.member_count if told is None else told)
         return min(1.0, made)
 
     def part(self, a: Account) -> float:
@@ -71,30 +71,31 @@
         whoever takes a slice hears all others, so who is in company would hear of the taker.
         """
         until, now = self.leases.until, self.d.now
-        for p in a.pairs:
+        for p in a.ledgers:
             if now < until.get(p, 0.0):
                 return True
         return (
-            not (a.pairs and self.leased)
+            not (a.ledgers and self.leased)
             or self.trusts
             or self.old(a)
             or (
                 any(now < u for u in until.values())
-                and all(self.table.silence(p, now) > TAKE + LEASE or self.gone(p) for p in a.pairs)
+                and all(self.table.silence(p, now) > TAKE + LEASE or self.gone(p) for p in a.ledgers)
             )
         )
 
     def old(self, a: Account) -> bool:
         """Whether a neighbour speaks, but not of this: a program before it, which takes after a second."""
         return any(
-            p not in self.table.members and p in self.d.peer_born and not self.d.silent(p) for p in a.pairs
+            p not in self.table.members and p in self.d.peer_incarnations and not self.d.silent(p)
+            for p in a.ledgers
         )
 
     def lends(self, a: Account, member: int) -> float:
         """Which part of its silent predecessor's slice this gateway may spend."""
         if member not in self.taken:
             return 0.0
-        by = a.before
+        by = a.second_predecessor
         granted = by is None or self.gone(by) or self.table.members[member].itself
         granted = granted or self.d.now < self.leases.grants.get((by, member), 0.0)
         return 1 - KEEP if granted else 0.0
@@ -108,7 +109,7 @@
 
     def unpack(self, payload: bytes, peer: int) -> Beat | None:
         """A payload as a beat, or None for another kind of message."""
-        return messages.unpack(payload, peer, self.d.s)
+        return messages.unpack(payload, peer, self.d.settings)
 
     def speaks(self, member: int) -> bool:
         """Whether a member tells beats, so that no other sign of life is needed between the two."""
@@ -124,12 +125,12 @@
             self.beaten = now
             self.take()
             self.look_at_slices()
-            near = sorted(self.d.neighbours)
+            near = sorted(self.d.ring_neighbours)
             near = near if len(near) <= MOST_PARTNERS else self.chance.sample(near, MOST_PARTNERS)
             due = {*self.anybody(), *near, *self.company()}
             self.every = min(BEAT_MOST, max(BEAT_EVERY, len(due) / BEATS))
-        due |= self.d.neighbours - self.met
-        self.met |= self.d.neighbours
+        due |= self.d.ring_neighbours - self.met
+        self.met |= self.d.ring_neighbours
         if due and not self.left:
             self.count()
             for member in sorted(due):
@@ -138,19 +139,19 @@
 
     def company(self) -> list[int]:
         """Whom to ask for a word each turn while no neighbour confirms anything: some that were heard."""
-        if not self.d.neighbours or not self.unheard():
+        if not self.d.ring_neighbours or not self.unheard():
             return []
-        there = sorted(m for m in self.heard if m not in self.d.neighbours and not self.gone(m))
+        there = sorted(m for m in self.heard if m not in self.d.ring_neighbours and not self.gone(m))
         return self.chance.sample(there, min(ANYBODY, len(there)))
 
     def unheard(self) -> bool:
         """Whether no neighbour confirms anything."""
         until = self.leases.until
-        return not any(self.d.now < until.get(p, 0.0) for p in self.d.neighbours)
+        return not any(self.d.now < until.get(p, 0.0) for p in self.d.ring_neighbours)
 
     def anybody(self) -> list[int]:
         """Some members, drawn anew each time."""
-        others = [m for m in range(self.d.s.gateway_count) if m != self.me]
+        others = [m for m in range(self.d.settings.gateway_count) if m != self.me]
         return self.chance.sample(others, min(ANYBODY, len(others)))
 
     def count(self) -> None:
@@ -169,24 +170,26 @@
             if ack != self.leases.acks.get(member):  # what was confirmed before may be said again
                 self.give_back(member)
                 self.leases.confirm(member, ack, now)
-        lapsed = now >= self.leases.until.get(member, 0.0) and (member in self.d.neighbours or self.unheard())
-        flags = LEAVING * self.left + PROMPT * (lapsed and bool(self.d.neighbours))
+        lapsed = now >= self.leases.until.get(member, 0.0) and (
+            member in self.d.ring_neighbours or self.unheard()
+        )
+        flags = LEAVING * self.left + PROMPT * (lapsed and bool(self.d.ring_neighbours))
         news = self.table.rows(member, messages.ROWS - len(rows), self.chance)
         beat = Beat(
-            self.d.born,
-            self.d.peer_born.get(member, 0),
+            self.d.incarnation,
+            self.d.peer_incarnations.get(member, 0),
             self.number,
             self.heard.get(member, 0),
             ack,
             flags,
             (*rows, *news),
         )
-        if self.d.s.may_message_peers:
-            self.d.out.append(SendToPeer(member, messages.pack(beat)))
+        if self.d.settings.may_message_peers:
+            self.d.actions.append(SendToPeer(member, messages.pack(beat)))
 
     def hear(self, peer: int, beat: Beat) -> None:
         """A member's beat; its incarnation was looked at before."""
-        now, mine = self.d.now, beat.yours == self.d.born
+        now, mine = self.d.now, beat.yours == self.d.incarnation
         m = self.table.members.get(peer)
         if m is not None and m.born != beat.born:
             self.leases.forget(peer)
@@ -222,7 +225,7 @@
     def leave(self) -> None:
         """This gateway ends and spends nothing more: all neighbours are told, twice, and some others."""
         self.left = True
-        some = sorted({*self.d.neighbours, *self.anybody()})
+        some = sorted({*self.d.ring_neighbours, *self.anybody()})
         for _ in range(2):
             self.count()
             for member in some:
@@ -241,7 +244,7 @@
     def take(self) -> None:
         """Take over from members that nobody hears, and ask those for leave who could have confirmed them."""
         now, wanted = self.d.now, set()
-        lost = {a.heir_of for a in self.d.lively.values() if a.heir_of is not None}
+        lost = {a.predecessor for a in self.d.active_accounts.values() if a.predecessor is not None}
         free = {member for member in lost if self.free(member)}
         for member in sorted(self.taken - free):
             self.give_back(member)
@@ -249,9 +252,13 @@
             self.settle(member)
             self.taken.add(member)
             self.said.append({"what": "slices_taken", "member": member})
-        for a in self.d.lively.values():
-            if a.heir_of in free and a.before is not None and not self.gone(a.before):
-                wanted.add((a.before, a.heir_of))
+        for a in self.d.active_accounts.values():
+            if (
+                a.predecessor in free
+                and a.second_predecessor is not None
+                and not self.gone(a.second_predecessor)
+            ):
+                wanted.add((a.second_predecessor, a.predecessor))
         wanted = {pair for pair in wanted if now - self.asked.get(pair, -ASK_EVERY) >= ASK_EVERY - 0.025}
         if wanted:
             self.count()
@@ -279,14 +286,14 @@
     def settle(self, member: int) -> None:
         """Bring the buckets that a change touches up to now, at what held until now."""
         for a in self.d.accounts.values():
-            if member in a.pairs:
+            if member in a.ledgers:
                 self.d.refill(a)
 
     def look_at_slices(self) -> None:
         """Note which slices are not sure any more, for the log."""
         seen: dict[tuple[int, ...], bool] = {}
-        for a in self.d.lively.values():
-            key = tuple(a.pairs)
+        for a in self.d.active_accounts.values():
+            key = tuple(a.ledgers)
             if key and key not in seen:
                 seen[key] = self.sure(a)
                 if seen[key] != self.held.get(key, seen[key]):
--- a/corkdeal/net/backends.py
+++ b/corkdeal/net/backends.py
@@ -38,16 +38,16 @@
             self.listed, self.at = {}, {}
         for entry in result.entries:
             if entry.state is EndpointState.GONE:
-                self.listed.pop(entry.server, None)
-                self.at.pop(entry.server, None)
+                self.listed.pop(entry.backend, None)
+                self.at.pop(entry.backend, None)
             else:
-                self.listed[entry.server] = entry
-                self.at[entry.server] = result.addresses[entry.server]
+                self.listed[entry.backend] = entry
+                self.at[entry.backend] = result.addresses[entry.backend]
         self.revision = result.revision
         entries = self.overrides.overlay(result.entries) if self.overrides else result.entries
         self.lead(EndpointUpdate(kind, entries, result.revision))
         for entry in entries:
-            self.pool.told(entry.server, entry.state is EndpointState.READY, result.addresses[entry.server])
+            self.pool.told(entry.backend, entry.state is EndpointState.READY, result.addresses[entry.backend])
         if kind is UpdateKind.COMPLETE:
             for server in self.pool.addresses.keys() - result.addresses.keys():
                 self.pool.told(server, False, self.pool.addresses[server])
@@ -69,5 +69,5 @@
     def counts(self) -> tuple[int, int]:
         """How many are listed, and how many of them are not ready or held out by hand."""
         held = self.overrides.out if self.overrides else set()
-        down = sum(1 for e in self.listed.values() if e.state is not EndpointState.READY or e.server in held)
+        down = sum(1 for e in self.listed.values() if e.state is not EndpointState.READY or e.backend in held)
         return len(self.listed), down
--- a/corkdeal/net/discovery_snapshot.py
+++ b/corkdeal/net/discovery_snapshot.py
@@ -46,10 +46,10 @@
     for number, member in enumerate(members):
         path = f"members.{number}"
         entry, address = parse_member(member, path, settings)
-        if entry.server in addresses:
-            raise ListError(f"{path}.id comes twice: {entry.server!r:.40}")
+        if entry.backend in addresses:
+            raise ListError(f"{path}.id comes twice: {entry.backend!r:.40}")
         entries.append(entry)
-        addresses[entry.server] = address
+        addresses[entry.backend] = address
     return DiscoverySnapshot(revision, raw["complete"], tuple(entries), addresses)
 
 
--- a/corkdeal/net/figures.py
+++ b/corkdeal/net/figures.py
@@ -26,19 +26,19 @@
         """What has been done and met so far, and how things stand now."""
         g, d = self.gateway, self.gateway.decisions
         tally = {k: g.tally[k] for k in ("success", "busy", "failure", "backend_calls", "told", "heard")}
-        members = d.members.figures() if d.members is not None else {}
+        members = d.membership.figures() if d.membership is not None else {}
         return {
             "asked": g.reader.number,
             **tally,
             "opened": g.pool.opened,
-            **d.causes,
+            **d.rejection_causes,
             **counts,
             "now_open": len(g.rpcs),
-            "now_servers": len(d.servers),
-            "now_slow": round(d.slow, 3),
-            "now_ejected": sum(s.ejected for s in d.servers.values()),
+            "now_servers": len(d.backends),
+            "now_slow": round(d.fleet_slowness, 3),
+            "now_ejected": sum(s.is_ejected for s in d.backends.values()),
             "now_accounts": len(d.accounts),
             "now_demand": round(sum(a.demand for a in d.accounts.values()), 2),
-            "now_slices": round(sum(a.base() for a in d.accounts.values() if not a.wide), 3),
+            "now_slices": round(sum(a.base_share() for a in d.accounts.values() if not a.is_aggregated), 3),
             **members,
         }
--- a/corkdeal/net/gateway.py
+++ b/corkdeal/net/gateway.py
@@ -341,9 +341,9 @@
         if (line := invariants.report()) != self.reported:
             self.reported = line
             logs.event("counts", **dict(sorted(invariants.counts.items())))
-        if (total := self.decisions.causes.total()) != self.refused:
+        if (total := self.decisions.rejection_causes.total()) != self.refused:
             self.refused = total
-            logs.event("refused", **dict(sorted(self.decisions.causes.items())))
+            logs.event("refused", **dict(sorted(self.decisions.rejection_causes.items())))
         self.reactor.callLater(REPORT_EVERY, self.report)
 
     # Events
@@ -367,7 +367,7 @@
                 except Exception:  # costs the RPCs of these events only
                     count("module_failed")
                     logs.event("module_failed", events=events, trace=traceback.format_exc())
-                    actions = self.decisions.out + self.orphans(events)
+                    actions = self.decisions.actions + self.orphans(events)
                 for action in actions:
                     try:
                         self.act[type(action)](action)
@@ -382,7 +382,7 @@
 
     def orphans(self, events: list[Event]) -> list[Action]:
         """Failures for the RPCs that these events were about, as far as none of them was sent just now."""
-        sent = {a.id for a in self.decisions.out if isinstance(a, StartAttempt)}
+        sent = {a.id for a in self.decisions.actions if isinstance(a, StartAttempt)}
         ids = {e.id for e in events if isinstance(e, Request | AttemptEnded)} - sent
         return [Fail(i) for i in sorted(ids) if i in self.rpcs and not self.rpcs[i].attempt]
 
@@ -474,8 +474,8 @@
         elif rpc.left:  # the decisions have let go of it
             never = rpc.attempts == 1 and reply.status in NEVER_RAN
             self.refuse(Reject(rid, 0.0)) if never else self.fail(Fail(rid))
-        if self.decisions.opening is not None:
-            self.decisions.opening.answered(reply.status is Status.OK)
+        if self.decisions.admission_ramp is not None:
+            self.decisions.admission_ramp.answered(reply.status is Status.OK)
         self.feed(
             AttemptEnded(rid, attempt.number, attempt.server, reply.status, elapsed, rpc.done, report=report)
         )
@@ -496,7 +496,7 @@
     def heard(self, peer: int, payload: bytes) -> None:
         """A peer's datagram; one that came while the process stood still is as good as lost."""
         self.tally["heard"] += 1
-        if self.decisions.blind:
+        if self.decisions.is_endpoint_list_stale:
             return count("datagram_old")
         self.feed(PeerMessage(peer, payload))
 
@@ -542,12 +542,12 @@
         rpc, now = self.rpcs.get(a.id), self.now()
         if rpc is None or not holds(rpc.attempt is None, "two_attempts_at_once"):
             number = rpc.attempts if rpc else 0
-            return self.feed(AttemptEnded(a.id, number, a.server, Status.ABANDONED, 0.0, rpc is None))
+            return self.feed(AttemptEnded(a.id, number, a.backend, Status.ABANDONED, 0.0, rpc is None))
         if not rpc.client_connection.may_begin(now):
             self.let_go(rpc)
-            return self.feed(AttemptEnded(a.id, rpc.attempts, a.server, Status.ABANDONED, 0.0, True))
+            return self.feed(AttemptEnded(a.id, rpc.attempts, a.backend, Status.ABANDONED, 0.0, True))
         until = min(rpc.deadline, now + a.timeout) if a.timeout > 0 else rpc.deadline
-        attempt = Attempt(rpc, rpc.attempts, a.server, now, until, rpc.parts(until - now))
+        attempt = Attempt(rpc, rpc.attempts, a.backend, now, until, rpc.parts(until - now))
         attempt.decided_at, attempt.write_by = now, self.window_end(rpc)
         self.out[a.id, attempt.number] = rpc.attempt = attempt
         rpc.attempts += 1
@@ -593,13 +593,13 @@
     def probe(self, a: CheckHealth) -> None:
         """Ask a backend for its load."""
         now = self.now()
-        attempt = Attempt(None, 0, a.server, now, now + PROBE_TIMEOUT, [command(b"INFO", b"load")])
+        attempt = Attempt(None, 0, a.backend, now, now + PROBE_TIMEOUT, [command(b"INFO", b"load")])
         self.timer(attempt.until, attempt)
         self.pool.send(attempt)
 
     def close_idle(self, a: CloseIdleConnections) -> None:
         """Close a backend's idle connections."""
-        self.pool.close_idle(a.server)
+        self.pool.close_idle(a.backend)
 
     def tell(self, a: SendToPeer) -> None:
         """A datagram."""
--- a/corkdeal/net/manual_overrides.py
+++ b/corkdeal/net/manual_overrides.py
@@ -104,9 +104,9 @@
 
     def entry(self, e: Endpoint) -> Endpoint:
         """One entry under the operators' word."""
-        if e.server in self.out and e.state is EndpointState.READY:
+        if e.backend in self.out and e.state is EndpointState.READY:
             return dataclasses.replace(e, state=EndpointState.DRAINING)
-        back = self.back.get(e.server)
+        back = self.back.get(e.backend)
         if back is not None and e.started < back:
             return dataclasses.replace(e, started=back)
         return e
--- a/corkdeal/net/membership.py
+++ b/corkdeal/net/membership.py
@@ -20,7 +20,7 @@
 
     def __init__(self, reactor: Any, gateway: Any) -> None:
         self.reactor, self.gateway = reactor, gateway
-        self.members = gateway.decisions.members = Members(gateway.decisions, later)
+        self.members = gateway.decisions.membership = Members(gateway.decisions, later)
 
     def start(self) -> None:
         """Begin to look; the end of the program is told to the others."""
@@ -44,8 +44,8 @@
         succession = self.gateway.succession
         if succession is None or not succession.done:
             decisions = self.gateway.decisions
-            decisions.now, decisions.out = self.gateway.now(), []
+            decisions.now, decisions.actions = self.gateway.now(), []
             self.members.leave()
-            for action in decisions.out:
+            for action in decisions.actions:
                 self.gateway.tell(action)
         done()
--- a/corkdeal/net/recovery.py
+++ b/corkdeal/net/recovery.py
@@ -31,14 +31,14 @@
         self.pulse, self.standing = Pulse(), Standing(gateway.now())
         self.woke_at = self.gap = self.saved_up = 0.0
         self.seeing: Any = None  # the call that ends the wait for discovery
-        gateway.decisions.ledgers = Ledgers()
+        gateway.decisions.quota_restore = Ledgers()
         gateway.pool.turn = lambda: self.turn(gateway.now())
 
     def start(self) -> None:
         """Begin to look."""
         self.standing = Standing(self.gateway.now())
-        self.saved_up = self.gateway.decisions.retries_left  # held back until it is known to be among few
-        self.gateway.decisions.retries_left = min(RETRIES, self.saved_up)
+        self.saved_up = self.gateway.decisions.retry_budget  # held back until it is known to be among few
+        self.gateway.decisions.retry_budget = min(RETRIES, self.saved_up)
         self.look()
 
     def look(self) -> None:
@@ -46,15 +46,15 @@
         now, decisions = self.gateway.now(), self.gateway.decisions
         self.turn(now)
         heard = sum(
-            decisions.peer_heard.get(p, 0.0) > self.standing.began and p in decisions.peer_born
-            for p in decisions.neighbours
+            decisions.peer_last_heard.get(p, 0.0) > self.standing.began and p in decisions.peer_incarnations
+            for p in decisions.ring_neighbours
         )
         self.usual.look(now, self.gateway.tally["backend_calls"])
-        causes = decisions.causes
+        causes = decisions.rejection_causes
         left = self.standing.look(
             now,
             heard,
-            len(decisions.neighbours),
+            len(decisions.ring_neighbours),
             self.gateway.tally["success"],
             sum(n for why, n in causes.items() if why.startswith("inside")),
         )
@@ -65,13 +65,13 @@
     def tell(self, left: Left) -> None:
         """A state was left."""
         decisions = self.gateway.decisions
-        many = self.standing.among_many(decisions.born, decisions.peer_born)
+        many = self.standing.among_many(decisions.incarnation, decisions.peer_incarnations)
         if left.state == "full":
-            decisions.opening = None
+            decisions.admission_ramp = None
         succession = self.gateway.succession
         divided = succession is not None and succession.given is not None  # with the life before: not its own
         if left.state == "learning" and not many and not divided:
-            decisions.retries_left, self.saved_up = max(decisions.retries_left, self.saved_up), 0.0
+            decisions.retry_budget, self.saved_up = max(decisions.retry_budget, self.saved_up), 0.0
         logs.event(
             "recovery",
             state=left.state,
@@ -90,9 +90,9 @@
     def woken(self, now: float, gap: float) -> None:
         """It did: age what is known, and send nothing by a list that may be old."""
         count("paused")
-        self.gateway.decisions.opening = AfterPause(now, self.usual.rate)
+        self.gateway.decisions.admission_ramp = AfterPause(now, self.usual.rate)
         self.woke_at, self.gap = now, gap
-        self.gateway.decisions.blind = self.gateway.begun
+        self.gateway.decisions.is_endpoint_list_stale = self.gateway.begun
         resume.wake(self.gateway.decisions, now, gap)
         for attempt in self.gateway.out.values():
             attempt.sent_at += gap  # its server had no time to answer meanwhile
@@ -107,19 +107,19 @@
     def listed(self, servers: int) -> None:
         """Servers are known: a start opens by its part of what they take."""
         d = self.gateway.decisions
-        if d.opening is None and self.standing.state == "returning" and not self.woke_at and servers:
-            d.opening = AfterStart(servers, d.s.gateway_count)
+        if d.admission_ramp is None and self.standing.state == "returning" and not self.woke_at and servers:
+            d.admission_ramp = AfterStart(servers, d.settings.gateway_count)
 
     def told(self) -> None:
         """Discovery has spoken."""
         self.standing.listed = True
-        self.gateway.decisions.blind = False
+        self.gateway.decisions.is_endpoint_list_stale = False
 
     def see(self) -> None:
         """It had its time: go by the list there is."""
-        if self.gateway.decisions.blind:
+        if self.gateway.decisions.is_endpoint_list_stale:
             count("list_old_after_pause")
-            self.gateway.decisions.blind = False
+            self.gateway.decisions.is_endpoint_list_stale = False
 
     def waited(self, handle: Any, now: float) -> float:
         """Seconds that bytes about to be read have lain here, as far as a pause held them up.
--- a/corkdeal/net/upgrade.py
+++ b/corkdeal/net/upgrade.py
@@ -78,13 +78,13 @@
             self.kept_there = whole * (1 - quota_handover.NEW_PART)
             self.given = quota_handover.Given(self.recall(document), quota_handover.NEW_PART)
             self.decisions.remember(self.given)
-            self.decisions.part = whole * quota_handover.NEW_PART
+            self.decisions.quota_fraction = whole * quota_handover.NEW_PART
             logs.event(
                 "handover_begun",
                 life=self.lives.me,
                 before=self.before,
                 accounts=sum(map(len, document.accounts)),
-                part=round(self.decisions.part, 3),
+                part=round(self.decisions.quota_fraction, 3),
             )
         start()
 
@@ -93,7 +93,7 @@
 
         Until then that life speaks with the peers, and what they don't say to this one says nothing.
         """
-        self.decisions.peer_heard = dict.fromkeys(self.decisions.neighbours, self.gateway.now())
+        self.decisions.peer_last_heard = dict.fromkeys(self.decisions.ring_neighbours, self.gateway.now())
         ended = not self.lives.lives(self.before)  # looked at first: it may write and end in between
         document, now = self.read(REST), self.gateway.now()
         if document is None and not ended:
@@ -123,7 +123,7 @@
             life=self.lives.me,
             before=self.before,
             rest=rest,
-            part=round(self.decisions.part, 3),
+            part=round(self.decisions.quota_fraction, 3),
         )
         self.before = None
         self.gateway.hear()
@@ -180,7 +180,7 @@
     def give(self, after: int) -> None:
         """The next life has started: its part, and all that is known."""
         if self.write(after, FIRST):
-            self.after, self.part_there = after, self.decisions.part * quota_handover.NEW_PART
+            self.after, self.part_there = after, self.decisions.quota_fraction * quota_handover.NEW_PART
             quota_handover.keep(self.decisions, 1 - quota_handover.NEW_PART)
             logs.event("handover_given", life=self.lives.me, after=after, part=round(self.part_there, 3))
 
@@ -198,7 +198,7 @@
         """One document of all that is known, made in one turn, so that what is divided is what it says."""
         now = self.gateway.now()
         quota_handover.settle(self.decisions, now)
-        touched = self.decisions.touched  # a keeper of knowledge, if there is one, goes by it
+        touched = self.decisions.changed_customers  # a keeper of knowledge, if there is one, goes by it
         collector = Collector(self.decisions, self.gateway.config.name, __version__)
         try:
             for _ in collector.steps(self.gateway.now, clock.read_clocks, lambda: 0.0):
@@ -211,5 +211,5 @@
             logs.event("handover_not_written", what=what, after=to, error=str(error)[:200])
             return False
         finally:
-            self.decisions.touched = touched
+            self.decisions.changed_customers = touched
         return True
--- a/corkdeal/persistence/capture.py
+++ b/corkdeal/persistence/capture.py
@@ -27,7 +27,7 @@
 
     def __init__(self, decisions: Any, name: str, program: str, recall: Recall | None = None) -> None:
         self.decisions, self.name, self.program, self.recall = decisions, name, program, recall
-        decisions.touched = None  # the first document holds all accounts
+        decisions.changed_customers = None  # the first document holds all accounts
         self.packed: dict[int, bytes] = {}
         self.open: set[int] = set()  # accounts packed while attempts of theirs were out
         self.unclaimed: dict[int, bytes] | None = None
@@ -45,14 +45,16 @@
         # counts.
         self.rest = list(self.left_over(now(), clock()).values())
         d, packed, began = self.decisions, self.packed, tick()
-        keys = iter(list(d.accounts if d.touched is None else d.touched | self.open))
-        d.touched, self.open, shift = set(), set(), clock().boot - now()
+        keys = iter(list(d.accounts if d.changed_customers is None else d.changed_customers | self.open))
+        d.changed_customers, self.open, shift = set(), set(), clock().boot - now()
         while batch := list(islice(keys, BATCH)):
             for key in batch:
                 a = d.accounts.get(key)
                 if a is not None:
-                    packed[key] = entry(key, pack_account(persisted_state.account_of(a, shift, d.peer_born)))
-                    if a.open:  # will end, of which nothing else tells
+                    packed[key] = entry(
+                        key, pack_account(persisted_state.account_of(a, shift, d.peer_incarnations))
+                    )
+                    if a.in_flight:  # will end, of which nothing else tells
                         self.open.add(key)
             if tick() - began > TURN:
                 yield
@@ -87,8 +89,8 @@
         """All but the accounts, as it stands."""
         d, shift = self.decisions, clock.boot - now
         servers: list[ServerMemory] = []
-        for s in d.servers.values():
-            made = persisted_state.server_of(s, d.s.classes, now, shift)
+        for s in d.backends.values():
+            made = persisted_state.server_of(s, d.settings.classes, now, shift)
             servers.append(made._replace(address=addresses.get(made.server, "")))
         if self.recall is not None:
             servers += self.recall.unlisted(now, clock.boot)
--- a/corkdeal/persistence/quota_handover.py
+++ b/corkdeal/persistence/quota_handover.py
@@ -31,19 +31,19 @@
 
 def keep(decisions: Gateway, part: float) -> None:
     """Keep that part of all that is spent here; the rest was given."""
-    decisions.part *= part
-    decisions.retries_left *= part
+    decisions.quota_fraction *= part
+    decisions.retry_budget *= part
     for a in decisions.accounts.values():
-        a.level, a.ceiling = a.level * part, a.ceiling * part
+        a.level, a.hard_limit_level = a.level * part, a.hard_limit_level * part
 
 
 def keep_nothing(decisions: Gateway) -> None:
     """All was given, the ledgers too: neighbours trade with the new life, and back nothing here."""
     keep(decisions, 0.0)
-    decisions.neighbours.clear()
-    decisions.lively.clear()
+    decisions.ring_neighbours.clear()
+    decisions.active_accounts.clear()
     for a in decisions.accounts.values():
-        a.pairs, a.edges, a.heir_of = {}, {}, None
+        a.ledgers, a.tree_edges, a.predecessor = {}, {}, None
 
 
 class Rest(persisted_state.Memory, Protocol):
@@ -102,21 +102,40 @@
         a = decisions.account(customer, plan, m.first, m.spread)
         decisions.refill(a)  # one that was not met has its first part now, under its bound
         asked, spent = first.totals.get(customer, (0.0, 0.0))
-        mine = a.level, a.ceiling, a.demand, a.asked - asked, a.spent - spent, a.asked_at
+        mine = (
+            a.level,
+            a.hard_limit_level,
+            a.demand,
+            a.total_asked - asked,
+            a.total_spent - spent,
+            a.last_request_at,
+        )
         persisted_state.put_account(a, m, rest.resumes(), peers)
-        a.level, a.ceiling, a.demand = a.level + mine[0], a.ceiling + mine[1], a.demand + mine[2]
-        a.asked, a.spent, a.asked_at = a.asked + mine[3], a.spent + mine[4], max(a.asked_at, mine[5])
-        decisions.lively.update({customer: a} if a.pairs else {})
+        a.level, a.hard_limit_level, a.demand = (
+            a.level + mine[0],
+            a.hard_limit_level + mine[1],
+            a.demand + mine[2],
+        )
+        a.total_asked, a.total_spent, a.last_request_at = (
+            a.total_asked + mine[3],
+            a.total_spent + mine[4],
+            max(a.last_request_at, mine[5]),
+        )
+        decisions.active_accounts.update({customer: a} if a.ledgers else {})
         if taken % STEP == 0:
             yield
     decisions.now = clock()
-    decisions.retries_left += fleet.retries
-    decisions.born, decisions.round, decisions.peer_born = fleet.born, fleet.round, peers
-    decisions.part += part
-    decisions.earlier = rest  # of servers that no list has named yet
+    decisions.retry_budget += fleet.retries
+    decisions.incarnation, decisions.message_round, decisions.peer_incarnations = (
+        fleet.born,
+        fleet.round,
+        peers,
+    )
+    decisions.quota_fraction += part
+    decisions.restored_state = rest  # of servers that no list has named yet
 
 
 def take_rate(decisions: Gateway, now: float, part: float) -> None:
     """The other life ended without a word: its rate comes over, and what its buckets held is lost."""
     settle(decisions, now)
-    decisions.part += part
+    decisions.quota_fraction += part
--- a/corkdeal/persistence/restore.py
+++ b/corkdeal/persistence/restore.py
@@ -98,7 +98,7 @@
 
         A list may be older than the record: one that names an earlier start leaves the record where it is.
         """
-        name = str(entry.server)
+        name = str(entry.backend)
         m = self.servers.get(name)
         if m is None:
             return None
--- a/corkdeal/persistence/snapshot_writer.py
+++ b/corkdeal/persistence/snapshot_writer.py
@@ -291,7 +291,7 @@
             elif called.active():
                 called.cancel()
             then, done = done, lambda: None
-            self.gateway.decisions.touched = None
+            self.gateway.decisions.changed_customers = None
             self.worker.submit(self.store.close, lambda *_: None)
             self.worker.end()
             then()
--- a/corkdeal/recovery/quota_restore.py
+++ b/corkdeal/recovery/quota_restore.py
@@ -23,7 +23,7 @@
 from typing import TYPE_CHECKING
 
 from ..decisions.peer_messages import SLICE_UNIT, Note
-from ..decisions.records import Account, Pair
+from ..decisions.records import Account, PeerLedger
 
 if TYPE_CHECKING:
     from ..decisions.gateway import Gateway
@@ -48,18 +48,18 @@
 
         It may be an older copy, so the neighbour's word goes before it, and of two levels the lower counts.
         """
-        a.caught_up = False
+        a.has_peer_level = False
         for p in m.pairs if fresh else ():
-            if p.peer in a.pairs:
-                a.pairs[p.peer] = Pair(p.slice, p.units, told_totals=True)
+            if p.peer in a.ledgers:
+                a.ledgers[p.peer] = PeerLedger(p.slice, p.units, has_peer_totals=True)
 
     def met(self, d: Gateway, a: Account) -> None:
         """An account was just made: ask its neighbours, and trust no level that others may have spent."""
         if self.begun is None:
             self.begun = d.now
-        if a.wide and d.now - self.begun < WIDE_SPAN and not d.resumed():
+        if a.is_aggregated and d.now - self.begun < WIDE_SPAN and not d.resumed():
             a.level = min(a.level, WIDE_FILL * a.plan.burst)
-        for peer in sorted(a.pairs.keys() - self.asked):
+        for peer in sorted(a.ledgers.keys() - self.asked):
             self.asked.add(peer)
             d.tell(peer, [])
 
@@ -67,28 +67,34 @@
         """Whether notes may go to a neighbour: it has told what it holds, or has nothing to tell."""
         if peer in self.told or d.resumed() or self.begun is None or d.now - self.begun > PEERS_WAIT:
             return True
-        born = d.peer_born.get(peer)
+        born = d.peer_incarnations.get(peer)
         return born is not None and not d.older(born)
 
     def take(self, d: Gateway, peer: int, note: Note) -> None:
         """A neighbour that went on tells this start of a pair: from its own balance, the demand here."""
-        a = d.account(note.customer, note.plan, note.first, note.spread)
-        pair = a.pairs.get(peer)
-        if pair is None or pair.round or a.caught_up or note.slice <= 0 or not d.older(d.peer_born[peer]):
+        a = d.account(note.customer, note.plan, note.first_gateway, note.member_count)
+        pair = a.ledgers.get(peer)
+        if (
+            pair is None
+            or pair.last_round
+            or a.has_peer_level
+            or note.share <= 0
+            or not d.older(d.peer_incarnations[peer])
+        ):
             return
-        share = max(0.0, min(1.0, a.base() - (pair.slice + note.slice_total) / SLICE_UNIT))
-        a.demand = max(a.demand, min(a.plan.rate, note.demand * share / note.slice))
+        share = max(0.0, min(1.0, a.base_share() - (pair.received_share + note.share_total) / SLICE_UNIT))
+        a.demand = max(a.demand, min(a.plan.rate, note.demand * share / note.share))
 
-    def kept(self, pair: Pair) -> Pair:
+    def kept(self, pair: PeerLedger) -> PeerLedger:
         """What is left of a pair whose other end started anew: its totals, and that they stand."""
-        return Pair(pair.slice, pair.units, told_totals=True)
+        return PeerLedger(pair.received_share, pair.received_units, has_peer_totals=True)
 
     def given(self, d: Gateway, peer: int) -> list[tuple[int, Account]]:
         """The accounts whose totals a neighbour that started anew is told, the largest first."""
         mine = [
             (key, a)
             for key, a in d.accounts.items()
-            if (pair := a.pairs.get(peer)) is not None and (pair.slice or pair.units)
+            if (pair := a.ledgers.get(peer)) is not None and (pair.received_share or pair.received_units)
         ]
-        mine.sort(key=lambda row: (-abs(row[1].pairs[peer].slice), row[0]))
+        mine.sort(key=lambda row: (-abs(row[1].ledgers[peer].received_share), row[0]))
         return mine[:MOST_GIVEN]
--- a/corkdeal/recovery/resume.py
+++ b/corkdeal/recovery/resume.py
@@ -24,18 +24,21 @@
 def wake(decisions: Gateway, now: float, gap: float) -> None:
     """The process stood still for `gap` s until `now`; called before the decisions are told anything."""
     for a in decisions.accounts.values():
-        a.at = max(a.at, min(now, a.at + gap))  # its bucket did not fill meanwhile
-        for pair in a.pairs.values():
-            pair.told_at = LONG_AGO
-    for peer in decisions.peer_heard:
-        decisions.peer_heard[peer] = now
-    for server in decisions.servers.values():
-        server.out = {rid: (sent + gap, load) for rid, (sent, load) in server.out.items()}
-        server.answered_at, server.sent_at = max(server.answered_at, now), server.sent_at + gap
-        server.others_at = LONG_AGO
-        server.cold_left = min(server.cold_left, 0.0)
-        server.cold_at = None if server.cold_at is None else now
-    if decisions.members is not None:
+        a.refilled_at = max(a.refilled_at, min(now, a.refilled_at + gap))  # its bucket did not fill meanwhile
+        for pair in a.ledgers.values():
+            pair.peer_state_at = LONG_AGO
+    for peer in decisions.peer_last_heard:
+        decisions.peer_last_heard[peer] = now
+    for server in decisions.backends.values():
+        server.in_flight = {rid: (sent + gap, load) for rid, (sent, load) in server.in_flight.items()}
+        server.last_answer_at, server.last_attempt_at = (
+            max(server.last_answer_at, now),
+            server.last_attempt_at + gap,
+        )
+        server.peer_load_at = LONG_AGO
+        server.slow_start_credit = min(server.slow_start_credit, 0.0)
+        server.slow_start_credit_at = None if server.slow_start_credit_at is None else now
+    if decisions.membership is not None:
         decisions.now = now
-        decisions.members.woke(gap)
-    decisions.traded_at = decisions.asked_list = now
+        decisions.membership.woke(gap)
+    decisions.last_exchange_at = decisions.last_poll_at = now
--- a/corkdeal/simulator/protocol.py
+++ b/corkdeal/simulator/protocol.py
@@ -362,7 +362,7 @@
     """One record."""
     match a:
         case StartAttempt():
-            return struct.pack("<BIQ6sI", 0, gateway, a.id, a.server, _us(a.timeout))
+            return struct.pack("<BIQ6sI", 0, gateway, a.id, a.backend, _us(a.timeout))
         case Reject():
             return struct.pack("<BIQI", 1, gateway, a.id, _us(a.retry_after))
         case Fail():
@@ -372,9 +372,9 @@
         case SetTimer():
             return struct.pack("<BIII", 4, gateway, _us(a.delay), a.token)
         case CheckHealth():
-            return struct.pack("<BI6s", 5, gateway, a.server)
+            return struct.pack("<BI6s", 5, gateway, a.backend)
         case CloseIdleConnections():
-            return struct.pack("<BI6s", 6, gateway, a.server)
+            return struct.pack("<BI6s", 6, gateway, a.backend)
         case SendToPeer():
             peer = EVERYONE if a.peer is None else a.peer
             return struct.pack("<BIIH", 7, gateway, peer, len(a.payload)) + a.payload
--- a/corkdeal/standin/servers.py
+++ b/corkdeal/standin/servers.py
@@ -158,7 +158,7 @@
         self.recent.append((now, work))
         while self.recent and self.recent[0][0] < now - self.model.fall_s:
             self.recent.popleft()
-        most = self.model.overload_multiple * self.capacity() * self.model.fall_s
+        most = self.model.fall_multiple * self.capacity() * self.model.fall_s
         if self.warmth() < 1 and sum(w for _, w in self.recent) > most:
             self.fallen = True
             self.die()
--- a/tests/decisions/test_aggregation_tree.py
+++ b/tests/decisions/test_aggregation_tree.py
@@ -55,7 +55,7 @@
         actions = g.handle(self.now, [request(self.rid, units=2.0, spread=self.set[1], first=self.set[0])])
         self.take(me, actions)
         for send in pick(actions, StartAttempt):
-            self.take(me, g.handle(self.now, [outcome(send.id, 0, send.server, elapsed=0.05)]))
+            self.take(me, g.handle(self.now, [outcome(send.id, 0, send.backend, elapsed=0.05)]))
         return bool(pick(actions, StartAttempt))
 
     def drive(self, seconds, per_second):
@@ -125,9 +125,13 @@
         made.handle(50.0 + i / 20, [PeerMessage(head, peer_messages.pack_totals(9, news)[0])])
     other = aggregation_tree.ways(0, 0, 0, 200, 200)[1][1]
     times = [at for at, peer in made.notes if peer == other]
-    assert 2 / made.teller.push_every - 1 <= len(times) <= 2 / made.teller.push_every + 1
-    assert all(b - a >= made.teller.push_every for a, b in itertools.pairwise(times))
-    assert all(made.accounts[c].edges[other].told > 0 for c in (0, aggregation_tree.HUBS))
+    assert (
+        2 / made.aggregation_scheduler.push_every - 1
+        <= len(times)
+        <= 2 / made.aggregation_scheduler.push_every + 1
+    )
+    assert all(b - a >= made.aggregation_scheduler.push_every for a, b in itertools.pairwise(times))
+    assert all(made.accounts[c].tree_edges[other].sent_asked > 0 for c in (0, aggregation_tree.HUBS))
 
 
 def test_a_fleet_keeps_near_its_quotas():
@@ -152,13 +156,13 @@
 
 
 def test_totals_count_once_whatever_messages_do():
-    edge = WideRing(9, 9).gateways[0].account(7, 0, 0, 9).edges
+    edge = WideRing(9, 9).gateways[0].account(7, 0, 0, 9).tree_edges
     edge = next(iter(edge.values()))
-    assert edge.hear(8190.0, 0.0, True) == (0.0, 0.0)
-    assert edge.hear(3.0, 2.0, True) == (5.0, 2.0)  # wrapped
-    assert edge.hear(3.0, 2.0, True) == (0.0, 0.0)  # came twice
-    assert edge.hear(8191.0, 1.0, True) == (0.0, 0.0)  # overtaken
-    assert (edge.asked, edge.spent) == (5.0, 2.0)
+    assert edge.receive(8190.0, 0.0, True) == (0.0, 0.0)
+    assert edge.receive(3.0, 2.0, True) == (5.0, 2.0)  # wrapped
+    assert edge.receive(3.0, 2.0, True) == (0.0, 0.0)  # came twice
+    assert edge.receive(8191.0, 1.0, True) == (0.0, 0.0)  # overtaken
+    assert (edge.remote_asked, edge.remote_spent) == (5.0, 2.0)
 
 
 def totals(plan=0, first=0, spread=130):
@@ -190,9 +194,9 @@
     for me in range(400):
         g = Gateway(settings(me, 400, plans=(PLAN,)), seed=1)
         g.handle(50.0, [servers(*names)])
-        assert len(g.mine) == SUBSET > NARROW
-        for s in g.mine:
-            seen[s.entry.server] = seen.get(s.entry.server, 0) + 1
+        assert len(g.preferred_backends) == SUBSET > NARROW
+        for s in g.preferred_backends:
+            seen[s.endpoint.backend] = seen.get(s.endpoint.backend, 0) + 1
     assert set(seen.values()) == {50}
 
 
@@ -202,7 +206,7 @@
         g = Gateway(settings(3, 40, plans=(aggregation_tree,)), seed=seed)
         g.handle(50.0, [servers(*[f"s{i}" for i in range(60)])])
         used = [
-            pick(g.handle(51.0, [request(i, spread=40)]), StartAttempt)[0].server for i in range(2 * SUBSET)
+            pick(g.handle(51.0, [request(i, spread=40)]), StartAttempt)[0].backend for i in range(2 * SUBSET)
         ]
         assert {used.count(s) for s in set(used)} == {2}
         assert len(set(used)) == SUBSET
@@ -215,9 +219,9 @@
     sent = {0: [], 1: []}
     for i in range(60):
         for send in pick(g.handle(51 + i / 10, [request(i, cls=i % 2, spread=20)]), StartAttempt):
-            status = Status.REJECTED if (send.server, i % 2) == ("a", 0) else Status.OK
-            g.handle(51 + i / 10, [outcome(send.id, 0, send.server, status, final=True)])
-            sent[i % 2].append(send.server)
+            status = Status.REJECTED if (send.backend, i % 2) == ("a", 0) else Status.OK
+            g.handle(51 + i / 10, [outcome(send.id, 0, send.backend, status, final=True)])
+            sent[i % 2].append(send.backend)
     assert sent[1].count("a") > 5 and sent[0].count("a") < 6
 
 
--- a/tests/decisions/test_defences.py
+++ b/tests/decisions/test_defences.py
@@ -33,16 +33,16 @@
         now += step
         actions = g.handle(now, [request(int(now * 1000), cls=cls), TimerExpired(0)])
         for send in pick(actions, StartAttempt):
-            seen[send.server] = seen.get(send.server, 0) + 1
-            status = behave(send.server)
+            seen[send.backend] = seen.get(send.backend, 0) + 1
+            status = behave(send.backend)
             if status is not None:
                 g.handle(
                     now,
                     [
                         outcome(
                             send.id,
-                            len(g.requests[send.id].tried) - 1,
-                            send.server,
+                            len(g.requests[send.id].tried_backends) - 1,
+                            send.backend,
                             status,
                             elapsed=0.03,
                             final=True,
@@ -60,7 +60,7 @@
     _, now = drive(g, 300, lambda s: Status.OK, now)
     back, _ = drive(g, 200, lambda s: Status.OK, now)
     if bad is not None:
-        assert not g.servers["a"].ejected and back["a"] > 20
+        assert not g.backends["a"].is_ejected and back["a"] > 20
 
 
 def test_hung_attempt_of_a_safe_request_moves_elsewhere():
@@ -69,8 +69,8 @@
     g.handle(101.4, [TimerExpired(0)])
     cancel = pick(g.handle(101.7, [TimerExpired(0)]), CancelAttempt)
     assert cancel == [CancelAttempt(1, 0)]
-    moved = pick(g.handle(101.7, [outcome(1, 0, first.server, Status.CANCELLED, 0.7)]), StartAttempt)
-    assert len(moved) == 1 and moved[0].server != first.server
+    moved = pick(g.handle(101.7, [outcome(1, 0, first.backend, Status.CANCELLED, 0.7)]), StartAttempt)
+    assert len(moved) == 1 and moved[0].backend != first.backend
 
 
 @pytest.mark.parametrize("effect", Effect)
@@ -83,7 +83,7 @@
         g.handle(101.0 + i * 0.05, [request(10 + i, timeout=4.0)])
         g.handle(101.02 + i * 0.05, [outcome(10 + i, 0, "a", elapsed=0.02)])
     actions = g.handle(102.2, [TimerExpired(0)])
-    assert (g.requests[1].cancelled, g.servers["a"].ejected) == (moves, False)
+    assert (g.requests[1].is_cancelled, g.backends["a"].is_ejected) == (moves, False)
     if moves:
         g.handle(102.2, [outcome(1, 0, "a", Status.CANCELLED, 1.2)])
     assert (g.requests[1].attempts, len(pick(actions, (Fail, Reject)))) == (1 + moves, 0)
@@ -105,7 +105,7 @@
         attempt = 0
         while out:
             sends += 1
-            bad = outcome(i, attempt, out[0].server, Status.ERROR, 0.001)
+            bad = outcome(i, attempt, out[0].backend, Status.ERROR, 0.001)
             out = pick(g.handle(101.0 + i / 20, [bad]), StartAttempt)
             attempt += 1
     assert sends <= firsts * 1.2 + RETRY_STORE + 1
@@ -121,7 +121,7 @@
 
 def test_bad_record_does_not_lock_a_server_out():
     g = started("a")
-    g.servers["a"].slow, g.servers["a"].sent_at = 50.0, 99.9
+    g.backends["a"].slowness, g.backends["a"].last_attempt_at = 50.0, 99.9
     assert pick(g.handle(100.1, [request(1)]), Reject)
     assert pick(g.handle(101.0, [request(2)]), StartAttempt)
 
@@ -144,12 +144,12 @@
 def test_credit_from_a_neighbour_that_has_room():
     g = started("a", "b", plans=(PLAN,))
     a = g.account(7, 0, 0, 3)
-    a.level, a.at = 0.0, 101.0
+    a.level, a.refilled_at = 0.0, 101.0
     assert not g.admits(a, 2.0, 1 / 3)
-    g.now, g.peer_heard[1] = 101.0, 101.0
-    a.pairs[1].told_level, a.pairs[1].told_at = 8.0, 101.0
+    g.now, g.peer_last_heard[1] = 101.0, 101.0
+    a.ledgers[1].peer_level, a.ledgers[1].peer_state_at = 8.0, 101.0
     assert g.admits(a, 2.0, 1 / 3)
-    a.pairs[1].told_at = 50.0
+    a.ledgers[1].peer_state_at = 50.0
     assert not g.admits(a, 2.0, 1 / 3)
 
 
@@ -158,7 +158,7 @@
     g = started("a", "b", plans=(plan,))
     assert pick(g.handle(101.0, [request(1)]), StartAttempt)
     assert pick(g.handle(101.0, [request(2)]), Reject)
-    g.handle(101.1, [outcome(1, 0, g.requests[1].server.entry.server)])
+    g.handle(101.1, [outcome(1, 0, g.requests[1].backend.endpoint.backend)])
     assert pick(g.handle(101.2, [request(3)]), StartAttempt)
 
 
@@ -166,7 +166,7 @@
     g = started("a", plans=(PLAN,), is_post_paid=True)
     send = pick(g.handle(101.0, [request(1, units=1.0)]), StartAttempt)[0]
     before = g.accounts[7].level
-    g.handle(101.0, [outcome(1, 0, send.server, true_units=4.0)])
+    g.handle(101.0, [outcome(1, 0, send.backend, true_units=4.0)])
     assert g.accounts[7].level == pytest.approx(before - 3.0)
 
 
@@ -188,12 +188,12 @@
 def test_shared_slowness_is_seen_within_a_second_of_answers():
     g = started(*"abcdefghij")
     _, now = drive(g, 100, lambda s: Status.OK)
-    usual = g.slow
+    usual = g.fleet_slowness
     for i in range(20):
         now += 0.05
         for send in pick(g.handle(now, [request(i)]), StartAttempt):
-            g.handle(now, [outcome(i, 0, send.server, elapsed=0.3)])
-    assert g.slow > 2 * usual
+            g.handle(now, [outcome(i, 0, send.backend, elapsed=0.3)])
+    assert g.fleet_slowness > 2 * usual
 
 
 def test_idle_servers_share_the_work():
@@ -236,12 +236,12 @@
         g = started("a", "b", plans=(plan,))
         for i in range(300):
             g.handle(101.0 + i / 10, [request(i, customer=i)])
-            for (rid, attempt), (server, _) in list(g.sent.items()):
-                g.handle(101.0 + i / 10, [outcome(rid, attempt, server.entry.server, elapsed=elapsed)])
+            for (rid, attempt), (server, _) in list(g.attempts_in_flight.items()):
+                g.handle(101.0 + i / 10, [outcome(rid, attempt, server.endpoint.backend, elapsed=elapsed)])
         for beyond in (False, True):
             g.handle(131.0, [outcome(1, 0, "a")])
             a = g.account(7, 0, 0, 3)
             a.level = a.demand = 0.0 if beyond else 30.0
-            a.at = 131.0
+            a.refilled_at = 131.0
             sent[elapsed, beyond] = len(pick(g.handle(131.0, [request(900 + beyond)]), StartAttempt))
     assert [sent[key] for key in sorted(sent)] == [1, 1, 1, 0, 0, 0]
--- a/tests/decisions/test_gateway.py
+++ b/tests/decisions/test_gateway.py
@@ -67,7 +67,7 @@
 def test_unsafe_runs_once(status, again):
     g, _ = gateway(servers("a", "b"))
     sent = pick(g.handle(101.0, [request(1, cls=1)]), StartAttempt)[0]
-    after = g.handle(101.1, [outcome(1, 0, sent.server, status)])
+    after = g.handle(101.1, [outcome(1, 0, sent.backend, status)])
     assert len(pick(after, StartAttempt)) == again
     assert len(pick(after, Fail)) == (not again) and not pick(after, Reject)
 
@@ -84,10 +84,10 @@
     for wait, may in ((0.2, True), (1.5, False)):
         g, _ = gateway(servers("a", "b", zones=[0, 0]), classes=(keyed,))
         sent = pick(g.handle(101.0, [request(1, timeout=9.0)]), StartAttempt)[0]
-        other = "b" if sent.server == "a" else "a"
+        other = "b" if sent.backend == "a" else "a"
         g.handle(101.0, [servers("c", zones=[1], kind=UpdateKind.DELTA)])
-        after = g.handle(101.0 + wait, [outcome(1, 0, sent.server, Status.ERROR, elapsed=wait)])
-        picked = [s.server for s in pick(after, StartAttempt)]
+        after = g.handle(101.0 + wait, [outcome(1, 0, sent.backend, Status.ERROR, elapsed=wait)])
+        picked = [s.backend for s in pick(after, StartAttempt)]
         assert picked in (
             [[other], ["c"]] if group is DeduplicationScope.ALL and may else [[other]] if may else [[]]
         )
@@ -101,7 +101,9 @@
         assert len(out) == 1
         sends += 1
         out = pick(
-            g.handle(101.0 + sends / 100, [outcome(1, sends - 1, out[0].server, Status.ERROR, elapsed=0.01)]),
+            g.handle(
+                101.0 + sends / 100, [outcome(1, sends - 1, out[0].backend, Status.ERROR, elapsed=0.01)]
+            ),
             StartAttempt,
         )
     assert sends == 4
@@ -113,7 +115,7 @@
     g.handle(101.0, [servers("a", kind=UpdateKind.DELTA, state=state)])
     for i in range(10):
         for send in pick(g.handle(101.1 + i / 10, [request(i)]), StartAttempt):
-            assert send.server == "b"
+            assert send.backend == "b"
 
 
 def test_cold_server_gets_less_than_its_budget():
@@ -125,7 +127,7 @@
         now = 100.0 + i / 100
         for send in pick(g.handle(now, [request(i), TimerExpired(0)]), StartAttempt):
             sent += 1
-            g.handle(now, [outcome(send.id, 0, send.server, elapsed=usual)])
+            g.handle(now, [outcome(send.id, 0, send.backend, elapsed=usual)])
     budget = 2.0 * (0.2 + 0.8 * 0.2) * 2.0 / 3  # multiple x share of one core by then x span / gateways
     assert 0 < sent * usual <= budget + usual
 
@@ -139,7 +141,7 @@
         now += 0.05
         for send in pick(g.handle(now, [request(i, units=1.0)]), StartAttempt):
             let_in += 1
-            g.handle(now, [outcome(i, 0, send.server, elapsed=0.01)])
+            g.handle(now, [outcome(i, 0, send.backend, elapsed=0.01)])
     assert 0 < let_in <= 2.0 * (now - 100.0) + 4.0
 
 
--- a/tests/decisions/test_quota_exchange.py
+++ b/tests/decisions/test_quota_exchange.py
@@ -20,10 +20,10 @@
     ring = Ring()
     for g in ring.gateways.values():
         a = g.account(7, 0, 2, 2)
-        assert a.base() == pytest.approx(1 / 2)
+        assert a.base_share() == pytest.approx(1 / 2)
         assert a.level == pytest.approx(PLAN.burst / 2)
-    assert sorted(ring.gateways[0].accounts[7].pairs) == [2]  # the set 2, 0 wraps past the last gateway
-    assert not ring.gateways[1].accounts[7].inside
+    assert sorted(ring.gateways[0].accounts[7].ledgers) == [2]  # the set 2, 0 wraps past the last gateway
+    assert not ring.gateways[1].accounts[7].is_member
 
 
 @pytest.mark.parametrize("gateways", [2, 3, 4])
@@ -73,10 +73,12 @@
     ring.run(2, busy_at(0))
     ring.run(2)
     ring.start(0)  # counts from 0 again, yet it is the later start
-    assert ring.gateways[0].born < ring.gateways[1].born
+    assert ring.gateways[0].incarnation < ring.gateways[1].incarnation
     ring.run(2, busy_at(0))
-    assert ring.gateways[1].peer_born[0] == ring.gateways[0].born
-    assert not ring.gateways[0].older(ring.gateways[0].born) and total(ring) == pytest.approx(1, abs=0.02)
+    assert ring.gateways[1].peer_incarnations[0] == ring.gateways[0].incarnation
+    assert not ring.gateways[0].older(ring.gateways[0].incarnation) and total(ring) == pytest.approx(
+        1, abs=0.02
+    )
 
 
 def test_restarted_gateway_takes_the_fill_of_its_neighbours():
@@ -94,11 +96,11 @@
     ring.run(2, lambda me: 1.0)
     heir, other = ring.gateways[2], ring.gateways[0]
     a = heir.accounts[7]
-    assert heir.slice(a) == pytest.approx(heir.accounts[7].base() + a.pairs[1].told_slice)
-    assert other.slice(other.accounts[7]) == pytest.approx(other.accounts[7].base())
+    assert heir.slice(a) == pytest.approx(heir.accounts[7].base_share() + a.ledgers[1].peer_share)
+    assert other.slice(other.accounts[7]) == pytest.approx(other.accounts[7].base_share())
     ring.gateways[1] = gone
     ring.run(1, lambda me: 1.0)
-    assert heir.slice(a) == pytest.approx(heir.accounts[7].base())
+    assert heir.slice(a) == pytest.approx(heir.accounts[7].base_share())
 
 
 def test_own_cut_takes_no_loan():
@@ -107,7 +109,7 @@
     ring.lost = lambda *a: True
     ring.run(3, lambda me: 1.0)
     for g in ring.gateways.values():
-        assert g.slice(g.accounts[7]) == pytest.approx(g.accounts[7].base())
+        assert g.slice(g.accounts[7]) == pytest.approx(g.accounts[7].base_share())
 
 
 @pytest.mark.parametrize("payload", [b"", b"\x01abc", b"\x09" + bytes(60), bytes(13)])
@@ -127,8 +129,14 @@
     g = ring.gateways[1]
     note = peer_messages.Note(7, 0, 0, 3, 0.9, 9.0, 0.0, 9000, 50.0)
     before = ring.slices()
-    g.handle(ring.now, [PeerMessage(0, *peer_messages.pack(g.peer_born[0] - 5, g.born, 10**6, [note]))])
-    g.handle(ring.now, [PeerMessage(0, *peer_messages.pack(g.peer_born[0], g.born - 5, 10**6, [note]))])
+    g.handle(
+        ring.now,
+        [PeerMessage(0, *peer_messages.pack(g.peer_incarnations[0] - 5, g.incarnation, 10**6, [note]))],
+    )
+    g.handle(
+        ring.now,
+        [PeerMessage(0, *peer_messages.pack(g.peer_incarnations[0], g.incarnation - 5, 10**6, [note]))],
+    )
     assert ring.slices() == before
 
 
@@ -143,7 +151,7 @@
     assert actions and max(len(m.payload) for m in tells) <= peer_messages.MESSAGE_BYTES
     assert len([m for m in tells if m.peer == 1]) > 1
     for rid, send in [(s.id, s) for s in pick(actions, StartAttempt)]:
-        g.sent.pop((rid, 0))[1].open -= 1
+        g.attempts_in_flight.pop((rid, 0))[1].in_flight -= 1
         assert send
     ring.now += 61
     g.handle(ring.now, [TimerExpired(0)])
@@ -161,7 +169,7 @@
     assert {len(payload) for *_, payload in ring.flight} == {peer_messages.HEAD.size}  # greetings alone
     ring.delay = 0.02
     ring.run(15)
-    assert not any(g.accounts or g.lively for g in ring.gateways.values())
+    assert not any(g.accounts or g.active_accounts for g in ring.gateways.values())
 
 
 @pytest.mark.parametrize("busy", [0, 2])
@@ -171,11 +179,14 @@
     ring.run(8, busy_at(busy))  # slices and many units have moved
     ring.run(7)
     ring.gateways[who].accounts.clear()
-    ring.gateways[who].lively.clear()
+    ring.gateways[who].active_accounts.clear()
     for _ in range(10):
         ring.run(0.3, lambda me: 0.05 if me == asks else 0.0)
         for g in ring.gateways.values():  # what was moved before must not be taken from a bucket once more
-            assert 7 not in g.accounts or g.state(g.accounts[7])[2] > 0.25 * g.accounts[7].base() * PLAN.burst
+            assert (
+                7 not in g.accounts
+                or g.state(g.accounts[7])[2] > 0.25 * g.accounts[7].base_share() * PLAN.burst
+            )
     assert total(ring) == pytest.approx(1, abs=0.02)
 
 
@@ -186,27 +197,27 @@
     note = peer_messages.Note(
         7, 0, 0, 3, 0.6, 1.0, 18.0, 8000, 12.0
     )  # its bucket is full, by 12 units from here
-    message = PeerMessage(0, *peer_messages.pack(5, g.born, 1, [note]))
+    message = PeerMessage(0, *peer_messages.pack(5, g.incarnation, 1, [note]))
     tell = pick(g.handle(ring.now, [message]), SendToPeer)[-1]
-    (reply,) = peer_messages.unpack(tell.payload, 1, ring.gateways[0].s)[3]
-    assert reply.units_total <= -11.0 and reply.slice_total < -4000  # from 0, the other end would lose them
+    (reply,) = peer_messages.unpack(tell.payload, 1, ring.gateways[0].settings)[3]
+    assert reply.units_total <= -11.0 and reply.share_total < -4000  # from 0, the other end would lose them
 
 
 def test_overtaken_message_changes_nothing():
     ring = Ring()
     ring.run(1, busy_at(0))
     g = ring.gateways[0]
-    born, pair = g.peer_born[1], g.accounts[7].pairs[1]
+    born, pair = g.peer_incarnations[1], g.accounts[7].ledgers[1]
     for number, moved in ((10**6 + 2, 6000), (10**6 + 1, -3000)):
         note = peer_messages.Note(7, 0, 0, 3, 0.5, 3.0, 5.0, moved, moved / 1000)
-        g.handle(ring.now, [PeerMessage(1, *peer_messages.pack(born, g.born, number, [note]))])
-    assert pair.slice == -6000 and pair.units == -6.0
+        g.handle(ring.now, [PeerMessage(1, *peer_messages.pack(born, g.incarnation, number, [note]))])
+    assert pair.received_share == -6000 and pair.received_units == -6.0
 
 
 def test_new_incarnation_starts_the_pair_over_at_once():
     ring = Ring()
     ring.run(5, busy_at(0))
     g = ring.gateways[0]
-    assert g.accounts[7].pairs[1].slice > 0
-    g.handle(ring.now, [PeerMessage(1, *peer_messages.pack(g.peer_born[1] + 9000, 0, 1, []))])
-    assert g.accounts[7].pairs[1].slice == 0
+    assert g.accounts[7].ledgers[1].received_share > 0
+    g.handle(ring.now, [PeerMessage(1, *peer_messages.pack(g.peer_incarnations[1] + 9000, 0, 1, []))])
+    assert g.accounts[7].ledgers[1].received_share == 0
--- a/tests/decisions/test_slow_start.py
+++ b/tests/decisions/test_slow_start.py
@@ -8,7 +8,7 @@
 from corkdeal.decisions.actions import StartAttempt
 from corkdeal.decisions.events import Endpoint, EndpointState, UpdateKind
 from corkdeal.decisions.gateway import Gateway
-from corkdeal.decisions.records import FadingRate, Server
+from corkdeal.decisions.records import BackendRecord, FadingRate
 from corkdeal.decisions.settings import Plan, RequestClass
 from corkdeal.decisions.slow_start import SlowStartBudget
 from corkdeal.experiment.slow_start import Play, draw
@@ -25,7 +25,7 @@
     budgets = [SlowStartBudget(s, random.Random(i), WORK) for i in range(gateways)]
     sharing = [g for g in range(gateways) if gateways < 10 or g % 3 == 0]
     weights = [1 / (1 + g) ** skew for g in range(gateways)]
-    cold = [Server(Endpoint("new", EndpointState.READY, started=20.0)) for _ in range(gateways)]
+    cold = [BackendRecord(Endpoint("new", EndpointState.READY, started=20.0)) for _ in range(gateways)]
     preferred = 30 if gateways < 10 else 10
     borne = sum(weights[g] for g in sharing) / sum(weights) * RATE * 30 / preferred  # by a warm one of theirs
     sent, now = [], 0.0
@@ -48,7 +48,7 @@
 def test_without_anything_served_yet_a_cold_server_is_still_tried():
     s = settings(gateways=40, initial_capacity=0.25, warm_up_time=16.0)
     budget = SlowStartBudget(s, random.Random(1), WORK)
-    cold = Server(Endpoint("new", EndpointState.READY, started=1.0))
+    cold = BackendRecord(Endpoint("new", EndpointState.READY, started=1.0))
     sent = 0
     for k in range(160):
         if budget.room(cold, 1.0 + k / 10, WORK, 40.0) and budget.takes(cold, WORK):
@@ -79,7 +79,7 @@
         if k in (398, 399, 798, 799):
             seen.append(g.work_of(g.requests[k]))
         took = (0.02 if k % 2 else 0.04) * slow
-        g.handle(now, [outcome(k, 0, send.server, elapsed=took)])
+        g.handle(now, [outcome(k, 0, send.backend, elapsed=took)])
     assert seen[:2] == pytest.approx(seen[2:], rel=0.1)
     assert seen[0] == pytest.approx(2 * seen[1], rel=0.1)
 
@@ -103,7 +103,9 @@
     for budget in budgets:
         for k in range(101):
             budget.served.add(k / 10, load / 10 / gateways)
-    cold = [Server(Endpoint("new", EndpointState.READY, started=10.0), met_at=10.0) for _ in budgets]
+    cold = [
+        BackendRecord(Endpoint("new", EndpointState.READY, started=10.0), first_seen_at=10.0) for _ in budgets
+    ]
     return budgets, cold
 
 
@@ -146,15 +148,15 @@
     g.handle(100.0, [servers("new", kind=UpdateKind.DELTA, started=100.0)])
     draws = []
     g.slow_start.room = lambda server, now, need, sharers: True
-    g.slow_start.takes = lambda server, need: draws.append((server.entry.server, need)) or won
-    g.servers["warm"].out.update({-k: (100.0, 0.0) for k in range(1, 3)})
-    assert pick(g.handle(100.1, [request(1, spread=200)]), StartAttempt)[0].server == goes_to
-    assert draws == [("new", g.guess)]
-    g.servers[
+    g.slow_start.takes = lambda server, need: draws.append((server.endpoint.backend, need)) or won
+    g.backends["warm"].in_flight.update({-k: (100.0, 0.0) for k in range(1, 3)})
+    assert pick(g.handle(100.1, [request(1, spread=200)]), StartAttempt)[0].backend == goes_to
+    assert draws == [("new", g.initial_latency)]
+    g.backends[
         "warm"
-    ].out.clear()  # a draw stakes what is saved, so there is none where another server is better
-    g.servers["new"].out.update({-k: (100.0, 0.0) for k in range(1, 3)})
-    assert pick(g.handle(100.2, [request(2, spread=200)]), StartAttempt)[0].server == "warm"
+    ].in_flight.clear()  # a draw stakes what is saved, so there is none where another server is better
+    g.backends["new"].in_flight.update({-k: (100.0, 0.0) for k in range(1, 3)})
+    assert pick(g.handle(100.2, [request(2, spread=200)]), StartAttempt)[0].backend == "warm"
     assert len(draws) == 1
 
 
--- a/tests/helpers.py
+++ b/tests/helpers.py
@@ -95,8 +95,8 @@
                     events.append(request(self.number, units=ask(me), spread=self.spread))
                 actions = g.handle(self.now, events)
                 for send in pick(actions, StartAttempt):
-                    g.handle(self.now, [outcome(send.id, 0, send.server, elapsed=0.01)])
+                    g.handle(self.now, [outcome(send.id, 0, send.backend, elapsed=0.01)])
                 self.take(me, actions)
 
     def slices(self):
-        return {me: g.accounts[7].base() for me, g in self.gateways.items() if 7 in g.accounts}
+        return {me: g.accounts[7].base_share() for me, g in self.gateways.items() if 7 in g.accounts}
--- a/tests/membership/test_explore.py
+++ b/tests/membership/test_explore.py
@@ -36,7 +36,7 @@
             after = members.copy.deepcopy(begin)
             for each in (way, way, way, members.Way("clear", frozenset())):
                 faults += members.follow(after, each)
-            faults += [str(me) for me, g in after.up.items() if not g.members.sure(g.accounts[7])]
+            faults += [str(me) for me, g in after.up.items() if not g.membership.sure(g.accounts[7])]
     assert faults
 
 
@@ -48,4 +48,4 @@
     still = world()
     still.pause(1, 8.0)
     still.run(6.0)
-    assert {g.members.table.members[1].state for me, g in still.up.items() if me != 1} == {GONE}
+    assert {g.membership.table.members[1].state for me, g in still.up.items() if me != 1} == {GONE}
--- a/tests/membership/test_members.py
+++ b/tests/membership/test_members.py
@@ -31,7 +31,7 @@
 
     def start(self, me, gateways=None):
         made = Gateway(settings(me, self.size, plans=(PLAN,)), seed=me)
-        made.ledgers, made.members = Ledgers(), Members(made, later)
+        made.quota_restore, made.membership = Ledgers(), Members(made, later)
         self.gateways[me] = made
         self.take(me, made.handle(self.now, [servers("a", "b", "c")]))
 
@@ -53,7 +53,7 @@
         self.lost = lambda sender, to, number: (sender, to) in pairs
 
     def seen(self, by, member):
-        return self.gateways[by].members.table.members[member].state
+        return self.gateways[by].membership.table.members[member].state
 
 
 def both(ones, others):
@@ -86,7 +86,7 @@
     most = max(most, tier.go(8.0))
     assert most <= 1.0 + 0.05  # two ends of a trade may see it a message apart
     assert sum(tier.spent().values()) == pytest.approx(1.0, abs=0.25 if loss else 0.01)
-    assert not any(g.members.taken for g in tier.gateways.values())
+    assert not any(g.membership.taken for g in tier.gateways.values())
 
 
 def test_a_dead_one_s_slice_is_in_use_again_and_its_own_once_it_is_back():
@@ -105,14 +105,14 @@
     tier = Tier(5)
     tier.run(4.0, tier.ask)
     gone = tier.gateways.pop(2)
-    gone.out = []
-    gone.members.leave()
-    tier.take(2, gone.out)
+    gone.actions = []
+    gone.membership.leave()
+    tier.take(2, gone.actions)
     tier.run(2 * BEAT_MOST + 0.1, tier.ask)
     assert all(tier.seen(by, 2) == AWAY for by in tier.gateways)
     assert sum(tier.spent().values()) == pytest.approx(1 - KEEP / 5, abs=0.02)
-    late = Row(NEWS, 2, gone.born, messages.following(gone.members.number))
-    assert not tier.gateways[0].members.table.news(tier.now, late) and tier.seen(0, 2) == AWAY
+    late = Row(NEWS, 2, gone.incarnation, messages.following(gone.membership.number))
+    assert not tier.gateways[0].membership.table.news(tier.now, late) and tier.seen(0, 2) == AWAY
 
 
 def test_four_of_five_dead_leave_the_fifth_its_kept_part_and_two_in_company_their_own():
@@ -137,8 +137,8 @@
     resume.wake(still, tier.now, pause)
     assert pause < LEASE or still.slice(still.accounts[7]) == pytest.approx(KEEP / 5, abs=0.01)
     tier.gateways[0] = still
-    still.members.step()
-    assert {m.state for m in still.members.table.members.values()} == {ALIVE}
+    still.membership.step()
+    assert {m.state for m in still.membership.table.members.values()} == {ALIVE}
     assert max(most, tier.go(3.0)) <= 1.02
     assert sum(tier.spent().values()) == pytest.approx(1.0, abs=0.01)
 
@@ -150,27 +150,27 @@
     lies = ((LEFT, 0, 9), (NEWS, 0, 30000), (NEWS, 5000, 1), (GRANT, 0, 1), (ASK, 0, 1))
     for kind, later_by, ahead in lies * 4:
         rows = tuple(
-            Row(kind, m, g.born + later_by, (g.members.number + ahead) % 65535 + 1)
+            Row(kind, m, g.incarnation + later_by, (g.membership.number + ahead) % 65535 + 1)
             for m, g in tier.gateways.items()
             if m != 4
         )
         for to in range(4):
-            lie = Beat(liar.born, tier.gateways[to].born, liar.members.number, 0, 0, 0, rows)
+            lie = Beat(liar.incarnation, tier.gateways[to].incarnation, liar.membership.number, 0, 0, 0, rows)
             tier.flight.append((tier.now, 4, to, messages.pack(lie)))
         most = max(most, tier.go(0.5))
-    assert most <= 1.02 and not any(g.members.taken for g in tier.gateways.values())
+    assert most <= 1.02 and not any(g.membership.taken for g in tier.gateways.values())
     assert {tier.seen(i, j) for i, j in both([1], [0, 2]) + both([2], [1, 3])} == {ALIVE}  # ring neighbours
     assert sum(tier.spent().values()) == pytest.approx(1.0, abs=0.01)
 
 
 def test_a_program_before_this_is_heard_as_it_was_and_nothing_of_it_is_taken():
     tier = Tier(3)
-    tier.gateways[1].members = None
+    tier.gateways[1].membership = None
     tier.run(4.0, tier.ask)
     assert sum(tier.spent().values()) == pytest.approx(1.0, abs=0.01)
     del tier.gateways[1]
     tier.run(6.0, tier.ask)
-    assert not tier.gateways[2].members.taken
+    assert not tier.gateways[2].membership.taken
 
 
 def test_silences_go_by_how_often_news_came_and_one_silence_among_several_is_not_its_own():
@@ -230,13 +230,13 @@
 @given(st.binary(max_size=300), words)
 def test_whatever_comes_costs_one_message_at_most(noise, beat):
     one = Gateway(settings(0, 5), seed=1)
-    one.members = Members(one, later)
+    one.membership = Members(one, later)
     one.handle(100.0, [servers("a")])
     for payload in (noise, b"\x05" + noise, messages.pack(beat) + noise[:1]):
         one.handle(101.0, [PeerMessage(1, payload)])
     out = one.handle(101.5, [PeerMessage(1, messages.pack(beat))])
     assert len(pick(out, SendToPeer)) <= 2
-    told = [b for m in pick(out, SendToPeer) if (b := messages.unpack(m.payload, 2, one.s))]
+    told = [b for m in pick(out, SendToPeer) if (b := messages.unpack(m.payload, 2, one.settings))]
     assert ASK not in {r.kind for b in told for r in b.rows}
 
 
@@ -265,8 +265,8 @@
     gateway.tell = told.append
     membership = Membership(Loop(), gateway)
     membership.start()
-    assert one.members.trusts is trusts and gateway.before_end == [membership]
-    assert not trusts or one.members.part(one.accounts[7]) == 1.0
+    assert one.membership.trusts is trusts and gateway.before_end == [membership]
+    assert not trusts or one.membership.part(one.accounts[7]) == 1.0
     membership.stop(lambda: ended.append(True))
     flags = {messages.unpack(a.payload, 0, settings(1, 3)).flags & messages.LEAVING for a in told}
     assert ended and flags == ({messages.LEAVING} if leaves else set())
--- a/tests/persistence/test_quota_handover.py
+++ b/tests/persistence/test_quota_handover.py
@@ -52,7 +52,7 @@
         self.d, self.rid, self.now = Gateway(settings, seed=1), 0, now
         if known is not None:
             self.d.remember(known)
-        self.d.part = part
+        self.d.quota_fraction = part
         self.d.handle(now, [SERVER])
 
     def ask(self, now, customer=7, spread=1, units=1.0):
@@ -75,7 +75,9 @@
 
     def recall(self, made, now):
         """Its records, as the next life reads them."""
-        return Recall(made, now - made.head.clock.boot, now, self.d.s, lambda _: "", collections.Counter())
+        return Recall(
+            made, now - made.head.clock.boot, now, self.d.settings, lambda _: "", collections.Counter()
+        )
 
 
 def hand_first(old, now):
@@ -83,7 +85,7 @@
     quota_handover.keep(old.d, 1 - quota_handover.NEW_PART)
     first = quota_handover.Given(old.recall(made, now), quota_handover.NEW_PART)
     return (
-        Life(old.d.s, first, made.head.fleet.part * quota_handover.NEW_PART, now),
+        Life(old.d.settings, first, made.head.fleet.part * quota_handover.NEW_PART, now),
         first,
         made.head.fleet.part,
     )
@@ -134,7 +136,7 @@
             else:
                 quota_handover.take_rate(new.d, now, part_there)
             old = None
-            assert new.d.part == pytest.approx(1.0)
+            assert new.d.quota_fraction == pytest.approx(1.0)
         elif what in ("old", "new") and (life := old if what == "old" else new) is not None:
             sent[customer] += life.ask(now, customer)
         for units in sent.values():
@@ -159,7 +161,7 @@
     levels = {c: a.level for c, a in new.d.accounts.items()}
     assert levels == {7: pytest.approx(PLAN.burst - 2), 8: pytest.approx(PLAN.burst - 1)}
     third, _, whole = hand_first(new, EPOCH)
-    assert whole == pytest.approx(1.0) and third.d.part == pytest.approx(quota_handover.NEW_PART)
+    assert whole == pytest.approx(1.0) and third.d.quota_fraction == pytest.approx(quota_handover.NEW_PART)
 
 
 def test_peers_go_on_with_the_new_life_where_they_were_with_the_old():
@@ -176,7 +178,7 @@
                 out = one.d.handle(now, [TimerExpired(0)])
                 for _ in range(4):  # to and fro until nothing is left to say
                     told = [
-                        PeerMessage(one.d.s.gateway_index, a.payload)
+                        PeerMessage(one.d.settings.gateway_index, a.payload)
                         for a in out
                         if isinstance(a, SendToPeer)
                     ]
@@ -184,19 +186,19 @@
                     out = one.d.handle(now, told) if told else []
 
     def total():
-        return sum(life.d.accounts[7].base() for life in (lives[-1], peer))
+        return sum(life.d.accounts[7].base_share() for life in (lives[-1], peer))
 
     talk(4.0)
-    share, born = lives[0].d.accounts[7].base(), lives[0].d.born
+    share, born = lives[0].d.accounts[7].base_share(), lives[0].d.incarnation
     assert share > 0.7 and total() == pytest.approx(1.0, abs=1e-3)
     new, first, _ = hand_first(lives[0], now)
     hand_rest(lives[0], new, first, now)
     lives.append(new)
-    assert new.d.accounts[7].base() == pytest.approx(share) and new.d.born == born
-    known = peer.d.peer_born[0]
+    assert new.d.accounts[7].base_share() == pytest.approx(share) and new.d.incarnation == born
+    known = peer.d.peer_incarnations[0]
     talk(2.0)
-    assert peer.d.peer_born[0] == known == born  # no restart seen, and the ledger went on
-    assert total() == pytest.approx(1.0, abs=1e-3) and new.d.accounts[7].base() > 0.6
+    assert peer.d.peer_incarnations[0] == known == born  # no restart seen, and the ledger went on
+    assert total() == pytest.approx(1.0, abs=1e-3) and new.d.accounts[7].base_share() > 0.6
 
 
 def test_a_document_reaches_only_the_life_that_it_was_made_for(tmp_path):
--- a/tests/persistence/test_restore.py
+++ b/tests/persistence/test_restore.py
@@ -66,25 +66,33 @@
 def test_a_restarted_gateway_goes_on_where_it_was():
     old = Gateway(settings(), seed=1)
     old.handle(8000.0, [listed("a", "b", "c")])
-    old.work[0, 1], old.pace, old.slow, old.retries_left = 0.4, 0.7, 2.0, 3.0
-    bad = old.servers["a"]
-    bad.slow, bad.failures, bad.ejected, bad.out_for, bad.shut = 5.0, 4, True, 2.0, {1: (2.0, 8009.0)}
-    bad.sent_at, bad.ejected_until = 8000.5, 8002.0
+    old.usual_latencies[0, 1], old.queueing_factor, old.fleet_slowness, old.retry_budget = 0.4, 0.7, 2.0, 3.0
+    bad = old.backends["a"]
+    bad.slowness, bad.failures, bad.is_ejected, bad.ejection_time, bad.rejecting_classes = (
+        5.0,
+        4,
+        True,
+        2.0,
+        {1: (2.0, 8009.0)},
+    )
+    bad.last_attempt_at, bad.ejected_until = 8000.5, 8002.0
     for number in range(9):
         old.handle(8000.0 + number / 10, [helpers.request(number, units=2.0)])
     level = old.accounts[7].level
     new = reborn(kept(old, 8001.0, clean=True), 2.0, 8003.0)
     new.handle(8003.0, [listed("a", "b", "c")])
-    assert new.work[0, 1] == pytest.approx(0.4, rel=0.01) and new.pace == pytest.approx(0.7, rel=0.01)
-    assert 1.6 < new.slow < 2.0 and 3.0 < new.retries_left < 5.0
-    a = new.servers["a"]
-    assert 4.6 < a.slow < 5.0 and a.failures == 4 and a.out_for < 2.0
-    assert a.ejected and a.ejected_until == 8003.0  # due for a trial, no verdict
-    assert a.shut[1][1] == pytest.approx(8009.0)
+    assert new.usual_latencies[0, 1] == pytest.approx(0.4, rel=0.01) and new.queueing_factor == pytest.approx(
+        0.7, rel=0.01
+    )
+    assert 1.6 < new.fleet_slowness < 2.0 and 3.0 < new.retry_budget < 5.0
+    a = new.backends["a"]
+    assert 4.6 < a.slowness < 5.0 and a.failures == 4 and a.ejection_time < 2.0
+    assert a.is_ejected and a.ejected_until == 8003.0  # due for a trial, no verdict
+    assert a.rejecting_classes[1][1] == pytest.approx(8009.0)
     new.handle(8003.0, [helpers.request(99, units=2.0)])
     account = new.accounts[7]
     filled = min(10.0, level + 2.0 * (8003.0 - 8000.8))
-    assert account.level == pytest.approx(filled - 2.0 * account.open, abs=0.1)
+    assert account.level == pytest.approx(filled - 2.0 * account.in_flight, abs=0.1)
 
 
 def test_unseen_spending_is_assumed_after_a_kill_and_not_after_a_planned_end():
@@ -132,7 +140,7 @@
 )
 def test_a_record_is_only_for_the_process_it_was_made_of(entry, at, found, counted):
     doc = samples.document(msgspec.structs.replace(samples.HEAD, servers=(SERVER,)), {})
-    recall = recalled(doc, 1.0, 9000.0, addresses={entry.server: at})
+    recall = recalled(doc, 1.0, 9000.0, addresses={entry.backend: at})
     made = recall.server(entry, 9000.0)
     assert (made is not None) is found and (not counted or recall.counts[counted] == 1)
     if found:
@@ -144,11 +152,11 @@
     doc = samples.document(msgspec.structs.replace(samples.HEAD, servers=(SERVER,)), {})
     gateway = reborn(doc, 1.0, 9000.0)
     gateway.handle(9000.0, [listed("a", started=500.0, kind=UpdateKind.CACHED)])
-    assert gateway.servers["a"].slow == 1.0
+    assert gateway.backends["a"].slowness == 1.0
     gateway.handle(9000.5, [listed("a", started=1000.0)])
-    assert gateway.servers["a"].slow > 4.0
+    assert gateway.backends["a"].slowness > 4.0
     gateway.handle(9001.0, [listed("a", started=9000.9)])  # and started again since
-    assert gateway.servers["a"].slow == 1.0 and not gateway.servers["a"].ejected
+    assert gateway.backends["a"].slowness == 1.0 and not gateway.backends["a"].is_ejected
 
 
 @pytest.mark.parametrize(
@@ -177,22 +185,27 @@
     gateway = reborn(samples.document(), age, 9000.0, s)
     gateway.handle(9000.0, [listed("a"), helpers.request(1, spread=2)])
     if resumes:
-        assert (gateway.born, gateway.peer_born) == (77, {1: 55}) and gateway.round > ROUND_LEAP
-        assert gateway.accounts[7].pairs[1].slice == 1500
+        assert (gateway.incarnation, gateway.peer_incarnations) == (
+            77,
+            {1: 55},
+        ) and gateway.message_round > ROUND_LEAP
+        assert gateway.accounts[7].ledgers[1].received_share == 1500
     else:
-        assert gateway.born == 9000_000 and gateway.peer_born == {}
+        assert gateway.incarnation == 9000_000 and gateway.peer_incarnations == {}
 
 
 def test_a_ledger_with_a_peer_that_started_again_begins_anew():
     """Its rounds begin at one again, so a ledger that remembers higher ones would never hear it."""
     gateway = reborn(samples.document(), 5.0, 9000.0, settings(0, 2))
-    again = peer_messages.pack(9000_500, gateway.born, 1, [])[0]  # it started after the record was made
+    again = peer_messages.pack(9000_500, gateway.incarnation, 1, [])[
+        0
+    ]  # it started after the record was made
     gateway.handle(9000.0, [listed("a"), PeerMessage(1, again)])
     gateway.handle(9000.1, [helpers.request(1, spread=2)])  # the account is met only now
-    assert gateway.accounts[7].pairs[1].round == 0 == gateway.accounts[7].pairs[1].slice
+    assert gateway.accounts[7].ledgers[1].last_round == 0 == gateway.accounts[7].ledgers[1].received_share
     note = peer_messages.Note(7, 0, 0, 2, 0.5, 1.0, 1.0, 0, 0.0)
-    gateway.handle(9000.2, [PeerMessage(1, peer_messages.pack(9000_500, gateway.born, 2, [note])[0])])
-    assert gateway.accounts[7].pairs[1].round == 2
+    gateway.handle(9000.2, [PeerMessage(1, peer_messages.pack(9000_500, gateway.incarnation, 2, [note])[0])])
+    assert gateway.accounts[7].ledgers[1].last_round == 2
 
 
 def test_a_ledger_carried_through_two_lives_is_still_with_the_peer_it_was_with():
@@ -201,14 +214,14 @@
     newer = msgspec.structs.replace(head, fleet=head.fleet._replace(peers=((1, 99),)))
     gateway = reborn(samples.document(newer), 5.0, 9000.0, settings(0, 2))
     gateway.handle(9000.0, [listed("a"), helpers.request(1, spread=2)])
-    assert gateway.peer_born == {1: 99} and gateway.accounts[7].pairs[1].round == 0
+    assert gateway.peer_incarnations == {1: 99} and gateway.accounts[7].ledgers[1].last_round == 0
 
 
 def test_a_wall_clock_set_back_does_not_make_peers_ignore_the_new_start():
     # the module's clock shows 10 ms, the old start was at 77 ms
     gateway = reborn(samples.document(), 40.0, 0.01)
     gateway.handle(0.01, [listed("a")])
-    assert gateway.born == 78
+    assert gateway.incarnation == 78
 
 
 def test_nothing_of_a_document_without_end_of_age_counts():
--- a/tests/persistence/test_snapshot_writer.py
+++ b/tests/persistence/test_snapshot_writer.py
@@ -71,7 +71,7 @@
     decisions.handle(5000.0, [helpers.servers("a", "b"), helpers.request(1)])
     gateway = SimpleNamespace(
         decisions=decisions,
-        settings=decisions.s,
+        settings=decisions.settings,
         now=lambda: 5000.0 + reactor.seconds(),
         config=SimpleNamespace(name="n0"),
         pool=SimpleNamespace(addresses={"a": ("10.0.0.1", 1)}),
--- a/tests/recovery/test_recovery.py
+++ b/tests/recovery/test_recovery.py
@@ -43,7 +43,7 @@
     still.refill(account)
     assert account.level == pytest.approx(level, abs=0.6)
     ahead = ring.gateways[2].slice(ring.gateways[2].accounts[7])
-    assert ahead > ring.gateways[2].accounts[7].base()  # the loan that the wake has to reckon with
+    assert ahead > ring.gateways[2].accounts[7].base_share()  # the loan that the wake has to reckon with
 
 
 def test_what_neighbours_told_before_a_pause_backs_nothing_and_nobody_is_silent():
@@ -53,8 +53,8 @@
     resume.wake(still, ring.now, 2.0)
     still.now = ring.now
     assert not still.admits(account, 1.0, still.refill(account))
-    assert not any(still.silent(p) for p in account.pairs)
-    assert still.slice(account) == pytest.approx(account.base())
+    assert not any(still.silent(p) for p in account.ledgers)
+    assert still.slice(account) == pytest.approx(account.base_share())
 
 
 def test_servers_are_not_held_to_be_hung_for_the_time_of_a_pause():
@@ -62,18 +62,18 @@
     one = ring.gateways[0]
     sent = pick(one.handle(101.0, [request(1, spread=1)]), StartAttempt)
     resume.wake(one, 161.0, 60.0)
-    for rid, server in [(1, one.servers[sent[0].server])]:
+    for rid, server in [(1, one.backends[sent[0].backend])]:
         one.now = 161.0
         one.watch(rid, server)
-        assert not server.ejected
-        one.handle(161.1, [outcome(1, 0, sent[0].server, elapsed=0.1)])
+        assert not server.is_ejected
+        one.handle(161.1, [outcome(1, 0, sent[0].backend, elapsed=0.1)])
 
 
 def test_nothing_is_sent_by_a_list_that_may_be_old_and_what_waits_goes_out_with_the_new_one():
     one = Ring(1).gateways[0]
-    one.blind = True
+    one.is_endpoint_list_stale = True
     assert not pick(one.handle(101.0, [request(1, spread=1)]), StartAttempt)
-    one.blind = False
+    one.is_endpoint_list_stale = False
     assert [s.id for s in pick(one.handle(101.1, [TimerExpired(0)]), StartAttempt)] == [1]
 
 
@@ -145,7 +145,7 @@
 
     def start(self, me, gateways=3):
         made = Gateway(settings(me, gateways, plans=(self.plan,)), seed=me)
-        made.ledgers = Ledgers()
+        made.quota_restore = Ledgers()
         self.gateways[me] = made
         self.take(me, made.handle(self.now, [servers("a", "b", "c")]))
 
@@ -192,7 +192,7 @@
     ring = Returning()
     ring.run(10.0, busy_share)
     for g in ring.gateways.values():
-        g.ledgers = None
+        g.quota_restore = None
     ring.again(0)
     ring.run(2.0, busy_share)
     assert sum(ring.slices().values()) == pytest.approx(1.0, abs=1e-9)
@@ -200,7 +200,7 @@
 
 def test_a_wide_ring_saves_nothing_up_at_a_start_that_others_may_have_spent():
     made = Gateway(settings(0, 20), seed=1)
-    made.ledgers = Ledgers()
+    made.quota_restore = Ledgers()
     made.handle(100.0, [servers("a"), request(1, spread=20)])
     early = made.accounts[7].level
     made.handle(110.0, [request(2, customer=8, spread=20)])
@@ -219,10 +219,10 @@
         assert len(inside) <= 2 * TIMES * usual.rate / 4 + 1
     assert len(sent) == pytest.approx(TIMES * usual.rate * 2.25, abs=2)
     one = Ring(1).gateways[0]
-    one.opening = AfterPause(101.0, 0.0)
+    one.admission_ramp = AfterPause(101.0, 0.0)
     acts = [one.handle(101.0, [request(n, spread=1)]) for n in range(1, 4)]
     assert [len(pick(a, StartAttempt)) for a in acts] == [1, 0, 0] and pick(acts[1], Reject)
-    assert one.causes["inside_opening"] == 2
+    assert one.rejection_causes["inside_opening"] == 2
 
 
 class Stored:
@@ -250,8 +250,8 @@
 
 def stored(ring, me):
     g = ring.gateways[me]
-    record = persisted_state.account_of(g.accounts[7], 0.0, g.peer_born)
-    return Stored(record, g.born, tuple(g.peer_born.items()))
+    record = persisted_state.account_of(g.accounts[7], 0.0, g.peer_incarnations)
+    return Stored(record, g.incarnation, tuple(g.peer_incarnations.items()))
 
 
 @pytest.mark.parametrize("who", [0, 1, 2])
@@ -264,11 +264,11 @@
     del ring.gateways[who]
     ring.run(0.6, busy_share)
     made = Gateway(settings(who, 3), seed=9)
-    made.ledgers = Ledgers()
+    made.quota_restore = Ledgers()
     made.remember(older)
     ring.gateways[who] = made
     ring.take(who, made.handle(ring.now, [servers("a", "b", "c")]))
-    assert made.born > older.born
+    assert made.incarnation > older.born
     ring.run(0.6, busy_share)
     assert ring.slices()[who] == pytest.approx(now[who], abs=0.1)
     ring.run(1.0, busy_share)
@@ -283,7 +283,7 @@
     ring.flight.clear()
     for me in range(3):
         made = ring.gateways[me] = Gateway(settings(me, 3), seed=9)
-        made.ledgers = Ledgers()
+        made.quota_restore = Ledgers()
         made.remember(stores[me])
         ring.take(me, made.handle(ring.now, [servers("a", "b", "c")]))
     ring.run(0.5, busy_share)
@@ -304,7 +304,7 @@
     opening.answered(True)
     assert not opening.allows(0.0, 5)
     one = Ring(1).gateways[0]
-    one.opening = AfterStart(1, 1)
+    one.admission_ramp = AfterStart(1, 1)
     acts = [one.handle(101.0, [request(n, spread=1)]) for n in range(1, 6)]
     assert [len(pick(a, StartAttempt)) for a in acts] == [1, 1, 1, 1, 0] and pick(acts[4], Reject)
 
@@ -328,20 +328,20 @@
     ring = Returning()
     ring.run(6.0, busy_share)
     made = Gateway(settings(who, 3, plans=(PLAN,)), seed=9)
-    made.ledgers = ledgers()
+    made.quota_restore = ledgers()
     ring.gateways[who] = Behind(made)
     ring.take(who, ring.gateways[who].handle(ring.now, [servers("a", "b", "c")]))
     ring.run(2.0, busy_share)
     others = [g for me, g in ring.gateways.items() if me != who]
-    assert not any(g.silent(who) for g in others) and made.born > 100_000
-    assert all(g.slice(g.accounts[7]) == g.accounts[7].base() for g in others)
+    assert not any(g.silent(who) for g in others) and made.incarnation > 100_000
+    assert all(g.slice(g.accounts[7]) == g.accounts[7].base_share() for g in others)
     assert sum(ring.slices().values()) == pytest.approx(1.0, abs=1e-9)
 
 
 def test_a_wide_ring_too_tells_one_whose_clock_was_set_back_and_not_more_often_than_it_must():
     one, two = (Gateway(settings(me, 20), seed=1) for me in (0, 1))
     two.handle(100.0, [servers("a")])
-    one.peer_born[1] = two.born + 60_000
+    one.peer_incarnations[1] = two.incarnation + 60_000
     one.handle(100.0, [servers("a")])
     news = pick(two.handle(101.0, [request(n, spread=20, units=6.0) for n in range(9)]), SendToPeer)
     assert news
@@ -349,7 +349,7 @@
     words = [pick(one.handle(at, late), SendToPeer) for at in (101.0, 101.1, 101.3)]
     assert [[w.peer for w in each if w.peer == 1] for each in words] == [[1], [], [1]]
     said = two.handle(101.4, [PeerMessage(0, words[0][0].payload)])
-    assert two.born > one.peer_born[1] - 1 and pick(said, Log)
+    assert two.incarnation > one.peer_incarnations[1] - 1 and pick(said, Log)
 
 
 @pytest.mark.parametrize("born", [1, (1 << 31) + 5, (1 << 32) - 1])
@@ -357,23 +357,23 @@
     one = Gateway(settings(), seed=1)
     one.handle(born / 1000, [servers("a")])
     message = pack(5, 0, 1, [])[0]
-    assert not pick(one.handle(born / 1000 + 1, [PeerMessage(1, message)]), Log) and one.born == born
+    assert not pick(one.handle(born / 1000 + 1, [PeerMessage(1, message)]), Log) and one.incarnation == born
 
 
 def test_a_server_that_started_after_this_gateway_s_clock_warms_up_from_when_it_was_met():
     one = Gateway(settings(), seed=1)
     one.handle(100.0, [servers("a", started=160.0)])
-    one.now = 100.0 + 0.9 * one.s.warm_up_time
-    assert 0.9 < one.warmth(one.servers["a"]) < 1.0
+    one.now = 100.0 + 0.9 * one.settings.warm_up_time
+    assert 0.9 < one.warmth(one.backends["a"]) < 1.0
 
 
 @pytest.mark.parametrize(("given", "left"), [(None, 10.0), (object(), 1.0)])
 def test_saved_up_retries_come_back_among_few_but_not_where_they_are_divided_with_another_life(given, left):
     one = Gateway(settings(0, 3), seed=1)
-    one.born, one.peer_born = 90_000, {1: 1, 2: 1}
+    one.incarnation, one.peer_incarnations = 90_000, {1: 1, 2: 1}
     gateway = SimpleNamespace(decisions=one, pool=SimpleNamespace(), now=lambda: 100.0)
     gateway.succession = given and SimpleNamespace(given=given)
     recovery = Recovery(None, gateway)
-    recovery.saved_up, one.retries_left = 10.0, 1.0
+    recovery.saved_up, one.retry_budget = 10.0, 1.0
     recovery.tell(Left("learning", "returning", "list, neighbours heard", 0.1))
-    assert one.retries_left == left
+    assert one.retry_budget == left
--- a/tests/test_bodies.py
+++ b/tests/test_bodies.py
@@ -285,8 +285,8 @@
     conn, wire = pair.ask(1)
     pair.reactor.advance(0.25)
     conn.dataReceived(HEAD + VALUE[:90000])
-    server = pair.gateway.decisions.servers["a"]
-    assert not server.out and len(server.giving) == 1
+    server = pair.gateway.decisions.backends["a"]
+    assert not server.in_flight and len(server.streaming) == 1
     for _ in range(8):  # far past its deadline, a byte now and then
         pair.reactor.advance(1.0)
         conn.dataReceived(b"v")
@@ -294,7 +294,7 @@
     assert bytes(pair.client.taken) == VALUE
     last = [e for e in pair.heard if isinstance(e, AttemptEnded)][-1]
     assert (last.status, last.elapsed, last.report) == (Status.OK, 0.25, {"qps": 1.0})
-    assert not server.giving and len(pair.reactor.tcpClients) == 1
+    assert not server.streaming and len(pair.reactor.tcpClients) == 1
 
 
 def test_a_client_that_takes_nothing_ends_and_one_that_goes_away_frees_its_backend():
--- a/tests/test_explore.py
+++ b/tests/test_explore.py
@@ -2,7 +2,7 @@
 
 import pytest
 
-from corkdeal.decisions.records import Pair
+from corkdeal.decisions.records import PeerLedger
 from corkdeal.experiment import explore
 from corkdeal.recovery.quota_restore import Ledgers
 
@@ -20,8 +20,8 @@
 @pytest.mark.parametrize(
     ("broken", "said"),
     [
-        (lambda self, pair: Pair(pair.slice + 900, pair.units), "slices add up"),
-        (lambda self, pair: Pair(pair.slice, pair.units + 64), "hold"),
+        (lambda self, pair: PeerLedger(pair.received_share + 900, pair.received_units), "slices add up"),
+        (lambda self, pair: PeerLedger(pair.received_share, pair.received_units + 64), "hold"),
     ],
 )
 def test_a_ledger_kept_wrongly_is_found(monkeypatch, broken, said):
--- a/tests/test_net_parsers.py
+++ b/tests/test_net_parsers.py
@@ -398,7 +398,7 @@
 
     def test_an_exception_in_the_module_costs_its_request_only(self):
         self.gateway.decisions.handle = lambda now, events: 1 / 0
-        self.gateway.decisions.out = []
+        self.gateway.decisions.actions = []
         answers = []
         rpc = type(
             "R",
