--- a/benchmarks/upgrade.py
+++ b/benchmarks/upgrade.py
@@ -182,7 +182,7 @@
     head = capture.head(now, clock.read_clocks(), 0.0, True, {})
     data = b"".join(encode_snapshot(1, head, list(capture.pages())))
     made = time.perf_counter() - began
-    known = RestoredState(decode_snapshot(data)[2], 0.1, now, old.s, lambda name: "", Counter())
+    known = RestoredState(decode_snapshot(data)[2], 0.1, now, old.settings, lambda name: "", Counter())
     new = gateway_with(0)
     steps = quota_handover.take_rest(new, lambda: now, quota_handover.PartialState(known, 0.3), known, 0.7)
     longest, whole, ended = 0.0, 0.0, False
--- a/corkdeal/persistence/capture.py
+++ b/corkdeal/persistence/capture.py
@@ -29,7 +29,7 @@
         self, decisions: Any, name: str, program: str, restored: RestoredState | None = None
     ) -> None:
         self.decisions, self.name, self.program, self.restored = decisions, name, program, restored
-        decisions.touched = None  # the first document holds all accounts
+        decisions.changed_customers = None  # the first document holds all accounts
         self.packed: dict[int, bytes] = {}
         self.open: set[int] = set()  # accounts packed while attempts of theirs were out
         self.unclaimed: dict[int, bytes] | None = None
@@ -47,16 +47,16 @@
         # counts.
         self.rest = list(self.left_over(now(), clock()).values())
         d, packed, began = self.decisions, self.packed, tick()
-        keys = iter(list(d.accounts if d.touched is None else d.touched | self.open))
-        d.touched, self.open, shift = set(), set(), clock().boot - now()
+        keys = iter(list(d.accounts if d.changed_customers is None else d.changed_customers | self.open))
+        d.changed_customers, self.open, shift = set(), set(), clock().boot - now()
         while batch := list(islice(keys, BATCH)):
             for key in batch:
                 a = d.accounts.get(key)
                 if a is not None:
                     packed[key] = encode_page_entry(
-                        key, encode_record(persisted_state.account_of(a, shift, d.peer_born))
+                        key, encode_record(persisted_state.account_of(a, shift, d.peer_incarnations))
                     )
-                    if a.open:  # will end, of which nothing else tells
+                    if a.in_flight:  # will end, of which nothing else tells
                         self.open.add(key)
             if tick() - began > TURN:
                 yield
@@ -93,8 +93,8 @@
         """All but the accounts, as it stands."""
         d, shift = self.decisions, clock.boot - now
         servers: list[ServerMemory] = []
-        for s in d.servers.values():
-            made = persisted_state.server_of(s, d.s.classes, now, shift)
+        for s in d.backends.values():
+            made = persisted_state.server_of(s, d.settings.classes, now, shift)
             servers.append(made._replace(address=addresses.get(made.server, "")))
         if self.restored is not None:
             servers += self.restored.unlisted(now, clock.boot)
--- a/corkdeal/persistence/restore.py
+++ b/corkdeal/persistence/restore.py
@@ -119,7 +119,7 @@
 
         A list may be older than the record: one that names an earlier start leaves the record in its place.
         """
-        name = str(entry.server)
+        name = str(entry.backend)
         record = self.servers.get(name)
         if record is None or entry.started < record.started - START_TOLERANCE:
             return None
--- a/corkdeal/persistence/snapshot_writer.py
+++ b/corkdeal/persistence/snapshot_writer.py
@@ -232,7 +232,7 @@
         self._when_ended = None
         self._when_idle = None
         cancel(self._stop_deadline)
-        self.gateway.decisions.touched = None
+        self.gateway.decisions.changed_customers = None
         self.worker.submit(self.store.close)
         self.worker.stop()
         done()
--- a/tests/persistence/test_snapshot_writer.py
+++ b/tests/persistence/test_snapshot_writer.py
@@ -69,7 +69,7 @@
     decisions.handle(5000.0, [helpers.servers("a", "b"), helpers.request(1)])
     gateway = SimpleNamespace(
         decisions=decisions,
-        settings=decisions.s,
+        settings=decisions.settings,
         now=lambda: 5000.0 + reactor.seconds(),
         config=SimpleNamespace(name="n0"),
         pool=SimpleNamespace(addresses={"a": ("10.0.0.1", 1)}),
@@ -269,7 +269,7 @@
     Faulty.gate.set()
     world.reactor.take()  # the write that hung ends after all
     assert writer.worker.join(WAIT) and ended == [1]
-    assert writer.gateway.decisions.touched is None  # nothing collects customers for it any more
+    assert writer.gateway.decisions.changed_customers is None  # nothing collects customers for it any more
     assert world.counts["knowledge_stopped_late"] == 1
 
 
