--- a/corkdeal/persistence/capture.py
+++ b/corkdeal/persistence/capture.py
@@ -1,15 +1,15 @@
-"""Turns the decisions' state into a document, a few accounts a turn, so that no turn of the reactor waits.
+"""Captures the decisions' state as a snapshot, a few accounts a turn, so that no turn of the reactor is long.
 
 Records carry their own times, so they need not all be of one moment. Only accounts that were met since the
-last document, or had attempts out then, are packed anew; the others' bytes are kept.
+last snapshot, or had attempts in flight then, are encoded anew; the others' bytes are kept.
 """
 
 from __future__ import annotations
 
 import math
-from collections.abc import Callable, Iterator
+from collections.abc import Callable, Iterable, Iterator
 from itertools import islice
-from typing import Any
+from typing import TYPE_CHECKING
 
 from ..decisions import persisted_state
 from ..decisions.persisted_state import FleetMemory, ServerMemory
@@ -17,24 +17,30 @@
 from .codec import SnapshotHead, encode_page, encode_page_entry, encode_record
 from .restore import RestoredState
 
-BATCH = 32  # accounts packed between two looks at the clock
-TURN = 0.0007  # s that one step may take before it yields
-PAGE = 1000  # accounts in a page
+if TYPE_CHECKING:
+    from ..decisions.gateway import Gateway
+
+ACCOUNTS_PER_CHECK = 32  # accounts encoded between two looks at the clock
+MAX_STEP_TIME = 0.0007  # seconds that one step may take before it yields
+ACCOUNTS_PER_PAGE = 1000
 
 
 class StateCapture:
-    """Makes documents of one gateway's decisions."""
+    """Makes snapshots of one gateway's decisions: exhaust `steps`, then take `pages` and `head`."""
 
     def __init__(
-        self, decisions: Any, name: str, program: str, restored: RestoredState | None = None
+        self, decisions: Gateway, name: str, program: str, restored: RestoredState | None = None
     ) -> None:
-        self.decisions, self.name, self.program, self.restored = decisions, name, program, restored
-        decisions.changed_customers = None  # the first document holds all accounts
-        self.packed: dict[int, bytes] = {}
-        self.open: set[int] = set()  # accounts packed while attempts of theirs were out
-        self.unclaimed: dict[int, bytes] | None = None
-        # entries of accounts that nobody had asked for when this document was begun
-        self.rest: list[bytes] = []
+        """`restored` is what the decisions got back, whose unclaimed records are carried on."""
+        self.decisions = decisions
+        self.name = name
+        self.program = program
+        self.restored = restored
+        self.packed: dict[int, bytes] = {}  # page entries by customer
+        self._in_flight: set[int] = set()  # customers whose entry counts attempts that will end
+        self._unclaimed: dict[int, bytes] | None = None  # made at the first snapshot, then only removed from
+        self._unclaimed_entries: list[bytes] = []  # as of this snapshot's begin
+        decisions.changed_customers = None  # the first snapshot holds all accounts
 
     def steps(
         self,
@@ -42,62 +48,112 @@
         clock: Callable[[], ClockReading],
         tick: Callable[[], float],
     ) -> Iterator[None]:
-        """Bring the packed accounts up to date; yields whenever `tick` says that `TURN` has passed."""
-        # Taken first and written first: one that is asked for meanwhile may stand twice, and the later
-        # counts.
-        self.rest = list(self.left_over(now(), clock()).values())
-        d, packed, began = self.decisions, self.packed, tick()
-        keys = iter(list(d.accounts if d.changed_customers is None else d.changed_customers | self.open))
-        d.changed_customers, self.open, shift = set(), set(), clock().boot - now()
-        while batch := list(islice(keys, BATCH)):
-            for key in batch:
-                a = d.accounts.get(key)
-                if a is not None:
-                    packed[key] = encode_page_entry(
-                        key, encode_record(persisted_state.account_of(a, shift, d.peer_incarnations))
-                    )
-                    if a.in_flight:  # will end, of which nothing else tells
-                        self.open.add(key)
-            if tick() - began > TURN:
+        """Bring the accounts' entries up to date; yields whenever `tick` shows that `MAX_STEP_TIME` passed.
+
+        `now` is the decisions' time, `clock` reads both clocks, `tick` is a performance counter.
+        """
+        # Taken and written first: an account that is asked for meanwhile occurs twice, and the later counts.
+        self._unclaimed_entries = list(self._update_unclaimed(now(), clock()).values())
+        began = tick()
+        customers = iter(self._take_changed_customers())
+        offset = clock().boot - now()
+        while batch := list(islice(customers, ACCOUNTS_PER_CHECK)):
+            self._encode_accounts(batch, offset)
+            if tick() - began > MAX_STEP_TIME:
                 yield
-                began, shift = tick(), clock().boot - now()
+                began = tick()
+                offset = clock().boot - now()
         yield
-        for key in packed.keys() - d.accounts.keys() if len(packed) > len(d.accounts) else ():
-            del packed[key]
-
-    def left_over(self, now: float, clock: ClockReading) -> dict[int, bytes]:
-        """Accounts of the earlier life that nobody has asked for yet."""
-        if self.restored is None:
-            return {}
-        then = self.restored.head.clock
-        if self.unclaimed is None:
-            same = bool(clock.boot_id) and clock.boot_id == then.boot_id and self.restored.age < math.inf
-            self.unclaimed = self.restored.unclaimed(now, same, clock.boot)
-        else:
-            for key in self.unclaimed.keys() - self.restored.encoded_accounts.keys():
-                del self.unclaimed[key]
-        if not self.restored.encoded_accounts and not self.restored.servers:
-            self.restored = None
-        return self.unclaimed
+        self._drop_forgotten_accounts()
 
     def pages(self) -> Iterator[bytes]:
-        """The accounts' pages, one a step."""
-        for entries in (self.rest, list(self.packed.values())):
-            rest = iter(entries)
-            while batch := list(islice(rest, PAGE)):
-                yield encode_page(batch, len(batch))
+        """Yield the accounts' pages; each takes about as long as one step."""
+        yield from encoded_pages(self._unclaimed_entries)
+        yield from encoded_pages(list(self.packed.values()))
 
     def head(
-        self, now: float, clock: ClockReading, every: float, clean: bool, addresses: dict[str, str]
+        self,
+        now: float,
+        clock: ClockReading,
+        write_interval: float,
+        is_clean: bool,
+        addresses: dict[str, str],
     ) -> SnapshotHead:
-        """All but the accounts, as it stands."""
-        d, shift = self.decisions, clock.boot - now
-        servers: list[ServerMemory] = []
-        for s in d.backends.values():
-            made = persisted_state.server_of(s, d.settings.classes, now, shift)
-            servers.append(made._replace(address=addresses.get(made.server, "")))
+        """Return all of the snapshot but the accounts; `addresses` are the backends' as `host:port`."""
+        servers = self._server_records(now, clock, addresses)
+        fleet: FleetMemory = self.decisions.learned()
+        work = tuple([record._replace(at=clock.boot) for record in fleet.work])
+        return SnapshotHead(
+            self.name,
+            self.program,
+            clock,
+            write_interval,
+            is_clean,
+            fleet._replace(work=work),
+            tuple(servers),
+        )
+
+    def _take_changed_customers(self) -> list[int]:
+        """Return the customers whose accounts are to be encoded anew, and begin to collect the next ones."""
+        changed = self.decisions.changed_customers
+        customers = list(self.decisions.accounts)
+        if changed is not None:
+            customers = list(changed | self._in_flight)
+        self.decisions.changed_customers = set()
+        self._in_flight = set()
+        return customers
+
+    def _encode_accounts(self, customers: Iterable[int], offset: float) -> None:
+        """Encode the accounts that still exist; `offset` turns the decisions' time into the boot clock's."""
+        incarnations = self.decisions.peer_incarnations
+        for customer in customers:
+            account = self.decisions.accounts.get(customer)
+            if account is None:
+                continue
+            record = persisted_state.account_of(account, offset, incarnations)
+            self.packed[customer] = encode_page_entry(customer, encode_record(record))
+            if account.in_flight:  # the attempts' end does not mark the customer as changed
+                self._in_flight.add(customer)
+
+    def _drop_forgotten_accounts(self) -> None:
+        """Drop the entries of accounts that the decisions have forgotten."""
+        if len(self.packed) > len(self.decisions.accounts):
+            for customer in self.packed.keys() - self.decisions.accounts.keys():
+                del self.packed[customer]
+
+    def _update_unclaimed(self, now: float, clock: ClockReading) -> dict[int, bytes]:
+        """Return the entries of restored accounts that nobody has asked for yet."""
+        restored = self.restored
+        if restored is None:
+            return {}
+        if self._unclaimed is None:
+            stored = restored.head.clock
+            is_same_boot = bool(clock.boot_id) and clock.boot_id == stored.boot_id and restored.age < math.inf
+            self._unclaimed = restored.unclaimed(now, is_same_boot, clock.boot)
+        else:
+            for customer in self._unclaimed.keys() - restored.encoded_accounts.keys():
+                del self._unclaimed[customer]
+        if not restored.encoded_accounts and not restored.servers:
+            self.restored = None
+        return self._unclaimed
+
+    def _server_records(
+        self, now: float, clock: ClockReading, addresses: dict[str, str]
+    ) -> list[ServerMemory]:
+        """Return the records of all listed servers and of restored ones that no list has named yet."""
+        classes = self.decisions.settings.classes
+        offset = clock.boot - now
+        records: list[ServerMemory] = []
+        for backend in self.decisions.backends.values():
+            record = persisted_state.server_of(backend, classes, now, offset)
+            records.append(record._replace(address=addresses.get(record.server, "")))
         if self.restored is not None:
-            servers += self.restored.unlisted(now, clock.boot)
-        fleet: FleetMemory = d.learned()
-        fleet = fleet._replace(work=tuple([w._replace(at=clock.boot) for w in fleet.work]))
-        return SnapshotHead(self.name, self.program, clock, every, clean, fleet, tuple(servers))
+            records += self.restored.unlisted(now, clock.boot)
+        return records
+
+
+def encoded_pages(entries: list[bytes]) -> Iterator[bytes]:
+    """Yield pages of the entries, in order."""
+    remaining = iter(entries)
+    while batch := list(islice(remaining, ACCOUNTS_PER_PAGE)):
+        yield encode_page(batch, len(batch))
