--- a/corkdeal/net/upgrade.py
+++ b/corkdeal/net/upgrade.py
@@ -100,7 +100,7 @@
             return
         if document is None:
             count("handover_cut_short")
-            quota_handover.take_rate(self.decisions, now, self.kept_there)
+            quota_handover.take_fraction(self.decisions, now, self.kept_there)
         else:
             part = document.head.fleet.part
             self.taking = quota_handover.take_rest(
@@ -163,7 +163,7 @@
         waits, self.done = self.waits and self.taking is None, True
         self.before = None if self.taking is None else self.before
         if waits:
-            quota_handover.take_rate(self.decisions, self.gateway.now(), self.kept_there)
+            quota_handover.take_fraction(self.decisions, self.gateway.now(), self.kept_there)
             self.gateway.hear()
 
     def look_at_lives(self) -> None:
@@ -174,7 +174,7 @@
             self.follow()
         if self.after is not None and not self.lives.is_running(self.after):
             logs.event("handover_taken_back", life=self.lives.incarnation, after=self.after)
-            quota_handover.take_rate(self.decisions, self.gateway.now(), self.part_there)
+            quota_handover.take_fraction(self.decisions, self.gateway.now(), self.part_there)
             self.after = None
         if self.after is None and (after := self.lives.successor()) is not None and self.gateway.begun:
             self.give(after)
@@ -186,7 +186,7 @@
                 after,
                 self.decisions.quota_fraction * quota_handover.SUCCESSOR_SHARE,
             )
-            quota_handover.keep(self.decisions, 1 - quota_handover.SUCCESSOR_SHARE)
+            quota_handover.keep_fraction(self.decisions, 1 - quota_handover.SUCCESSOR_SHARE)
             logs.event(
                 "handover_given", life=self.lives.incarnation, after=after, part=round(self.part_there, 3)
             )
@@ -204,7 +204,7 @@
     def write(self, to: int, what: HandoverPart) -> bool:
         """One document of all that is known, made in one turn, so that what is divided is what it says."""
         now = self.gateway.now()
-        quota_handover.settle(self.decisions, now)
+        quota_handover.refill_accounts(self.decisions, now)
         touched = self.decisions.changed_customers  # a keeper of knowledge, if there is one, goes by it
         capture = StateCapture(self.decisions, self.gateway.config.name, __version__)
         try:
--- a/corkdeal/persistence/quota_handover.py
+++ b/corkdeal/persistence/quota_handover.py
@@ -1,15 +1,15 @@
-"""One gateway's quota between two lives of it, while a new version starts beside the old one; without I/O.
+"""One gateway's quota between two processes, while a new version starts beside the old one; without I/O.
 
-The old life gives the new one a part of each bucket, of each rate and of its saved-up retries, and all that
-it knows; later the rest. Each bucket's level and rate are divided, never copied, so both lives together let
-in what one gateway may. The old one goes on with the ledgers until the rest is given, then the new one
+The old process gives the new one a fraction of each bucket, of each rate and of its retry budget, and all
+records; later the rest. Each bucket's level and rate are divided, never copied, so both processes together
+admit what one gateway may. The old one goes on with the ledgers until the rest is given, then the new one
 does.
 """
 
 from __future__ import annotations
 
 from collections.abc import Callable, Iterable, Iterator
-from typing import TYPE_CHECKING, Protocol
+from typing import TYPE_CHECKING, NamedTuple, Protocol
 
 from ..decisions import persisted_state
 from ..decisions.events import Endpoint
@@ -17,125 +17,151 @@
 
 if TYPE_CHECKING:
     from ..decisions.gateway import Gateway
+    from ..decisions.records import Account
 
-STEP = 100  # accounts taken in one turn of the reactor, about 4 ms
-SUCCESSOR_SHARE = 0.3  # given at first: clients keep their connections, so most still comes to the old one
+ACCOUNTS_PER_STEP = 100  # taken over in one turn of the reactor, about 4 ms
+# Given at first. Clients keep their connections, so most requests still come to the old process.
+SUCCESSOR_SHARE = 0.3
 
 
-def settle(decisions: Gateway, now: float) -> None:
-    """Bring all buckets up to now, so that their records can be made and divided in the same moment."""
+def refill_accounts(decisions: Gateway, now: float) -> None:
+    """Refill all buckets up to now, so that their records can be made and divided in the same moment."""
     decisions.now = now
-    for a in decisions.accounts.values():
-        decisions.refill(a)
+    for account in decisions.accounts.values():
+        decisions.refill(account)
 
 
-def keep(decisions: Gateway, part: float) -> None:
-    """Keep that part of all that is spent here; the rest was given."""
-    decisions.quota_fraction *= part
-    decisions.retry_budget *= part
-    for a in decisions.accounts.values():
-        a.level, a.hard_limit_level = a.level * part, a.hard_limit_level * part
+def keep_fraction(decisions: Gateway, fraction: float) -> None:
+    """Keep that fraction of all that may be spent here; the rest was given."""
+    decisions.quota_fraction *= fraction
+    decisions.retry_budget *= fraction
+    for account in decisions.accounts.values():
+        account.level *= fraction
+        account.hard_limit_level *= fraction
 
 
 def keep_nothing(decisions: Gateway) -> None:
-    """All was given, the ledgers too: neighbours trade with the new life, and back nothing here."""
-    keep(decisions, 0.0)
+    """Give up all, the ledgers too: neighbours exchange with the successor, and nothing is backed here."""
+    keep_fraction(decisions, 0.0)
     decisions.ring_neighbours.clear()
     decisions.active_accounts.clear()
-    for a in decisions.accounts.values():
-        a.ledgers, a.tree_edges, a.predecessor = {}, {}, None
+    for account in decisions.accounts.values():
+        account.ledgers = {}
+        account.tree_edges = {}
+        account.predecessor = None
+
+
+def take_fraction(decisions: Gateway, now: float, fraction: float) -> None:
+    """Take the rate of a process that ended without handing over; what its buckets held is lost."""
+    refill_accounts(decisions, now)
+    decisions.quota_fraction += fraction
 
 
 class CompleteState(persisted_state.Memory, Protocol):
-    """A memory that can give all its accounts at once."""
+    """Persisted state that can give all its accounts at once."""
 
     def accounts(self, now: float) -> Iterable[tuple[int, int, persisted_state.AccountMemory]]:
-        """Customer, the plan's number and the record of each."""
+        """Yield customer, plan's number and record of each."""
+
+
+class Totals(NamedTuple):
+    """Running totals of an account."""
+
+    asked: float
+    spent: float
 
 
 class PartialState:
-    """A `memory.Memory` of which only a part was given, at `part` of what it says."""
+    """Persisted state of which only a fraction of what may be spent was given."""
 
     exact = True
 
-    def __init__(self, known: persisted_state.Memory, part: float) -> None:
-        self.known, self.part = known, part
-        self.totals: dict[int, tuple[float, float]] = {}  # what was asked and spent when an account came over
+    def __init__(self, state: persisted_state.Memory, fraction: float) -> None:
+        self.state = state
+        self.fraction = fraction
+        self.totals: dict[int, Totals] = {}  # of each account as it came over
 
     def fleet(self, now: float, first_work: dict[str, float]) -> persisted_state.FleetMemory:
-        """The fleet's record."""
-        made = self.known.fleet(now, first_work)
-        return made._replace(retries=made.retries * self.part)
+        """Return the fleet's record, with a fraction of the retry budget."""
+        record = self.state.fleet(now, first_work)
+        return record._replace(retries=record.retries * self.fraction)
 
     def resumes(self) -> bool:
-        """The slices are those of the ledgers; the old life goes on with them for now."""
-        return self.known.resumes()
+        """Whether shares are those of the ledgers; the old process goes on with them for now."""
+        return self.state.resumes()
 
     def server(self, entry: Endpoint, now: float) -> persisted_state.ServerMemory | None:
-        """A server's record, whole: what is known is not spent."""
-        return self.known.server(entry, now)
+        """Return a server's record, whole: nothing of it can be spent."""
+        return self.state.server(entry, now)
 
     def account(
         self, customer: int, plan: Plan, first: int, spread: int, now: float
     ) -> persisted_state.AccountMemory | None:
-        """The part of an account that was given."""
-        m = self.known.account(customer, plan, first, spread, now)
-        if m is None:
+        """Return an account with the fraction that was given."""
+        record = self.state.account(customer, plan, first, spread, now)
+        if record is None:
             return None
-        self.totals[customer] = m.asked, m.spent
-        return m._replace(level=m.level * self.part, ceiling=m.ceiling * self.part, demand=0.0)
+        self.totals[customer] = Totals(record.asked, record.spent)
+        return record._replace(
+            level=record.level * self.fraction,
+            ceiling=record.ceiling * self.fraction,
+            demand=0.0,
+        )
 
 
 def take_rest(
-    decisions: Gateway, clock: Callable[[], float], first: PartialState, rest: CompleteState, part: float
+    decisions: Gateway,
+    clock: Callable[[], float],
+    first: PartialState,
+    rest: CompleteState,
+    fraction: float,
 ) -> Iterator[None]:
-    """The old life spends no more: its rest, its ledgers and its place among the peers come over, in steps.
+    """Take over what the old process kept: buckets, ledgers and its place among the peers, in steps.
 
-    All accounts come, those not met here too, so that a third life finds them all. Until the last has come
-    this life refills its buckets at its own part of the rate, which is less than it may; then the whole rate,
-    the old incarnation and the ledgers are in force at once. Yields after each STEP accounts.
+    The old process spends no more. All accounts come, those not met here too, so that a third process finds
+    them all. Until the last has come this process refills its buckets at its own fraction of the rate, which
+    is less than it may; then the whole rate, the old incarnation and the ledgers are in force at once. Yields
+    after every `ACCOUNTS_PER_STEP` accounts.
     """
     fleet = rest.fleet(clock(), {})
-    peers = dict(fleet.peers)
-    for taken, (customer, plan, m) in enumerate(rest.accounts(clock()), 1):
+    incarnations = dict(fleet.peers)
+    for taken, (customer, plan, record) in enumerate(rest.accounts(clock()), 1):
         decisions.now = clock()
-        a = decisions.account(customer, plan, m.first, m.spread)
-        decisions.refill(a)  # one that was not met has its first part now, under its bound
-        asked, spent = first.totals.get(customer, (0.0, 0.0))
-        mine = (
-            a.level,
-            a.hard_limit_level,
-            a.demand,
-            a.total_asked - asked,
-            a.total_spent - spent,
-            a.last_request_at,
-        )
-        persisted_state.put_account(a, m, rest.resumes(), peers)
-        a.level, a.hard_limit_level, a.demand = (
-            a.level + mine[0],
-            a.hard_limit_level + mine[1],
-            a.demand + mine[2],
-        )
-        a.total_asked, a.total_spent, a.last_request_at = (
-            a.total_asked + mine[3],
-            a.total_spent + mine[4],
-            max(a.last_request_at, mine[5]),
-        )
-        decisions.active_accounts.update({customer: a} if a.ledgers else {})
-        if taken % STEP == 0:
+        account = decisions.account(customer, plan, record.first, record.spread)
+        decisions.refill(account)  # one that was not met has its first fraction now, under its bound
+        given = first.totals.get(customer, Totals(0.0, 0.0))
+        _add_record(account, record, given, rest.resumes(), incarnations)
+        if account.ledgers:
+            decisions.active_accounts[customer] = account
+        if taken % ACCOUNTS_PER_STEP == 0:
             yield
     decisions.now = clock()
     decisions.retry_budget += fleet.retries
-    decisions.incarnation, decisions.message_round, decisions.peer_incarnations = (
-        fleet.born,
-        fleet.round,
-        peers,
-    )
-    decisions.quota_fraction += part
-    decisions.restored_state = rest  # of servers that no list has named yet
-
-
-def take_rate(decisions: Gateway, now: float, part: float) -> None:
-    """The other life ended without a word: its rate comes over, and what its buckets held is lost."""
-    settle(decisions, now)
-    decisions.quota_fraction += part
+    decisions.incarnation = fleet.born
+    decisions.message_round = fleet.round
+    decisions.peer_incarnations = incarnations
+    decisions.quota_fraction += fraction
+    decisions.restored_state = rest  # for servers that no list has named yet
+
+
+def _add_record(
+    account: Account,
+    record: persisted_state.AccountMemory,
+    given: Totals,
+    resumes: bool,
+    incarnations: dict[int, int],
+) -> None:
+    """Put a record in an account's place, and add what the account holds and counted since it came over."""
+    level = account.level
+    hard_limit_level = account.hard_limit_level
+    demand = account.demand
+    asked = account.total_asked - given.asked
+    spent = account.total_spent - given.spent
+    last_request_at = account.last_request_at
+    persisted_state.put_account(account, record, resumes, incarnations)
+    account.level += level
+    account.hard_limit_level += hard_limit_level
+    account.demand += demand
+    account.total_asked += asked
+    account.total_spent += spent
+    account.last_request_at = max(account.last_request_at, last_request_at)
--- a/tests/persistence/test_quota_handover.py
+++ b/tests/persistence/test_quota_handover.py
@@ -66,7 +66,7 @@
 
     def document(self, now):
         """What it hands on, through its bytes."""
-        quota_handover.settle(self.d, now)
+        quota_handover.refill_accounts(self.d, now)
         reading = lambda: clock.ClockReading(now, now, "boot")  # noqa: E731
         made = StateCapture(self.d, "n0", "test")
         list(made.steps(lambda: now, reading, lambda: 0.0))
@@ -82,7 +82,7 @@
 
 def hand_first(old, now):
     made = old.document(now)
-    quota_handover.keep(old.d, 1 - quota_handover.SUCCESSOR_SHARE)
+    quota_handover.keep_fraction(old.d, 1 - quota_handover.SUCCESSOR_SHARE)
     first = quota_handover.PartialState(old.recall(made, now), quota_handover.SUCCESSOR_SHARE)
     return (
         Life(old.d.settings, first, made.head.fleet.part * quota_handover.SUCCESSOR_SHARE, now),
@@ -107,9 +107,9 @@
 
 @pytest.fixture(autouse=True, scope="module")
 def each_account_is_a_step():
-    usual, quota_handover.STEP = quota_handover.STEP, 1
+    usual, quota_handover.ACCOUNTS_PER_STEP = quota_handover.ACCOUNTS_PER_STEP, 1
     yield
-    quota_handover.STEP = usual
+    quota_handover.ACCOUNTS_PER_STEP = usual
 
 
 @given(STEPS, st.integers(1, 3))
@@ -134,7 +134,7 @@
                 hand_rest(old, new, first, now, ask_all)
                 assert not any(old.ask(now, c) for c in range(customers))
             else:
-                quota_handover.take_rate(new.d, now, part_there)
+                quota_handover.take_fraction(new.d, now, part_there)
             old = None
             assert new.d.quota_fraction == pytest.approx(1.0)
         elif what in ("old", "new") and (life := old if what == "old" else new) is not None:
