--- a/tests/net_world.py
+++ b/tests/net_world.py
@@ -18,6 +18,8 @@
 
 from corkdeal.net.resp import Parser, command
 
+from .ports import reserve_address, reserve_port
+
 ROOT = pathlib.Path(__file__).parents[1]
 PATIENCE = 60.0  # s; far more than anything takes, and the kernel asks again after 1, 3, 7, 15 and 31
 SETTINGS = {
@@ -67,13 +69,6 @@
 }
 
 
-def free(kind=socket.SOCK_STREAM):
-    """A free loopback address."""
-    with socket.socket(socket.AF_INET, kind) as s:
-        s.bind(("127.0.0.1", 0))
-        return f"127.0.0.1:{s.getsockname()[1]}"
-
-
 def served(value=b"v"):
     """A backend's answer with a value and a load report."""
     load = b"latency_ms=120,qps=4"
@@ -127,7 +122,7 @@
 
     def __init__(self, name, world, cell=0, **more):
         self.name, self.world = name, world
-        self.listener = socket.create_server(("127.0.0.1", 0))
+        self.listener = socket.create_server(("127.0.0.1", reserve_port()))  # nobody else's once closed
         self.port = self.listener.getsockname()[1]
         self.entry = {
             "id": name,
@@ -254,10 +249,10 @@
     def start(self, known=None, options=None, config=None, **backends):
         for name, more in backends.items():
             self.world.add(name, **more)
-        self.udp = free(socket.SOCK_DGRAM)
+        self.udp = reserve_address(socket.SOCK_DGRAM)
         self.config = {
             "name": "n0",
-            "listen": free(),
+            "listen": reserve_address(),
             "discovery": f"127.0.0.1:{self.world.http.server_port}",
             "seed": "8c1f",
             "peer_listen": self.udp,
--- a/tests/test_full_table.py
+++ b/tests/test_full_table.py
@@ -18,7 +18,8 @@
 
 from corkdeal.net.resp import command
 
-from .net_world import PATIENCE, World, free, served
+from .net_world import PATIENCE, World, served
+from .ports import reserve_address
 from .test_net_moments import Moments
 
 SOCKETS = 192
@@ -104,7 +105,7 @@
 
     def start_full(self, config=None, **more):
         """Start, and have a crowd fill the table."""
-        self.ops = free()
+        self.ops = reserve_address()
         self.start(config={"limits": {"sockets": SOCKETS}, "ops": self.ops, **(config or {})}, **more)
         host, port = self.config["listen"].split(":")
         self.crowd = Crowd((host, int(port)), self.process.pid)
@@ -151,7 +152,7 @@
         self.addCleanup(world.asked.put, None)
 
     def test_discovery_returns_with_many_new_backends_and_each_gets_requests(self):
-        discovery = free()
+        discovery = reserve_address()
         self.world.add("old")
         known = {"revision": 1, "complete": True, "members": [self.world.backends["old"].entry]}
         self.start_full(config={"discovery": discovery}, known=known)
--- a/tests/test_loop_lateness.py
+++ b/tests/test_loop_lateness.py
@@ -13,7 +13,8 @@
 from corkdeal.net.loop_lateness import KEPT, OVERLOAD, LoopLateness
 
 from .net_fakes import connect
-from .net_world import PATIENCE, free
+from .net_world import PATIENCE
+from .ports import reserve_address
 from .test_idle_connections import made_gateway
 from .test_net_moments import Moments
 
@@ -99,7 +100,7 @@
         return json.loads(conn.getresponse().read())["app_loop_late_ms"]
 
     def test_a_process_that_stood_still_shows_it(self):
-        self.start(config={"ops": free()}, a={})
+        self.start(config={"ops": reserve_address()}, a={})
         self.freeze()
         self.thaw(after=0.5, since=time.monotonic())
         until = time.monotonic() + PATIENCE
--- a/tests/test_net_ops.py
+++ b/tests/test_net_ops.py
@@ -14,7 +14,8 @@
 from corkdeal.net import manual_overrides, ops
 from corkdeal.net.invariants import counts
 
-from .net_world import PATIENCE, Program, free, served
+from .net_world import PATIENCE, Program, served
+from .ports import reserve_address
 
 
 class FakeGateway:
@@ -120,7 +121,7 @@
     build = ("-O",)
 
     def start_ops(self, **backends):
-        self.ops = free()
+        self.ops = reserve_address()
         self.start(config={"ops": self.ops}, **backends)
 
     def call(self, method, path):
@@ -189,10 +190,10 @@
         self.addCleanup(listener.close)
         self.fds = (listener.fileno(),)
         self.more_env = {"RELAY_INHERITED_FD": str(listener.fileno())}
-        self.ops = free()
+        self.ops = reserve_address()
         self.start(config={"ops": self.ops, "listen": f"127.0.0.1:{listener.getsockname()[1]}"}, a={}, b={})
         old, at_old = self.process, self.ops
-        self.config["ops"] = self.ops = free()
+        self.config["ops"] = self.ops = reserve_address()
         self.path.write_text(json.dumps(self.config))
         self.run_program()
         self.line("serving ")  # the new one has read what was held out, and that was nothing
--- a/tests/test_net_rules.py
+++ b/tests/test_net_rules.py
@@ -9,6 +9,7 @@
 from corkdeal.net.resp import MOST_VALUE, WHOLE, command
 
 from .net_world import Program, World, served
+from .ports import reserve_port
 
 
 class DebugBuild(Program):
@@ -334,7 +335,7 @@
         """An address that is in use."""
         self.holder = socket.socket(type=kind)
         self.addCleanup(self.holder.close)
-        self.holder.bind(("127.0.0.1", 0))
+        self.holder.bind(("127.0.0.1", reserve_port(kind)))
         if kind == socket.SOCK_STREAM:
             self.holder.listen()
         return f"127.0.0.1:{self.holder.getsockname()[1]}"
@@ -362,7 +363,7 @@
         self.assertEqual(client.read(), [b"v"])
 
     def test_an_address_in_use_is_told_and_had_once_it_is_free(self):
-        self.holder = socket.create_server(("127.0.0.1", 0))
+        self.holder = socket.create_server(("127.0.0.1", reserve_port()))
         at = f"127.0.0.1:{self.holder.getsockname()[1]}"
         self.start(config={"listen": at}, a={})  # waits for `serving`
         host, port = at.split(":")
--- a/tests/test_start.py
+++ b/tests/test_start.py
@@ -9,7 +9,8 @@
 import tomllib
 
 from corkdeal.standin.fleet import limit_files
-from tests.net_world import PATIENCE, ROOT, Program, free
+from tests.net_world import PATIENCE, ROOT, Program
+from tests.ports import reserve_address
 
 PROBE = ROOT / "tests" / "start_probe"
 LATE = (  # packages and modules for which the first answer does not wait
@@ -82,7 +83,7 @@
 
     def started(self):
         """Start it and wait for its first answer; what the probe told before it."""
-        self.start(config={"listen": free()}, a={})
+        self.start(config={"listen": reserve_address()}, a={})
         client = self.client()
         client.send(b"*1\r\n$4\r\nPING\r\n")
         self.assertEqual(client.read(), [b"PONG"])
