--- a/tests/test_net_rules.py
+++ b/tests/test_net_rules.py
@@ -8,7 +8,7 @@
 
 from corkdeal.net.resp import MOST_VALUE, WHOLE, command
 
-from .net_world import Program, World, served
+from .net_world import Moments, Program, World, served
 from .ports import reserve_port
 
 
@@ -323,7 +323,7 @@
     build = ("-O",)
 
 
-class Taken(Program):
+class Taken(Moments):
     """An address that another process still has."""
 
     def run_program(self):
@@ -356,7 +356,7 @@
     def test_an_operators_address_in_use_keeps_no_client_out(self):
         at = self.held(socket.SOCK_STREAM)
         self.start(config={"ops": at}, a={})
-        self.line("ops_listening")
+        self.seen("ops_listening")  # before `serving` or after it
         client = self.client()
         self.ask(client)
         self.world.next().conn.send(served())
