--- a/corkdeal/standin/fleet.py
+++ b/corkdeal/standin/fleet.py
@@ -79,11 +79,6 @@
     }
 
 
-def free(kind: int = socket.SOCK_STREAM) -> str:
-    """A free loopback address."""
-    return free_ones(1, kind, "127.0.0.1")[0]
-
-
 def free_ones(count: int, kind: int, host: str) -> list[str]:
     """So many free addresses of a host, no two the same: all are held until the last is drawn."""
     with contextlib.ExitStack() as held:
@@ -210,13 +205,15 @@
     program: pathlib.Path | None = None,
 ) -> list[Gateway]:
     """All gateways of a tier, not yet started."""
-    peers = [free(socket.SOCK_DGRAM) for _ in range(count)]
+    host = own_host()
+    peers = free_ones(count, socket.SOCK_DGRAM, host)
+    listen = free_ones(count, socket.SOCK_STREAM, host)
     return [
         Gateway(
             i,
             {
                 "name": f"n{i}",
-                "listen": free(),
+                "listen": listen[i],
                 "discovery": f"127.0.0.1:{discovery_port}",
                 "peer_listen": peers[i],
                 "peers": peers,
--- a/corkdeal/standin/links.py
+++ b/corkdeal/standin/links.py
@@ -182,12 +182,21 @@
 Serve = Callable[[asyncio.StreamReader, asyncio.StreamWriter, int], Awaitable[None]]
 
 
+def hold_port() -> socket.socket:
+    """A socket that keeps a port for this process, which may listen there by others with SO_REUSEADDR."""
+    holder = socket.socket()
+    holder.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
+    holder.bind(("127.0.0.1", 0))
+    return holder
+
+
 class Doors:
     """One listener a gateway for one service, which calls `passage` before it takes and before it answers."""
 
     def __init__(self, serve: Serve, chance: random.Random) -> None:
         self.serve, self.chance = serve, chance
         self.ports: list[int] = []
+        self.holders: list[socket.socket] = []  # keep the ports of doors that are shut from other processes
         self.listeners: list[Any] = []
         self.faults: list[DoorFault] = []
         self.clear: list[asyncio.Event] = []
@@ -198,7 +207,8 @@
         """Open the doors of so many gateways, each at a port of its own."""
         for i in range(count):
             self.listeners.append(None)
-            self.ports.append(0)
+            self.holders.append(hold_port())
+            self.ports.append(self.holders[i].getsockname()[1])
             self.faults.append(OPEN)
             self.clear.append(asyncio.Event())
             self.clear[i].set()
@@ -206,9 +216,10 @@
             await self.listen(i)
 
     async def listen(self, gateway: int) -> None:
-        """Listen at a gateway's door, again at the port it knows."""
-        listener = await asyncio.start_server(partial(self.met, gateway), "127.0.0.1", self.ports[gateway])
-        self.listeners[gateway], self.ports[gateway] = listener, listener.sockets[0].getsockname()[1]
+        """Listen at a gateway's door, whose port its holder lets nobody else have."""
+        self.listeners[gateway] = await asyncio.start_server(
+            partial(self.met, gateway), "127.0.0.1", self.ports[gateway], reuse_address=True
+        )
 
     async def met(self, gateway: int, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         """One connection."""
--- a/tests/tier/test_links.py
+++ b/tests/tier/test_links.py
@@ -121,3 +121,16 @@
         doors.close()
 
     asyncio.run(play())
+
+
+def test_a_door_that_is_shut_keeps_its_port():
+    async def play():
+        doors = Doors(lambda reader, writer, gateway: None, random.Random(1))
+        await doors.start(1)
+        await doors.put(0, DoorFault(refuse=True))
+        with socket.socket() as other, pytest.raises(OSError, match="in use"):
+            other.bind(("127.0.0.1", doors.ports[0]))
+        await doors.put(0, OPEN)
+        doors.close()
+
+    asyncio.run(play())
