--- a/tests/tier/test_tier.py
+++ b/tests/tier/test_tier.py
@@ -10,6 +10,8 @@
 from corkdeal.experiment import schedule
 from corkdeal.experiment.tier import Play
 
+from ..net_world import PATIENCE
+
 SMALL = "tier gateways=3 servers=3 load=0.3 settled=0.5 "
 
 
@@ -23,6 +25,20 @@
     return [b for b in seen["broken"] if "no answer" not in b["lines"][0] and "told" not in b["rule"]]
 
 
+async def until(holds):
+    """Wait until that holds."""
+    async with asyncio.timeout(PATIENCE):
+        while not holds():
+            await asyncio.sleep(0.01)
+
+
+async def failed_write(gateway, folder):
+    """Wait until a gateway that is up has failed to write: it makes a file in its folder and removes it."""
+    await until(lambda: gateway.up)
+    before = folder.stat().st_mtime_ns
+    await until(lambda: folder.stat().st_mtime_ns != before)
+
+
 def alive(gateway):
     try:
         os.kill(gateway.process.pid, 0)
@@ -73,12 +89,27 @@
 
 
 def test_a_gateway_whose_wall_clock_went_back_says_so_and_one_whose_disk_is_full_serves_on(tmp_path):
-    made, seen = play(
-        SMALL + 'seconds=8.0 knowledge=true\nat 1.0 { kill "0,1"; clock "0" by=-60.0; }\n'
-        'at 1.2 { folders "0" what="empty"; folders "1" what="full"; }\n'
-        'at 1.3 { start "down"; }\nat 3.0 { folders "1" what="freed"; }',
+    made = Play(
+        schedule.parse(
+            SMALL + 'seconds=8.0 knowledge=true\nat 1.0 { kill "0,1"; clock "0" by=-60.0; }\n'
+            'at 1.2 { folders "0" what="empty"; folders "1" what="full"; }\n'
+            'at 1.3 { start "down"; }\nat 3.0 { folders "1" what="freed"; }'
+        ),
+        1,
         tmp_path,
     )
+    step = made.step
+
+    async def free_after_a_failed_write(each):
+        is_freed = each.kind == "folders" and each.what.what == "freed"
+        if is_freed:
+            await failed_write(made.gateways[1], tmp_path / "state" / "n1")
+        await step(each)
+        if is_freed:
+            await until(lambda: "knowledge_healed" in (tmp_path / "n1.log").read_text())
+
+    made.step = free_after_a_failed_write
+    seen = asyncio.run(made.run())
     assert not timeless(seen) and seen["outcomes"]["served"] > 0
     logs = [(tmp_path / f"n{i}.log").read_text() for i in range(2)]
     assert "peers know a later start" in logs[0] and "peers know a later start" not in logs[1]
