--- a/tests/test_net_ops.py
+++ b/tests/test_net_ops.py
@@ -5,6 +5,7 @@
 import json
 import os
 import socket
+import time
 
 import pytest
 from twisted.web.test.requesthelper import DummyRequest
@@ -132,6 +133,13 @@
         self.addCleanup(conn.close)
         return answer.status, json.loads(answer.read())
 
+    def wait_for_list(self, count):
+        """Wait until so many backends are listed: clients are let in soon, whether or not a list has come."""
+        until = time.monotonic() + PATIENCE
+        while self.call("GET", "/status/metrics")[1]["app_hosts_listed"] < count:
+            self.assertLess(time.monotonic(), until)
+            time.sleep(0.01)
+
     def serve_one(self, client, rid):
         self.ask(client, rid=rid)
         asked = self.world.next()
@@ -168,6 +176,7 @@
 
     def test_a_backend_held_out_gets_nothing_until_let_back_also_in_the_next_process(self):
         self.start_ops(a={}, b={})
+        self.wait_for_list(2)
         self.assertEqual(self.call("PUT", "/maintenance/enter/nobody")[0], 404)
         self.assertEqual(self.call("PUT", "/maintenance/enter/a")[0], 200)
         client = self.client()
@@ -192,6 +201,7 @@
         self.more_env = {"RELAY_INHERITED_FD": str(listener.fileno())}
         self.ops = reserve_address()
         self.start(config={"ops": self.ops, "listen": f"127.0.0.1:{listener.getsockname()[1]}"}, a={}, b={})
+        self.wait_for_list(2)
         old, at_old = self.process, self.ops
         self.config["ops"] = self.ops = reserve_address()
         self.path.write_text(json.dumps(self.config))
