--- a/Makefile
+++ b/Makefile
@@ -26,7 +26,7 @@
 	touch $@
 
 test: dev
-	$(BIN)/python -m pytest
+	$(BIN)/python -m pytest -n 6 --dist loadscope
 
 lint: dev
 	$(BIN)/ruff format --check corkdeal tests examples benchmarks
