--- a/corkdeal/standin/links.py
+++ b/corkdeal/standin/links.py
@@ -263,6 +263,8 @@
         """Close all doors and reset what is open."""
         for listener in self.listeners:
             listener.close()
+        for holder in self.holders:
+            holder.close()
         for each in self.open:
             for writer in list(each):
                 writer.transport.abort()
