--- a/Makefile
+++ b/Makefile
@@ -31,6 +31,7 @@
 lint: dev
 	$(BIN)/ruff format --check corkdeal tests examples benchmarks
 	$(BIN)/ruff check corkdeal tests examples benchmarks
+	$(BIN)/mypy
 
 run: build
 	exec env RELAY_CONFIG=examples/config.json $(BIN)/python -O -m corkdeal.net
