--- a/benchmarks/knowledge.py
+++ b/benchmarks/knowledge.py
@@ -23,10 +23,10 @@
 from corkdeal.decisions.gateway import Gateway
 from corkdeal.decisions.settings import Plan, RequestClass, Settings
 from corkdeal.persistence import clock
-from corkdeal.persistence.capture import Collector
-from corkdeal.persistence.document import decode, encode
-from corkdeal.persistence.restore import Recall
-from corkdeal.persistence.store import Store
+from corkdeal.persistence.capture import StateCapture
+from corkdeal.persistence.codec import decode_snapshot, encode_snapshot
+from corkdeal.persistence.restore import RestoredState
+from corkdeal.persistence.store import SnapshotStore
 
 SIZES = (1_000, 10_000, 100_000)
 # accounts that move between two writes: requests a second of one gateway
@@ -77,7 +77,7 @@
 def measure(accounts: int, folder: str) -> dict[str, float]:
     """Both forms at one size, in ms and bytes."""
     gateway, now = gateway_with(accounts), 1000.0
-    collector, store = Collector(gateway, "n0", "bench"), Store(folder)
+    capture, store = StateCapture(gateway, "n0", "bench"), SnapshotStore(folder)
     keys, rows, size = list(gateway.accounts), [], 0
     gc.collect()
     log = os.open(os.path.join(folder, "log"), os.O_WRONLY | os.O_CREAT | os.O_APPEND)
@@ -88,14 +88,14 @@
             gateway.account(key, 0, 0, 3).last_request_at = now
         gateway.now = now
         cpu = time.process_time()
-        longest, _, _ = turns_of(collector.steps(lambda n=now: n, clock.read_clocks, time.perf_counter))
-        paging, _, pages = turns_of(collector.pages())
+        longest, _, _ = turns_of(capture.steps(lambda n=now: n, clock.read_clocks, time.perf_counter))
+        paging, _, pages = turns_of(capture.pages())
         began = time.perf_counter()
-        head = collector.head(now, clock.read_clocks(), 1.0, False, {})
+        head = capture.head(now, clock.read_clocks(), 1.0, False, {})
         heading = time.perf_counter() - began
         collected = time.process_time() - cpu
         began = time.perf_counter()
-        parts = encode(turn + 1, head, pages)
+        parts = encode_snapshot(turn + 1, head, pages)
         encoded = time.perf_counter() - began
         store.write(lambda _, parts=parts: parts)
         wall = time.perf_counter() - began
@@ -106,7 +106,7 @@
             first = longest
         # The other form: what changed, sealed entry by entry, appended and synced; collecting is the same.
         began, before = time.perf_counter(), time.process_time()
-        changed = b"".join(collector.packed[k] for k in keys[turn * CHANGED % len(keys) :][:CHANGED])
+        changed = b"".join(capture.packed[k] for k in keys[turn * CHANGED % len(keys) :][:CHANGED])
         os.write(log, len(changed).to_bytes(4, "little") + blake3(changed).digest() + changed)
         os.fsync(log)
         if turn:
@@ -117,8 +117,8 @@
     data = (pathlib.Path(folder) / f"{WRITES + 1:016d}.know").read_bytes()
     store.close()
     began = time.perf_counter()
-    document = decode(data)[2]
-    recall = Recall(document, 1.0, now, SETTINGS, lambda name: "", {})
+    document = decode_snapshot(data)[2]
+    recall = RestoredState(document, 1.0, now, SETTINGS, lambda name: "", {})
     loading = time.perf_counter() - began
     mean = [sum(r[i] for r in rows) / len(rows) for i in range(5)]
     return {
@@ -131,7 +131,7 @@
         "core_percent": 100 * mean[4],
         "bytes": size,
         "load_ms": 1000 * loading,
-        "loaded": len(recall.raw),
+        "loaded": len(recall.encoded_accounts),
         "log_write_ms": 1000 * log_wall / WRITES,
         "log_core_percent": 100 * (mean[1] + log_cpu / WRITES),
         "log_bytes": logged / WRITES,
--- a/corkdeal/cli/knowledge.py
+++ b/corkdeal/cli/knowledge.py
@@ -9,37 +9,40 @@
 import click
 
 from ..persistence import clock, expiry, merge
-from ..persistence.document import Document, decode, encode, entry, page
-from ..persistence.envelope import MOST_FILE, Damaged, TooNew
-from ..persistence.files import Files
-from ..persistence.store import NAME
+from ..persistence.codec import Snapshot, decode_snapshot, encode_page, encode_page_entry, encode_snapshot
+from ..persistence.envelope import MAX_FILE_SIZE
+from ..persistence.errors import DamagedSnapshotError, UnsupportedFormatError
+from ..persistence.files import StateFolder
+from ..persistence.store import match_snapshot_name
 from . import json_option, tell
 
 MOST_ROWS = 20
 
 
-def read(path: str) -> tuple[int, int, Document]:
+def read(path: str) -> tuple[int, int, Snapshot]:
     """A file's generation, format and document; a click error where it can't be used."""
     try:
-        return decode(bytes_of(path))
-    except (Damaged, TooNew, OSError) as error:
-        raise click.ClickException(f"{path}: {error}") from None
+        return decode_snapshot(bytes_of(path))
+    except (DamagedSnapshotError, UnsupportedFormatError, OSError) as error:
+        raise click.ClickException(f"{path}: {error}") from error
 
 
 def bytes_of(path: str) -> bytes:
     """A file's bytes, by the same care as the gateway takes: no symlink, FIFO or other user's file."""
-    files = Files(os.path.dirname(os.path.abspath(path)), make=False)
+    files = StateFolder(os.path.dirname(os.path.abspath(path)), create_missing=False)
     try:
-        return files.read(os.path.basename(path), MOST_FILE)
+        return files.read(os.path.basename(path), MAX_FILE_SIZE)
     finally:
         files.close()
 
 
-def write(path: str, document: Document, generation: int) -> None:
+def write(path: str, document: Snapshot, generation: int) -> None:
     """A new file with a document; an existing one is never overwritten."""
-    entries = [entry(customer, raw) for each in document.accounts for customer, raw in each.items()]
-    parts = encode(generation, document.head, [page(entries, len(entries))])
-    files = Files(os.path.dirname(os.path.abspath(path)), make=False)
+    entries = [
+        encode_page_entry(customer, raw) for each in document.accounts for customer, raw in each.items()
+    ]
+    parts = encode_snapshot(generation, document.head, [encode_page(entries, len(entries))])
+    files = StateFolder(os.path.dirname(os.path.abspath(path)), create_missing=False)
     name = os.path.basename(path)
     try:
         file = files.create(name)
@@ -47,7 +50,7 @@
             files.write(file, parts)
             files.sync(file)
         finally:
-            files.finish(file)
+            files.close_file(file)
         files.sync_folder()
     except OSError as error:
         raise click.ClickException(f"{path}: {error.strerror or error}") from None
@@ -59,18 +62,18 @@
     """The file itself, or the newest generation in a folder."""
     if not os.path.isdir(path):
         return path
-    names = sorted(filter(NAME, os.listdir(path)))
+    names = sorted(filter(match_snapshot_name, os.listdir(path)))
     if not names:
         raise click.ClickException(f"{path}: holds no knowledge")
     return os.path.join(path, names[-1])
 
 
 def described(
-    path: str, generation: int, form: int, document: Document, extra: float = 0.0
+    path: str, generation: int, form: int, document: Snapshot, extra: float = 0.0
 ) -> dict[str, Any]:
     """All that a person may ask of a document, with ages and weights as they count now, or in `extra` s."""
     head = document.head
-    age, odd = clock.age(head.clock, clock.read_clocks())
+    age, odd = clock.measure_age(head.clock, clock.read_clocks())
     age += extra
 
     def since(stamp: float) -> float:
@@ -85,14 +88,14 @@
         "program": head.program,
         "age": number(age),
         "odd": list(odd),
-        "clean": head.clean,
-        "unseen": head.every,
-        "ledgers_hold": age < expiry.LEDGERS_HORIZON and head.fleet.born > 0,
+        "clean": head.is_clean,
+        "unseen": head.write_interval,
+        "ledgers_hold": age < expiry.LEDGER_HORIZON and head.fleet.born > 0,
         "fleet": {
             "pace": head.fleet.pace,
-            "pace_weight": expiry.WORK.weight(age),
+            "pace_weight": expiry.USUAL_LATENCY.weight(age),
             "slow": head.fleet.slow,
-            "slow_weight": expiry.FLEET.weight(age),
+            "slow_weight": expiry.FLEET_SLOWNESS.weight(age),
             "retries": head.fleet.retries,
         },
         "work": [
@@ -101,7 +104,7 @@
                 "size": w.size,
                 "seconds": w.seconds,
                 "age": number(since(w.at)),
-                "weight": expiry.WORK.weight(since(w.at)),
+                "weight": expiry.USUAL_LATENCY.weight(since(w.at)),
             }
             for w in head.fleet.work
         ],
@@ -111,10 +114,10 @@
                 "started": s.started,
                 "age": number(since(s.at)),
                 "slow": s.slow,
-                "weight": expiry.SLOWNESS.weight(since(s.at)),
+                "weight": expiry.SERVER_SLOWNESS.weight(since(s.at)),
                 "failures": s.failures,
                 "ejected": s.ejected,
-                "failures_weight": expiry.FAILURES.weight(since(s.at)),
+                "failures_weight": expiry.SERVER_FAILURES.weight(since(s.at)),
                 "address": s.address,
                 "shut": [x.cls for x in s.shut],
             }
@@ -209,19 +212,19 @@
     """Say what is wrong with files and where; of a folder all generations. Exit code 1 if any is not good."""
     files: list[str] = []
     for path in paths:
-        inside = sorted(filter(NAME, os.listdir(path))) if os.path.isdir(path) else None
+        inside = sorted(filter(match_snapshot_name, os.listdir(path))) if os.path.isdir(path) else None
         files += [path] if inside is None else [os.path.join(path, name) for name in inside]
     found = []
     for path in files:
         try:
-            generation, form, document = decode(bytes_of(path))
+            generation, form, document = decode_snapshot(bytes_of(path))
             bad = sum(map(len, document.accounts)) - len(merge.accounts_of(document))
-            named = NAME(os.path.basename(path))
+            named = match_snapshot_name(os.path.basename(path))
             fault = f"{bad} accounts can't be read" if bad else ""
             if named and int(named[1]) != generation:
                 fault = f"byte 16: generation {generation} under the name of {int(named[1])}"
             found.append({"file": path, "format": form, "good": not fault, "fault": fault})
-        except (Damaged, TooNew, OSError) as error:
+        except (DamagedSnapshotError, UnsupportedFormatError, OSError) as error:
             found.append({"file": path, "format": None, "good": False, "fault": str(error)})
     lines = [f"{f['file']}: {'good' if f['good'] else f['fault']}" for f in found]
     tell(found, as_json, "\n".join(lines) or "no files")
@@ -238,7 +241,7 @@
     path = newest_in(path)
     generation, form, document = read(path)
     if out:
-        write(out, merge.older(document, by), generation)
+        write(out, merge.backdated(document, by), generation)
     said = described(path, generation, form, document, by)
     tell(said, as_json, as_text(said))
 
@@ -261,7 +264,7 @@
     target = newest_in(target)
     generation, form, document = read(target)
     made = merge.merge(document, [read(newest_in(other))[2] for other in others])
-    named = NAME(os.path.basename(out))
+    named = match_snapshot_name(os.path.basename(out))
     write(out, made, int(named[1]) if named else generation + 1)
     said = {"file": out, "servers": len(made.head.servers), "accounts": sum(map(len, made.accounts))}
     tell(said, as_json, f"{out}: {said['servers']} servers, {said['accounts']} accounts")
--- a/corkdeal/net/upgrade.py
+++ b/corkdeal/net/upgrade.py
@@ -15,11 +15,11 @@
 
 from .. import __version__, logs
 from ..persistence import clock, quota_handover
-from ..persistence.capture import Collector
-from ..persistence.document import Document, encode
-from ..persistence.handover_files import FIRST, REST, Lives
-from ..persistence.restore import Recall
-from ..persistence.store import folder_of
+from ..persistence.capture import StateCapture
+from ..persistence.codec import Snapshot, encode_snapshot
+from ..persistence.handover_files import HandoverFiles, HandoverPart
+from ..persistence.restore import RestoredState
+from ..persistence.store import gateway_folder
 from .invariants import count, counts
 
 ASK_EVERY, ASK_MOST = 0.02, 1.0  # s between looks for what the old life gives, and until it starts without
@@ -32,9 +32,9 @@
     def __init__(self, reactor: Any, gateway: Any) -> None:
         self.reactor, self.gateway, self.decisions = reactor, gateway, gateway.decisions
         folder = os.path.join(tempfile.gettempdir(), "corkdeal-lives")
-        self.lives = Lives(folder_of(folder, gateway.config.name))
+        self.lives = HandoverFiles(gateway_folder(folder, gateway.config.name))
         self.before: int | None = None  # the life that still holds a part of the quota
-        self.given: quota_handover.Given | None = None  # what it gave at first
+        self.given: quota_handover.PartialState | None = None  # what it gave at first
         self.kept_there = 0.0  # its part
         self.after: int | None = None  # the life that holds a part that came from here
         self.part_there = 0.0
@@ -59,10 +59,10 @@
 
     def ask(self, start: Callable[[], None]) -> None:
         """Wait for its first document, but not for long: a process before this one may know nothing of it."""
-        document = self.read(FIRST)
+        document = self.read(HandoverPart.PARTIAL)
         self.asked += 1
         try:
-            if document is None and not self.lives.lives(self.before):
+            if document is None and not self.lives.is_running(self.before):
                 self.before = self.lives.predecessor()  # it ended meanwhile, and the one before it may live
         except OSError as error:  # the folder is gone: a start must not fail for that
             self.off(error)
@@ -72,16 +72,16 @@
             return self.reactor.callLater(ASK_EVERY, self.ask, start)
         if document is None:
             count("handover_none")
-            logs.event("handover_none", life=self.lives.me, before=self.before)
+            logs.event("handover_none", life=self.lives.incarnation, before=self.before)
         else:
             whole = document.head.fleet.part
-            self.kept_there = whole * (1 - quota_handover.NEW_PART)
-            self.given = quota_handover.Given(self.recall(document), quota_handover.NEW_PART)
+            self.kept_there = whole * (1 - quota_handover.SUCCESSOR_SHARE)
+            self.given = quota_handover.PartialState(self.recall(document), quota_handover.SUCCESSOR_SHARE)
             self.decisions.remember(self.given)
-            self.decisions.quota_fraction = whole * quota_handover.NEW_PART
+            self.decisions.quota_fraction = whole * quota_handover.SUCCESSOR_SHARE
             logs.event(
                 "handover_begun",
-                life=self.lives.me,
+                life=self.lives.incarnation,
                 before=self.before,
                 accounts=sum(map(len, document.accounts)),
                 part=round(self.decisions.quota_fraction, 3),
@@ -94,13 +94,13 @@
         Until then that life speaks with the peers, and what they don't say to this one says nothing.
         """
         self.decisions.peer_last_heard = dict.fromkeys(self.decisions.ring_neighbours, self.gateway.now())
-        ended = not self.lives.lives(self.before)  # looked at first: it may write and end in between
-        document, now = self.read(REST), self.gateway.now()
+        ended = not self.lives.is_running(self.before)  # looked at first: it may write and end in between
+        document, now = self.read(HandoverPart.FINAL), self.gateway.now()
         if document is None and not ended:
             return
         if document is None:
             count("handover_cut_short")
-            quota_handover.take_rate(self.decisions, now, self.kept_there)
+            quota_handover.take_fraction(self.decisions, now, self.kept_there)
         else:
             part = document.head.fleet.part
             self.taking = quota_handover.take_rest(
@@ -120,7 +120,7 @@
         """All that the life before held is here, or lost."""
         logs.event(
             "handover_done",
-            life=self.lives.me,
+            life=self.lives.incarnation,
             before=self.before,
             rest=rest,
             part=round(self.decisions.quota_fraction, 3),
@@ -128,19 +128,21 @@
         self.before = None
         self.gateway.hear()
 
-    def read(self, what: str) -> Document | None:
+    def read(self, what: HandoverPart) -> Snapshot | None:
         """A document for this life; one that can't be read counts as none, and is logged."""
         try:
             return self.lives.read(self.before, what)
         except (OSError, ValueError) as error:
             count("handover_unreadable")
-            logs.event("handover_unreadable", what=what, before=self.before, error=str(error)[:200])
+            logs.event("handover_unreadable", what=what.value, before=self.before, error=str(error)[:200])
             return None
 
-    def recall(self, document: Document) -> Recall:
+    def recall(self, document: Snapshot) -> RestoredState:
         """Its records, aged to now."""
-        age, _ = clock.age(document.head.clock, clock.read_clocks())
-        return Recall(document, age, self.gateway.now(), self.gateway.settings, lambda name: "", counts)
+        age, _ = clock.measure_age(document.head.clock, clock.read_clocks())
+        return RestoredState(
+            document, age, self.gateway.now(), self.gateway.settings, lambda name: "", counts
+        )
 
     # The old life
 
@@ -161,7 +163,7 @@
         waits, self.done = self.waits and self.taking is None, True
         self.before = None if self.taking is None else self.before
         if waits:
-            quota_handover.take_rate(self.decisions, self.gateway.now(), self.kept_there)
+            quota_handover.take_fraction(self.decisions, self.gateway.now(), self.kept_there)
             self.gateway.hear()
 
     def look_at_lives(self) -> None:
@@ -170,45 +172,50 @@
             return  # what is handed on must be whole
         if self.waits and self.gateway.begun:
             self.follow()
-        if self.after is not None and not self.lives.lives(self.after):
-            logs.event("handover_taken_back", life=self.lives.me, after=self.after)
-            quota_handover.take_rate(self.decisions, self.gateway.now(), self.part_there)
+        if self.after is not None and not self.lives.is_running(self.after):
+            logs.event("handover_taken_back", life=self.lives.incarnation, after=self.after)
+            quota_handover.take_fraction(self.decisions, self.gateway.now(), self.part_there)
             self.after = None
         if self.after is None and (after := self.lives.successor()) is not None and self.gateway.begun:
             self.give(after)
 
     def give(self, after: int) -> None:
         """The next life has started: its part, and all that is known."""
-        if self.write(after, FIRST):
-            self.after, self.part_there = after, self.decisions.quota_fraction * quota_handover.NEW_PART
-            quota_handover.keep(self.decisions, 1 - quota_handover.NEW_PART)
-            logs.event("handover_given", life=self.lives.me, after=after, part=round(self.part_there, 3))
+        if self.write(after, HandoverPart.PARTIAL):
+            self.after, self.part_there = (
+                after,
+                self.decisions.quota_fraction * quota_handover.SUCCESSOR_SHARE,
+            )
+            quota_handover.keep_fraction(self.decisions, 1 - quota_handover.SUCCESSOR_SHARE)
+            logs.event(
+                "handover_given", life=self.lives.incarnation, after=after, part=round(self.part_there, 3)
+            )
 
     def end(self) -> None:
         """This life takes no new clients any more: the rest goes to the next one, if it had its part."""
-        if self.after is None or self.done or not self.lives.lives(self.after):
+        if self.after is None or self.done or not self.lives.is_running(self.after):
             return
-        if self.write(self.after, REST):
+        if self.write(self.after, HandoverPart.FINAL):
             self.done = True
             quota_handover.keep_nothing(self.decisions)
             self.gateway.be_silent()
-            logs.event("handover_rest", life=self.lives.me, after=self.after)
+            logs.event("handover_rest", life=self.lives.incarnation, after=self.after)
 
-    def write(self, to: int, what: str) -> bool:
+    def write(self, to: int, what: HandoverPart) -> bool:
         """One document of all that is known, made in one turn, so that what is divided is what it says."""
         now = self.gateway.now()
-        quota_handover.settle(self.decisions, now)
+        quota_handover.refill_accounts(self.decisions, now)
         touched = self.decisions.changed_customers  # a keeper of knowledge, if there is one, goes by it
-        collector = Collector(self.decisions, self.gateway.config.name, __version__)
+        capture = StateCapture(self.decisions, self.gateway.config.name, __version__)
         try:
-            for _ in collector.steps(self.gateway.now, clock.read_clocks, lambda: 0.0):
+            for _ in capture.steps(self.gateway.now, clock.read_clocks, lambda: 0.0):
                 pass
-            head = collector.head(now, clock.read_clocks(), 0.0, True, {})
-            pages = list(collector.pages())
-            self.lives.write(to, what, lambda life: encode(life, head, pages))
+            head = capture.head(now, clock.read_clocks(), 0.0, True, {})
+            pages = list(capture.pages())
+            self.lives.write(to, what, lambda life: encode_snapshot(life, head, pages))
         except (OSError, ValueError) as error:
             count("handover_not_written")
-            logs.event("handover_not_written", what=what, after=to, error=str(error)[:200])
+            logs.event("handover_not_written", what=what.value, after=to, error=str(error)[:200])
             return False
         finally:
             self.decisions.changed_customers = touched
--- a/tests/persistence/samples.py
+++ b/tests/persistence/samples.py
@@ -15,12 +15,19 @@
     ShutMemory,
     WorkMemory,
 )
-from corkdeal.persistence.clock import Reading
-from corkdeal.persistence.document import Document, Head, encode, entry, pack_account, page
-from corkdeal.persistence.envelope import seal
+from corkdeal.persistence.clock import ClockReading
+from corkdeal.persistence.codec import (
+    Snapshot,
+    SnapshotHead,
+    encode_page,
+    encode_page_entry,
+    encode_record,
+    encode_snapshot,
+)
+from corkdeal.persistence.envelope import build_envelope
 
 DATA = pathlib.Path(__file__).parent / "data"
-CLOCK = Reading(1_790_000_000.0, 5000.0, "boot-a")
+CLOCK = ClockReading(1_790_000_000.0, 5000.0, "boot-a")
 SERVER = ServerMemory(
     "s-1", 1000.0, 4990.0, 4.0, 3, True, 2.0, (ShutMemory("note", 2.0, 1.5),), "10.1.0.1:6379"
 )
@@ -37,18 +44,20 @@
     pairs=(PairMemory(1, 1500, 0.5, 9, 0.45, 1.0, 4994.0, True, 55),),
 )
 FLEET = FleetMemory(0.6, 1.5, 4.0, (WorkMemory("look", 1, 0.3, 5000.0),), 0, 2, 77, 12, ((1, 55),))
-HEAD = Head("n0", "test", CLOCK, 1.0, False, FLEET, (SERVER,))
+HEAD = SnapshotHead("n0", "test", CLOCK, 1.0, False, FLEET, (SERVER,))
 
 
 def document(head=HEAD, accounts=None):
     accounts = {7: ACCOUNT} if accounts is None else accounts
-    return Document(head, [{key: msgspec.Raw(pack_account(a)) for key, a in accounts.items()}])
+    return Snapshot(head, [{key: msgspec.Raw(encode_record(a)) for key, a in accounts.items()}])
 
 
 def parts(generation=1, head=HEAD, accounts=None):
     accounts = {7: ACCOUNT} if accounts is None else accounts
-    return encode(
-        generation, head, [page([entry(k, pack_account(a)) for k, a in accounts.items()], len(accounts))]
+    return encode_snapshot(
+        generation,
+        head,
+        [encode_page([encode_page_entry(k, encode_record(a)) for k, a in accounts.items()], len(accounts))],
     )
 
 
@@ -58,7 +67,7 @@
 
 def sealed(form, raw, least=None, packed=True, generation=1):
     body = zstandard.compress(raw) if packed else raw
-    return b"".join(seal(form, least or form, generation, len(raw), [body]))
+    return b"".join(build_envelope(form, least or form, generation, len(raw), [body]))
 
 
 ONE = {
--- a/tests/persistence/test_program.py
+++ b/tests/persistence/test_program.py
@@ -10,8 +10,8 @@
 import threading
 import time
 
-from corkdeal.persistence.document import decode, read_account
-from corkdeal.persistence.store import NAME, Store
+from corkdeal.persistence.codec import decode_account, decode_snapshot
+from corkdeal.persistence.store import SnapshotStore, match_snapshot_name
 
 from ..net_world import PATIENCE, Program, served
 
@@ -51,7 +51,7 @@
         self.fail("it never came true")
 
     def newest(self):
-        store = Store(str(self.state / "n0"))
+        store = SnapshotStore(str(self.state / "n0"))
         store.open()
         loaded = store.load()
         store.close()
@@ -99,13 +99,13 @@
             killer.join()
             self.process.wait(PATIENCE)
             loaded = self.newest()
-            self.assertEqual(loaded.refused, [])
-            if loaded.document is not None:
-                generation = int(NAME(loaded.file)[1])
+            self.assertEqual(loaded.rejected, [])
+            if loaded.snapshot is not None:
+                generation = int(match_snapshot_name(loaded.file)[1])
                 self.assertGreaterEqual(generation, seen)
                 seen = generation
-                for raw in loaded.document.raw_accounts().values():
-                    read_account(raw)
+                for raw in loaded.snapshot.encoded_accounts().values():
+                    decode_account(raw)
             self.again()
             self.assertNotIn("knowledge_refused", "".join(self.lines))
         stop.set()
@@ -150,4 +150,4 @@
         self.assertEqual(client.read(), [b"v"])
         self.state.unlink()
         self.line("knowledge_healed")
-        decode(max(home.glob("*.know")).read_bytes())
+        decode_snapshot(max(home.glob("*.know")).read_bytes())
--- a/tests/persistence/test_quota_handover.py
+++ b/tests/persistence/test_quota_handover.py
@@ -27,10 +27,10 @@
 )
 from corkdeal.decisions.gateway import Gateway
 from corkdeal.decisions.settings import Plan, RequestClass, Settings
-from corkdeal.persistence import clock, document, quota_handover
-from corkdeal.persistence.capture import Collector
-from corkdeal.persistence.handover_files import FIRST, REST, Lives
-from corkdeal.persistence.restore import Recall
+from corkdeal.persistence import clock, codec, quota_handover
+from corkdeal.persistence.capture import StateCapture
+from corkdeal.persistence.handover_files import HandoverFiles, HandoverPart
+from corkdeal.persistence.restore import RestoredState
 from tests.helpers import Ring, pick, request
 from tests.net_world import PATIENCE, Program, served
 
@@ -66,26 +66,26 @@
 
     def document(self, now):
         """What it hands on, through its bytes."""
-        quota_handover.settle(self.d, now)
-        reading = lambda: clock.Reading(now, now, "boot")  # noqa: E731
-        made = Collector(self.d, "n0", "test")
+        quota_handover.refill_accounts(self.d, now)
+        reading = lambda: clock.ClockReading(now, now, "boot")  # noqa: E731
+        made = StateCapture(self.d, "n0", "test")
         list(made.steps(lambda: now, reading, lambda: 0.0))
-        parts = document.encode(1, made.head(now, reading(), 0.0, True, {}), list(made.pages()))
-        return document.decode(b"".join(parts))[2]
+        parts = codec.encode_snapshot(1, made.head(now, reading(), 0.0, True, {}), list(made.pages()))
+        return codec.decode_snapshot(b"".join(parts))[2]
 
     def recall(self, made, now):
         """Its records, as the next life reads them."""
-        return Recall(
+        return RestoredState(
             made, now - made.head.clock.boot, now, self.d.settings, lambda _: "", collections.Counter()
         )
 
 
 def hand_first(old, now):
     made = old.document(now)
-    quota_handover.keep(old.d, 1 - quota_handover.NEW_PART)
-    first = quota_handover.Given(old.recall(made, now), quota_handover.NEW_PART)
+    quota_handover.keep_fraction(old.d, 1 - quota_handover.SUCCESSOR_SHARE)
+    first = quota_handover.PartialState(old.recall(made, now), quota_handover.SUCCESSOR_SHARE)
     return (
-        Life(old.d.settings, first, made.head.fleet.part * quota_handover.NEW_PART, now),
+        Life(old.d.settings, first, made.head.fleet.part * quota_handover.SUCCESSOR_SHARE, now),
         first,
         made.head.fleet.part,
     )
@@ -107,9 +107,9 @@
 
 @pytest.fixture(autouse=True, scope="module")
 def each_account_is_a_step():
-    usual, quota_handover.STEP = quota_handover.STEP, 1
+    usual, quota_handover.ACCOUNTS_PER_STEP = quota_handover.ACCOUNTS_PER_STEP, 1
     yield
-    quota_handover.STEP = usual
+    quota_handover.ACCOUNTS_PER_STEP = usual
 
 
 @given(STEPS, st.integers(1, 3))
@@ -128,13 +128,13 @@
             now += n
         elif what == "give" and new is None:
             new, first, whole = hand_first(old, now)
-            part_there = whole * (1 - quota_handover.NEW_PART)
+            part_there = whole * (1 - quota_handover.SUCCESSOR_SHARE)
         elif what in ("rest", "kill") and new is not None and old is not None:
             if what == "rest":
                 hand_rest(old, new, first, now, ask_all)
                 assert not any(old.ask(now, c) for c in range(customers))
             else:
-                quota_handover.take_rate(new.d, now, part_there)
+                quota_handover.take_fraction(new.d, now, part_there)
             old = None
             assert new.d.quota_fraction == pytest.approx(1.0)
         elif what in ("old", "new") and (life := old if what == "old" else new) is not None:
@@ -161,7 +161,9 @@
     levels = {c: a.level for c, a in new.d.accounts.items()}
     assert levels == {7: pytest.approx(PLAN.burst - 2), 8: pytest.approx(PLAN.burst - 1)}
     third, _, whole = hand_first(new, EPOCH)
-    assert whole == pytest.approx(1.0) and third.d.quota_fraction == pytest.approx(quota_handover.NEW_PART)
+    assert whole == pytest.approx(1.0) and third.d.quota_fraction == pytest.approx(
+        quota_handover.SUCCESSOR_SHARE
+    )
 
 
 def test_peers_go_on_with_the_new_life_where_they_were_with_the_old():
@@ -202,23 +204,26 @@
 
 
 def test_a_document_reaches_only_the_life_that_it_was_made_for(tmp_path):
-    lives = [Lives(str(tmp_path)) for _ in range(3)]
+    lives = [HandoverFiles(str(tmp_path)) for _ in range(3)]
     old, new, third = lives
-    made = lambda life: document.encode(life, Life().document(EPOCH).head, [])  # noqa: E731
-    assert old.join() is None and new.join() == old.me == old.successor() - 1
-    old.write(new.me, FIRST, made)
-    assert new.read(old.me, FIRST) is not None and new.read(old.me, REST) is None
+    made = lambda life: codec.encode_snapshot(life, Life().document(EPOCH).head, [])  # noqa: E731
+    assert old.join() is None and new.join() == old.incarnation == old.successor() - 1
+    old.write(new.incarnation, HandoverPart.PARTIAL, made)
+    assert (
+        new.read(old.incarnation, HandoverPart.PARTIAL) is not None
+        and new.read(old.incarnation, HandoverPart.FINAL) is None
+    )
     new.close()  # it ends before it served
-    assert not old.lives(2) and old.successor() is None
-    assert third.join() == old.me and third.me == 3  # a number is never given twice
-    assert third.read(old.me, FIRST) is None
-    old.write(third.me, REST, made)
+    assert not old.is_running(2) and old.successor() is None
+    assert third.join() == old.incarnation and third.incarnation == 3  # a number is never given twice
+    assert third.read(old.incarnation, HandoverPart.PARTIAL) is None
+    old.write(third.incarnation, HandoverPart.FINAL, made)
     name = next(p for p in tmp_path.iterdir() if p.name.endswith("-3.rest"))
     name.write_bytes(name.read_bytes()[:-1])
     with pytest.raises(ValueError, match="byte"):
-        third.read(old.me, REST)
+        third.read(old.incarnation, HandoverPart.FINAL)
     old.close()
-    fourth = Lives(str(tmp_path))
+    fourth = HandoverFiles(str(tmp_path))
     assert fourth.join() == 3 and not any("-3.rest" in p.name for p in tmp_path.iterdir())
 
 
