--- a/corkdeal/persistence/restore.py
+++ b/corkdeal/persistence/restore.py
@@ -12,7 +12,7 @@
 import msgspec
 
 from ..decisions.events import Endpoint
-from ..decisions.peer_messages import SLICE_UNIT
+from ..decisions.peer_messages import SHARE_STEPS
 from ..decisions.persisted_state import AccountMemory, FleetMemory, ServerMemory, WorkMemory
 from ..decisions.settings import Plan, Settings
 from . import expiry
@@ -195,7 +195,7 @@
             return 0.0
         quota_share = 1.0
         if not record.edges:
-            traded = sum(pair.slice for pair in record.pairs) / SLICE_UNIT
+            traded = sum(pair.slice for pair in record.pairs) / SHARE_STEPS
             quota_share = min(1.0, max(0.0, 1 / record.spread + traded))
         quiet = self.head.clock.boot - record.at
         return expiry.unrecorded_spending(record, plan.rate, quota_share, quiet, self.head.write_interval)
