--- a/corkdeal/decisions/plumbing.py
+++ b/corkdeal/decisions/plumbing.py
@@ -241,7 +241,11 @@
                 self.take_totals(e.peer, born, note)
             return
         if self.membership is not None and (beat := self.membership.unpack(e.payload, e.peer)) is not None:
-            return self.membership.hear(e.peer, beat) if self.greeted(e.peer, beat.born, beat.yours) else None
+            return (
+                self.membership.hear(e.peer, beat)
+                if self.greeted(e.peer, beat.incarnation, beat.receiver_incarnation)
+                else None
+            )
         message = peer_messages.unpack(e.payload, e.peer, self.settings)
         if message is None or not self.greeted(e.peer, *message[:2]):
             return
--- a/corkdeal/membership/failure_detector.py
+++ b/corkdeal/membership/failure_detector.py
@@ -14,7 +14,7 @@
 from dataclasses import dataclass
 from typing import NamedTuple
 
-from .messages import LEFT, NEWS, ROWS, WRAP, Row, newer
+from .messages import MAX_ENTRIES, SEQUENCE_MODULUS, GossipEntry, GossipKind, is_newer
 
 ALIVE, SUSPECT, GONE, AWAY = "alive", "suspect", "gone", "left"
 PAUSE = 2.0  # s that a member may stand still without being held for gone
@@ -24,7 +24,7 @@
 SUSPECT_PART = 0.5  # of the silence for which it would be held for gone
 GAP_WEIGHT, GAP_FIRST = 0.1, 0.25  # of a new gap in the usual one, and where that begins, s
 GAP_MEMBER = 0.01  # s that each member adds to it where a message can't tell of all
-WHOLE = ROWS + 1  # members of a tier of which each message tells all there is
+WHOLE = MAX_ENTRIES + 1  # members of a tier of which each message tells all there is
 TOGETHER = 5.0  # s; members whose silences began within that may have been cut off with one another
 
 
@@ -61,34 +61,40 @@
         self.members: dict[int, Member] = {}
         self.changes: list[Change] = []
 
-    def heard(self, now: float, row: Row) -> None:
+    def heard(self, now: float, row: GossipEntry) -> None:
         """A member's own word: it goes before all that others said, be it of a later life or a later beat."""
         m = self.members.get(row.member)
-        wrong = m is not None and (m.born != row.born or m.state == AWAY or newer(m.beat, row.beat))
+        wrong = m is not None and (
+            m.born != row.incarnation or m.state == AWAY or is_newer(m.beat, row.sequence)
+        )
         if wrong and not m.itself:
-            m.born, m.beat = row.born, (row.beat - 2) % WRAP + 1
+            m.born, m.beat = row.incarnation, (row.sequence - 2) % SEQUENCE_MODULUS + 1
             self.turn(row.member, ALIVE, "it speaks")
-        if self.news(now, row) and row.kind == LEFT:
+        if self.news(now, row) and row.kind == GossipKind.LEFT:
             self.members[row.member].itself = True
 
-    def news(self, now: float, row: Row) -> bool:
+    def news(self, now: float, row: GossipEntry) -> bool:
         """Take a member's beat by whoever told it; whether it was new."""
         m = self.members.get(row.member)
         if m is None:
-            m = self.members[row.member] = Member(row.born, row.beat, now, self.first_gap, self.first_gap / 2)
-        elif self.later(row.born, m.born):
-            m = self.members[row.member] = Member(row.born, row.beat, now, m.gap, m.deviation, m.state)
+            m = self.members[row.member] = Member(
+                row.incarnation, row.sequence, now, self.first_gap, self.first_gap / 2
+            )
+        elif self.later(row.incarnation, m.born):
+            m = self.members[row.member] = Member(
+                row.incarnation, row.sequence, now, m.gap, m.deviation, m.state
+            )
             self.turn(row.member, ALIVE, "started again")
-        elif row.born != m.born or m.state == AWAY or not newer(row.beat, m.beat):
+        elif row.incarnation != m.born or m.state == AWAY or not is_newer(row.sequence, m.beat):
             return False
         else:
             if m.state == ALIVE:  # the time that it was away is no usual gap
                 off = now - m.at - m.gap
                 m.gap += GAP_WEIGHT * off
                 m.deviation += GAP_WEIGHT * (abs(off) - m.deviation)
-            m.beat, m.at = row.beat, now
+            m.beat, m.at = row.sequence, now
             self.turn(row.member, ALIVE, "news of it again")
-        if row.kind == LEFT:
+        if row.kind == GossipKind.LEFT:
             self.turn(row.member, AWAY, "it said so")
         return True
 
@@ -135,10 +141,12 @@
             if m.state == SUSPECT:
                 self.turn(number, ALIVE, "this process stood still")
 
-    def rows(self, skip: int, most: int, chance: random.Random) -> list[Row]:
+    def rows(self, skip: int, most: int, chance: random.Random) -> list[GossipEntry]:
         """What to tell a member, at random where it is more than fits: all get their turn."""
         told = [
-            Row(LEFT if m.state == AWAY else NEWS, number, m.born, m.beat)
+            GossipEntry(
+                GossipKind.LEFT if m.state == AWAY else GossipKind.ALIVE_UPDATE, number, m.born, m.beat
+            )
             for number, m in self.members.items()
             if m.state != GONE and number != skip
         ]
--- a/corkdeal/membership/members.py
+++ b/corkdeal/membership/members.py
@@ -15,7 +15,7 @@
 from . import messages
 from .failure_detector import AWAY, GONE, SUSPECT, WHOLE, Table
 from .leases import ASK_EVERY, KEEP, LEASE, TAKE, Leases
-from .messages import ASK, GRANT, LEAVING, LEFT, NEWS, PROMPT, Beat, Row
+from .messages import GossipEntry, GossipKind, Heartbeat, HeartbeatFlag
 
 if TYPE_CHECKING:
     from ..decisions.gateway import Gateway
@@ -107,7 +107,7 @@
 
     # Time and messages
 
-    def unpack(self, payload: bytes, peer: int) -> Beat | None:
+    def unpack(self, payload: bytes, peer: int) -> Heartbeat | None:
         """A payload as a beat, or None for another kind of message."""
         return messages.unpack(payload, peer, self.d.settings)
 
@@ -159,10 +159,12 @@
 
         The first goes by the clock, so that a life that goes on as another's incarnation goes on behind it.
         """
-        self.number = messages.following(self.number or int(self.d.now * FIRST_BEATS) % (messages.WRAP - 1))
+        self.number = messages.next_sequence(
+            self.number or int(self.d.now * FIRST_BEATS) % (messages.SEQUENCE_MODULUS - 1)
+        )
         self.leases.beat(self.d.now, self.number)
 
-    def tell(self, member: int, *rows: Row) -> None:
+    def tell(self, member: int, *rows: GossipEntry) -> None:
         """This turn's beat to a member, with what is known of the others."""
         now, ack = self.d.now, 0
         if member in self.heard and self.leases.may_ack(member, now) and not self.left:
@@ -173,9 +175,13 @@
         lapsed = now >= self.leases.until.get(member, 0.0) and (
             member in self.d.ring_neighbours or self.unheard()
         )
-        flags = LEAVING * self.left + PROMPT * (lapsed and bool(self.d.ring_neighbours))
-        news = self.table.rows(member, messages.ROWS - len(rows), self.chance)
-        beat = Beat(
+        flags = HeartbeatFlag(0)
+        if self.left:
+            flags |= HeartbeatFlag.LEAVING
+        if lapsed and self.d.ring_neighbours:
+            flags |= HeartbeatFlag.REPLY_REQUESTED
+        news = self.table.rows(member, messages.MAX_ENTRIES - len(rows), self.chance)
+        beat = Heartbeat(
             self.d.incarnation,
             self.d.peer_incarnations.get(member, 0),
             self.number,
@@ -187,36 +193,48 @@
         if self.d.settings.may_message_peers:
             self.d.actions.append(SendToPeer(member, messages.pack(beat)))
 
-    def hear(self, peer: int, beat: Beat) -> None:
+    def hear(self, peer: int, beat: Heartbeat) -> None:
         """A member's beat; its incarnation was looked at before."""
-        now, mine = self.d.now, beat.yours == self.d.incarnation
+        now, mine = self.d.now, beat.receiver_incarnation == self.d.incarnation
         m = self.table.members.get(peer)
-        if m is not None and m.born != beat.born:
+        if m is not None and m.born != beat.incarnation:
             self.leases.forget(peer)
             self.heard.pop(peer, None)
-        leaving = beat.flags & LEAVING
-        self.table.heard(now, Row(LEFT if leaving else NEWS, peer, beat.born, beat.beat))
-        if not self.heard.get(peer) or messages.newer(beat.beat, self.heard[peer]):
-            self.heard[peer] = beat.beat
+        leaving = HeartbeatFlag.LEAVING in beat.flags
+        self.table.heard(
+            now,
+            GossipEntry(
+                GossipKind.LEFT if leaving else GossipKind.ALIVE_UPDATE, peer, beat.incarnation, beat.sequence
+            ),
+        )
+        if not self.heard.get(peer) or messages.is_newer(beat.sequence, self.heard[peer]):
+            self.heard[peer] = beat.sequence
         if mine:
-            self.leases.heard(peer, beat.heard)
-        if mine and beat.ack and (until := self.leases.renewed(peer, beat.ack)) is not None:
+            self.leases.heard(peer, beat.received_sequence)
+        if (
+            mine
+            and beat.renewed_sequence
+            and (until := self.leases.renewed(peer, beat.renewed_sequence)) is not None
+        ):
             if now >= self.leases.until.get(peer, 0.0):
                 self.settle(peer)  # what filled until now did so at what it was sure of
             self.leases.until[peer] = until
         replies = []
-        for row in beat.rows:
-            if row.kind in (NEWS, LEFT):
+        for row in beat.entries:
+            if row.kind in (GossipKind.ALIVE_UPDATE, GossipKind.LEFT):
                 if row.member != self.me:
                     self.table.news(now, row)
             elif not mine or row.member == self.me:
                 continue
-            elif row.kind == ASK and self.leases.grant(row.member, now):
-                replies.append(Row(GRANT, row.member, row.born, row.beat))
-            elif row.kind == GRANT:
-                self.leases.granted(peer, row.member, row.beat)
-        asked = replies or any(r.kind == ASK for r in beat.rows)
-        prompt = beat.flags & PROMPT and now - self.replied.get(peer, -REPLY_EVERY) >= REPLY_EVERY
+            elif row.kind == GossipKind.LEASE_REQUEST and self.leases.grant(row.member, now):
+                replies.append(GossipEntry(GossipKind.LEASE_GRANT, row.member, row.incarnation, row.sequence))
+            elif row.kind == GossipKind.LEASE_GRANT:
+                self.leases.granted(peer, row.member, row.sequence)
+        asked = replies or any(r.kind == GossipKind.LEASE_REQUEST for r in beat.entries)
+        prompt = (
+            HeartbeatFlag.REPLY_REQUESTED in beat.flags
+            and now - self.replied.get(peer, -REPLY_EVERY) >= REPLY_EVERY
+        )
         if (asked or prompt) and not leaving:
             self.replied[peer] = now
             self.count()
@@ -264,7 +282,10 @@
             self.count()
         for by, member in sorted(wanted):
             self.asked[by, member] = now
-            self.tell(by, Row(ASK, member, self.table.members[member].born, self.number))
+            self.tell(
+                by,
+                GossipEntry(GossipKind.LEASE_REQUEST, member, self.table.members[member].born, self.number),
+            )
 
     def free(self, member: int) -> bool:
         """Whether its slices may be spent here: it left, or it alone is silent or deaf, and not sure."""
--- a/corkdeal/membership/messages.py
+++ b/corkdeal/membership/messages.py
@@ -1,74 +1,117 @@
-"""Layout of the messages in which gateways tell that they live and whom they hear; no decision is made here.
+"""The membership datagram: its typed message, and its layout in bytes.
 
-A message is one beat: both ends' incarnations, the sender's beat number, the last of the receiver's that the
-sender heard, the last that it confirms (`leases`), and rows about other members. Beat numbers run from 1 to
-65,535 and begin anew; 0 is none.
+A datagram is one heartbeat: the incarnations of both ends, the sender's sequence number, the receiver's last
+sequence number that arrived at the sender, the last one whose lease the sender renews (`leases`), and gossip
+entries about other members. Sequence numbers run from 1 to 65,535 and wrap to 1; 0 stands for none.
 """
 
 from __future__ import annotations
 
+import enum
 import struct
-from typing import NamedTuple
+from dataclasses import dataclass
 
 from ..decisions.peer_messages import MESSAGE_BYTES
 from ..decisions.settings import Settings
 
-VERSION = 5  # of a peer's message: 3 and 4 are the trades'
-HEAD, ROW = struct.Struct("<BIIHHHB"), struct.Struct("<BHIH")
-ROWS = (MESSAGE_BYTES - HEAD.size) // ROW.size
-WRAP = 1 << 16
-NEWS, LEFT, ASK, GRANT = 1, 2, 3, 4  # kinds of rows
-LEAVING, PROMPT = 1, 2  # flags: the sender ends; it holds no lease from the receiver and wants a word at once
+VERSION = 5  # of a peer datagram; 3 and 4 are those of the quota exchange
+HEADER_LAYOUT = struct.Struct("<BIIHHHB")
+ENTRY_LAYOUT = struct.Struct("<BHIH")
+MAX_ENTRIES = (MESSAGE_BYTES - HEADER_LAYOUT.size) // ENTRY_LAYOUT.size
+SEQUENCE_MODULUS = 1 << 16
 
 
-class Row(NamedTuple):
-    """One word about a member.
+class GossipKind(enum.IntEnum):
+    """What an entry tells or requests; the values are those on the wire."""
 
-    NEWS: its latest beat known to the sender; LEFT: that life of it has ended as planned; ASK: the sender
-    would take over its slice; GRANT: the sender won't confirm it meanwhile, in answer to the asking beat.
-    """
+    ALIVE_UPDATE = 1  # the member's latest heartbeat known to the sender
+    LEFT = 2  # that incarnation of the member has shut down as planned
+    LEASE_REQUEST = 3  # the sender asks for leave to take over the member's quota share
+    LEASE_GRANT = 4  # the sender grants that; `sequence` is that of the requesting heartbeat
 
-    kind: int
-    member: int
-    born: int
-    beat: int
 
+class HeartbeatFlag(enum.IntFlag):
+    """Flags of a heartbeat; the values are those on the wire."""
 
-class Beat(NamedTuple):
-    """One message."""
+    LEAVING = 1  # the sender shuts down
+    REPLY_REQUESTED = 2  # the sender holds no lease from the receiver and asks for a reply at once
 
-    born: int
-    yours: int  # the receiver's incarnation as far as known, else 0
-    beat: int
-    heard: int  # the receiver's last beat that came here, else 0
-    ack: int  # the last one that is confirmed, else 0
-    flags: int
-    rows: tuple[Row, ...]
 
+@dataclass(frozen=True, slots=True)
+class GossipEntry:
+    """What a heartbeat tells of a member other than its sender and receiver."""
 
-def pack(beat: Beat) -> bytes:
-    """A message; rows beyond what fits are left for another."""
-    head = HEAD.pack(VERSION, *beat[:-1])
-    return head + b"".join([ROW.pack(*row) for row in beat.rows[:ROWS]])
+    kind: GossipKind
+    member: int
+    incarnation: int  # ms
+    sequence: int
+
+
+@dataclass(frozen=True, slots=True)
+class Heartbeat:
+    """One datagram between two members."""
+
+    incarnation: int  # ms
+    receiver_incarnation: int  # ms, as far as the sender knows it, else 0
+    sequence: int
+    received_sequence: int  # the receiver's last heartbeat that arrived at the sender, else 0
+    renewed_sequence: int  # the receiver's last heartbeat whose lease the sender renews, else 0
+    flags: HeartbeatFlag
+    entries: tuple[GossipEntry, ...]
+
+
+def pack(heartbeat: Heartbeat) -> bytes:
+    """The datagram of a heartbeat; entries beyond MAX_ENTRIES are left out."""
+    header = HEADER_LAYOUT.pack(
+        VERSION,
+        heartbeat.incarnation,
+        heartbeat.receiver_incarnation,
+        heartbeat.sequence,
+        heartbeat.received_sequence,
+        heartbeat.renewed_sequence,
+        heartbeat.flags,
+    )
+    entries = [
+        ENTRY_LAYOUT.pack(entry.kind, entry.member, entry.incarnation, entry.sequence)
+        for entry in heartbeat.entries[:MAX_ENTRIES]
+    ]
+    return header + b"".join(entries)
+
+
+def unpack(payload: bytes, peer: int, settings: Settings) -> Heartbeat | None:
+    """The heartbeat that `peer` sent, or None for a payload that does not follow the layout."""
+    entries_size = len(payload) - HEADER_LAYOUT.size
+    if entries_size < 0 or entries_size % ENTRY_LAYOUT.size:
+        return None
+    if len(payload) > MESSAGE_BYTES or payload[0] != VERSION or peer == settings.gateway_index:
+        return None
+    _, incarnation, receiver_incarnation, sequence, received, renewed, flags = HEADER_LAYOUT.unpack_from(
+        payload
+    )
+    entries = _unpack_entries(payload[HEADER_LAYOUT.size :], settings)
+    if entries is None or not incarnation or not sequence:
+        return None
+    return Heartbeat(
+        incarnation, receiver_incarnation, sequence, received, renewed, HeartbeatFlag(flags), entries
+    )
 
 
-def unpack(payload: bytes, peer: int, s: Settings) -> Beat | None:
-    """The beat, or None for what does not follow the layout."""
-    size = len(payload) - HEAD.size
-    if size < 0 or size % ROW.size or len(payload) > MESSAGE_BYTES or payload[0] != VERSION:
-        return None
-    _, born, yours, beat, heard, ack, flags = HEAD.unpack_from(payload)
-    rows = tuple([Row(*values) for values in ROW.iter_unpack(payload[HEAD.size :])])
-    known = all(NEWS <= r.kind <= GRANT and r.member < s.gateway_count and r.born and r.beat for r in rows)
-    made = Beat(born, yours, beat, heard, ack, flags, rows)
-    return made if known and born and beat and peer != s.gateway_index else None
+def _unpack_entries(payload: bytes, settings: Settings) -> tuple[GossipEntry, ...] | None:
+    """The entries, or None if one of them names an unknown kind or member, or has a zero."""
+    entries = []
+    for kind, member, incarnation, sequence in ENTRY_LAYOUT.iter_unpack(payload):
+        is_known_kind = GossipKind.ALIVE_UPDATE <= kind <= GossipKind.LEASE_GRANT
+        if not is_known_kind or member >= settings.gateway_count or not incarnation or not sequence:
+            return None
+        entries.append(GossipEntry(GossipKind(kind), member, incarnation, sequence))
+    return tuple(entries)
 
 
-def newer(one: int, other: int) -> bool:
-    """Whether a beat number is after another."""
-    return 0 < (one - other) % WRAP < WRAP // 2
+def is_newer(one: int, other: int) -> bool:
+    """Whether a sequence number comes after another."""
+    return 0 < (one - other) % SEQUENCE_MODULUS < SEQUENCE_MODULUS // 2
 
 
-def following(beat: int) -> int:
-    """The next beat's number."""
-    return beat % (WRAP - 1) + 1
+def next_sequence(sequence: int) -> int:
+    """The sequence number after `sequence`."""
+    return sequence % (SEQUENCE_MODULUS - 1) + 1
--- a/tests/membership/test_members.py
+++ b/tests/membership/test_members.py
@@ -15,7 +15,7 @@
 from corkdeal.membership.failure_detector import ALIVE, AWAY, GONE, GONE_LEAST, SUSPECT, Table
 from corkdeal.membership.leases import KEEP, LEASE, TAKE, Leases
 from corkdeal.membership.members import BEAT_MOST, Members
-from corkdeal.membership.messages import ASK, GRANT, LEFT, NEWS, Beat, Row
+from corkdeal.membership.messages import GossipEntry, GossipKind, Heartbeat, HeartbeatFlag
 from corkdeal.net.membership import Membership
 from corkdeal.recovery import resume
 from corkdeal.recovery.quota_restore import Ledgers
@@ -111,7 +111,9 @@
     tier.run(2 * BEAT_MOST + 0.1, tier.ask)
     assert all(tier.seen(by, 2) == AWAY for by in tier.gateways)
     assert sum(tier.spent().values()) == pytest.approx(1 - KEEP / 5, abs=0.02)
-    late = Row(NEWS, 2, gone.incarnation, messages.following(gone.membership.number))
+    late = GossipEntry(
+        GossipKind.ALIVE_UPDATE, 2, gone.incarnation, messages.next_sequence(gone.membership.number)
+    )
     assert not tier.gateways[0].membership.table.news(tier.now, late) and tier.seen(0, 2) == AWAY
 
 
@@ -147,15 +149,29 @@
     tier = Tier(5)
     tier.run(4.0, tier.ask)
     liar, most = tier.gateways[4], 0.0
-    lies = ((LEFT, 0, 9), (NEWS, 0, 30000), (NEWS, 5000, 1), (GRANT, 0, 1), (ASK, 0, 1))
+    lies = (
+        (GossipKind.LEFT, 0, 9),
+        (GossipKind.ALIVE_UPDATE, 0, 30000),
+        (GossipKind.ALIVE_UPDATE, 5000, 1),
+        (GossipKind.LEASE_GRANT, 0, 1),
+        (GossipKind.LEASE_REQUEST, 0, 1),
+    )
     for kind, later_by, ahead in lies * 4:
         rows = tuple(
-            Row(kind, m, g.incarnation + later_by, (g.membership.number + ahead) % 65535 + 1)
+            GossipEntry(kind, m, g.incarnation + later_by, (g.membership.number + ahead) % 65535 + 1)
             for m, g in tier.gateways.items()
             if m != 4
         )
         for to in range(4):
-            lie = Beat(liar.incarnation, tier.gateways[to].incarnation, liar.membership.number, 0, 0, 0, rows)
+            lie = Heartbeat(
+                liar.incarnation,
+                tier.gateways[to].incarnation,
+                liar.membership.number,
+                0,
+                0,
+                HeartbeatFlag(0),
+                rows,
+            )
             tier.flight.append((tier.now, 4, to, messages.pack(lie)))
         most = max(most, tier.go(0.5))
     assert most <= 1.02 and not any(g.membership.taken for g in tier.gateways.values())
@@ -177,15 +193,17 @@
     table = Table(later, 5)
     for beat in range(1, 41):
         for member in (1, 2):
-            table.news(beat * member / 2, Row(NEWS, member, 9, beat))
+            table.news(beat * member / 2, GossipEntry(GossipKind.ALIVE_UPDATE, member, 9, beat))
     for member, after, state in ((1, 1.4, SUSPECT), (2, 1.4, ALIVE), (1, 2.8, GONE), (2, 2.8, SUSPECT)):
         table.look(table.members[member].at + after)  # one was heard twice a second, two once
         assert table.members[member].state == state
     assert table.alone(1, 44.0)  # the other fell silent 20 s after it
     table.members[2].at = table.members[1].at + 4.0
     assert not table.alone(1, 44.0) and not table.alone(2, 44.0)
-    table.news(51.0, Row(LEFT, 2, 9, 41))
-    assert not table.news(52.0, Row(NEWS, 2, 9, 42)) and table.news(52.0, Row(NEWS, 2, 10, 1))
+    table.news(51.0, GossipEntry(GossipKind.LEFT, 2, 9, 41))
+    assert not table.news(52.0, GossipEntry(GossipKind.ALIVE_UPDATE, 2, 9, 42)) and table.news(
+        52.0, GossipEntry(GossipKind.ALIVE_UPDATE, 2, 10, 1)
+    )
 
 
 def test_a_lease_counts_from_when_the_beat_was_sent_and_a_grant_keeps_from_confirming():
@@ -208,16 +226,16 @@
 
 
 starts, numbers = st.integers(1, 2**32 - 1), st.integers(1, 65535)
-rows = st.builds(Row, st.integers(NEWS, GRANT), st.integers(0, 4), starts, numbers)
+rows = st.builds(GossipEntry, st.sampled_from(GossipKind), st.integers(0, 4), starts, numbers)
 words = st.builds(
-    Beat,
+    Heartbeat,
     starts,
     st.just(0) | starts,
     numbers,
     st.just(0) | numbers,
     st.just(0) | numbers,
-    st.integers(0, 3),
-    st.lists(rows, max_size=messages.ROWS).map(tuple),
+    st.integers(0, 3).map(HeartbeatFlag),
+    st.lists(rows, max_size=messages.MAX_ENTRIES).map(tuple),
 )
 
 
@@ -237,7 +255,7 @@
     out = one.handle(101.5, [PeerMessage(1, messages.pack(beat))])
     assert len(pick(out, SendToPeer)) <= 2
     told = [b for m in pick(out, SendToPeer) if (b := messages.unpack(m.payload, 2, one.settings))]
-    assert ASK not in {r.kind for b in told for r in b.rows}
+    assert GossipKind.LEASE_REQUEST not in {r.kind for b in told for r in b.entries}
 
 
 class Loop:
@@ -268,5 +286,5 @@
     assert one.membership.trusts is trusts and gateway.before_end == [membership]
     assert not trusts or one.membership.part(one.accounts[7]) == 1.0
     membership.stop(lambda: ended.append(True))
-    flags = {messages.unpack(a.payload, 0, settings(1, 3)).flags & messages.LEAVING for a in told}
-    assert ended and flags == ({messages.LEAVING} if leaves else set())
+    flags = {messages.unpack(a.payload, 0, settings(1, 3)).flags & HeartbeatFlag.LEAVING for a in told}
+    assert ended and flags == ({HeartbeatFlag.LEAVING} if leaves else set())
