--- a/corkdeal/membership/members.py
+++ b/corkdeal/membership/members.py
@@ -14,7 +14,7 @@
 from ..decisions.actions import SendToPeer
 from . import messages
 from .failure_detector import AWAY, GONE, SUSPECT, WHOLE, Table
-from .leases import ASK_EVERY, KEEP, LEASE, TAKE, Leases
+from .leases import KEPT_FRACTION, LEASE_TIME, TAKEOVER_TIME, Leases, TakeoverRequest
 from .messages import GossipEntry, GossipKind, Heartbeat, HeartbeatFlag
 
 if TYPE_CHECKING:
@@ -24,6 +24,7 @@
 BEAT_EVERY, BEAT_MOST = 0.25, 0.6  # s between turns of beats; with the second a lease still bears two lost
 BEATS = 12.0  # a second, as far as BEAT_MOST allows: with the trades under what a peer takes in
 LOOK_EVERY = 0.2  # s between looks through all members: with a thousand that is work
+ASK_EVERY = 0.5  # s between requests for one grant; it holds for LEASE_TIME
 ANYBODY = 2  # beats a turn to members drawn by chance, whatever the tier's size
 MOST_PARTNERS = 14  # ring neighbours told each turn
 FIRST_BEATS = 10.0  # a second of the clock, more than are sent
@@ -61,8 +62,8 @@
         return min(1.0, made)
 
     def part(self, a: Account) -> float:
-        """How much of its own slice this gateway may spend: all while a neighbour confirms it, else KEEP."""
-        return 1.0 if self.sure(a) else KEEP
+        """How much of its own slice this gateway may spend: all while a neighbour leases it."""
+        return 1.0 if self.sure(a) else KEPT_FRACTION
 
     def sure(self, a: Account) -> bool:
         """Whether nobody else spends any of the slice.
@@ -70,7 +71,7 @@
         Where no neighbour confirms it, it is so too if somebody else does and both neighbours are gone:
         whoever takes a slice hears all others, so who is in company would hear of the taker.
         """
-        until, now = self.leases.until, self.d.now
+        until, now = self.leases.held_until, self.d.now
         for p in a.ledgers:
             if now < until.get(p, 0.0):
                 return True
@@ -80,7 +81,9 @@
             or self.old(a)
             or (
                 any(now < u for u in until.values())
-                and all(self.table.silence(p, now) > TAKE + LEASE or self.gone(p) for p in a.ledgers)
+                and all(
+                    self.table.silence(p, now) > TAKEOVER_TIME + LEASE_TIME or self.gone(p) for p in a.ledgers
+                )
             )
         )
 
@@ -97,8 +100,8 @@
             return 0.0
         by = a.second_predecessor
         granted = by is None or self.gone(by) or self.table.members[member].itself
-        granted = granted or self.d.now < self.leases.grants.get((by, member), 0.0)
-        return 1 - KEEP if granted else 0.0
+        granted = granted or self.leases.is_granted(TakeoverRequest(by, member), self.d.now)
+        return 1 - KEPT_FRACTION if granted else 0.0
 
     def gone(self, member: int) -> bool:
         """Whether a member is held for gone, or said that it left."""
@@ -146,7 +149,7 @@
 
     def unheard(self) -> bool:
         """Whether no neighbour confirms anything."""
-        until = self.leases.until
+        until = self.leases.held_until
         return not any(self.d.now < until.get(p, 0.0) for p in self.d.ring_neighbours)
 
     def anybody(self) -> list[int]:
@@ -162,17 +165,19 @@
         self.number = messages.next_sequence(
             self.number or int(self.d.now * FIRST_BEATS) % (messages.SEQUENCE_MODULUS - 1)
         )
-        self.leases.beat(self.d.now, self.number)
+        self.leases.record_sent(self.d.now, self.number)
 
     def tell(self, member: int, *rows: GossipEntry) -> None:
         """This turn's beat to a member, with what is known of the others."""
         now, ack = self.d.now, 0
-        if member in self.heard and self.leases.may_ack(member, now) and not self.left:
+        if member in self.heard and self.leases.may_renew(member, now) and not self.left:
             ack = self.heard[member]
-            if ack != self.leases.acks.get(member):  # what was confirmed before may be said again
+            if ack != self.leases.renewed_sequences.get(
+                member
+            ):  # what was confirmed before may be said again
                 self.give_back(member)
-                self.leases.confirm(member, ack, now)
-        lapsed = now >= self.leases.until.get(member, 0.0) and (
+                self.leases.record_renewal(member, ack, now)
+        lapsed = now >= self.leases.held_until.get(member, 0.0) and (
             member in self.d.ring_neighbours or self.unheard()
         )
         flags = HeartbeatFlag(0)
@@ -198,7 +203,7 @@
         now, mine = self.d.now, beat.receiver_incarnation == self.d.incarnation
         m = self.table.members.get(peer)
         if m is not None and m.born != beat.incarnation:
-            self.leases.forget(peer)
+            self.leases.restart(peer)
             self.heard.pop(peer, None)
         leaving = HeartbeatFlag.LEAVING in beat.flags
         self.table.heard(
@@ -210,15 +215,15 @@
         if not self.heard.get(peer) or messages.is_newer(beat.sequence, self.heard[peer]):
             self.heard[peer] = beat.sequence
         if mine:
-            self.leases.heard(peer, beat.received_sequence)
+            self.leases.record_received_by(peer, beat.received_sequence)
         if (
             mine
             and beat.renewed_sequence
-            and (until := self.leases.renewed(peer, beat.renewed_sequence)) is not None
+            and (until := self.leases.renewed_until(peer, beat.renewed_sequence)) is not None
         ):
-            if now >= self.leases.until.get(peer, 0.0):
+            if now >= self.leases.held_until.get(peer, 0.0):
                 self.settle(peer)  # what filled until now did so at what it was sure of
-            self.leases.until[peer] = until
+            self.leases.held_until[peer] = until
         replies = []
         for row in beat.entries:
             if row.kind in (GossipKind.ALIVE_UPDATE, GossipKind.LEFT):
@@ -226,10 +231,10 @@
                     self.table.news(now, row)
             elif not mine or row.member == self.me:
                 continue
-            elif row.kind == GossipKind.LEASE_REQUEST and self.leases.grant(row.member, now):
+            elif row.kind == GossipKind.LEASE_REQUEST and self.leases.try_grant(row.member, now):
                 replies.append(GossipEntry(GossipKind.LEASE_GRANT, row.member, row.incarnation, row.sequence))
             elif row.kind == GossipKind.LEASE_GRANT:
-                self.leases.granted(peer, row.member, row.sequence)
+                self.leases.record_grant(TakeoverRequest(peer, row.member), row.sequence)
         asked = replies or any(r.kind == GossipKind.LEASE_REQUEST for r in beat.entries)
         prompt = (
             HeartbeatFlag.REPLY_REQUESTED in beat.flags
@@ -252,8 +257,8 @@
     def woke(self, gap: float) -> None:
         """This process stood still: nobody is accused for that time, and nothing is taken any more."""
         self.table.woke(self.d.now)
-        for member in list(self.leases.heard_by):
-            self.leases.heard_by[member] += gap
+        for member in list(self.leases.received_by):
+            self.leases.received_by[member] += gap
         self.taken.clear()
         self.beaten = -math.inf  # all are told at once that it is there
 
@@ -294,8 +299,8 @@
             return False
         if m.itself:
             return True
-        unheard = self.gone(member) or (m.state != SUSPECT and self.leases.deaf(member, now))
-        return unheard and self.leases.lapsed(member, now) and self.table.alone(member, now)
+        unheard = self.gone(member) or (m.state != SUSPECT and self.leases.is_deaf(member, now))
+        return unheard and self.leases.has_lapsed(member, now) and self.table.alone(member, now)
 
     def give_back(self, member: int) -> None:
         """It is about to be confirmed, or may not be alone: from here on only itself spends its slices."""
--- a/tests/membership/test_explore.py
+++ b/tests/membership/test_explore.py
@@ -23,8 +23,8 @@
 @pytest.mark.parametrize(
     ("where", "what", "wrong"),
     [
-        (leases, "LEASE", 9.0),  # the owner is sure for longer than others wait
-        (leases.Leases, "may_ack", lambda self, member, now: False),  # nobody is ever confirmed
+        (leases, "LEASE_TIME", 9.0),  # the owner is sure for longer than others wait
+        (leases.Leases, "may_renew", lambda self, member, now: False),  # nobody is ever confirmed
     ],
 )
 def test_a_lease_kept_wrongly_is_found(monkeypatch, where, what, wrong):
--- a/tests/membership/test_members.py
+++ b/tests/membership/test_members.py
@@ -13,7 +13,7 @@
 from corkdeal.decisions.plumbing import later
 from corkdeal.membership import messages
 from corkdeal.membership.failure_detector import ALIVE, AWAY, GONE, GONE_LEAST, SUSPECT, Table
-from corkdeal.membership.leases import KEEP, LEASE, TAKE, Leases
+from corkdeal.membership.leases import KEPT_FRACTION, LEASE_TIME, TAKEOVER_TIME, Leases, TakeoverRequest
 from corkdeal.membership.members import BEAT_MOST, Members
 from corkdeal.membership.messages import GossipEntry, GossipKind, Heartbeat, HeartbeatFlag
 from corkdeal.net.membership import Membership
@@ -94,7 +94,7 @@
     tier.run(4.0, tier.ask)
     del tier.gateways[2]
     tier.run(GONE_LEAST + 2 * BEAT_MOST + 1.0, tier.ask)
-    assert sum(tier.spent().values()) == pytest.approx(1 - KEEP / 5, abs=0.02)
+    assert sum(tier.spent().values()) == pytest.approx(1 - KEPT_FRACTION / 5, abs=0.02)
     assert all(tier.seen(by, 2) == GONE for by in tier.gateways)
     tier.start(2)
     assert tier.go(2.0) <= 1.02 and all(tier.seen(by, 2) == ALIVE for by in (0, 1, 3, 4))
@@ -110,7 +110,7 @@
     tier.take(2, gone.actions)
     tier.run(2 * BEAT_MOST + 0.1, tier.ask)
     assert all(tier.seen(by, 2) == AWAY for by in tier.gateways)
-    assert sum(tier.spent().values()) == pytest.approx(1 - KEEP / 5, abs=0.02)
+    assert sum(tier.spent().values()) == pytest.approx(1 - KEPT_FRACTION / 5, abs=0.02)
     late = GossipEntry(
         GossipKind.ALIVE_UPDATE, 2, gone.incarnation, messages.next_sequence(gone.membership.number)
     )
@@ -123,7 +123,7 @@
     for me in (1, 2, 3, 4):
         del tier.gateways[me]
     tier.run(4.0, tier.ask)
-    assert tier.spent()[0] == pytest.approx(KEEP / 5, abs=0.01)
+    assert tier.spent()[0] == pytest.approx(KEPT_FRACTION / 5, abs=0.01)
     tier.start(2)  # no ring neighbour of 0's
     tier.run(7.0, tier.ask)
     assert tier.spent()[0] == pytest.approx(1 / 5, abs=0.01)
@@ -137,7 +137,7 @@
     most = tier.go(pause)
     tier.flight = [m for m in tier.flight if m[2]]
     resume.wake(still, tier.now, pause)
-    assert pause < LEASE or still.slice(still.accounts[7]) == pytest.approx(KEEP / 5, abs=0.01)
+    assert pause < LEASE_TIME or still.slice(still.accounts[7]) == pytest.approx(KEPT_FRACTION / 5, abs=0.01)
     tier.gateways[0] = still
     still.membership.step()
     assert {m.state for m in still.membership.table.members.values()} == {ALIVE}
@@ -209,20 +209,22 @@
 def test_a_lease_counts_from_when_the_beat_was_sent_and_a_grant_keeps_from_confirming():
     owner, taker, other = Leases(), Leases(), Leases()
     for each in (owner, taker, other):
-        each.beat(100.0, 1)
-    other.confirm(0, 1, 100.2)
-    assert owner.renewed(2, 1) == 100.0 + LEASE and owner.renewed(2, 7) is None
-    assert not other.grant(0, 100.2 + TAKE - 0.01) and other.grant(0, 100.2 + TAKE)
-    other.heard_by[0] = 1e9  # it hears this one well
-    assert not other.may_ack(0, 100.2 + 2 * TAKE - 0.01) and other.may_ack(0, 100.2 + 2 * TAKE)
+        each.record_sent(100.0, 1)
+    other.record_renewal(0, 1, 100.2)
+    assert owner.renewed_until(2, 1) == 100.0 + LEASE_TIME and owner.renewed_until(2, 7) is None
+    assert not other.try_grant(0, 100.2 + TAKEOVER_TIME - 0.01) and other.try_grant(0, 100.2 + TAKEOVER_TIME)
+    other.received_by[0] = 1e9  # it hears this one well
+    assert not other.may_renew(0, 100.2 + 2 * TAKEOVER_TIME - 0.01) and other.may_renew(
+        0, 100.2 + 2 * TAKEOVER_TIME
+    )
     for number in range(2, 400):  # many replies push out no beat that a lease may still count from
-        owner.beat(100.5, number)
-    assert owner.renewed(2, 1) == 100.0 + LEASE
-    owner.beat(100.0 + LEASE + TAKE + 0.1, 400)
-    assert owner.renewed(2, 1) is None and len(owner.sent) == 399
-    taker.beat(103.0, 2)
-    taker.granted(1, 0, 2)
-    assert taker.grants[1, 0] == 103.0 + LEASE
+        owner.record_sent(100.5, number)
+    assert owner.renewed_until(2, 1) == 100.0 + LEASE_TIME
+    owner.record_sent(100.0 + LEASE_TIME + TAKEOVER_TIME + 0.1, 400)
+    assert owner.renewed_until(2, 1) is None and len(owner.sent_at) == 399
+    taker.record_sent(103.0, 2)
+    taker.record_grant(TakeoverRequest(1, 0), 2)
+    assert taker.grants[TakeoverRequest(1, 0)] == 103.0 + LEASE_TIME
 
 
 starts, numbers = st.integers(1, 2**32 - 1), st.integers(1, 65535)
