--- a/corkdeal/experiment/members.py
+++ b/corkdeal/experiment/members.py
@@ -31,7 +31,7 @@
 )
 from ..decisions.gateway import Gateway
 from ..decisions.plumbing import later
-from ..membership.failure_detector import GONE
+from ..membership.failure_detector import MemberState
 from ..membership.members import Members
 from ..recovery import resume
 from ..recovery.stall_detector import LEAST
@@ -132,11 +132,11 @@
     def gone(self, member: int) -> int:
         """How many of the others hold it for gone."""
         seen = [
-            g.membership.table.members.get(member)
+            g.membership.detector.members.get(member)
             for me, g in self.up.items()
             if me != member and me not in self.still
         ]
-        return sum(m is not None and m.state == GONE for m in seen)
+        return sum(m is not None and m.state == MemberState.DEAD for m in seen)
 
     def twice(self) -> list[str]:
         """Slices of which more than the whole may be spent at this moment."""
@@ -206,10 +206,10 @@
         looked += 1
         if looked % 5 == 0:
             for i, g in world.up.items():
-                for j, m in g.membership.table.members.items():
-                    if (m.state == GONE) and not before[i, j]:
+                for j, m in g.membership.detector.members.items():
+                    if (m.state == MemberState.DEAD) and not before[i, j]:
                         wrong[j] += 1
-                    before[i, j] = m.state == GONE
+                    before[i, j] = m.state == MemberState.DEAD
     spent = time.process_time() - cpu
     hours = gateways * seconds / 3600
     return {
--- a/corkdeal/membership/members.py
+++ b/corkdeal/membership/members.py
@@ -13,7 +13,7 @@
 
 from ..decisions.actions import SendToPeer
 from . import messages
-from .failure_detector import AWAY, GONE, SUSPECT, WHOLE, Table
+from .failure_detector import MAX_FULL_GOSSIP_SIZE, FailureDetector, MemberState
 from .leases import KEPT_FRACTION, LEASE_TIME, TAKEOVER_TIME, Leases, TakeoverRequest
 from .messages import GossipEntry, GossipKind, Heartbeat, HeartbeatFlag
 
@@ -36,8 +36,10 @@
 
     def __init__(self, decisions: Gateway, later: Callable[[int, int], bool]) -> None:
         self.d, self.me = decisions, decisions.settings.gateway_index
-        self.table, self.leases = Table(later, decisions.settings.gateway_count), Leases()
-        self.leased = 2 < decisions.settings.gateway_count <= WHOLE  # else all go on with their own
+        self.detector, self.leases = FailureDetector(later, decisions.settings.gateway_count), Leases()
+        self.leased = (
+            2 < decisions.settings.gateway_count <= MAX_FULL_GOSSIP_SIZE
+        )  # else all go on with their own
         self.number, self.beaten, self.every, self.left = 0, -math.inf, BEAT_EVERY, False
         self.looked = -math.inf
         self.trusts = False  # another life of this gateway holds the leases, and gave this one its part
@@ -82,7 +84,8 @@
             or (
                 any(now < u for u in until.values())
                 and all(
-                    self.table.silence(p, now) > TAKEOVER_TIME + LEASE_TIME or self.gone(p) for p in a.ledgers
+                    self.detector.silence(p, now) > TAKEOVER_TIME + LEASE_TIME or self.gone(p)
+                    for p in a.ledgers
                 )
             )
         )
@@ -90,7 +93,7 @@
     def old(self, a: Account) -> bool:
         """Whether a neighbour speaks, but not of this: a program before it, which takes after a second."""
         return any(
-            p not in self.table.members and p in self.d.peer_incarnations and not self.d.silent(p)
+            p not in self.detector.members and p in self.d.peer_incarnations and not self.d.silent(p)
             for p in a.ledgers
         )
 
@@ -99,14 +102,13 @@
         if member not in self.taken:
             return 0.0
         by = a.second_predecessor
-        granted = by is None or self.gone(by) or self.table.members[member].itself
+        granted = by is None or self.gone(by) or self.detector.members[member].has_announced_leave
         granted = granted or self.leases.is_granted(TakeoverRequest(by, member), self.d.now)
         return 1 - KEPT_FRACTION if granted else 0.0
 
     def gone(self, member: int) -> bool:
-        """Whether a member is held for gone, or said that it left."""
-        m = self.table.members.get(member)
-        return m is not None and m.state in (GONE, AWAY)
+        """Whether a member is held for dead, or said that it left."""
+        return self.detector.is_dead_or_left(member)
 
     # Time and messages
 
@@ -123,7 +125,7 @@
         now, due = self.d.now, set()
         if now - self.looked >= LOOK_EVERY:
             self.looked = now
-            self.table.look(now)
+            self.detector.update(now)
         if now - self.beaten >= self.every - 0.025:
             self.beaten = now
             self.take()
@@ -185,7 +187,7 @@
             flags |= HeartbeatFlag.LEAVING
         if lapsed and self.d.ring_neighbours:
             flags |= HeartbeatFlag.REPLY_REQUESTED
-        news = self.table.rows(member, messages.MAX_ENTRIES - len(rows), self.chance)
+        news = self.detector.gossip(member, messages.MAX_ENTRIES - len(rows), self.chance)
         beat = Heartbeat(
             self.d.incarnation,
             self.d.peer_incarnations.get(member, 0),
@@ -201,12 +203,12 @@
     def hear(self, peer: int, beat: Heartbeat) -> None:
         """A member's beat; its incarnation was looked at before."""
         now, mine = self.d.now, beat.receiver_incarnation == self.d.incarnation
-        m = self.table.members.get(peer)
-        if m is not None and m.born != beat.incarnation:
+        m = self.detector.members.get(peer)
+        if m is not None and m.incarnation != beat.incarnation:
             self.leases.restart(peer)
             self.heard.pop(peer, None)
         leaving = HeartbeatFlag.LEAVING in beat.flags
-        self.table.heard(
+        self.detector.record_heartbeat(
             now,
             GossipEntry(
                 GossipKind.LEFT if leaving else GossipKind.ALIVE_UPDATE, peer, beat.incarnation, beat.sequence
@@ -228,7 +230,7 @@
         for row in beat.entries:
             if row.kind in (GossipKind.ALIVE_UPDATE, GossipKind.LEFT):
                 if row.member != self.me:
-                    self.table.news(now, row)
+                    self.detector.record_gossip(now, row)
             elif not mine or row.member == self.me:
                 continue
             elif row.kind == GossipKind.LEASE_REQUEST and self.leases.try_grant(row.member, now):
@@ -256,7 +258,7 @@
 
     def woke(self, gap: float) -> None:
         """This process stood still: nobody is accused for that time, and nothing is taken any more."""
-        self.table.woke(self.d.now)
+        self.detector.resume(self.d.now)
         for member in list(self.leases.received_by):
             self.leases.received_by[member] += gap
         self.taken.clear()
@@ -289,18 +291,20 @@
             self.asked[by, member] = now
             self.tell(
                 by,
-                GossipEntry(GossipKind.LEASE_REQUEST, member, self.table.members[member].born, self.number),
+                GossipEntry(
+                    GossipKind.LEASE_REQUEST, member, self.detector.members[member].incarnation, self.number
+                ),
             )
 
     def free(self, member: int) -> bool:
         """Whether its slices may be spent here: it left, or it alone is silent or deaf, and not sure."""
-        m, now = self.table.members.get(member), self.d.now
+        m, now = self.detector.members.get(member), self.d.now
         if m is None or not self.leased:
             return False
-        if m.itself:
+        if m.has_announced_leave:
             return True
-        unheard = self.gone(member) or (m.state != SUSPECT and self.leases.is_deaf(member, now))
-        return unheard and self.leases.has_lapsed(member, now) and self.table.alone(member, now)
+        unheard = self.gone(member) or (m.state != MemberState.SUSPECT and self.leases.is_deaf(member, now))
+        return unheard and self.leases.has_lapsed(member, now) and self.detector.is_silent_alone(member, now)
 
     def give_back(self, member: int) -> None:
         """It is about to be confirmed, or may not be alone: from here on only itself spends its slices."""
@@ -334,19 +338,24 @@
 
     def report(self) -> None:
         """What is seen otherwise, for the log."""
-        for c in self.table.changes:
+        for c in self.detector.take_changes():
             self.said.append(
-                {"what": "member", "member": c.member, "state": c.state, "before": c.before, "why": c.why}
+                {
+                    "what": "member",
+                    "member": c.member,
+                    "state": c.state.value,
+                    "before": c.previous.value,
+                    "why": c.reason,
+                }
             )
-        self.table.changes.clear()
 
     def figures(self) -> dict[str, int]:
         """How the tier is seen now."""
-        states = [m.state for m in self.table.members.values()]
+        states = [m.state for m in self.detector.members.values()]
         return {
             "now_members": len(states),
-            "now_suspect": states.count(SUSPECT),
-            "now_gone": states.count(GONE),
+            "now_suspect": states.count(MemberState.SUSPECT),
+            "now_gone": states.count(MemberState.DEAD),
             "now_taken": len(self.taken),
             "lapses": self.lapses,
         }
--- a/tests/membership/test_explore.py
+++ b/tests/membership/test_explore.py
@@ -4,7 +4,7 @@
 
 from corkdeal.experiment import members
 from corkdeal.membership import leases
-from corkdeal.membership.failure_detector import GONE
+from corkdeal.membership.failure_detector import MemberState
 
 
 def world(seed=1):
@@ -48,4 +48,6 @@
     still = world()
     still.pause(1, 8.0)
     still.run(6.0)
-    assert {g.membership.table.members[1].state for me, g in still.up.items() if me != 1} == {GONE}
+    assert {g.membership.detector.members[1].state for me, g in still.up.items() if me != 1} == {
+        MemberState.DEAD
+    }
--- /dev/null
+++ b/tests/membership/test_failure_detector.py
@@ -0,0 +1,106 @@
+"""The failure detector by itself: updates with their time in, states and gossip out."""
+
+import math
+import random
+
+import pytest
+
+from corkdeal.decisions.plumbing import later
+from corkdeal.membership.failure_detector import (
+    MAX_FULL_GOSSIP_SIZE,
+    FailureDetector,
+    MemberState,
+    StateChange,
+)
+from corkdeal.membership.messages import GossipEntry, GossipKind
+
+
+def update(member, sequence, kind=GossipKind.ALIVE_UPDATE, incarnation=9):
+    return GossipEntry(kind, member, incarnation, sequence)
+
+
+def detector(size=5, until=40):
+    """A detector that received an update of member 1 every quarter of a second, the last at 0."""
+    made = FailureDetector(later, size)
+    for sequence in range(1, until + 1):
+        made.record_gossip((sequence - until) / 4, update(1, sequence))
+    return made
+
+
+def test_a_silent_member_is_suspected_then_dead_and_alive_with_its_next_update():
+    made = detector()
+    for now in (0.1, 1.4, 2.8):
+        made.update(now)
+    made.record_gossip(3.0, update(1, 41))
+    states = [(change.previous, change.state) for change in made.take_changes()]
+    assert states == [
+        (MemberState.ALIVE, MemberState.SUSPECT),
+        (MemberState.SUSPECT, MemberState.DEAD),
+        (MemberState.DEAD, MemberState.ALIVE),
+    ]
+    assert made.take_changes() == []
+    assert made.members[1].interval == pytest.approx(0.25)  # the time of suspicion is no usual interval
+
+
+def test_states_have_the_names_of_the_log_event():
+    assert [str(state) for state in MemberState] == ["alive", "suspect", "gone", "left"]
+
+
+def test_an_older_sequence_number_or_incarnation_tells_nothing_new():
+    made = detector()
+    assert not made.record_gossip(1.0, update(1, 40)) and not made.record_gossip(
+        1.0, update(1, 41, incarnation=8)
+    )
+    assert made.silence(1, 1.0) == 1.0 and made.silence(2, 1.0) == math.inf
+    assert made.record_gossip(1.0, update(1, 1, incarnation=10)) and made.silence(1, 1.0) == 0.0
+
+
+@pytest.mark.parametrize(
+    "lie",
+    [update(1, 30_000), update(1, 7, incarnation=5_000), update(1, 41, GossipKind.LEFT)],
+)
+def test_a_member_s_own_heartbeat_overrides_what_others_gossip(lie):
+    made = detector()
+    assert made.record_gossip(0.1, lie)
+    made.record_heartbeat(0.2, update(1, 42))
+    assert made.members[1].state is MemberState.ALIVE
+    assert (made.members[1].incarnation, made.members[1].sequence) == (9, 42)
+
+
+def test_an_announced_leave_is_final_for_that_incarnation():
+    made = detector()
+    made.record_heartbeat(0.1, update(1, 41, GossipKind.LEFT))
+    made.record_heartbeat(0.2, update(1, 42))
+    assert made.is_dead_or_left(1) and made.members[1].has_announced_leave
+    assert made.take_changes() == [StateChange(1, MemberState.LEFT, MemberState.ALIVE, "it said so")]
+    made.record_heartbeat(0.3, update(1, 1, incarnation=10))
+    assert not made.is_dead_or_left(1) and not made.members[1].has_announced_leave
+
+
+def test_a_stall_of_this_process_accuses_nobody():
+    made = detector()
+    made.update(1.4)
+    made.resume(9.0)
+    made.update(9.5)
+    assert made.members[1].state is MemberState.ALIVE and made.silence(1, 9.5) == 0.5
+
+
+def test_gossip_leaves_out_the_receiver_and_the_dead_and_draws_at_most_the_limit():
+    made = detector()
+    for member in (2, 3, 4):
+        made.record_gossip(2.7, update(member, 1))
+    made.record_gossip(2.8, update(4, 2, GossipKind.LEFT))
+    made.update(2.9)
+    made.update(2.9)
+    assert made.members[1].state is MemberState.DEAD
+    entries = made.gossip(3, 9, random.Random(1))
+    assert entries == [update(2, 1), update(4, 2, GossipKind.LEFT)]
+    assert len(made.gossip(3, 1, random.Random(1))) == 1
+
+
+def test_in_a_tier_too_large_for_full_gossip_more_silence_is_needed():
+    small, large = detector(), detector(MAX_FULL_GOSSIP_SIZE + 1)
+    for made in (small, large):
+        made.update(3.0)
+    assert small.members[1].state is MemberState.DEAD and large.members[1].state is MemberState.ALIVE
+    assert large.initial_interval > small.initial_interval
--- a/tests/membership/test_members.py
+++ b/tests/membership/test_members.py
@@ -12,7 +12,7 @@
 from corkdeal.decisions.gateway import Gateway
 from corkdeal.decisions.plumbing import later
 from corkdeal.membership import messages
-from corkdeal.membership.failure_detector import ALIVE, AWAY, GONE, GONE_LEAST, SUSPECT, Table
+from corkdeal.membership.failure_detector import MIN_DEAD_SILENCE, FailureDetector, MemberState
 from corkdeal.membership.leases import KEPT_FRACTION, LEASE_TIME, TAKEOVER_TIME, Leases, TakeoverRequest
 from corkdeal.membership.members import BEAT_MOST, Members
 from corkdeal.membership.messages import GossipEntry, GossipKind, Heartbeat, HeartbeatFlag
@@ -53,7 +53,7 @@
         self.lost = lambda sender, to, number: (sender, to) in pairs
 
     def seen(self, by, member):
-        return self.gateways[by].membership.table.members[member].state
+        return self.gateways[by].membership.detector.members[member].state
 
 
 def both(ones, others):
@@ -93,11 +93,11 @@
     tier = Tier(5)
     tier.run(4.0, tier.ask)
     del tier.gateways[2]
-    tier.run(GONE_LEAST + 2 * BEAT_MOST + 1.0, tier.ask)
+    tier.run(MIN_DEAD_SILENCE + 2 * BEAT_MOST + 1.0, tier.ask)
     assert sum(tier.spent().values()) == pytest.approx(1 - KEPT_FRACTION / 5, abs=0.02)
-    assert all(tier.seen(by, 2) == GONE for by in tier.gateways)
+    assert all(tier.seen(by, 2) == MemberState.DEAD for by in tier.gateways)
     tier.start(2)
-    assert tier.go(2.0) <= 1.02 and all(tier.seen(by, 2) == ALIVE for by in (0, 1, 3, 4))
+    assert tier.go(2.0) <= 1.02 and all(tier.seen(by, 2) == MemberState.ALIVE for by in (0, 1, 3, 4))
     assert sum(tier.spent().values()) == pytest.approx(1.0, abs=0.01)
 
 
@@ -109,12 +109,15 @@
     gone.membership.leave()
     tier.take(2, gone.actions)
     tier.run(2 * BEAT_MOST + 0.1, tier.ask)
-    assert all(tier.seen(by, 2) == AWAY for by in tier.gateways)
+    assert all(tier.seen(by, 2) == MemberState.LEFT for by in tier.gateways)
     assert sum(tier.spent().values()) == pytest.approx(1 - KEPT_FRACTION / 5, abs=0.02)
     late = GossipEntry(
         GossipKind.ALIVE_UPDATE, 2, gone.incarnation, messages.next_sequence(gone.membership.number)
     )
-    assert not tier.gateways[0].membership.table.news(tier.now, late) and tier.seen(0, 2) == AWAY
+    assert (
+        not tier.gateways[0].membership.detector.record_gossip(tier.now, late)
+        and tier.seen(0, 2) == MemberState.LEFT
+    )
 
 
 def test_four_of_five_dead_leave_the_fifth_its_kept_part_and_two_in_company_their_own():
@@ -140,7 +143,7 @@
     assert pause < LEASE_TIME or still.slice(still.accounts[7]) == pytest.approx(KEPT_FRACTION / 5, abs=0.01)
     tier.gateways[0] = still
     still.membership.step()
-    assert {m.state for m in still.membership.table.members.values()} == {ALIVE}
+    assert {m.state for m in still.membership.detector.members.values()} == {MemberState.ALIVE}
     assert max(most, tier.go(3.0)) <= 1.02
     assert sum(tier.spent().values()) == pytest.approx(1.0, abs=0.01)
 
@@ -175,7 +178,9 @@
             tier.flight.append((tier.now, 4, to, messages.pack(lie)))
         most = max(most, tier.go(0.5))
     assert most <= 1.02 and not any(g.membership.taken for g in tier.gateways.values())
-    assert {tier.seen(i, j) for i, j in both([1], [0, 2]) + both([2], [1, 3])} == {ALIVE}  # ring neighbours
+    assert {tier.seen(i, j) for i, j in both([1], [0, 2]) + both([2], [1, 3])} == {
+        MemberState.ALIVE
+    }  # ring neighbours
     assert sum(tier.spent().values()) == pytest.approx(1.0, abs=0.01)
 
 
@@ -190,20 +195,25 @@
 
 
 def test_silences_go_by_how_often_news_came_and_one_silence_among_several_is_not_its_own():
-    table = Table(later, 5)
+    detector = FailureDetector(later, 5)
     for beat in range(1, 41):
         for member in (1, 2):
-            table.news(beat * member / 2, GossipEntry(GossipKind.ALIVE_UPDATE, member, 9, beat))
-    for member, after, state in ((1, 1.4, SUSPECT), (2, 1.4, ALIVE), (1, 2.8, GONE), (2, 2.8, SUSPECT)):
-        table.look(table.members[member].at + after)  # one was heard twice a second, two once
-        assert table.members[member].state == state
-    assert table.alone(1, 44.0)  # the other fell silent 20 s after it
-    table.members[2].at = table.members[1].at + 4.0
-    assert not table.alone(1, 44.0) and not table.alone(2, 44.0)
-    table.news(51.0, GossipEntry(GossipKind.LEFT, 2, 9, 41))
-    assert not table.news(52.0, GossipEntry(GossipKind.ALIVE_UPDATE, 2, 9, 42)) and table.news(
-        52.0, GossipEntry(GossipKind.ALIVE_UPDATE, 2, 10, 1)
-    )
+            detector.record_gossip(beat * member / 2, GossipEntry(GossipKind.ALIVE_UPDATE, member, 9, beat))
+    for member, after, state in (
+        (1, 1.4, MemberState.SUSPECT),
+        (2, 1.4, MemberState.ALIVE),
+        (1, 2.8, MemberState.DEAD),
+        (2, 2.8, MemberState.SUSPECT),
+    ):
+        detector.update(detector.members[member].updated_at + after)  # one was heard twice a second, two once
+        assert detector.members[member].state == state
+    assert detector.is_silent_alone(1, 44.0)  # the other fell silent 20 s after it
+    detector.members[2].updated_at = detector.members[1].updated_at + 4.0
+    assert not detector.is_silent_alone(1, 44.0) and not detector.is_silent_alone(2, 44.0)
+    detector.record_gossip(51.0, GossipEntry(GossipKind.LEFT, 2, 9, 41))
+    assert not detector.record_gossip(
+        52.0, GossipEntry(GossipKind.ALIVE_UPDATE, 2, 9, 42)
+    ) and detector.record_gossip(52.0, GossipEntry(GossipKind.ALIVE_UPDATE, 2, 10, 1))
 
 
 def test_a_lease_counts_from_when_the_beat_was_sent_and_a_grant_keeps_from_confirming():
