--- a/corkdeal/decisions/plumbing.py
+++ b/corkdeal/decisions/plumbing.py
@@ -241,7 +241,7 @@
             self.on_totals(e.peer, totals)
             return
         if self.membership is not None and (beat := self.membership.unpack(e.payload, e.peer)) is not None:
-            if self.greeted(e.peer, beat.born, beat.yours):
+            if self.greeted(e.peer, beat.incarnation, beat.receiver_incarnation):
                 self.membership.hear(e.peer, beat)
             return
         message = peer_messages.decode_exchange(e.payload, e.peer, self.settings)
--- a/corkdeal/membership/members.py
+++ b/corkdeal/membership/members.py
@@ -13,9 +13,9 @@
 
 from ..decisions.actions import SendToPeer
 from . import messages
-from .failure_detector import AWAY, GONE, SUSPECT, WHOLE, Table
-from .leases import ASK_EVERY, KEEP, LEASE, TAKE, Leases
-from .messages import ASK, GRANT, LEAVING, LEFT, NEWS, PROMPT, Beat, Row
+from .failure_detector import MAX_FULL_GOSSIP_SIZE, FailureDetector, MemberState
+from .leases import KEPT_FRACTION, LEASE_TIME, TAKEOVER_TIME, Leases, TakeoverRequest
+from .messages import GossipEntry, GossipKind, Heartbeat, HeartbeatFlag
 
 if TYPE_CHECKING:
     from ..decisions.gateway import Gateway
@@ -24,6 +24,7 @@
 BEAT_EVERY, BEAT_MOST = 0.25, 0.6  # s between turns of beats; with the second a lease still bears two lost
 BEATS = 12.0  # a second, as far as BEAT_MOST allows: with the trades under what a peer takes in
 LOOK_EVERY = 0.2  # s between looks through all members: with a thousand that is work
+ASK_EVERY = 0.5  # s between requests for one grant; it holds for LEASE_TIME
 ANYBODY = 2  # beats a turn to members drawn by chance, whatever the tier's size
 MOST_PARTNERS = 14  # ring neighbours told each turn
 FIRST_BEATS = 10.0  # a second of the clock, more than are sent
@@ -35,8 +36,10 @@
 
     def __init__(self, decisions: Gateway, later: Callable[[int, int], bool]) -> None:
         self.d, self.me = decisions, decisions.settings.gateway_index
-        self.table, self.leases = Table(later, decisions.settings.gateway_count), Leases()
-        self.leased = 2 < decisions.settings.gateway_count <= WHOLE  # else all go on with their own
+        self.detector, self.leases = FailureDetector(later, decisions.settings.gateway_count), Leases()
+        self.leased = (
+            2 < decisions.settings.gateway_count <= MAX_FULL_GOSSIP_SIZE
+        )  # else all go on with their own
         self.number, self.beaten, self.every, self.left = 0, -math.inf, BEAT_EVERY, False
         self.looked = -math.inf
         self.trusts = False  # another life of this gateway holds the leases, and gave this one its part
@@ -61,8 +64,8 @@
         return min(1.0, made)
 
     def part(self, a: Account) -> float:
-        """How much of its own slice this gateway may spend: all while a neighbour confirms it, else KEEP."""
-        return 1.0 if self.sure(a) else KEEP
+        """How much of its own slice this gateway may spend: all while a neighbour leases it."""
+        return 1.0 if self.sure(a) else KEPT_FRACTION
 
     def sure(self, a: Account) -> bool:
         """Whether nobody else spends any of the slice.
@@ -70,7 +73,7 @@
         Where no neighbour confirms it, it is so too if somebody else does and both neighbours are gone:
         whoever takes a slice hears all others, so who is in company would hear of the taker.
         """
-        until, now = self.leases.until, self.d.now
+        until, now = self.leases.held_until, self.d.now
         for p in a.ledgers:
             if now < until.get(p, 0.0):
                 return True
@@ -80,14 +83,17 @@
             or self.old(a)
             or (
                 any(now < u for u in until.values())
-                and all(self.table.silence(p, now) > TAKE + LEASE or self.gone(p) for p in a.ledgers)
+                and all(
+                    self.detector.silence(p, now) > TAKEOVER_TIME + LEASE_TIME or self.gone(p)
+                    for p in a.ledgers
+                )
             )
         )
 
     def old(self, a: Account) -> bool:
         """Whether a neighbour speaks, but not of this: a program before it, which takes after a second."""
         return any(
-            p not in self.table.members and p in self.d.peer_incarnations and not self.d.silent(p)
+            p not in self.detector.members and p in self.d.peer_incarnations and not self.d.silent(p)
             for p in a.ledgers
         )
 
@@ -96,18 +102,17 @@
         if member not in self.taken:
             return 0.0
         by = a.second_predecessor
-        granted = by is None or self.gone(by) or self.table.members[member].itself
-        granted = granted or self.d.now < self.leases.grants.get((by, member), 0.0)
-        return 1 - KEEP if granted else 0.0
+        granted = by is None or self.gone(by) or self.detector.members[member].has_announced_leave
+        granted = granted or self.leases.is_granted(TakeoverRequest(by, member), self.d.now)
+        return 1 - KEPT_FRACTION if granted else 0.0
 
     def gone(self, member: int) -> bool:
-        """Whether a member is held for gone, or said that it left."""
-        m = self.table.members.get(member)
-        return m is not None and m.state in (GONE, AWAY)
+        """Whether a member is held for dead, or said that it left."""
+        return self.detector.is_dead_or_left(member)
 
     # Time and messages
 
-    def unpack(self, payload: bytes, peer: int) -> Beat | None:
+    def unpack(self, payload: bytes, peer: int) -> Heartbeat | None:
         """A payload as a beat, or None for another kind of message."""
         return messages.unpack(payload, peer, self.d.settings)
 
@@ -120,7 +125,7 @@
         now, due = self.d.now, set()
         if now - self.looked >= LOOK_EVERY:
             self.looked = now
-            self.table.look(now)
+            self.detector.update(now)
         if now - self.beaten >= self.every - 0.025:
             self.beaten = now
             self.take()
@@ -146,7 +151,7 @@
 
     def unheard(self) -> bool:
         """Whether no neighbour confirms anything."""
-        until = self.leases.until
+        until = self.leases.held_until
         return not any(self.d.now < until.get(p, 0.0) for p in self.d.ring_neighbours)
 
     def anybody(self) -> list[int]:
@@ -159,23 +164,31 @@
 
         The first goes by the clock, so that a life that goes on as another's incarnation goes on behind it.
         """
-        self.number = messages.following(self.number or int(self.d.now * FIRST_BEATS) % (messages.WRAP - 1))
-        self.leases.beat(self.d.now, self.number)
+        self.number = messages.next_sequence(
+            self.number or int(self.d.now * FIRST_BEATS) % (messages.SEQUENCE_MODULUS - 1)
+        )
+        self.leases.record_sent(self.d.now, self.number)
 
-    def tell(self, member: int, *rows: Row) -> None:
+    def tell(self, member: int, *rows: GossipEntry) -> None:
         """This turn's beat to a member, with what is known of the others."""
         now, ack = self.d.now, 0
-        if member in self.heard and self.leases.may_ack(member, now) and not self.left:
+        if member in self.heard and self.leases.may_renew(member, now) and not self.left:
             ack = self.heard[member]
-            if ack != self.leases.acks.get(member):  # what was confirmed before may be said again
+            if ack != self.leases.renewed_sequences.get(
+                member
+            ):  # what was confirmed before may be said again
                 self.give_back(member)
-                self.leases.confirm(member, ack, now)
-        lapsed = now >= self.leases.until.get(member, 0.0) and (
+                self.leases.record_renewal(member, ack, now)
+        lapsed = now >= self.leases.held_until.get(member, 0.0) and (
             member in self.d.ring_neighbours or self.unheard()
         )
-        flags = LEAVING * self.left + PROMPT * (lapsed and bool(self.d.ring_neighbours))
-        news = self.table.rows(member, messages.ROWS - len(rows), self.chance)
-        beat = Beat(
+        flags = HeartbeatFlag(0)
+        if self.left:
+            flags |= HeartbeatFlag.LEAVING
+        if lapsed and self.d.ring_neighbours:
+            flags |= HeartbeatFlag.REPLY_REQUESTED
+        news = self.detector.gossip(member, messages.MAX_ENTRIES - len(rows), self.chance)
+        beat = Heartbeat(
             self.d.incarnation,
             self.d.peer_incarnations.get(member, 0),
             self.number,
@@ -187,36 +200,48 @@
         if self.d.settings.may_message_peers:
             self.d.actions.append(SendToPeer(member, messages.pack(beat)))
 
-    def hear(self, peer: int, beat: Beat) -> None:
+    def hear(self, peer: int, beat: Heartbeat) -> None:
         """A member's beat; its incarnation was looked at before."""
-        now, mine = self.d.now, beat.yours == self.d.incarnation
-        m = self.table.members.get(peer)
-        if m is not None and m.born != beat.born:
-            self.leases.forget(peer)
+        now, mine = self.d.now, beat.receiver_incarnation == self.d.incarnation
+        m = self.detector.members.get(peer)
+        if m is not None and m.incarnation != beat.incarnation:
+            self.leases.restart(peer)
             self.heard.pop(peer, None)
-        leaving = beat.flags & LEAVING
-        self.table.heard(now, Row(LEFT if leaving else NEWS, peer, beat.born, beat.beat))
-        if not self.heard.get(peer) or messages.newer(beat.beat, self.heard[peer]):
-            self.heard[peer] = beat.beat
+        leaving = HeartbeatFlag.LEAVING in beat.flags
+        self.detector.record_heartbeat(
+            now,
+            GossipEntry(
+                GossipKind.LEFT if leaving else GossipKind.ALIVE_UPDATE, peer, beat.incarnation, beat.sequence
+            ),
+        )
+        if not self.heard.get(peer) or messages.is_newer(beat.sequence, self.heard[peer]):
+            self.heard[peer] = beat.sequence
         if mine:
-            self.leases.heard(peer, beat.heard)
-        if mine and beat.ack and (until := self.leases.renewed(peer, beat.ack)) is not None:
-            if now >= self.leases.until.get(peer, 0.0):
+            self.leases.record_received_by(peer, beat.received_sequence)
+        if (
+            mine
+            and beat.renewed_sequence
+            and (until := self.leases.renewed_until(peer, beat.renewed_sequence)) is not None
+        ):
+            if now >= self.leases.held_until.get(peer, 0.0):
                 self.settle(peer)  # what filled until now did so at what it was sure of
-            self.leases.until[peer] = until
+            self.leases.held_until[peer] = until
         replies = []
-        for row in beat.rows:
-            if row.kind in (NEWS, LEFT):
+        for row in beat.entries:
+            if row.kind in (GossipKind.ALIVE_UPDATE, GossipKind.LEFT):
                 if row.member != self.me:
-                    self.table.news(now, row)
+                    self.detector.record_gossip(now, row)
             elif not mine or row.member == self.me:
                 continue
-            elif row.kind == ASK and self.leases.grant(row.member, now):
-                replies.append(Row(GRANT, row.member, row.born, row.beat))
-            elif row.kind == GRANT:
-                self.leases.granted(peer, row.member, row.beat)
-        asked = replies or any(r.kind == ASK for r in beat.rows)
-        prompt = beat.flags & PROMPT and now - self.replied.get(peer, -REPLY_EVERY) >= REPLY_EVERY
+            elif row.kind == GossipKind.LEASE_REQUEST and self.leases.try_grant(row.member, now):
+                replies.append(GossipEntry(GossipKind.LEASE_GRANT, row.member, row.incarnation, row.sequence))
+            elif row.kind == GossipKind.LEASE_GRANT:
+                self.leases.record_grant(TakeoverRequest(peer, row.member), row.sequence)
+        asked = replies or any(r.kind == GossipKind.LEASE_REQUEST for r in beat.entries)
+        prompt = (
+            HeartbeatFlag.REPLY_REQUESTED in beat.flags
+            and now - self.replied.get(peer, -REPLY_EVERY) >= REPLY_EVERY
+        )
         if (asked or prompt) and not leaving:
             self.replied[peer] = now
             self.count()
@@ -233,9 +258,9 @@
 
     def woke(self, gap: float) -> None:
         """This process stood still: nobody is accused for that time, and nothing is taken any more."""
-        self.table.woke(self.d.now)
-        for member in list(self.leases.heard_by):
-            self.leases.heard_by[member] += gap
+        self.detector.resume(self.d.now)
+        for member in list(self.leases.received_by):
+            self.leases.received_by[member] += gap
         self.taken.clear()
         self.beaten = -math.inf  # all are told at once that it is there
 
@@ -264,17 +289,22 @@
             self.count()
         for by, member in sorted(wanted):
             self.asked[by, member] = now
-            self.tell(by, Row(ASK, member, self.table.members[member].born, self.number))
+            self.tell(
+                by,
+                GossipEntry(
+                    GossipKind.LEASE_REQUEST, member, self.detector.members[member].incarnation, self.number
+                ),
+            )
 
     def free(self, member: int) -> bool:
         """Whether its slices may be spent here: it left, or it alone is silent or deaf, and not sure."""
-        m, now = self.table.members.get(member), self.d.now
+        m, now = self.detector.members.get(member), self.d.now
         if m is None or not self.leased:
             return False
-        if m.itself:
+        if m.has_announced_leave:
             return True
-        unheard = self.gone(member) or (m.state != SUSPECT and self.leases.deaf(member, now))
-        return unheard and self.leases.lapsed(member, now) and self.table.alone(member, now)
+        unheard = self.gone(member) or (m.state != MemberState.SUSPECT and self.leases.is_deaf(member, now))
+        return unheard and self.leases.has_lapsed(member, now) and self.detector.is_silent_alone(member, now)
 
     def give_back(self, member: int) -> None:
         """It is about to be confirmed, or may not be alone: from here on only itself spends its slices."""
@@ -308,19 +338,24 @@
 
     def report(self) -> None:
         """What is seen otherwise, for the log."""
-        for c in self.table.changes:
+        for c in self.detector.take_changes():
             self.said.append(
-                {"what": "member", "member": c.member, "state": c.state, "before": c.before, "why": c.why}
+                {
+                    "what": "member",
+                    "member": c.member,
+                    "state": c.state.value,
+                    "before": c.previous.value,
+                    "why": c.reason,
+                }
             )
-        self.table.changes.clear()
 
     def figures(self) -> dict[str, int]:
         """How the tier is seen now."""
-        states = [m.state for m in self.table.members.values()]
+        states = [m.state for m in self.detector.members.values()]
         return {
             "now_members": len(states),
-            "now_suspect": states.count(SUSPECT),
-            "now_gone": states.count(GONE),
+            "now_suspect": states.count(MemberState.SUSPECT),
+            "now_gone": states.count(MemberState.DEAD),
             "now_taken": len(self.taken),
             "lapses": self.lapses,
         }
--- a/tests/membership/test_explore.py
+++ b/tests/membership/test_explore.py
@@ -4,7 +4,7 @@
 
 from corkdeal.experiment import members
 from corkdeal.membership import leases
-from corkdeal.membership.failure_detector import GONE
+from corkdeal.membership.failure_detector import MemberState
 
 
 def world(seed=1):
@@ -23,8 +23,8 @@
 @pytest.mark.parametrize(
     ("where", "what", "wrong"),
     [
-        (leases, "LEASE", 9.0),  # the owner is sure for longer than others wait
-        (leases.Leases, "may_ack", lambda self, member, now: False),  # nobody is ever confirmed
+        (leases, "LEASE_TIME", 9.0),  # the owner is sure for longer than others wait
+        (leases.Leases, "may_renew", lambda self, member, now: False),  # nobody is ever confirmed
     ],
 )
 def test_a_lease_kept_wrongly_is_found(monkeypatch, where, what, wrong):
@@ -48,4 +48,6 @@
     still = world()
     still.pause(1, 8.0)
     still.run(6.0)
-    assert {g.membership.table.members[1].state for me, g in still.up.items() if me != 1} == {GONE}
+    assert {g.membership.detector.members[1].state for me, g in still.up.items() if me != 1} == {
+        MemberState.DEAD
+    }
--- a/tests/membership/test_members.py
+++ b/tests/membership/test_members.py
@@ -12,10 +12,10 @@
 from corkdeal.decisions.gateway import Gateway
 from corkdeal.decisions.plumbing import later
 from corkdeal.membership import messages
-from corkdeal.membership.failure_detector import ALIVE, AWAY, GONE, GONE_LEAST, SUSPECT, Table
-from corkdeal.membership.leases import KEEP, LEASE, TAKE, Leases
+from corkdeal.membership.failure_detector import MIN_DEAD_SILENCE, FailureDetector, MemberState
+from corkdeal.membership.leases import KEPT_FRACTION, LEASE_TIME, TAKEOVER_TIME, Leases, TakeoverRequest
 from corkdeal.membership.members import BEAT_MOST, Members
-from corkdeal.membership.messages import ASK, GRANT, LEFT, NEWS, Beat, Row
+from corkdeal.membership.messages import GossipEntry, GossipKind, Heartbeat, HeartbeatFlag
 from corkdeal.net.membership import Membership
 from corkdeal.recovery import resume
 from corkdeal.recovery.quota_restore import Ledgers
@@ -53,7 +53,7 @@
         self.lost = lambda sender, to, number: (sender, to) in pairs
 
     def seen(self, by, member):
-        return self.gateways[by].membership.table.members[member].state
+        return self.gateways[by].membership.detector.members[member].state
 
 
 def both(ones, others):
@@ -93,11 +93,11 @@
     tier = Tier(5)
     tier.run(4.0, tier.ask)
     del tier.gateways[2]
-    tier.run(GONE_LEAST + 2 * BEAT_MOST + 1.0, tier.ask)
-    assert sum(tier.spent().values()) == pytest.approx(1 - KEEP / 5, abs=0.02)
-    assert all(tier.seen(by, 2) == GONE for by in tier.gateways)
+    tier.run(MIN_DEAD_SILENCE + 2 * BEAT_MOST + 1.0, tier.ask)
+    assert sum(tier.spent().values()) == pytest.approx(1 - KEPT_FRACTION / 5, abs=0.02)
+    assert all(tier.seen(by, 2) == MemberState.DEAD for by in tier.gateways)
     tier.start(2)
-    assert tier.go(2.0) <= 1.02 and all(tier.seen(by, 2) == ALIVE for by in (0, 1, 3, 4))
+    assert tier.go(2.0) <= 1.02 and all(tier.seen(by, 2) == MemberState.ALIVE for by in (0, 1, 3, 4))
     assert sum(tier.spent().values()) == pytest.approx(1.0, abs=0.01)
 
 
@@ -109,10 +109,15 @@
     gone.membership.leave()
     tier.take(2, gone.actions)
     tier.run(2 * BEAT_MOST + 0.1, tier.ask)
-    assert all(tier.seen(by, 2) == AWAY for by in tier.gateways)
-    assert sum(tier.spent().values()) == pytest.approx(1 - KEEP / 5, abs=0.02)
-    late = Row(NEWS, 2, gone.incarnation, messages.following(gone.membership.number))
-    assert not tier.gateways[0].membership.table.news(tier.now, late) and tier.seen(0, 2) == AWAY
+    assert all(tier.seen(by, 2) == MemberState.LEFT for by in tier.gateways)
+    assert sum(tier.spent().values()) == pytest.approx(1 - KEPT_FRACTION / 5, abs=0.02)
+    late = GossipEntry(
+        GossipKind.ALIVE_UPDATE, 2, gone.incarnation, messages.next_sequence(gone.membership.number)
+    )
+    assert (
+        not tier.gateways[0].membership.detector.record_gossip(tier.now, late)
+        and tier.seen(0, 2) == MemberState.LEFT
+    )
 
 
 def test_four_of_five_dead_leave_the_fifth_its_kept_part_and_two_in_company_their_own():
@@ -121,7 +126,7 @@
     for me in (1, 2, 3, 4):
         del tier.gateways[me]
     tier.run(4.0, tier.ask)
-    assert tier.spent()[0] == pytest.approx(KEEP / 5, abs=0.01)
+    assert tier.spent()[0] == pytest.approx(KEPT_FRACTION / 5, abs=0.01)
     tier.start(2)  # no ring neighbour of 0's
     tier.run(7.0, tier.ask)
     assert tier.spent()[0] == pytest.approx(1 / 5, abs=0.01)
@@ -135,10 +140,10 @@
     most = tier.go(pause)
     tier.flight = [m for m in tier.flight if m[2]]
     resume.wake(still, tier.now, pause)
-    assert pause < LEASE or still.slice(still.accounts[7]) == pytest.approx(KEEP / 5, abs=0.01)
+    assert pause < LEASE_TIME or still.slice(still.accounts[7]) == pytest.approx(KEPT_FRACTION / 5, abs=0.01)
     tier.gateways[0] = still
     still.membership.step()
-    assert {m.state for m in still.membership.table.members.values()} == {ALIVE}
+    assert {m.state for m in still.membership.detector.members.values()} == {MemberState.ALIVE}
     assert max(most, tier.go(3.0)) <= 1.02
     assert sum(tier.spent().values()) == pytest.approx(1.0, abs=0.01)
 
@@ -147,19 +152,35 @@
     tier = Tier(5)
     tier.run(4.0, tier.ask)
     liar, most = tier.gateways[4], 0.0
-    lies = ((LEFT, 0, 9), (NEWS, 0, 30000), (NEWS, 5000, 1), (GRANT, 0, 1), (ASK, 0, 1))
+    lies = (
+        (GossipKind.LEFT, 0, 9),
+        (GossipKind.ALIVE_UPDATE, 0, 30000),
+        (GossipKind.ALIVE_UPDATE, 5000, 1),
+        (GossipKind.LEASE_GRANT, 0, 1),
+        (GossipKind.LEASE_REQUEST, 0, 1),
+    )
     for kind, later_by, ahead in lies * 4:
         rows = tuple(
-            Row(kind, m, g.incarnation + later_by, (g.membership.number + ahead) % 65535 + 1)
+            GossipEntry(kind, m, g.incarnation + later_by, (g.membership.number + ahead) % 65535 + 1)
             for m, g in tier.gateways.items()
             if m != 4
         )
         for to in range(4):
-            lie = Beat(liar.incarnation, tier.gateways[to].incarnation, liar.membership.number, 0, 0, 0, rows)
+            lie = Heartbeat(
+                liar.incarnation,
+                tier.gateways[to].incarnation,
+                liar.membership.number,
+                0,
+                0,
+                HeartbeatFlag(0),
+                rows,
+            )
             tier.flight.append((tier.now, 4, to, messages.pack(lie)))
         most = max(most, tier.go(0.5))
     assert most <= 1.02 and not any(g.membership.taken for g in tier.gateways.values())
-    assert {tier.seen(i, j) for i, j in both([1], [0, 2]) + both([2], [1, 3])} == {ALIVE}  # ring neighbours
+    assert {tier.seen(i, j) for i, j in both([1], [0, 2]) + both([2], [1, 3])} == {
+        MemberState.ALIVE
+    }  # ring neighbours
     assert sum(tier.spent().values()) == pytest.approx(1.0, abs=0.01)
 
 
@@ -174,50 +195,59 @@
 
 
 def test_silences_go_by_how_often_news_came_and_one_silence_among_several_is_not_its_own():
-    table = Table(later, 5)
+    detector = FailureDetector(later, 5)
     for beat in range(1, 41):
         for member in (1, 2):
-            table.news(beat * member / 2, Row(NEWS, member, 9, beat))
-    for member, after, state in ((1, 1.4, SUSPECT), (2, 1.4, ALIVE), (1, 2.8, GONE), (2, 2.8, SUSPECT)):
-        table.look(table.members[member].at + after)  # one was heard twice a second, two once
-        assert table.members[member].state == state
-    assert table.alone(1, 44.0)  # the other fell silent 20 s after it
-    table.members[2].at = table.members[1].at + 4.0
-    assert not table.alone(1, 44.0) and not table.alone(2, 44.0)
-    table.news(51.0, Row(LEFT, 2, 9, 41))
-    assert not table.news(52.0, Row(NEWS, 2, 9, 42)) and table.news(52.0, Row(NEWS, 2, 10, 1))
+            detector.record_gossip(beat * member / 2, GossipEntry(GossipKind.ALIVE_UPDATE, member, 9, beat))
+    for member, after, state in (
+        (1, 1.4, MemberState.SUSPECT),
+        (2, 1.4, MemberState.ALIVE),
+        (1, 2.8, MemberState.DEAD),
+        (2, 2.8, MemberState.SUSPECT),
+    ):
+        detector.update(detector.members[member].updated_at + after)  # one was heard twice a second, two once
+        assert detector.members[member].state == state
+    assert detector.is_silent_alone(1, 44.0)  # the other fell silent 20 s after it
+    detector.members[2].updated_at = detector.members[1].updated_at + 4.0
+    assert not detector.is_silent_alone(1, 44.0) and not detector.is_silent_alone(2, 44.0)
+    detector.record_gossip(51.0, GossipEntry(GossipKind.LEFT, 2, 9, 41))
+    assert not detector.record_gossip(
+        52.0, GossipEntry(GossipKind.ALIVE_UPDATE, 2, 9, 42)
+    ) and detector.record_gossip(52.0, GossipEntry(GossipKind.ALIVE_UPDATE, 2, 10, 1))
 
 
 def test_a_lease_counts_from_when_the_beat_was_sent_and_a_grant_keeps_from_confirming():
     owner, taker, other = Leases(), Leases(), Leases()
     for each in (owner, taker, other):
-        each.beat(100.0, 1)
-    other.confirm(0, 1, 100.2)
-    assert owner.renewed(2, 1) == 100.0 + LEASE and owner.renewed(2, 7) is None
-    assert not other.grant(0, 100.2 + TAKE - 0.01) and other.grant(0, 100.2 + TAKE)
-    other.heard_by[0] = 1e9  # it hears this one well
-    assert not other.may_ack(0, 100.2 + 2 * TAKE - 0.01) and other.may_ack(0, 100.2 + 2 * TAKE)
+        each.record_sent(100.0, 1)
+    other.record_renewal(0, 1, 100.2)
+    assert owner.renewed_until(2, 1) == 100.0 + LEASE_TIME and owner.renewed_until(2, 7) is None
+    assert not other.try_grant(0, 100.2 + TAKEOVER_TIME - 0.01) and other.try_grant(0, 100.2 + TAKEOVER_TIME)
+    other.received_by[0] = 1e9  # it hears this one well
+    assert not other.may_renew(0, 100.2 + 2 * TAKEOVER_TIME - 0.01) and other.may_renew(
+        0, 100.2 + 2 * TAKEOVER_TIME
+    )
     for number in range(2, 400):  # many replies push out no beat that a lease may still count from
-        owner.beat(100.5, number)
-    assert owner.renewed(2, 1) == 100.0 + LEASE
-    owner.beat(100.0 + LEASE + TAKE + 0.1, 400)
-    assert owner.renewed(2, 1) is None and len(owner.sent) == 399
-    taker.beat(103.0, 2)
-    taker.granted(1, 0, 2)
-    assert taker.grants[1, 0] == 103.0 + LEASE
+        owner.record_sent(100.5, number)
+    assert owner.renewed_until(2, 1) == 100.0 + LEASE_TIME
+    owner.record_sent(100.0 + LEASE_TIME + TAKEOVER_TIME + 0.1, 400)
+    assert owner.renewed_until(2, 1) is None and len(owner.sent_at) == 399
+    taker.record_sent(103.0, 2)
+    taker.record_grant(TakeoverRequest(1, 0), 2)
+    assert taker.grants[TakeoverRequest(1, 0)] == 103.0 + LEASE_TIME
 
 
 starts, numbers = st.integers(1, 2**32 - 1), st.integers(1, 65535)
-rows = st.builds(Row, st.integers(NEWS, GRANT), st.integers(0, 4), starts, numbers)
+rows = st.builds(GossipEntry, st.sampled_from(GossipKind), st.integers(0, 4), starts, numbers)
 words = st.builds(
-    Beat,
+    Heartbeat,
     starts,
     st.just(0) | starts,
     numbers,
     st.just(0) | numbers,
     st.just(0) | numbers,
-    st.integers(0, 3),
-    st.lists(rows, max_size=messages.ROWS).map(tuple),
+    st.integers(0, 3).map(HeartbeatFlag),
+    st.lists(rows, max_size=messages.MAX_ENTRIES).map(tuple),
 )
 
 
@@ -237,7 +267,7 @@
     out = one.handle(101.5, [PeerMessage(1, messages.pack(beat))])
     assert len(pick(out, SendToPeer)) <= 2
     told = [b for m in pick(out, SendToPeer) if (b := messages.unpack(m.payload, 2, one.settings))]
-    assert ASK not in {r.kind for b in told for r in b.rows}
+    assert GossipKind.LEASE_REQUEST not in {r.kind for b in told for r in b.entries}
 
 
 class Loop:
@@ -268,5 +298,5 @@
     assert one.membership.trusts is trusts and gateway.before_end == [membership]
     assert not trusts or one.membership.part(one.accounts[7]) == 1.0
     membership.stop(lambda: ended.append(True))
-    flags = {messages.unpack(a.payload, 0, settings(1, 3)).flags & messages.LEAVING for a in told}
-    assert ended and flags == ({messages.LEAVING} if leaves else set())
+    flags = {messages.unpack(a.payload, 0, settings(1, 3)).flags & HeartbeatFlag.LEAVING for a in told}
+    assert ended and flags == ({HeartbeatFlag.LEAVING} if leaves else set())
