--- a/corkdeal/decisions/persisted_state.py
+++ b/corkdeal/decisions/persisted_state.py
@@ -9,8 +9,9 @@
 
 from typing import NamedTuple, Protocol
 
+from .backends import BackendRecord
 from .events import Endpoint
-from .records import Account, BackendRecord, PeerLedger, TreeEdge
+from .records import Account, PeerLedger, TreeEdge
 from .settings import Plan, RequestClass
 
 
@@ -49,7 +50,7 @@
     """A ledger between this gateway and one adjacent member of a customer's ring."""
 
     peer: int
-    slice: int  # parts of 1 / peers.SLICE_UNIT, received net
+    slice: int  # parts of 1 / peer_messages.SHARE_STEPS, received net
     units: float
     round: int
     told_slice: float | None
--- a/corkdeal/decisions/plumbing.py
+++ b/corkdeal/decisions/plumbing.py
@@ -9,6 +9,7 @@
 
 from . import peer_messages
 from .actions import Action, Log, SendToPeer, SetTimer
+from .backends import BackendRecord
 from .events import (
     AttemptEnded,
     ClientDisconnected,
@@ -20,7 +21,7 @@
     StreamStarted,
     TimerExpired,
 )
-from .records import Account, BackendRecord, PeerLedger, PendingRequest, TreeEdge
+from .records import Account, PeerLedger, PendingRequest, TreeEdge
 from .settings import Settings
 
 if TYPE_CHECKING:  # imported where an earlier life's knowledge is used; without one it costs nothing
@@ -28,6 +29,8 @@
     from ..recovery.admission_ramp import AfterPause, AfterStart
     from ..recovery.quota_restore import Ledgers
     from . import aggregation_tree, persisted_state
+    from .backends import Backends
+    from .latency_model import LatencyModel
 
 
 CORRECT_EVERY = 0.25  # s between words to one peer about its incarnation
@@ -41,19 +44,19 @@
 class GatewayState:
     """Records, deadline timers, peers' incarnations and the way from an event to its handler."""
 
+    backends: Backends
+    latency_model: LatencyModel
+
     def __init__(self, settings: Settings, seed: int) -> None:
         self.settings, self.random, self.now = settings, random.Random(seed), 0.0
-        self.backends: dict[object, BackendRecord] = {}
         self.accounts: dict[int, Account] = {}
         self.requests: dict[int, PendingRequest] = {}
         self.attempts_in_flight: dict[tuple[int, int], tuple[BackendRecord, Account]] = {}  # attempts out
-        self.preferred_backends: list[BackendRecord] = []  # the servers it prefers
         self.ring_neighbours: set[int] = set()  # adjacent members of narrow rings
         self.active_accounts: dict[
             int, Account
         ] = {}  # accounts of narrow rings that may have something to tell
         self.pending_updates: dict[int, Account] = {}  # accounts of wide rings with news
-        self.usual_latencies: dict[tuple[int, int], float] = {}  # usual latency by class and size
         self.deferred_updates: dict[int, float] = {}  # customers whose news may be told from then on
         self.next_deferred_at = math.inf  # when the first of them may be told
         self.last_exchange_at = self.last_poll_at = 0.0
@@ -131,7 +134,7 @@
     def take_fleet(self, known: persisted_state.FleetMemory) -> None:
         """Take usual work from an earlier life, and its incarnation or, where that is over, a later one."""
         classes = {c.name: i for i, c in enumerate(self.settings.classes)}
-        self.usual_latencies = {(classes[w.cls], w.size): w.seconds for w in known.work}
+        self.latency_model.usual_latencies = {(classes[w.cls], w.size): w.seconds for w in known.work}
         if self.resumed():
             self.incarnation, self.message_round, self.peer_incarnations = (
                 known.born,
@@ -148,12 +151,12 @@
         work = tuple(
             [
                 persisted_state.WorkMemory(self.settings.classes[cls].name, size, seconds)
-                for (cls, size), seconds in self.usual_latencies.items()
+                for (cls, size), seconds in self.latency_model.usual_latencies.items()
             ]
         )
         return persisted_state.FleetMemory(
-            self.queueing_factor,
-            self.fleet_slowness,
+            self.latency_model.queueing_factor,
+            self.latency_model.fleet_slowness,
             self.retry_budget,
             work,
             self.settings.gateway_index,
@@ -232,29 +235,42 @@
                 server.streaming[e.id] = server.in_flight.pop(e.id)
 
     def on_peer(self, e: PeerMessage) -> None:
-        """Hand on a neighbour's notes; anything malformed, foreign or stale is dropped."""
-        if totals := peer_messages.unpack_totals(e.payload, e.peer, self.settings):
-            born, notes = totals
-            if not self.meet(e.peer, born):
-                return self.correct(e.peer)
-            for note in notes:
-                self.take_totals(e.peer, born, note)
+        """Hand on a peer's message; anything malformed, foreign or stale is dropped."""
+        totals = peer_messages.decode_totals(e.payload, e.peer, self.settings)
+        if totals is not None:
+            self.on_totals(e.peer, totals)
             return
         if self.membership is not None and (beat := self.membership.unpack(e.payload, e.peer)) is not None:
-            return self.membership.hear(e.peer, beat) if self.greeted(e.peer, beat.born, beat.yours) else None
-        message = peer_messages.unpack(e.payload, e.peer, self.settings)
-        if message is None or not self.greeted(e.peer, *message[:2]):
+            if self.greeted(e.peer, beat.incarnation, beat.receiver_incarnation):
+                self.membership.hear(e.peer, beat)
+            return
+        message = peer_messages.decode_exchange(e.payload, e.peer, self.settings)
+        if message is not None and self.greeted(
+            e.peer, message.sender_incarnation, message.receiver_incarnation
+        ):
+            self.on_exchange(e.peer, message)
+
+    def on_totals(self, peer: int, message: peer_messages.TotalsMessage) -> None:
+        """Take totals of aggregation trees, unless an earlier start of the peer sent them."""
+        if not self.meet(peer, message.sender_incarnation):
+            self.correct(peer)
+            return
+        for totals in message.totals:
+            self.take_totals(peer, message.sender_incarnation, totals)
+
+    def on_exchange(self, peer: int, message: peer_messages.ExchangeMessage) -> None:
+        """Take a ring neighbour's updates and reply, if it knows of this gateway's present start."""
+        if message.receiver_incarnation != self.incarnation:
             return
-        born, mine, number, notes = message
-        if self.quota_restore is not None and mine == self.incarnation:
-            self.quota_restore.told.add(e.peer)
+        if self.quota_restore is not None:
+            self.quota_restore.told.add(peer)
         replies = []
-        for note in notes if mine == self.incarnation else []:
+        for update in message.updates:
             if self.quota_restore is not None:
-                self.quota_restore.take(self, e.peer, note)
-            replies += self.take_note(e.peer, number, note)
+                self.quota_restore.take(self, peer, update)
+            replies += self.take_note(peer, message.round_number, update)
         if replies:
-            self.tell(e.peer, replies)
+            self.tell(peer, replies)
 
     def greeted(self, peer: int, born: int, mine: int) -> bool:
         """A peer spoke to this gateway, knowing of its start `mine`; False if by an earlier life."""
@@ -311,25 +327,25 @@
                 )
             )
 
-    def tell(self, peer: int, notes: list[peer_messages.Note]) -> None:
+    def tell(self, peer: int, notes: list[peer_messages.AccountUpdate]) -> None:
         """Both incarnations and a round, then the notes, in as many messages as they need."""
         self.message_round += 1
         if self.settings.may_message_peers:
-            messages = peer_messages.pack(
+            messages = peer_messages.encode_exchange(
                 self.incarnation, self.peer_incarnations.get(peer, 0), self.message_round, notes
             )
             self.actions += [SendToPeer(peer, message) for message in messages]
 
-    def greet(self, peer: int, notes: list[peer_messages.Note]) -> None:
+    def greet(self, peer: int, notes: list[peer_messages.AccountUpdate]) -> None:
         """Tell a neighbour; where there is nothing to tell and it hears this one's beats, that is enough."""
         if notes or self.membership is None or not self.membership.speaks(peer):
             self.tell(peer, notes)
 
-    def tell_totals(self, due: dict[int, list[peer_messages.Totals]]) -> None:
+    def tell_totals(self, due: dict[int, list[peer_messages.TreeTotals]]) -> None:
         """Notes of wide rings, by peer."""
         for peer, notes in due.items() if self.settings.may_message_peers else ():
             self.actions += [
-                SendToPeer(peer, message) for message in peer_messages.pack_totals(self.incarnation, notes)
+                SendToPeer(peer, message) for message in peer_messages.encode_totals(self.incarnation, notes)
             ]
 
     def opens(self) -> bool:
@@ -342,11 +358,11 @@
         """Whether that neighbour has told what it holds of an earlier life, so that notes may go to it."""
         return self.quota_restore is None or self.quota_restore.cleared(self, peer)
 
-    def note(self, key: int, a: Account, peer: int) -> peer_messages.Note:
+    def note(self, key: int, a: Account, peer: int) -> peer_messages.AccountUpdate:
         """One customer's state and running totals for one neighbour."""
         pair = a.ledgers[peer]
         pair.last_sent_at, pair.is_update_due = self.now, False
-        return peer_messages.Note(
+        return peer_messages.AccountUpdate(
             key,
             a.plan_index,
             a.first_gateway,
@@ -356,10 +372,10 @@
             pair.received_units,
         )
 
-    def totals(self, key: int, a: Account, edge: TreeEdge) -> peer_messages.Totals:
+    def totals(self, key: int, a: Account, edge: TreeEdge) -> peer_messages.TreeTotals:
         """One customer's running totals on this side of an edge."""
         edge.sent_asked, edge.last_sent_at = a.total_asked - edge.remote_asked, self.now
-        return peer_messages.Totals(
+        return peer_messages.TreeTotals(
             key,
             a.plan_index,
             a.first_gateway,
@@ -368,9 +384,9 @@
             a.total_spent - edge.remote_spent,
         )
 
-    def take_totals(self, peer: int, born: int, n: peer_messages.Totals) -> None:
+    def take_totals(self, peer: int, born: int, n: peer_messages.TreeTotals) -> None:
         """Take what a wide ring's neighbour tells: its side's units asked and spent."""
-        a = self.account(n.customer, n.plan, n.first_gateway, n.member_count)
+        a = self.account(n.customer, n.plan_index, n.first_gateway, n.member_count)
         if peer in a.tree_edges:
             self.refill(a)
             asked, spent = a.tree_edges[peer].receive(n.asked, n.spent, self.older(born))
--- a/corkdeal/persistence/capture.py
+++ b/corkdeal/persistence/capture.py
@@ -144,7 +144,7 @@
         classes = self.decisions.settings.classes
         offset = clock.boot - now
         records: list[ServerMemory] = []
-        for backend in self.decisions.backends.values():
+        for backend in self.decisions.backends.records.values():
             record = persisted_state.server_of(backend, classes, now, offset)
             records.append(record._replace(address=addresses.get(record.server, "")))
         if self.restored is not None:
