--- a/corkdeal/decisions/persisted_state.py
+++ b/corkdeal/decisions/persisted_state.py
@@ -1,8 +1,8 @@
-"""What the decisions learned, as plain records, and how it goes into and out of their own state.
+"""What the decisions export for a later start and take back from an earlier one, as plain records.
 
-Nothing is decided and nothing is aged here: `corkdeal.persistence` weighs each record by its age before it
-comes back. Times in a record are seconds of whatever clock the caller names; in the decisions they are the
-module's.
+Nothing is decided and nothing expires here: `corkdeal.persistence` weighs each record by its age before it
+comes back. Times in a record are seconds of whatever clock the caller uses; in the decisions they are the
+module's. Records are stored as arrays, so the order of their fields is part of the stored form.
 """
 
 from __future__ import annotations
@@ -16,38 +16,38 @@
 
 
 class StoredRejection(NamedTuple):
-    """A class that a server turned away: how long it was shut out, and for how much longer."""
+    """A request class that a backend rejected."""
 
     request_class: str
-    duration: float  # s
-    remaining: float  # s, from the moment of the server's record
+    duration: float  # seconds for which no request of the class was sent
+    remaining: float  # seconds of it left when the backend's record was made
 
 
 class StoredBackend(NamedTuple):
-    """One server's record."""
+    """One backend's record."""
 
     backend: str
-    started: float  # wall time in s, 0 for long ago; another start is another server
-    recorded_at: float  # when the record was made
-    slowness: float  # its latency in terms of what the fleet takes at like load
-    failures: int
+    started: float  # wall time in seconds, 0 for long ago; another start is another backend
+    recorded_at: float
+    slowness: float  # its latency as a multiple of what the fleet takes at like load
+    failures: int  # in a row
     is_ejected: bool
-    ejection_time: float  # s, the last ejection
+    ejection_time: float  # seconds, of the last ejection
     rejections: tuple[StoredRejection, ...] = ()
-    address: str = ""  # host:port as this gateway reached it; empty where it is not known
+    address: str = ""  # host:port as this gateway reached it; empty where it is unknown
 
 
 class StoredLatency(NamedTuple):
-    """Usual latency of one class and size."""
+    """Usual latency of one request class and size."""
 
     request_class: str
     size: int
-    latency: float
+    latency: float  # seconds
     recorded_at: float = 0.0
 
 
 class StoredLedger(NamedTuple):
-    """A ledger between this gateway and one adjacent member of a customer's ring."""
+    """The ledger between this gateway and one adjacent member of a customer's ring."""
 
     peer: int
     received_share: int  # parts of 1 / peer_messages.SHARE_STEPS, received net
@@ -57,18 +57,18 @@
     peer_level: float
     peer_state_at: float
     has_peer_totals: bool
-    peer_incarnation: int = 0  # the peer's incarnation that this ledger is with
+    peer_incarnation: int = 0  # with which this ledger was kept
 
 
 class StoredTreeEdge(NamedTuple):
-    """Running totals between this gateway and one neighbour in a wide ring."""
+    """Running totals between this gateway and one neighbour in the tree of an aggregated account."""
 
     peer: int
     remote_asked: float
     remote_spent: float
     last_totals: tuple[float, float] | None
     sent_asked: float
-    peer_incarnation: int = 0  # the neighbour's incarnation that was heard
+    peer_incarnation: int = 0  # from which the last totals came
 
 
 class StoredAccount(NamedTuple):
@@ -77,163 +77,183 @@
     plan: str
     first_gateway: int
     member_count: int
-    refilled_at: float  # the time that level, ceiling and demand speak of
+    refilled_at: float  # the time of level, hard limit level and demand
     last_request_at: float
     level: float  # units
     hard_limit_level: float  # units
     demand: float  # units a second
-    in_flight: int  # attempts out
-    total_asked: float = 0.0  # running totals of a wide ring
+    in_flight: int  # attempts
+    total_asked: float = 0.0  # running totals of an aggregated account
     total_spent: float = 0.0
     ledgers: tuple[StoredLedger, ...] = ()
     tree_edges: tuple[StoredTreeEdge, ...] = ()
 
 
 class StoredFleet(NamedTuple):
-    """What is known of all servers together, and this gateway's place in its tier."""
+    """What is known of all backends together, and this gateway's place in its tier."""
 
-    pace: float  # part of a class's latency that each request in work adds
-    slowness: float  # how slow the fleet is now against its usual work
-    retry_budget: float  # further attempts saved up
+    pace: float  # fraction of a class's latency that each request in flight adds
+    slowness: float  # latency of the fleet now as a multiple of its usual one
+    retry_budget: float  # attempts
     usual_latencies: tuple[StoredLatency, ...] = ()
     gateway_index: int = 0
     gateway_count: int = 1
-    incarnation: int = 0  # this gateway's incarnation, ms modulo 2**32
-    message_round: int = 0  # of its messages
-    peer_incarnations: tuple[tuple[int, int], ...] = ()  # incarnations of the others
-    quota_fraction: float = 1.0  # of this gateway's quota that the life had; the rest was another life's
+    incarnation: int = 0  # this gateway's start in ms modulo 2**32; 0 for unknown
+    message_round: int = 0
+    peer_incarnations: tuple[tuple[int, int], ...] = ()  # peer and incarnation
+    quota_fraction: float = 1.0  # of this gateway's quota; the rest was another process's
 
 
 class PersistedState(Protocol):
-    """What an earlier life learned, aged; each record is given once, in the module's clock."""
+    """The state of an earlier process, expired to now; each record is given once, in the module's clock."""
 
-    is_exact: bool  # whether it comes from that life itself, and not from a store that may hold an older copy
+    # whether it comes from that process itself, and not from a store that may hold an older copy
+    is_exact: bool
 
     def fleet(self, now: float, first_work: dict[str, float]) -> StoredFleet:
-        """The fleet's record; `first_work` is what a class of that name takes where nothing is known (s)."""
+        """Return the fleet's record.
+
+        `first_work` is the latency in seconds of each class of which nothing is known.
+        """
 
     def resumes(self) -> bool:
-        """Whether the ledgers with peers may go on where they were."""
+        """Whether the ledgers with peers may be resumed."""
 
     def server(self, entry: Endpoint, now: float) -> StoredBackend | None:
-        """The record of the server that this line of the list names."""
+        """Return the record of the backend that this endpoint names."""
 
     def account(self, customer: int, plan: Plan, first: int, spread: int, now: float) -> StoredAccount | None:
-        """The customer's account, with what may have been spent unseen taken off its level."""
+        """Return the customer's account, with what may have been spent unrecorded taken off its level."""
 
 
 def export_backend(
-    server: BackendRecord, classes: tuple[RequestClass, ...], now: float, shift: float
+    backend: BackendRecord, classes: tuple[RequestClass, ...], now: float, offset: float
 ) -> StoredBackend:
-    """A server's record as it stands; `shift` is what the caller's clock shows more than the module's (s)."""
-    fresh = (
-        min(now, server.last_attempt_at) if server.last_attempt_at > 0 else now
-    )  # the record fades from the last send on
-    shut = tuple(
+    """Return a backend's record; `offset` is the caller's clock less the module's, in seconds."""
+    recorded_at = now
+    if backend.last_attempt_at > 0:  # the record loses weight from the last attempt on
+        recorded_at = min(now, backend.last_attempt_at)
+    rejections = tuple(
         [
-            StoredRejection(classes[cls].name, wait, max(0.0, until - fresh))
-            for cls, (wait, until) in server.rejecting_classes.items()
-            if wait > 0 and cls is not None
+            StoredRejection(classes[number].name, duration, max(0.0, until - recorded_at))
+            for number, (duration, until) in backend.rejecting_classes.items()
+            if duration > 0 and number is not None
         ]
     )
     return StoredBackend(
-        str(server.endpoint.backend),
-        server.endpoint.started,
-        fresh + shift,
-        server.slowness,
-        server.failures,
-        server.is_ejected,
-        server.ejection_time,
-        shut,
+        backend=str(backend.endpoint.backend),
+        started=backend.endpoint.started,
+        recorded_at=recorded_at + offset,
+        slowness=backend.slowness,
+        failures=backend.failures,
+        is_ejected=backend.is_ejected,
+        ejection_time=backend.ejection_time,
+        rejections=rejections,
     )
 
 
 def restore_backend(
-    server: BackendRecord, m: StoredBackend, classes: tuple[RequestClass, ...], now: float
+    backend: BackendRecord, record: StoredBackend, classes: tuple[RequestClass, ...], now: float
 ) -> None:
-    """Give a newly listed server its record; one that was out is due for a trial."""
-    names = {c.name: i for i, c in enumerate(classes)}
-    server.slowness, server.failures = m.slowness, m.failures
-    server.last_attempt_at = now  # its record fades from here on; what faded before is in its weight
-    server.is_ejected, server.ejected_until, server.ejection_time = m.is_ejected, now, m.ejection_time
-    server.rejecting_classes = {
-        names[s.request_class]: (s.duration, now + s.remaining)
-        for s in m.rejections
-        if s.request_class in names
+    """Give a newly listed backend its record; one that was ejected is due for a trial."""
+    numbers = {request_class.name: number for number, request_class in enumerate(classes)}
+    backend.slowness = record.slowness
+    backend.failures = record.failures
+    backend.last_attempt_at = now  # the age up to now is in the record's weight
+    backend.is_ejected = record.is_ejected
+    backend.ejected_until = now
+    backend.ejection_time = record.ejection_time
+    backend.rejecting_classes = {
+        numbers[rejection.request_class]: (rejection.duration, now + rejection.remaining)
+        for rejection in record.rejections
+        if rejection.request_class in numbers
     }
 
 
-def export_account(a: Account, shift: float, born: dict[int, int]) -> StoredAccount:
-    """An account as it stands, its level that of `at`; `born` has the incarnations of peers."""
+def export_account(account: Account, offset: float, incarnations: dict[int, int]) -> StoredAccount:
+    """Return an account's record, its level that of `refilled_at`; `incarnations` are the peers'."""
+    ledgers = [
+        _export_ledger(peer, ledger, offset, incarnations.get(peer, 0))
+        for peer, ledger in account.ledgers.items()
+    ]
+    tree_edges = [
+        _export_tree_edge(peer, edge, incarnations.get(peer, 0)) for peer, edge in account.tree_edges.items()
+    ]
     return StoredAccount(
-        a.plan.name,
-        a.first_gateway,
-        a.member_count,
-        a.refilled_at + shift,
-        a.last_request_at + shift,
-        a.level,
-        a.hard_limit_level,
-        a.demand,
-        a.in_flight,
-        a.total_asked,
-        a.total_spent,
-        tuple(
-            [
-                StoredLedger(
-                    peer,
-                    p.received_share,
-                    p.received_units,
-                    p.last_round,
-                    p.peer_share,
-                    p.peer_level,
-                    max(0.0, p.peer_state_at + shift),
-                    p.has_peer_totals,
-                    born.get(peer, 0),
-                )
-                for peer, p in a.ledgers.items()
-            ]
-        ),
-        tuple(
-            [
-                StoredTreeEdge(
-                    peer, e.remote_asked, e.remote_spent, e.last_totals, e.sent_asked, born.get(peer, 0)
-                )
-                for peer, e in a.tree_edges.items()
-            ]
-        ),
+        account.plan.name,
+        account.first_gateway,
+        account.member_count,
+        account.refilled_at + offset,
+        account.last_request_at + offset,
+        account.level,
+        account.hard_limit_level,
+        account.demand,
+        account.in_flight,
+        account.total_asked,
+        account.total_spent,
+        tuple(ledgers),
+        tuple(tree_edges),
     )
 
 
-def restore_account(a: Account, m: StoredAccount, resumes: bool, born: dict[int, int]) -> None:
-    """Give a newly met account its record; ledgers only where both ends go on with them.
+def _export_ledger(peer: int, ledger: PeerLedger, offset: float, incarnation: int) -> StoredLedger:
+    return StoredLedger(
+        peer,
+        ledger.received_share,
+        ledger.received_units,
+        ledger.last_round,
+        ledger.peer_share,
+        ledger.peer_level,
+        max(0.0, ledger.peer_state_at + offset),
+        ledger.has_peer_totals,
+        incarnation,
+    )
 
-    A peer whose incarnation is not the one in `born` started again, so the ledger begins anew too.
-    Attempts that were out ended with the process that had them, so none is open.
-    """
-    a.refilled_at, a.last_request_at, a.level, a.hard_limit_level, a.demand = (
-        m.refilled_at,
-        m.last_request_at,
-        m.level,
-        m.hard_limit_level,
-        m.demand,
+
+def _export_tree_edge(peer: int, edge: TreeEdge, incarnation: int) -> StoredTreeEdge:
+    return StoredTreeEdge(
+        peer, edge.remote_asked, edge.remote_spent, edge.last_totals, edge.sent_asked, incarnation
     )
-    a.has_peer_level = True  # it knows what it spent; a neighbour need not tell it
-    if not resumes:
+
+
+def restore_account(
+    account: Account, record: StoredAccount, may_resume: bool, incarnations: dict[int, int]
+) -> None:
+    """Give a newly met account its record; ledgers only where both ends resume them.
+
+    A peer whose incarnation is not the one in `incarnations` started again, so the ledger begins anew too.
+    Attempts in flight ended with their process, so there are none.
+    """
+    account.refilled_at = record.refilled_at
+    account.last_request_at = record.last_request_at
+    account.level = record.level
+    account.hard_limit_level = record.hard_limit_level
+    account.demand = record.demand
+    account.has_peer_level = True  # the level is its own; no neighbour has to send it
+    if not may_resume:
         return
-    for p in m.ledgers:
-        if p.peer in a.ledgers and p.peer_incarnation == born.get(p.peer, 0):
-            a.ledgers[p.peer] = PeerLedger(
-                p.received_share,
-                p.received_units,
-                p.last_round,
-                p.peer_share,
-                p.peer_level,
-                p.peer_state_at,
-                has_peer_totals=p.has_peer_totals,
-                last_sent_at=p.peer_state_at,
-            )
-    for e in m.tree_edges:
-        if e.peer in a.tree_edges:
-            heard = e.last_totals if e.peer_incarnation == born.get(e.peer, 0) else None
-            a.tree_edges[e.peer] = TreeEdge(e.remote_asked, e.remote_spent, heard, e.sent_asked)
-    a.total_asked, a.total_spent = m.total_asked, m.total_spent
+    for ledger in record.ledgers:
+        is_same_incarnation = ledger.peer_incarnation == incarnations.get(ledger.peer, 0)
+        if ledger.peer in account.ledgers and is_same_incarnation:
+            account.ledgers[ledger.peer] = _restored_ledger(ledger)
+    for edge in record.tree_edges:
+        if edge.peer in account.tree_edges:
+            is_same_incarnation = edge.peer_incarnation == incarnations.get(edge.peer, 0)
+            last_totals = edge.last_totals if is_same_incarnation else None
+            restored = TreeEdge(edge.remote_asked, edge.remote_spent, last_totals, edge.sent_asked)
+            account.tree_edges[edge.peer] = restored
+    account.total_asked = record.total_asked
+    account.total_spent = record.total_spent
+
+
+def _restored_ledger(record: StoredLedger) -> PeerLedger:
+    return PeerLedger(
+        record.received_share,
+        record.received_units,
+        record.last_round,
+        record.peer_share,
+        record.peer_level,
+        record.peer_state_at,
+        has_peer_totals=record.has_peer_totals,
+        last_sent_at=record.peer_state_at,
+    )
