--- a/tests/persistence/test_store.py
+++ b/tests/persistence/test_store.py
@@ -1,7 +1,6 @@
 """Every state that a crash may leave, odd files in the place of ours, and disks that fail."""
 
 import errno
-import itertools
 import os
 import pathlib
 
@@ -13,6 +12,7 @@
 from corkdeal.persistence.store import SnapshotStore, gateway_folder, snapshot_name
 
 from . import samples
+from .crash_states import crash_states, recording
 
 STRANGER = 54321  # some other user's number
 
@@ -28,112 +28,13 @@
     return int(slow)
 
 
-class Recording(StateFolder):
-    """Writes as the real one does, and keeps the list of what it did."""
-
-    log = []
-
-    def create(self, name):
-        file = super().create(name)
-        self.log.append(("create", name, file))
-        return file
-
-    def write(self, file, parts):
-        for part in parts:
-            half = len(part) // 2
-            for piece in (part[:half], part[half:]):  # the system may take a write in pieces
-                super().write(file, [piece])
-                self.log.append(("write", file, bytes(piece)))
-
-    def sync(self, file):
-        super().sync(file)
-        self.log.append(("sync", file))
-
-    def close_file(self, file):
-        super().close_file(file)
-        self.log.append(("close_file", file))
-
-    def rename(self, old, new):
-        super().rename(old, new)
-        self.log.append(("rename", old, new))
-
-    def sync_folder(self):
-        super().sync_folder()
-        self.log.append(("sync_folder",))
-
-    def unlink(self, name):
-        super().unlink(name)
-        self.log.append(("unlink", name))
-
-
-def crash_states(log):
-    """All that may be on disk after a crash at each point: (what was reported durable, name -> bytes).
-
-    Content that was not synced is there whole, by half, as zeros or not at all. Changes of names since the
-    folder was last synced are there or not, each for itself, in any combination.
-    """
-    seen = set()
-    for stop in range(len(log) + 1):
-        inodes, synced, names, pending, open_files, durable = {}, {}, {}, [], {}, 0
-        for i, (what, *args) in enumerate(log[:stop]):
-            if what == "create":
-                inodes[i], synced[i], open_files[args[1]] = b"", b"", i
-                pending.append(("link", args[0], i))
-            elif what == "write":
-                inodes[open_files[args[0]]] += args[1]
-            elif what == "sync":
-                synced[open_files[args[0]]] = inodes[open_files[args[0]]]
-            elif what == "rename":
-                pending.append(("move", args[0], args[1], inode_of(names, pending, args[0])))
-            elif what == "unlink":
-                pending.append(("drop", args[0]))
-            elif what == "sync_folder":
-                names, pending = applied(names, pending), []
-            elif what == "durable":
-                durable = args[0]
-        unsynced = [i for i in inodes if inodes[i] != synced[i]]
-        for kept in itertools.product((False, True), repeat=len(pending)):
-            left = applied(names, [p for p, keep in zip(pending, kept, strict=True) if keep])
-            for forms in itertools.product(range(4), repeat=len(unsynced)):
-                content = dict(synced)
-                for i, form in zip(unsynced, forms, strict=True):
-                    whole, safe = inodes[i], len(synced[i])
-                    content[i] = (
-                        whole[:safe],
-                        whole,
-                        whole[: (safe + len(whole)) // 2],
-                        whole[:safe] + bytes(len(whole) - safe),
-                    )[form]
-                state = tuple(sorted((name, content[i]) for name, i in left.items()))
-                if (durable, state) not in seen:
-                    seen.add((durable, state))
-                    yield durable, state
-
-
-def inode_of(names, pending, name):
-    return applied(names, pending)[name]
-
-
-def applied(names, changes):
-    names = dict(names)
-    for what, name, *rest in changes:
-        if what == "link":
-            names[name] = rest[0]
-        elif what == "drop":
-            names.pop(name, None)
-        else:
-            names.pop(name, None)
-            names[rest[0]] = rest[1]
-    return names
-
-
 def test_no_crash_state_loads_a_damaged_file_or_loses_a_durable_generation(tmp_path):
-    Recording.log = []
-    store = SnapshotStore(str(tmp_path / "recorded"), opener=Recording)
+    log = []
+    store = SnapshotStore(str(tmp_path / "recorded"), opener=recording(log))
     for _ in range(4):
-        Recording.log.append(("durable", store.write(numbered)))
+        log.append(("durable", store.write(numbered)))
     store.close()
-    states = list(crash_states(Recording.log))
+    states = list(crash_states(log))
     assert len(states) > 60
     newer = 0
     for number, (durable, state) in enumerate(states):
@@ -159,13 +60,13 @@
 
 def test_without_the_sync_before_the_rename_the_same_states_do_lose_one(tmp_path):
     """That the enumeration can fail: a store that leaves out one step is caught."""
-    Recording.log = []
-    store = SnapshotStore(str(tmp_path / "recorded"), opener=Recording)
+    log = []
+    store = SnapshotStore(str(tmp_path / "recorded"), opener=recording(log))
     for _ in range(3):
-        Recording.log.append(("durable", store.write(numbered)))
+        log.append(("durable", store.write(numbered)))
     store.close()
     for left_out in ("sync", "sync_folder"):
-        log = [entry for entry in Recording.log if entry[0] != left_out]
+        shortened = [entry for entry in log if entry[0] != left_out]
         assert any(
             durable
             and not any(
@@ -173,7 +74,7 @@
                 or (name > snapshot_name(durable) and content == b"".join(numbered(int(name[:16]))))
                 for name, content in state
             )
-            for durable, state in crash_states(log)
+            for durable, state in crash_states(shortened)
         )
 
 
