--- a/corkdeal/net/upgrade.py
+++ b/corkdeal/net/upgrade.py
@@ -59,14 +59,14 @@
         """Call `start`, with what the predecessor gives where there is one."""
         self.predecessor = self.files.join()
         self.reactor.callLater(CHECK_INTERVAL, self._check)
-        if self.predecessor is None:
-            start()
-            return
         self._poll(start)
 
     def _poll(self, start: Callable[[], None]) -> None:
         """Wait for the first snapshot, but not for long: the predecessor may be a version that gives none."""
-        snapshot = self._read(HandoverPart.PARTIAL)
+        if self.predecessor is None:
+            start()
+            return
+        snapshot = self._read(self.predecessor, HandoverPart.PARTIAL)
         self.polls += 1
         try:
             if snapshot is None and not self.files.is_running(self.predecessor):
@@ -101,19 +101,19 @@
             part=round(self.decisions.quota_fraction, 3),
         )
 
-    def _follow(self) -> None:
+    def _follow(self, predecessor: int, given: PartialState) -> None:
         """Take over the rest once the predecessor gave it, or its rate once it has ended.
 
         Until then the predecessor exchanges messages with the peers, so their silence here tells nothing.
         """
         self.decisions.peer_last_heard = dict.fromkeys(self.decisions.ring_neighbours, self.gateway.now())
-        has_ended = not self.files.is_running(self.predecessor)  # first: it may write and end in between
-        snapshot = self._read(HandoverPart.FINAL)
+        has_ended = not self.files.is_running(predecessor)  # first: it may write and end in between
+        snapshot = self._read(predecessor, HandoverPart.FINAL)
         now = self.gateway.now()
         if snapshot is not None:
             fraction = snapshot.head.fleet.quota_fraction
             self.takeover = quota_handover.take_rest(
-                self.decisions, self.gateway.now, self.given, self._restored(snapshot), fraction
+                self.decisions, self.gateway.now, given, self._restored(snapshot), fraction
             )
             self._continue_takeover()
         elif has_ended:
@@ -141,15 +141,13 @@
         self.predecessor = None
         self.gateway.hear()
 
-    def _read(self, part: HandoverPart) -> Snapshot | None:
+    def _read(self, predecessor: int, part: HandoverPart) -> Snapshot | None:
         """Return a snapshot for this process; one that can't be read counts as none, and is logged."""
         try:
-            return self.files.read(self.predecessor, part)
+            return self.files.read(predecessor, part)
         except (OSError, ValueError) as error:
             count("handover_unreadable")
-            logs.event(
-                "handover_unreadable", what=part.value, before=self.predecessor, error=shortened(error)
-            )
+            logs.event("handover_unreadable", what=part.value, before=predecessor, error=shortened(error))
             return None
 
     def _restored(self, snapshot: Snapshot) -> RestoredState:
@@ -175,8 +173,8 @@
         """Follow the predecessor, and give to the successor or take back from it."""
         if self.takeover is not None:
             return  # what is handed over must be complete
-        if self.waits and self.gateway.begun:
-            self._follow()
+        if self.predecessor is not None and self.given is not None and self.gateway.begun:
+            self._follow(self.predecessor, self.given)
         if self.successor is not None and not self.files.is_running(self.successor):
             logs.event("handover_taken_back", life=self.files.incarnation, after=self.successor)
             quota_handover.take_fraction(self.decisions, self.gateway.now(), self.successor_fraction)
--- /dev/null
+++ b/tests/persistence/test_upgrade.py
@@ -0,0 +1,116 @@
+"""The succession of two processes on a fake clock: what each finds of the other, a folder that goes away."""
+
+import shutil
+import tempfile
+from types import SimpleNamespace
+
+import pytest
+from twisted.internet.task import Clock
+
+from corkdeal import logs
+from corkdeal.decisions.gateway import Gateway
+from corkdeal.net.upgrade import CHECK_INTERVAL, POLL_INTERVAL, POLL_TIMEOUT, Succession
+from corkdeal.persistence.quota_handover import SUCCESSOR_SHARE
+
+from .. import helpers
+
+
+@pytest.fixture
+def world(tmp_path, monkeypatch):
+    monkeypatch.setattr(tempfile, "tempdir", str(tmp_path))
+    lines, clock, processes = [], Clock(), []
+    logs.configure(lambda level, name, pairs: lines.append(name))
+
+    def process():
+        """A process that has begun to start; it serves once `begun` is set."""
+        decisions = Gateway(helpers.settings(), seed=1)
+        calls = []
+        gateway = SimpleNamespace(
+            decisions=decisions,
+            settings=decisions.settings,
+            now=lambda: 5000.0 + clock.seconds(),
+            config=SimpleNamespace(name="n0"),
+            begun=False,
+            hear=lambda: calls.append("hear"),
+            be_silent=lambda: calls.append("be_silent"),
+        )
+        made = Succession(clock, gateway)
+        processes.append(made)
+
+        def start():
+            gateway.begun = True
+
+        made.begin(start)
+        return made, gateway, calls
+
+    def turn(seconds):
+        for _ in range(round(seconds / POLL_INTERVAL)):
+            clock.advance(POLL_INTERVAL)
+
+    yield SimpleNamespace(process=process, turn=turn, lines=lines, path=tmp_path)
+    logs.configure(None)
+    for made in processes:
+        made.files.close()
+
+
+def test_a_first_process_starts_at_once_with_the_whole_quota(world):
+    succession, gateway, _ = world.process()
+    assert gateway.begun and not succession.waits and gateway.decisions.quota_fraction == 1.0
+
+
+def test_the_quota_goes_over_in_two_parts_and_is_never_more_than_one(world):
+    old, old_gateway, old_calls = world.process()
+    new, new_gateway, new_calls = world.process()
+    assert not new_gateway.begun
+    world.turn(2 * CHECK_INTERVAL)
+    assert new_gateway.begun and new.waits
+    assert new_gateway.decisions.quota_fraction == pytest.approx(SUCCESSOR_SHARE)
+    assert old_gateway.decisions.quota_fraction == pytest.approx(1 - SUCCESSOR_SHARE)
+    old.end()
+    assert old.done and old_calls == ["be_silent"] and old_gateway.decisions.quota_fraction == 0.0
+    world.turn(2 * CHECK_INTERVAL)
+    assert new_gateway.decisions.quota_fraction == pytest.approx(1.0)
+    assert not new.waits and new_calls == ["hear"]
+    assert world.lines == ["handover_given", "handover_begun", "handover_rest", "handover_done"]
+
+
+def test_a_predecessor_that_ends_without_a_word_leaves_its_rate(world):
+    old, _, _ = world.process()
+    new, new_gateway, _ = world.process()
+    world.turn(2 * CHECK_INTERVAL)
+    old.done = True
+    old.files.close()
+    world.turn(2 * CHECK_INTERVAL)
+    assert new_gateway.decisions.quota_fraction == pytest.approx(1.0) and not new.waits
+    assert world.lines[-1] == "handover_done"
+
+
+def test_what_a_successor_held_is_taken_back_when_it_ends(world):
+    old, old_gateway, _ = world.process()
+    new, _, _ = world.process()
+    world.turn(2 * CHECK_INTERVAL)
+    new.done = True
+    new.files.close()
+    world.turn(2 * CHECK_INTERVAL)
+    assert old_gateway.decisions.quota_fraction == pytest.approx(1.0) and old.successor is None
+    assert world.lines[-1] == "handover_taken_back"
+
+
+def test_a_predecessor_that_gives_nothing_is_not_waited_for_long(world):
+    _, old_gateway, _ = world.process()
+    old_gateway.begun = False  # it never gives
+    _, new_gateway, _ = world.process()
+    world.turn(POLL_TIMEOUT / 2)
+    assert not new_gateway.begun
+    world.turn(POLL_TIMEOUT)
+    assert new_gateway.begun and world.lines == ["handover_none"]
+
+
+def test_a_folder_that_goes_away_while_a_start_waits_does_not_keep_it_from_starting(world):
+    _, old_gateway, _ = world.process()
+    old_gateway.begun = False
+    new, new_gateway, _ = world.process()
+    shutil.rmtree(world.path / "corkdeal-lives")
+    new._disable(OSError("as the check finds it between two polls"))
+    world.turn(POLL_INTERVAL)
+    assert new_gateway.begun and new.done and new_gateway.decisions.quota_fraction == 1.0
