--- a/tests/persistence/test_program.py
+++ b/tests/persistence/test_program.py
@@ -1,4 +1,4 @@
-"""The real program with knowledge on: killed at any moment, restarted, its folder taken, its file changed."""
+"""The real program with snapshots on: killed at any moment, restarted, its folder taken, its file changed."""
 
 import contextlib
 import json
@@ -18,7 +18,7 @@
 KILLS = 24
 
 
-class Knowing(Program):
+class WithSnapshots(Program):
     build = ("-O",)
 
     def begin(self, **more):
--- a/tests/persistence/test_quota_handover.py
+++ b/tests/persistence/test_quota_handover.py
@@ -1,4 +1,4 @@
-"""Two lives of one gateway: what both let in, what is handed on, and each moment at which one may end."""
+"""Two processes of one gateway: what both admit, what is handed over, each moment at which one may end."""
 
 import collections
 import dataclasses
@@ -45,8 +45,8 @@
 EPOCH = 1000.0
 
 
-class Life:
-    """One life's decisions on a clock that the test moves."""
+class Process:
+    """One process's decisions on a clock that the test moves."""
 
     def __init__(self, settings=ONE, known=None, part=1.0, now=EPOCH):
         self.d, self.rid, self.now = Gateway(settings, seed=1), 0, now
@@ -65,7 +65,7 @@
         return sent
 
     def document(self, now):
-        """What it hands on, through its bytes."""
+        """What it hands over, through its bytes."""
         quota_handover.refill_accounts(self.d, now)
         reading = lambda: clock.ClockReading(now, now, "boot")  # noqa: E731
         made = StateCapture(self.d, "n0", "test")
@@ -73,29 +73,29 @@
         parts = codec.encode_snapshot(1, made.head(now, reading(), 0.0, True, {}), list(made.pages()))
         return codec.decode_snapshot(b"".join(parts))[2]
 
-    def recall(self, made, now):
-        """Its records, as the next life reads them."""
+    def restored(self, made, now):
+        """Its records, as the next process reads them."""
         return RestoredState(
             made, now - made.head.clock.boot, now, self.d.settings, lambda _: "", collections.Counter()
         )
 
 
-def hand_first(old, now):
+def give_first(old, now):
     made = old.document(now)
     quota_handover.keep_fraction(old.d, 1 - quota_handover.SUCCESSOR_SHARE)
-    first = quota_handover.PartialState(old.recall(made, now), quota_handover.SUCCESSOR_SHARE)
+    first = quota_handover.PartialState(old.restored(made, now), quota_handover.SUCCESSOR_SHARE)
     return (
-        Life(old.d.settings, first, made.head.fleet.quota_fraction * quota_handover.SUCCESSOR_SHARE, now),
+        Process(old.d.settings, first, made.head.fleet.quota_fraction * quota_handover.SUCCESSOR_SHARE, now),
         first,
         made.head.fleet.quota_fraction,
     )
 
 
-def hand_rest(old, new, first, now, between=lambda: None):
+def give_rest(old, new, first, now, between=lambda: None):
     made = old.document(now)
     quota_handover.keep_nothing(old.d)
     steps = quota_handover.take_rest(
-        new.d, lambda: now, first, new.recall(made, now), made.head.fleet.quota_fraction
+        new.d, lambda: now, first, new.restored(made, now), made.head.fleet.quota_fraction
     )
     for _ in steps:
         between()
@@ -115,8 +115,8 @@
 
 
 @given(STEPS, st.integers(1, 3))
-def test_both_lives_together_let_in_no_more_than_one_may(steps, customers):
-    old, now, sent = Life(), EPOCH, dict.fromkeys(range(customers), 0)
+def test_both_processes_together_admit_no_more_than_one_may(steps, customers):
+    old, now, sent = Process(), EPOCH, dict.fromkeys(range(customers), 0)
     new = first = None
     part_there = 0.0
 
@@ -129,23 +129,23 @@
         if what == "wait":
             now += n
         elif what == "give" and new is None:
-            new, first, whole = hand_first(old, now)
+            new, first, whole = give_first(old, now)
             part_there = whole * (1 - quota_handover.SUCCESSOR_SHARE)
         elif what in ("rest", "kill") and new is not None and old is not None:
             if what == "rest":
-                hand_rest(old, new, first, now, ask_all)
+                give_rest(old, new, first, now, ask_all)
                 assert not any(old.ask(now, c) for c in range(customers))
             else:
                 quota_handover.take_fraction(new.d, now, part_there)
             old = None
             assert new.d.quota_fraction == pytest.approx(1.0)
-        elif what in ("old", "new") and (life := old if what == "old" else new) is not None:
-            sent[customer] += life.ask(now, customer)
+        elif what in ("old", "new") and (process := old if what == "old" else new) is not None:
+            sent[customer] += process.ask(now, customer)
         for units in sent.values():
             assert units <= PLAN.burst + PLAN.rate * (now - EPOCH) + 1e-6
 
 
-def test_an_old_life_of_two_gateways_refuses_what_comes_after_it_gave_all():
+def test_an_old_process_of_two_gateways_rejects_what_comes_after_it_gave_all():
     ring = Ring(2)
     ring.spread = 2
     ring.run(3.0, lambda me: 0.2)
@@ -154,50 +154,50 @@
     assert pick(actions, Reject) and not pick(actions, StartAttempt)
 
 
-def test_what_the_old_life_held_is_in_the_new_ones_hands_at_the_end():
-    old = Life()
+def test_what_the_old_process_held_is_the_new_ones_at_the_end():
+    old = Process()
     assert old.ask(EPOCH, customer=7) and old.ask(EPOCH, customer=8)
-    new, first, _ = hand_first(old, EPOCH)
-    assert new.ask(EPOCH, customer=7)  # met by the new life; the other one's account comes over unasked
-    hand_rest(old, new, first, EPOCH)
+    new, first, _ = give_first(old, EPOCH)
+    assert new.ask(EPOCH, customer=7)  # met by the new process; the other one's account comes over unasked
+    give_rest(old, new, first, EPOCH)
     levels = {c: a.level for c, a in new.d.accounts.items()}
     assert levels == {7: pytest.approx(PLAN.burst - 2), 8: pytest.approx(PLAN.burst - 1)}
-    third, _, whole = hand_first(new, EPOCH)
+    third, _, whole = give_first(new, EPOCH)
     assert whole == pytest.approx(1.0) and third.d.quota_fraction == pytest.approx(
         quota_handover.SUCCESSOR_SHARE
     )
 
 
-def test_peers_go_on_with_the_new_life_where_they_were_with_the_old():
+def test_peers_continue_with_the_new_process_where_they_were_with_the_old():
     two = dataclasses.replace(ONE, gateway_count=2, may_message_peers=True, peer_message_rate=60)
-    peer, now, lives = Life(dataclasses.replace(two, gateway_index=1)), EPOCH, [Life(two)]
+    peer, now, processes = Process(dataclasses.replace(two, gateway_index=1)), EPOCH, [Process(two)]
 
     def talk(seconds):
         nonlocal now
         for _ in range(int(seconds / 0.05)):
             now += 0.05
-            life = lives[-1]
-            life.ask(now, 7, spread=2, units=0.2)
-            for one, other in ((life, peer), (peer, life)):
+            process = processes[-1]
+            process.ask(now, 7, spread=2, units=0.2)
+            for one, other in ((process, peer), (peer, process)):
                 out = one.d.handle(now, [TimerExpired(0)])
                 for _ in range(4):  # to and fro until nothing is left to say
-                    told = [
+                    messages = [
                         PeerMessage(one.d.settings.gateway_index, a.payload)
                         for a in out
                         if isinstance(a, SendToPeer)
                     ]
                     one, other = other, one
-                    out = one.d.handle(now, told) if told else []
+                    out = one.d.handle(now, messages) if messages else []
 
     def total():
-        return sum(life.d.accounts[7].base_share() for life in (lives[-1], peer))
+        return sum(process.d.accounts[7].base_share() for process in (processes[-1], peer))
 
     talk(4.0)
-    share, born = lives[0].d.accounts[7].base_share(), lives[0].d.incarnation
+    share, born = processes[0].d.accounts[7].base_share(), processes[0].d.incarnation
     assert share > 0.7 and total() == pytest.approx(1.0, abs=1e-3)
-    new, first, _ = hand_first(lives[0], now)
-    hand_rest(lives[0], new, first, now)
-    lives.append(new)
+    new, first, _ = give_first(processes[0], now)
+    give_rest(processes[0], new, first, now)
+    processes.append(new)
     assert new.d.accounts[7].base_share() == pytest.approx(share) and new.d.incarnation == born
     known = peer.d.peer_incarnations[0]
     talk(2.0)
@@ -205,10 +205,10 @@
     assert total() == pytest.approx(1.0, abs=1e-3) and new.d.accounts[7].base_share() > 0.6
 
 
-def test_a_document_reaches_only_the_life_that_it_was_made_for(tmp_path):
-    lives = [HandoverFiles(str(tmp_path)) for _ in range(3)]
-    old, new, third = lives
-    made = lambda life: codec.encode_snapshot(life, Life().document(EPOCH).head, [])  # noqa: E731
+def test_a_snapshot_reaches_only_the_process_that_it_was_made_for(tmp_path):
+    processes = [HandoverFiles(str(tmp_path)) for _ in range(3)]
+    old, new, third = processes
+    made = lambda process: codec.encode_snapshot(process, Process().document(EPOCH).head, [])  # noqa: E731
     assert old.join() is None and new.join() == old.incarnation == old.successor() - 1
     old.write(new.incarnation, HandoverPart.PARTIAL, made)
     assert (
@@ -242,7 +242,7 @@
         self.start(config={"listen": f"127.0.0.1:{listener.getsockname()[1]}"}, a={})
         self.rid = 0
 
-    def next_life(self):
+    def next_process(self):
         """Start it beside the one that serves; the old process and its log."""
         old = self.process
         self.addCleanup(lambda: (old.kill(), old.wait(), old.stdout.close()))
@@ -273,27 +273,29 @@
         if (asked := self.world.next()) is not None:
             asked.conn.send(served())
 
-    def let_in(self, client, tries=4):
+    def admitted(self, client, tries=4):
         return sum(self.spend(client) for _ in range(tries))
 
-    def test_the_new_life_goes_on_from_the_old_ones_buckets(self):
+    def test_the_new_process_continues_from_the_old_ones_buckets(self):
         self.begin()
         client = self.client()
-        self.assertEqual(self.let_in(client), 2)
-        old = self.next_life()
+        self.assertEqual(self.admitted(client), 2)
+        old = self.next_process()
         self.assertIn("accounts=1", self.line("handover_begun"))
         self.line("serving ")
-        self.assertEqual(self.let_in(client), 0)
+        self.assertEqual(self.admitted(client), 0)
         old.send_signal(signal.SIGTERM)
         self.follow(old, "handover_rest")
         self.assertIn("part=1.0", self.line("handover_done"))
         self.assertEqual(old.wait(PATIENCE), 0)
-        self.assertEqual(self.let_in(self.client()), 0)
+        self.assertEqual(self.admitted(self.client()), 0)
 
-    def test_an_old_life_killed_without_a_word_leaves_its_rate_and_a_dead_new_one_gives_it_back(self):
+    def test_an_old_process_killed_before_it_gave_the_rest_leaves_its_rate_and_a_dead_new_one_gives_it_back(
+        self,
+    ):
         self.begin()
-        self.assertEqual(self.let_in(self.client()), 2)
-        old = self.next_life()
+        self.assertEqual(self.admitted(self.client()), 2)
+        old = self.next_process()
         self.line("serving ")
         self.process.kill()  # the new one, before it did anything
         self.process.wait()
@@ -305,24 +307,24 @@
         self.line("serving ")
         old.kill()
         self.assertTrue(re.search("rest=False part=1.0", self.line("handover_done")))
-        self.assertEqual(self.let_in(self.client()), 0)
+        self.assertEqual(self.admitted(self.client()), 0)
         client, began = self.client(), time.monotonic()
-        while not self.let_in(client, 1) and time.monotonic() - began < 2 * PATIENCE:
+        while not self.admitted(client, 1) and time.monotonic() - began < 2 * PATIENCE:
             time.sleep(0.1)  # it has the whole rate: 0.1 a second
         self.assertLess(time.monotonic() - began, 2 * PATIENCE)
 
     def test_a_folder_that_goes_away_while_it_serves_harms_nothing(self):
         self.begin()
         shutil.rmtree(f"{self.folder.name}/corkdeal-lives")
-        next_old = self.next_life()  # it finds no life before it, and both are whole
+        next_old = self.next_process()  # it finds no process before it, and both are whole
         self.line("serving ")
         next_old.send_signal(signal.SIGTERM)
         self.assertEqual(next_old.wait(PATIENCE), 0)
-        self.assertEqual(self.let_in(self.client()), 2)
+        self.assertEqual(self.admitted(self.client()), 2)
 
     def test_a_shared_folder_that_cannot_be_used_costs_the_handover_only(self):
         with open(f"{self.folder.name}/corkdeal-lives", "w"):
             pass
         self.begin()
         self.assertTrue(any("handover_off" in line for line in self.lines))
-        self.assertEqual(self.let_in(self.client()), 2)
+        self.assertEqual(self.admitted(self.client()), 2)
--- a/tests/persistence/test_restore.py
+++ b/tests/persistence/test_restore.py
@@ -31,10 +31,10 @@
     return helpers.settings(me, gateways, classes, (plan,))
 
 
-def kept(gateway, now, clean=False, every=1.0, recall=None, capture=None):
-    """A gateway's document, read back from its bytes; the boot clock shows 3,000 s less than the module's."""
+def captured(gateway, now, clean=False, every=1.0, restored=None, capture=None):
+    """A gateway's snapshot, read back from its bytes; the boot clock shows 3,000 s less than the module's."""
     clock = ClockReading(now, now - 3000.0, "boot")
-    capture = capture or StateCapture(gateway, "n0", "test", recall)
+    capture = capture or StateCapture(gateway, "n0", "test", restored)
     for _ in capture.steps(lambda: now, lambda: clock, lambda: 0.0):
         pass
     pages = list(capture.pages())
@@ -42,7 +42,7 @@
     return codec.decode_snapshot(b"".join(codec.encode_snapshot(1, head, pages)))[2]
 
 
-def recalled(doc, age, now, s=None, addresses=None):
+def restored_state(doc, age, now, s=None, addresses=None):
     counts = Counter()
     return (
         RestoredState(doc, age, now, s or settings(), (addresses or {}).get, counts)
@@ -51,10 +51,10 @@
     )
 
 
-def reborn(doc, age, now, s=None):
+def restarted(doc, age, now, s=None):
     gateway = Gateway(s or settings(), seed=2)
     gateway.now = 0.0
-    gateway.remember(recalled(doc, age, now, s))
+    gateway.remember(restored_state(doc, age, now, s))
     return gateway
 
 
@@ -62,7 +62,7 @@
     return helpers.servers(*names, **more)
 
 
-def test_a_restarted_gateway_goes_on_where_it_was():
+def test_a_restarted_gateway_continues_where_it_was():
     old = Gateway(settings(), seed=1)
     old.handle(8000.0, [listed("a", "b", "c")])
     (
@@ -83,7 +83,7 @@
     for number in range(9):
         old.handle(8000.0 + number / 10, [helpers.request(number, units=2.0)])
     level = old.accounts[7].level
-    new = reborn(kept(old, 8001.0, clean=True), 2.0, 8003.0)
+    new = restarted(captured(old, 8001.0, clean=True), 2.0, 8003.0)
     new.handle(8003.0, [listed("a", "b", "c")])
     assert new.latency_model.usual_latencies[0, 1] == pytest.approx(
         0.4, rel=0.01
@@ -106,7 +106,7 @@
         old.handle(8000.0 + number / 8, [helpers.request(number, units=1.0)])
     levels = {}
     for clean in (True, False):
-        new = reborn(kept(old, 8001.0, clean), 1.0, 8002.0)
+        new = restarted(captured(old, 8001.0, clean), 1.0, 8002.0)
         new.handle(8002.0, [listed("a"), helpers.request(1, units=0.001)])
         levels[clean] = new.accounts[7].level
     demand = old.accounts[7].demand * math.exp(-(8001.0 - 8000.875) / 2.0)
@@ -146,17 +146,17 @@
 )
 def test_a_record_is_only_for_the_process_it_was_made_of(entry, at, found, counted):
     doc = samples.document(msgspec.structs.replace(samples.HEAD, servers=(SERVER,)), {})
-    recall = recalled(doc, 1.0, 9000.0, addresses={entry.backend: at})
-    made = recall.server(entry, 9000.0)
-    assert (made is not None) is found and (not counted or recall.counts[counted] == 1)
+    restored = restored_state(doc, 1.0, 9000.0, addresses={entry.backend: at})
+    made = restored.server(entry, 9000.0)
+    assert (made is not None) is found and (not counted or restored.counts[counted] == 1)
     if found:
-        assert recall.server(entry, 9000.0) is None and made.rejections == ()
-        assert recall.counts["knowledge_class_unknown"] == 1
+        assert restored.server(entry, 9000.0) is None and made.rejections == ()
+        assert restored.counts["knowledge_class_unknown"] == 1
 
 
 def test_a_list_older_than_the_record_leaves_it_for_the_newer_one():
     doc = samples.document(msgspec.structs.replace(samples.HEAD, servers=(SERVER,)), {})
-    gateway = reborn(doc, 1.0, 9000.0)
+    gateway = restarted(doc, 1.0, 9000.0)
     gateway.handle(9000.0, [listed("a", started=500.0, kind=UpdateKind.CACHED)])
     assert gateway.backends.records["a"].slowness == 1.0
     gateway.handle(9000.5, [listed("a", started=1000.0)])
@@ -176,19 +176,19 @@
     ],
 )
 def test_an_account_is_only_taken_for_the_same_plan_and_set(plan, first, spread, age, counted):
-    recall = recalled(samples.document(), age, 9000.0, settings(plan=plan))
-    made = recall.account(7, plan, first, spread, 9000.0)
-    assert (made is not None) is (counted == "knowledge_account_used") and recall.counts == {counted: 1}
-    assert recall.account(7, plan, first, spread, 9000.0) is None
+    restored = restored_state(samples.document(), age, 9000.0, settings(plan=plan))
+    made = restored.account(7, plan, first, spread, 9000.0)
+    assert (made is not None) is (counted == "knowledge_account_used") and restored.counts == {counted: 1}
+    assert restored.account(7, plan, first, spread, 9000.0) is None
 
 
 @pytest.mark.parametrize(
     ("age", "me", "gateways", "resumes"),
     [(5.0, 0, 2, True), (31.0, 0, 2, False), (math.inf, 0, 2, False), (5.0, 1, 2, False), (5.0, 0, 3, False)],
 )
-def test_ledgers_go_on_only_soon_and_in_the_same_place(age, me, gateways, resumes):
+def test_ledgers_are_resumed_only_soon_and_in_the_same_place(age, me, gateways, resumes):
     s = settings(me, gateways)
-    gateway = reborn(samples.document(), age, 9000.0, s)
+    gateway = restarted(samples.document(), age, 9000.0, s)
     gateway.handle(9000.0, [listed("a"), helpers.request(1, spread=2)])
     if resumes:
         assert (gateway.incarnation, gateway.peer_incarnations) == (
@@ -202,7 +202,7 @@
 
 def test_a_ledger_with_a_peer_that_started_again_begins_anew():
     """Its rounds begin at one again, so a ledger that remembers higher ones would never hear it."""
-    gateway = reborn(samples.document(), 5.0, 9000.0, settings(0, 2))
+    gateway = restarted(samples.document(), 5.0, 9000.0, settings(0, 2))
     again = peer_messages.encode_exchange(9000_500, gateway.incarnation, 1, [])[
         0
     ]  # it started after the record was made
@@ -216,61 +216,61 @@
     assert gateway.accounts[7].ledgers[1].last_round == 2
 
 
-def test_a_ledger_carried_through_two_lives_is_still_with_the_peer_it_was_with():
+def test_a_ledger_carried_through_two_restarts_is_still_with_its_peer():
     """The second document names the peer's newer incarnation; the record in it is from before."""
     head = samples.HEAD
     newer = msgspec.structs.replace(head, fleet=head.fleet._replace(peer_incarnations=((1, 99),)))
-    gateway = reborn(samples.document(newer), 5.0, 9000.0, settings(0, 2))
+    gateway = restarted(samples.document(newer), 5.0, 9000.0, settings(0, 2))
     gateway.handle(9000.0, [listed("a"), helpers.request(1, spread=2)])
     assert gateway.peer_incarnations == {1: 99} and gateway.accounts[7].ledgers[1].last_round == 0
 
 
 def test_a_wall_clock_set_back_does_not_make_peers_ignore_the_new_start():
     # the module's clock shows 10 ms, the old start was at 77 ms
-    gateway = reborn(samples.document(), 40.0, 0.01)
+    gateway = restarted(samples.document(), 40.0, 0.01)
     gateway.handle(0.01, [listed("a")])
     assert gateway.incarnation == 78
 
 
-def test_nothing_of_a_document_without_end_of_age_counts():
-    recall = recalled(samples.document(), math.inf, 9000.0)
-    assert recall.is_useless and recall.server(listed("s-1", started=1000.0).entries[0], 9000.0) is None
-    assert recall.account(7, PLAN, 0, 2, 9000.0) is None
-    fleet = recall.fleet(9000.0, {"look": 0.15})
+def test_nothing_of_a_snapshot_of_unknown_age_counts():
+    restored = restored_state(samples.document(), math.inf, 9000.0)
+    assert restored.is_useless and restored.server(listed("s-1", started=1000.0).entries[0], 9000.0) is None
+    assert restored.account(7, PLAN, 0, 2, 9000.0) is None
+    fleet = restored.fleet(9000.0, {"look": 0.15})
     assert (fleet.usual_latencies, fleet.pace, fleet.slowness, fleet.retry_budget) == ((), 0.5, 1.0, 10.0)
 
 
 def test_accounts_that_nobody_asked_for_survive_a_second_restart_also_after_a_reboot():
     first = samples.document(samples.HEAD, {7: samples.ACCOUNT, 8: samples.ACCOUNT})
     for boot_id, shift in (("boot-a", 0.0), ("boot-b", -4000.0)):
-        recall = recalled(first, 2.0, 9000.0)
+        restored = restored_state(first, 2.0, 9000.0)
         gateway = Gateway(settings(), seed=1)
-        gateway.remember(recall)
+        gateway.remember(restored)
         gateway.handle(9000.0, [listed("a"), helpers.request(1, spread=2)])  # customer 7 only
-        capture = StateCapture(gateway, "n0", "test", recall)
+        capture = StateCapture(gateway, "n0", "test", restored)
         clock = ClockReading(0.0, 5002.0 + shift, boot_id)
         for _ in capture.steps(lambda: 9000.0, lambda c=clock: c, lambda: 0.0):
             pass
         head = capture.head(9000.0, clock, 1.0, False, {})
         doc = codec.decode_snapshot(b"".join(codec.encode_snapshot(1, head, list(capture.pages()))))[2]
-        again = recalled(doc, 1.0, 9001.0)
+        again = restored_state(doc, 1.0, 9001.0)
         assert again.age_of(
             codec.decode_account(doc.encoded_accounts()[8]).refilled_at, 9001.0
         ) == pytest.approx(8.0)
         assert sorted(doc.encoded_accounts()) == [7, 8]
 
 
-def test_servers_that_no_list_names_are_kept_for_a_while_and_then_counted_as_gone():
+def test_backends_that_no_list_names_are_kept_for_a_while_and_then_counted_as_gone():
     doc = samples.document(msgspec.structs.replace(samples.HEAD, servers=(SERVER,)), {})
-    recall = recalled(doc, 2.0, 9000.0)
+    restored = restored_state(doc, 2.0, 9000.0)
     gateway = Gateway(settings(), seed=1)
-    gateway.remember(recall)
+    gateway.remember(restored)
     gateway.handle(9000.0, [listed("other")])
-    again = kept(gateway, 9010.0, recall=recall).head
+    again = captured(gateway, 9010.0, restored=restored).head
     (found,) = (s for s in again.servers if s.backend == "a")
     assert again.clock.boot - found.recorded_at == pytest.approx(12.0) and found.slowness == SERVER.slowness
-    assert [s.backend for s in kept(gateway, 9200.0, recall=recall).head.servers] == ["other"]
-    assert recall.counts["knowledge_server_gone"] == 1
+    assert [s.backend for s in captured(gateway, 9200.0, restored=restored).head.servers] == ["other"]
+    assert restored.counts["knowledge_server_gone"] == 1
 
 
 @pytest.mark.parametrize("step", [3600.0, -3600.0, 10 * 365 * 86400.0, -10 * 365 * 86400.0])
@@ -288,7 +288,7 @@
     for doc, lived in zip(docs, (2.0, 1.0), strict=True):
         age, odd = measure_age(doc.head.clock, ClockReading(8002.1 + step, 5002.1, "boot"))
         assert age == pytest.approx(lived) and odd == (("clock_stepped",) if doc is docs[0] else ())
-        made = recalled(doc, age, 8002.1).account(7, PLAN, 0, 3, 8002.1)
+        made = restored_state(doc, age, 8002.1).account(7, PLAN, 0, 3, 8002.1)
         assert made.refilled_at == pytest.approx(8000.0)
 
 
@@ -296,19 +296,19 @@
     gateway = Gateway(settings(), seed=1)
     gateway.handle(8000.0, [listed("a"), helpers.request(1, customer=7), helpers.request(2, customer=8)])
     capture = StateCapture(gateway, "n0", "test")
-    kept(gateway, 8000.1, capture=capture)
+    captured(gateway, 8000.1, capture=capture)
     gateway.handle(8000.2, [helpers.outcome(1, 0, "a"), helpers.outcome(2, 0, "a")])
-    kept(gateway, 8000.3, capture=capture)
+    captured(gateway, 8000.3, capture=capture)
     before = dict(capture.packed)
     gateway.handle(8000.4, [helpers.request(3, customer=8)])
-    doc = kept(gateway, 8000.5, capture=capture)
+    doc = captured(gateway, 8000.5, capture=capture)
     assert capture.packed[7] is before[7] and capture.packed[8] is not before[8]
     assert codec.decode_account(doc.encoded_accounts()[8]).in_flight == 1
     del gateway.accounts[7]
-    assert list(kept(gateway, 8000.6, capture=capture).encoded_accounts()) == [8]
+    assert list(captured(gateway, 8000.6, capture=capture).encoded_accounts()) == [8]
 
 
-def test_slices_of_a_ring_stay_one_whole_through_kills_with_knowledge():
+def test_quota_shares_of_a_ring_add_up_to_one_through_kills_with_snapshots():
     """Each member in turn is killed and comes back with what it wrote up to a second before."""
 
     def asked(me):  # a little everywhere, for an account that nobody asks for stays in its bytes
@@ -319,14 +319,14 @@
     docs, before = {}, ring.slices()
     assert max(before.values()) > 0.45  # supply went where the demand is
     for me in (0, 1, 2, 0):
-        docs[me] = kept(ring.gateways[me], ring.now)
+        docs[me] = captured(ring.gateways[me], ring.now)
         ring.run(0.8, ask=asked)  # more trades, unseen by the document
         del ring.gateways[me]
         ring.run(0.7)
         s = helpers.settings(me, 3, plans=(ring.plan,))
-        recall = RestoredState(docs[me], 1.5, ring.now, s, lambda name: "", Counter())
+        restored = RestoredState(docs[me], 1.5, ring.now, s, lambda name: "", Counter())
         made = ring.gateways[me] = Gateway(s, seed=9)
-        made.remember(recall)
+        made.remember(restored)
         ring.take(me, made.handle(ring.now, [helpers.servers("a", "b", "c")]))
         ring.run(3, ask=asked)
         assert sum(ring.slices().values()) == pytest.approx(1.0, abs=0.02)
--- a/tests/persistence/test_upgrade.py
+++ b/tests/persistence/test_upgrade.py
@@ -74,7 +74,7 @@
     assert world.lines == ["handover_given", "handover_begun", "handover_rest", "handover_done"]
 
 
-def test_a_predecessor_that_ends_without_a_word_leaves_its_rate(world):
+def test_a_predecessor_that_ends_before_it_gave_the_rest_leaves_its_rate(world):
     old, _, _ = world.process()
     new, new_gateway, _ = world.process()
     world.turn(2 * CHECK_INTERVAL)
