--- a/tests/persistence/samples.py
+++ b/tests/persistence/samples.py
@@ -1,6 +1,4 @@
-"""Documents for tests, and how the frozen files of older and newer formats were made (run it to make them
-anew).
-"""
+"""Snapshots for tests, and how the frozen files of older and newer formats were made."""
 
 import pathlib
 
@@ -15,6 +13,7 @@
     StoredLedger,
     StoredRejection,
 )
+from corkdeal.persistence import merge
 from corkdeal.persistence.clock import ClockReading
 from corkdeal.persistence.codec import (
     Snapshot,
@@ -52,6 +51,11 @@
     return Snapshot(head, [{key: msgspec.Raw(encode_record(a)) for key, a in accounts.items()}])
 
 
+def plain(snapshot):
+    """The snapshot with its accounts decoded, to compare by value."""
+    return snapshot.head, merge.accounts_of(snapshot)
+
+
 def parts(generation=1, head=HEAD, accounts=None):
     accounts = {7: ACCOUNT} if accounts is None else accounts
     return encode_snapshot(
--- a/tests/persistence/test_merge.py
+++ b/tests/persistence/test_merge.py
@@ -2,12 +2,14 @@
 
 import msgspec
 import pytest
+from hypothesis import given
 
 from corkdeal.decisions.persisted_state import StoredLatency
 from corkdeal.persistence import merge
 from corkdeal.persistence.clock import ClockReading
 
 from . import samples
+from .strategies import DOCUMENTS
 
 ELSEWHERE = ClockReading(1_790_000_100.0, 9000.0, "boot-b")  # 100 s later, its boot clock 4000 s ahead
 
@@ -46,3 +48,16 @@
     assert earlier.head.servers == (samples.SERVER._replace(recorded_at=samples.SERVER.recorded_at - 60.0),)
     assert list(earlier.encoded_accounts()) == [9, 7]
     assert merge.backdated(earlier, -60.0) == snapshot
+
+
+@given(DOCUMENTS, DOCUMENTS, DOCUMENTS)
+def test_merging_twice_or_in_another_order_makes_no_difference(target, one, other):
+    once = samples.plain(merge.merge(target, [one, other]))
+    assert (
+        once
+        == samples.plain(merge.merge(target, [other, one]))
+        == samples.plain(merge.merge(merge.merge(target, [one]), [other]))
+    )
+    assert once == samples.plain(merge.merge(merge.merge(target, [one, other]), [other, one]))
+    for key, account in once[1].items():  # ledgers are the target's own or none
+        assert not account.ledgers or account == merge.accounts_of(target)[key]
--- /dev/null
+++ b/tests/persistence/test_migrate.py
@@ -0,0 +1,59 @@
+"""Bringing older formats forward, alone: one step at a time on plain dictionaries."""
+
+import msgspec
+import pytest
+
+from corkdeal.persistence import migrate
+from corkdeal.persistence.errors import MigrationError
+
+from . import samples
+
+
+def test_format_1_becomes_format_2_with_times_relative_to_the_writing():
+    made = migrate.format_1_to_2(samples.ONE)
+    assert made["clock"] == {"wall": samples.ONE["wall"], "boot": 0.0, "boot_id": ""}
+    assert made["servers"][0]["at"] == -10.0 and made["servers"][0]["shut"] == []
+    assert made["fleet"]["work"] == [["look", 1, 0.25, 0.0]]
+    account = made["accounts"][7]
+    assert (account["at"], account["level"], account["open"], account["pairs"]) == (-5.0, 0.5, 0, [])
+
+
+def test_format_2_becomes_arrays_without_ledgers():
+    made = migrate.format_2_to_3(samples.TWO)
+    assert made["head"]["clock"] == [1_790_000_000.0, 5000.0, "boot-a"]
+    assert (made["head"]["every"], made["head"]["clean"]) == (2.0, False)
+    assert made["head"]["fleet"] == [
+        0.7,
+        1.2,
+        migrate.UNKNOWN_RETRIES,
+        [["look", 1, 0.25, 5000.0]],
+        0,
+        0,
+        0,
+        0,
+        [],
+    ]
+    assert made["head"]["servers"] == [["s-1", 1000.0, 4990.0, 5.0, 2, True, 1.0, [["note", 2.0, 0.5]], ""]]
+    assert made["accounts"] == [
+        {7: ["small", 0, 2, 4995.0, 4995.0, 0.5, 0.0, 0.25, 1, 0.0, 0.0, [], []]},
+    ]
+
+
+def test_a_body_of_format_1_goes_through_both_steps():
+    made = migrate.migrate_to_current(1, msgspec.json.encode(samples.ONE))
+    assert made == migrate.format_2_to_3(migrate.format_1_to_2(samples.ONE))
+
+
+@pytest.mark.parametrize(
+    ("format_number", "body", "reason"),
+    [
+        (0, b"{}", "there is no format 0"),
+        (3, b"", "there is no format 3"),
+        (1, b"no json", "not of format 1: DecodeError: "),
+        (1, b"[]", "not of format 1: TypeError: "),
+        (2, msgspec.msgpack.encode({}), "not of format 2: KeyError: 'clock'"),
+    ],
+)
+def test_a_body_that_is_not_of_its_format_is_an_error_that_names_the_step(format_number, body, reason):
+    with pytest.raises(MigrationError, match=f"^{reason}"):
+        migrate.migrate_to_current(format_number, body)
