--- a/corkdeal/experiment/members.py
+++ b/corkdeal/experiment/members.py
@@ -34,7 +34,7 @@
 from ..membership.failure_detector import MemberState
 from ..membership.members import Members
 from ..recovery import resume
-from ..recovery.stall_detector import LEAST
+from ..recovery.stall_detector import MIN_STALL
 from .explore import decisions
 
 STEP = 0.05  # s
@@ -100,7 +100,7 @@
         for me, (since, until) in list(self.still.items()):
             if self.now >= until:
                 del self.still[me]
-                if (gap := self.now - since) >= LEAST and me in self.up:
+                if (gap := self.now - since) >= MIN_STALL and me in self.up:
                     self.flight = [m for m in self.flight if m[3] != me or m[0] > self.now]
                     heapq.heapify(self.flight)
                     resume.wake(self.up[me], self.now, gap)
--- a/corkdeal/net/recovery.py
+++ b/corkdeal/net/recovery.py
@@ -12,8 +12,8 @@
 from ..recovery import resume
 from ..recovery.admission_ramp import AfterPause, AfterStart, Usual
 from ..recovery.quota_restore import Ledgers
-from ..recovery.readiness import RETRIES, Left, Standing
-from ..recovery.stall_detector import Pulse
+from ..recovery.readiness import INITIAL_RETRY_BUDGET, Readiness, ReadinessState, Transition, is_among_many
+from ..recovery.stall_detector import StallDetector
 from .invariants import count
 from .tcp_state import since_last_data
 
@@ -28,7 +28,8 @@
     def __init__(self, reactor: Any, gateway: Any) -> None:
         self.reactor, self.gateway = reactor, gateway
         self.usual = Usual()
-        self.pulse, self.standing = Pulse(), Standing(gateway.now())
+        self.stall_detector = StallDetector()
+        self.readiness = Readiness(gateway.now())
         self.woke_at = self.gap = self.saved_up = 0.0
         self.seeing: Any = None  # the call that ends the wait for discovery
         gateway.decisions.quota_restore = Ledgers()
@@ -36,9 +37,9 @@
 
     def start(self) -> None:
         """Begin to look."""
-        self.standing = Standing(self.gateway.now())
+        self.readiness = Readiness(self.gateway.now())
         self.saved_up = self.gateway.decisions.retry_budget  # held back until it is known to be among few
-        self.gateway.decisions.retry_budget = min(RETRIES, self.saved_up)
+        self.gateway.decisions.retry_budget = min(INITIAL_RETRY_BUDGET, self.saved_up)
         self.look()
 
     def look(self) -> None:
@@ -46,44 +47,45 @@
         now, decisions = self.gateway.now(), self.gateway.decisions
         self.turn(now)
         heard = sum(
-            decisions.peer_last_heard.get(p, 0.0) > self.standing.began and p in decisions.peer_incarnations
+            decisions.peer_last_heard.get(p, 0.0) > self.readiness.began_at
+            and p in decisions.peer_incarnations
             for p in decisions.ring_neighbours
         )
         self.usual.look(now, self.gateway.tally["backend_calls"])
         causes = decisions.rejection_causes
-        left = self.standing.look(
+        transition = self.readiness.update(
             now,
             heard,
             len(decisions.ring_neighbours),
             self.gateway.tally["success"],
             sum(n for why, n in causes.items() if why.startswith("inside")),
         )
-        if left:
-            self.tell(left)
+        if transition is not None:
+            self.tell(transition)
         self.reactor.callLater(LOOK_EVERY, self.look)
 
-    def tell(self, left: Left) -> None:
+    def tell(self, transition: Transition) -> None:
         """A state was left."""
         decisions = self.gateway.decisions
-        many = self.standing.among_many(decisions.incarnation, decisions.peer_incarnations)
-        if left.state == "full":
+        many = is_among_many(decisions.incarnation, decisions.peer_incarnations)
+        if transition.state is ReadinessState.FULL:
             decisions.admission_ramp = None
         succession = self.gateway.succession
         divided = succession is not None and succession.given is not None  # with the life before: not its own
-        if left.state == "learning" and not many and not divided:
+        if transition.state is ReadinessState.LEARNING and not many and not divided:
             decisions.retry_budget, self.saved_up = max(decisions.retry_budget, self.saved_up), 0.0
         logs.event(
             "recovery",
-            state=left.state,
-            before=left.before,
-            why=left.why,
+            state=transition.state.value,
+            before=transition.previous.value,
+            why=transition.reason,
             among="many" if many else "few",
-            after=round(left.after, 2),
+            after=round(transition.elapsed, 2),
         )
 
     def turn(self, now: float) -> bool:
         """Something is about to happen: whether the process stood still before it, be it in mid-turn."""
-        if gap := self.pulse.beat(now):
+        if gap := self.stall_detector.check(now):
             self.woken(now, gap)
         return gap > 0
 
@@ -97,7 +99,7 @@
         for attempt in self.gateway.out.values():
             attempt.sent_at += gap  # its server had no time to answer meanwhile
         self.gateway.pool.drop_connecting()
-        self.tell(self.standing.anew(now, f"stood still for {gap:.2f} s"))
+        self.tell(self.readiness.restart(now, f"stood still for {gap:.2f} s"))
         if self.gateway.begun:
             self.gateway.watch_again()
             if self.seeing is not None and self.seeing.active():
@@ -107,12 +109,17 @@
     def listed(self, servers: int) -> None:
         """Servers are known: a start opens by its part of what they take."""
         d = self.gateway.decisions
-        if d.admission_ramp is None and self.standing.state == "returning" and not self.woke_at and servers:
+        if (
+            d.admission_ramp is None
+            and self.readiness.state is ReadinessState.RETURNING
+            and not self.woke_at
+            and servers
+        ):
             d.admission_ramp = AfterStart(servers, d.settings.gateway_count)
 
     def told(self) -> None:
         """Discovery has spoken."""
-        self.standing.listed = True
+        self.readiness.has_fresh_endpoints = True
         self.gateway.decisions.is_endpoint_list_stale = False
 
     def see(self) -> None:
--- a/tests/recovery/test_recovery.py
+++ b/tests/recovery/test_recovery.py
@@ -14,15 +14,21 @@
 from corkdeal.recovery import resume
 from corkdeal.recovery.admission_ramp import TIMES, AfterPause, AfterStart, Usual
 from corkdeal.recovery.quota_restore import Ledgers
-from corkdeal.recovery.readiness import Left, Standing, together
-from corkdeal.recovery.stall_detector import LEAST, Pulse
+from corkdeal.recovery.readiness import (
+    Readiness,
+    ReadinessState,
+    Transition,
+    count_concurrent_starts,
+    is_among_many,
+)
+from corkdeal.recovery.stall_detector import MIN_STALL, StallDetector
 from tests.helpers import PLAN, Ring, outcome, pick, request, servers, settings
 
 
 def test_a_pulse_tells_a_pause_once_and_a_busy_turn_not_at_all():
-    pulse = Pulse()
-    beats = [pulse.beat(at) for at in (5.0, 5.1, 5.1 + LEAST / 2, 9.0, 9.1)]
-    assert beats[:3] == [0.0] * 3 and beats[3] == pytest.approx(9.0 - 5.1 - LEAST / 2) and beats[4] == 0.0
+    detector = StallDetector()
+    beats = [detector.check(at) for at in (5.0, 5.1, 5.1 + MIN_STALL / 2, 9.0, 9.1)]
+    assert beats[:3] == [0.0] * 3 and beats[3] == pytest.approx(9.0 - 5.1 - MIN_STALL / 2) and beats[4] == 0.0
 
 
 def paused(seconds):
@@ -94,23 +100,22 @@
     ],
 )
 def test_who_came_back_together_is_told_by_incarnations(born, peers, expected):
-    assert together(born, peers) == expected
+    assert (count_concurrent_starts(born, peers), len(peers)) == expected
 
 
 def test_among_many_is_what_counts_while_nobody_was_heard():
-    standing = Standing(0.0)
-    assert standing.among_many(50_000, {}) and standing.among_many(50_000, {1: 49_000, 2: 1, 3: 1})
-    assert not standing.among_many(50_000, {1: 1, 2: 1, 3: 1})
+    assert is_among_many(50_000, {}) and is_among_many(50_000, {1: 49_000, 2: 1, 3: 1})
+    assert not is_among_many(50_000, {1: 1, 2: 1, 3: 1})
 
 
-def walk(standing, until, heard=2, served=20, refused=0, listed=0.0, began=0.0):
+def walk(readiness, until, heard=2, served=20, refused=0, listed=0.0, began=0.0):
     """States as they were left: `served` and `refused` a second."""
     made = []
     for tick in range(1, int(until * 10) + 1):
         now = began + tick / 10
-        standing.listed = standing.listed or now >= began + listed
-        left = standing.look(now, heard, 2, int(served * now), int(refused * now))
-        made += [(left.state, left.why, round(left.after, 1))] if left else []
+        readiness.has_fresh_endpoints = readiness.has_fresh_endpoints or now >= began + listed
+        left = readiness.update(now, heard, 2, int(served * now), int(refused * now))
+        made += [(left.state, left.reason, round(left.elapsed, 1))] if left else []
     return made
 
 
@@ -129,15 +134,15 @@
     ],
 )
 def test_states_are_left_for_their_reasons(given, left):
-    assert walk(Standing(0.0), 40.0, **given) == left
+    assert walk(Readiness(0.0), 40.0, **given) == left
 
 
 def test_a_pause_begins_it_anew():
-    standing = Standing(0.0)
-    walk(standing, 5.0)
-    left = standing.anew(9.0, "stood still for 4.00 s")
-    assert (left.state, left.before, standing.state) == ("returning", "full", "returning")
-    assert walk(standing, 5.0, began=9.0)[-1][0] == "full"
+    readiness = Readiness(0.0)
+    walk(readiness, 5.0)
+    left = readiness.restart(9.0, "stood still for 4.00 s")
+    assert (left.state, left.previous, readiness.state) == ("returning", "full", "returning")
+    assert walk(readiness, 5.0, began=9.0)[-1][0] == "full"
 
 
 class Returning(Ring):
@@ -375,5 +380,7 @@
     gateway.succession = given and SimpleNamespace(given=given)
     recovery = Recovery(None, gateway)
     recovery.saved_up, one.retry_budget = 10.0, 1.0
-    recovery.tell(Left("learning", "returning", "list, neighbours heard", 0.1))
+    recovery.tell(
+        Transition(ReadinessState.LEARNING, ReadinessState.RETURNING, "list, neighbours heard", 0.1)
+    )
     assert one.retry_budget == left
