--- a/corkdeal/decisions/plumbing.py
+++ b/corkdeal/decisions/plumbing.py
@@ -25,9 +25,9 @@
 
 if TYPE_CHECKING:  # imported where an earlier life's knowledge is used; without one it costs nothing
     from ..membership.members import Members
-    from ..recovery.admission_ramp import AfterPause, AfterStart
     from ..recovery.quota_restore import Ledgers
     from . import aggregation_tree, persisted_state
+    from .extensions import AdmissionRamp
 
 
 CORRECT_EVERY = 0.25  # s between words to one peer about its incarnation
@@ -74,7 +74,7 @@
         self.membership: Members | None = (
             None  # who is there, and whose slices may be spent, where that is on
         )
-        self.admission_ramp: AfterPause | AfterStart | None = None  # the budget of the first seconds
+        self.admission_ramp: AdmissionRamp | None = None  # the budget of the first seconds
         self.is_endpoint_list_stale = False  # the list may be old: nothing is sent by it
         self.quota_fraction = 1.0  # of this gateway's quota that is this life's, while two of them serve
         self.incarnation = 0  # own incarnation, ms; 0 until the first event
@@ -338,7 +338,7 @@
 
     def opens(self) -> bool:
         """Whether the budget of the first seconds, if there is one, has room for a first attempt."""
-        return self.admission_ramp is None or self.admission_ramp.allows(
+        return self.admission_ramp is None or self.admission_ramp.try_admit(
             self.now, len(self.attempts_in_flight)
         )
 
--- a/corkdeal/net/gateway.py
+++ b/corkdeal/net/gateway.py
@@ -475,7 +475,7 @@
             never = rpc.attempts == 1 and reply.status in NEVER_RAN
             self.refuse(Reject(rid, 0.0)) if never else self.fail(Fail(rid))
         if self.decisions.admission_ramp is not None:
-            self.decisions.admission_ramp.answered(reply.status is Status.OK)
+            self.decisions.admission_ramp.record_outcome(reply.status is Status.OK)
         self.feed(
             AttemptEnded(rid, attempt.number, attempt.server, reply.status, elapsed, rpc.done, report=report)
         )
--- a/corkdeal/net/recovery.py
+++ b/corkdeal/net/recovery.py
@@ -10,7 +10,7 @@
 
 from .. import logs
 from ..recovery import resume
-from ..recovery.admission_ramp import AfterPause, AfterStart, Usual
+from ..recovery.admission_ramp import RateEstimator, StallRamp, StartRamp
 from ..recovery.quota_restore import Ledgers
 from ..recovery.readiness import INITIAL_RETRY_BUDGET, Readiness, ReadinessState, Transition, is_among_many
 from ..recovery.stall_detector import StallDetector
@@ -27,7 +27,7 @@
 
     def __init__(self, reactor: Any, gateway: Any) -> None:
         self.reactor, self.gateway = reactor, gateway
-        self.usual = Usual()
+        self.usual_rate = RateEstimator()
         self.stall_detector = StallDetector()
         self.readiness = Readiness(gateway.now())
         self.woke_at = self.gap = self.saved_up = 0.0
@@ -51,7 +51,7 @@
             and p in decisions.peer_incarnations
             for p in decisions.ring_neighbours
         )
-        self.usual.look(now, self.gateway.tally["backend_calls"])
+        self.usual_rate.update(now, self.gateway.tally["backend_calls"])
         causes = decisions.rejection_causes
         transition = self.readiness.update(
             now,
@@ -92,7 +92,7 @@
     def woken(self, now: float, gap: float) -> None:
         """It did: age what is known, and send nothing by a list that may be old."""
         count("paused")
-        self.gateway.decisions.admission_ramp = AfterPause(now, self.usual.rate)
+        self.gateway.decisions.admission_ramp = StallRamp(now, self.usual_rate.rate)
         self.woke_at, self.gap = now, gap
         self.gateway.decisions.is_endpoint_list_stale = self.gateway.begun
         resume.wake(self.gateway.decisions, now, gap)
@@ -115,7 +115,7 @@
             and not self.woke_at
             and servers
         ):
-            d.admission_ramp = AfterStart(servers, d.settings.gateway_count)
+            d.admission_ramp = StartRamp(servers, d.settings.gateway_count)
 
     def told(self) -> None:
         """Discovery has spoken."""
--- a/tests/recovery/test_recovery.py
+++ b/tests/recovery/test_recovery.py
@@ -12,7 +12,7 @@
 from corkdeal.decisions.peer_messages import pack
 from corkdeal.net.recovery import Recovery
 from corkdeal.recovery import resume
-from corkdeal.recovery.admission_ramp import TIMES, AfterPause, AfterStart, Usual
+from corkdeal.recovery.admission_ramp import RATE_FACTOR, RateEstimator, StallRamp, StartRamp
 from corkdeal.recovery.quota_restore import Ledgers
 from corkdeal.recovery.readiness import (
     Readiness,
@@ -213,18 +213,18 @@
 
 
 def test_what_is_sent_after_a_pause_stays_within_the_usual_rate_and_the_rest_is_refused_at_once():
-    usual = Usual()
+    usual = RateEstimator()
     for tick in range(200):
-        usual.look(100 + tick / 10, tick)  # ten a second
+        usual.update(100 + tick / 10, tick)  # ten a second
     assert usual.rate == pytest.approx(10.0, rel=0.05)
-    opening = AfterPause(130.0, usual.rate)
-    sent = [at for at in (130 + n / 100 for n in range(200)) if opening.allows(at, 0)]
+    ramp = StallRamp(130.0, usual.rate)
+    sent = [at for at in (130 + n / 100 for n in range(200)) if ramp.try_admit(at, 0)]
     for begin in range(8):
         inside = [at for at in sent if 130 + begin / 4 <= at < 130.25 + begin / 4]
-        assert len(inside) <= 2 * TIMES * usual.rate / 4 + 1
-    assert len(sent) == pytest.approx(TIMES * usual.rate * 2.25, abs=2)
+        assert len(inside) <= 2 * RATE_FACTOR * usual.rate / 4 + 1
+    assert len(sent) == pytest.approx(RATE_FACTOR * usual.rate * 2.25, abs=2)
     one = Ring(1).gateways[0]
-    one.admission_ramp = AfterPause(101.0, 0.0)
+    one.admission_ramp = StallRamp(101.0, 0.0)
     acts = [one.handle(101.0, [request(n, spread=1)]) for n in range(1, 4)]
     assert [len(pick(a, StartAttempt)) for a in acts] == [1, 0, 0] and pick(acts[1], Reject)
     assert one.rejection_causes["inside_opening"] == 2
@@ -298,18 +298,18 @@
 
 
 def test_a_start_opens_from_what_all_servers_surely_take_and_by_good_answers_only():
-    parts = [AfterStart(400, gateways).most * gateways for gateways in (1, 10, 100)]
+    parts = [StartRamp(400, gateways).limit * gateways for gateways in (1, 10, 100)]
     assert parts == [pytest.approx(400 * 2)] * 3  # the sum over the tier, whatever its size
-    opening = AfterStart(4, 4)
-    assert opening.allows(0.0, 3) and not opening.allows(0.0, 4)
-    opening.answered(True)
-    assert opening.allows(0.0, 4)
+    ramp = StartRamp(4, 4)
+    assert ramp.try_admit(0.0, 3) and not ramp.try_admit(0.0, 4)
+    ramp.record_outcome(True)
+    assert ramp.try_admit(0.0, 4)
     for _ in range(5):
-        opening.answered(False)  # servers are the reason why others got none
-    opening.answered(True)
-    assert not opening.allows(0.0, 5)
+        ramp.record_outcome(False)  # servers are the reason why others got none
+    ramp.record_outcome(True)
+    assert not ramp.try_admit(0.0, 5)
     one = Ring(1).gateways[0]
-    one.admission_ramp = AfterStart(1, 1)
+    one.admission_ramp = StartRamp(1, 1)
     acts = [one.handle(101.0, [request(n, spread=1)]) for n in range(1, 6)]
     assert [len(pick(a, StartAttempt)) for a in acts] == [1, 1, 1, 1, 0] and pick(acts[4], Reject)
 
