--- a/corkdeal/decisions/plumbing.py
+++ b/corkdeal/decisions/plumbing.py
@@ -24,10 +24,8 @@
 from .settings import Settings
 
 if TYPE_CHECKING:  # imported where an earlier life's knowledge is used; without one it costs nothing
-    from ..membership.members import Members
-    from ..recovery.quota_restore import Ledgers
     from . import aggregation_tree, persisted_state
-    from .extensions import AdmissionRamp
+    from .extensions import AdmissionRamp, MembershipView, QuotaRestoreView
 
 
 CORRECT_EVERY = 0.25  # s between words to one peer about its incarnation
@@ -70,8 +68,10 @@
         self.changed_customers: set[int] | None = (
             None  # customers met since a keeper last looked, if there is one
         )
-        self.quota_restore: Ledgers | None = None  # of taking up slices after a start, where that is on
-        self.membership: Members | None = (
+        self.quota_restore: QuotaRestoreView | None = (
+            None  # of taking up slices after a start, where that is on
+        )
+        self.membership: MembershipView | None = (
             None  # who is there, and whose slices may be spent, where that is on
         )
         self.admission_ramp: AdmissionRamp | None = None  # the budget of the first seconds
@@ -182,9 +182,9 @@
 
             persisted_state.put_account(a, known, self.resumed(), self.peer_incarnations)
             if self.quota_restore is not None and not self.resumed():
-                self.quota_restore.recalled(a, known, self.restored_state.resumes())
+                self.quota_restore.apply_stored(a, known, self.restored_state.resumes())
         if self.quota_restore is not None:
-            self.quota_restore.met(self, a)
+            self.quota_restore.account_created(a)
 
     def set_deadline(self, rid: int, delay: float) -> None:
         """Have the request's last moment announced."""
@@ -240,22 +240,18 @@
             for note in notes:
                 self.take_totals(e.peer, born, note)
             return
-        if self.membership is not None and (beat := self.membership.unpack(e.payload, e.peer)) is not None:
-            return (
-                self.membership.receive(e.peer, beat)
-                if self.greeted(e.peer, beat.incarnation, beat.receiver_incarnation)
-                else None
-            )
+        if self.membership is not None and self.membership.receive_payload(e.payload, e.peer, self.greeted):
+            return
         message = peer_messages.unpack(e.payload, e.peer, self.settings)
         if message is None or not self.greeted(e.peer, *message[:2]):
             return
         born, mine, number, notes = message
         if self.quota_restore is not None and mine == self.incarnation:
-            self.quota_restore.told.add(e.peer)
+            self.quota_restore.record_reply(e.peer)
         replies = []
         for note in notes if mine == self.incarnation else []:
             if self.quota_restore is not None:
-                self.quota_restore.take(self, e.peer, note)
+                self.quota_restore.apply_note(e.peer, note)
             replies += self.take_note(e.peer, number, note)
         if replies:
             self.tell(e.peer, replies)
@@ -269,7 +265,7 @@
         self.outlive(mine)
         self.peer_last_heard[peer] = self.now
         if born != known:
-            given = self.quota_restore.given(self, peer) if self.quota_restore is not None else []
+            given = self.quota_restore.accounts_to_report(peer) if self.quota_restore is not None else []
             self.tell(peer, [self.note(key, a, peer) for key, a in given])
         return True
 
@@ -283,7 +279,7 @@
                     a.ledgers[peer] = (
                         PeerLedger()
                         if self.quota_restore is None
-                        else self.quota_restore.kept(a.ledgers[peer])
+                        else self.quota_restore.ledger_after_peer_restart(a.ledgers[peer])
                     )
                 if peer in a.tree_edges:
                     a.tree_edges[peer].last_totals = None
@@ -344,7 +340,7 @@
 
     def cleared(self, peer: int) -> bool:
         """Whether that neighbour has told what it holds of an earlier life, so that notes may go to it."""
-        return self.quota_restore is None or self.quota_restore.cleared(self, peer)
+        return self.quota_restore is None or self.quota_restore.may_send_notes(peer)
 
     def note(self, key: int, a: Account, peer: int) -> peer_messages.Note:
         """One customer's state and running totals for one neighbour."""
--- a/corkdeal/experiment/explore.py
+++ b/corkdeal/experiment/explore.py
@@ -29,7 +29,7 @@
 )
 from ..decisions.gateway import Gateway
 from ..decisions.settings import Plan, RequestClass, Settings
-from ..recovery.quota_restore import Ledgers
+from ..recovery.quota_restore import QuotaRestore
 from .measure import bound
 
 GATEWAYS, CUSTOMER = 3, 7
@@ -62,7 +62,7 @@
         peer_message_rate=60.0,
     )
     made = Gateway(settings, seed=me)
-    made.quota_restore = Ledgers()
+    made.quota_restore = QuotaRestore(made)
     return made
 
 
--- a/corkdeal/experiment/measure.py
+++ b/corkdeal/experiment/measure.py
@@ -9,7 +9,7 @@
 from typing import Any
 
 from ..decisions.gateway import NARROW
-from ..recovery.quota_restore import WIDE_FILL
+from ..recovery.quota_restore import AGGREGATED_INITIAL_FILL
 from ..standin import clients
 
 FULL_FOR, FULL_PART = 2.0, 0.98  # s for which service must be at that part of before to be full
@@ -26,7 +26,7 @@
     """
     if spread <= NARROW:
         return 2 * burst + burst / spread * starts
-    return WIDE_UNTOLD * spread * burst + WIDE_FILL * burst * starts
+    return WIDE_UNTOLD * spread * burst + AGGREGATED_INITIAL_FILL * burst * starts
 
 
 def inside(asks: list[clients.Ask], who: dict[int, clients.Customer]) -> set[int]:
--- a/corkdeal/membership/members.py
+++ b/corkdeal/membership/members.py
@@ -62,9 +62,19 @@
         """Whether heartbeats come from a member, so that no other sign of life is needed between the two."""
         return member in self.sender.received
 
-    def unpack(self, payload: bytes, peer: int) -> Heartbeat | None:
-        """The heartbeat in a payload, or None for another kind of message."""
-        return messages.unpack(payload, peer, self.host.settings)
+    def receive_payload(
+        self, payload: bytes, peer: int, is_accepted: Callable[[int, int, int], bool]
+    ) -> bool:
+        """Apply a payload if it is a heartbeat that is accepted; False for another kind of message.
+
+        `is_accepted` gets the peer, its incarnation and the one of this gateway that it knows, else 0.
+        """
+        heartbeat = messages.unpack(payload, peer, self.host.settings)
+        if heartbeat is None:
+            return False
+        if is_accepted(peer, heartbeat.incarnation, heartbeat.receiver_incarnation):
+            self.receive(peer, heartbeat)
+        return True
 
     def receive(self, peer: int, heartbeat: Heartbeat) -> None:
         """Apply a heartbeat whose incarnation the decisions accepted."""
--- a/corkdeal/net/recovery.py
+++ b/corkdeal/net/recovery.py
@@ -11,7 +11,7 @@
 from .. import logs
 from ..recovery import resume
 from ..recovery.admission_ramp import RateEstimator, StallRamp, StartRamp
-from ..recovery.quota_restore import Ledgers
+from ..recovery.quota_restore import QuotaRestore
 from ..recovery.readiness import INITIAL_RETRY_BUDGET, Readiness, ReadinessState, Transition, is_among_many
 from ..recovery.stall_detector import StallDetector
 from .invariants import count
@@ -32,7 +32,7 @@
         self.readiness = Readiness(gateway.now())
         self.woke_at = self.gap = self.saved_up = 0.0
         self.seeing: Any = None  # the call that ends the wait for discovery
-        gateway.decisions.quota_restore = Ledgers()
+        gateway.decisions.quota_restore = QuotaRestore(gateway.decisions)
         gateway.pool.turn = lambda: self.turn(gateway.now())
 
     def start(self) -> None:
--- a/corkdeal/recovery/quota_restore.py
+++ b/corkdeal/recovery/quota_restore.py
@@ -1,21 +1,21 @@
-"""The quota after a start: slices and ledgers taken up from neighbours that hold the pairs' running totals.
-
-A pair's two ends hold the same totals, so the one that went on can give them to the one that started again:
-
-- the end that went on keeps a pair's totals when the other starts anew, and tells them with its next word;
-- the end that started sends a neighbour no notes before it was told, or the neighbour had PEERS_WAIT to
-  speak, or is known to have started at about the same time, so that its zeros do not wipe out what it
-  asks for;
-- what it is told it takes as its side of the pair, without a change to its bucket: that was spent before;
-- its demand begins where slices and demand would be in balance with the neighbour's, and fades into its own;
-- what a store holds stands in until then; it may be an older copy, so the neighbour's word goes before it;
-- where nobody tells it anything and no store does, it begins at zero, and its first note sets the other
-  end to zero as well.
-
-So in each case both ends have the same totals after the first notes that come through, and the total of
-slices is that of the design. A wide ring has no ledgers but running totals of what was spent; a start
-there begins at the level at which it lets in the quota's rate and nothing saved up, for others may have
-spent that.
+"""Restoring quota shares after a start, from ring neighbours that hold the ledgers' running totals.
+
+Both ends of a peer ledger hold the same totals, so the end that went on can give them to the one that started
+again:
+
+- the end that went on keeps the totals when the other starts anew, and sends them with its next message;
+- the end that started sends a neighbour no notes before the neighbour sent it a message, had PEER_TIMEOUT to,
+  or is known to have started at about the same time, so that its zeros do not wipe out what it asks for;
+- the totals it receives become its side of the ledger without a change to its token bucket: those units were
+  spent before;
+- its demand begins where shares and demand balance with the neighbour's, and decays into its own;
+- a stored ledger serves until then; it may be an older copy, so the neighbour's totals override it;
+- without a neighbour's totals or a stored ledger it begins at zero, and its first note sets the other end to
+  zero as well.
+
+So in each case both ends have the same totals after the first notes that arrive, and the shares add up to the
+whole. An aggregated ring has no ledgers but running totals of what was spent; a start there begins at the
+bucket level at which it admits the quota's rate and no burst, since others may have spent that.
 """
 
 from __future__ import annotations
@@ -24,77 +24,91 @@
 
 from ..decisions.peer_messages import SLICE_UNIT, Note
 from ..decisions.records import Account, PeerLedger
+from .host import QuotaRestoreHost
 
-if TYPE_CHECKING:
-    from ..decisions.gateway import Gateway
+if TYPE_CHECKING:  # at run time only a gateway that restores stored state imports it
     from ..decisions.persisted_state import AccountMemory
 
-PEERS_WAIT = 1.0  # s that neighbours have to tell; three trades and a late message
-WIDE_SPAN = 4.0  # s after a start in which a wide ring's news may not have come yet
-WIDE_FILL = 0.4  # of the burst, at which a wide ring lets in its rate
-MOST_GIVEN = 56  # notes to one that started; eight datagrams, of the sixty a second that it takes
+PEER_TIMEOUT = 1.0  # s that neighbours have to send a message; three exchanges and a late one
+AGGREGATION_DELAY = 4.0  # s after a start until an aggregated ring's totals have arrived
+AGGREGATED_INITIAL_FILL = 0.4  # of the burst, at which an aggregated ring admits its rate
+MAX_REPORTED_ACCOUNTS = 56  # eight datagrams of the sixty a second that a peer accepts
 
 
-class Ledgers:
-    """One gateway's, for as long as it runs."""
+class QuotaRestore:
+    """One gateway's restoring of quota shares, for as long as it runs."""
 
-    def __init__(self) -> None:
-        self.begun: float | None = None
-        self.asked: set[int] = set()
-        self.told: set[int] = set()  # neighbours that have spoken to this life of the gateway
+    def __init__(self, host: QuotaRestoreHost) -> None:
+        self.host = host
+        self.started_at: float | None = None  # s, of the first account
+        self.asked: set[int] = set()  # neighbours that were sent a message for their totals
+        self.replied: set[int] = set()  # neighbours that sent a message to this incarnation
 
-    def recalled(self, a: Account, m: AccountMemory, fresh: bool) -> None:
-        """A store knew the account: its ledgers stand until a neighbour says otherwise.
+    def apply_stored(self, account: Account, stored: AccountMemory, has_current_ledgers: bool) -> None:
+        """Take ledgers from a stored record; they serve until a neighbour sends its totals.
 
-        It may be an older copy, so the neighbour's word goes before it, and of two levels the lower counts.
+        The record may be an older copy, so the neighbour's totals override it, and of two bucket levels the
+        lower counts.
         """
-        a.has_peer_level = False
-        for p in m.pairs if fresh else ():
-            if p.peer in a.ledgers:
-                a.ledgers[p.peer] = PeerLedger(p.slice, p.units, has_peer_totals=True)
+        account.has_peer_level = False
+        if not has_current_ledgers:
+            return
+        for pair in stored.pairs:
+            if pair.peer in account.ledgers:
+                account.ledgers[pair.peer] = PeerLedger(pair.slice, pair.units, has_peer_totals=True)
 
-    def met(self, d: Gateway, a: Account) -> None:
+    def account_created(self, account: Account) -> None:
         """An account was just made: ask its neighbours, and trust no level that others may have spent."""
-        if self.begun is None:
-            self.begun = d.now
-        if a.is_aggregated and d.now - self.begun < WIDE_SPAN and not d.resumed():
-            a.level = min(a.level, WIDE_FILL * a.plan.burst)
-        for peer in sorted(a.ledgers.keys() - self.asked):
+        now = self.host.now
+        if self.started_at is None:
+            self.started_at = now
+        is_early = now - self.started_at < AGGREGATION_DELAY
+        if account.is_aggregated and is_early and not self.host.resumed():
+            account.level = min(account.level, AGGREGATED_INITIAL_FILL * account.plan.burst)
+        for peer in sorted(account.ledgers.keys() - self.asked):
             self.asked.add(peer)
-            d.tell(peer, [])
+            self.host.tell(peer, [])
+
+    def record_reply(self, peer: int) -> None:
+        """A neighbour sent a message to this incarnation."""
+        self.replied.add(peer)
 
-    def cleared(self, d: Gateway, peer: int) -> bool:
-        """Whether notes may go to a neighbour: it has told what it holds, or has nothing to tell."""
-        if peer in self.told or d.resumed() or self.begun is None or d.now - self.begun > PEERS_WAIT:
+    def may_send_notes(self, peer: int) -> bool:
+        """Whether notes may go to a neighbour: it sent what it holds, or has nothing to send."""
+        if peer in self.replied or self.host.resumed():
+            return True
+        if self.started_at is None or self.host.now - self.started_at > PEER_TIMEOUT:
             return True
-        born = d.peer_incarnations.get(peer)
-        return born is not None and not d.older(born)
-
-    def take(self, d: Gateway, peer: int, note: Note) -> None:
-        """A neighbour that went on tells this start of a pair: from its own balance, the demand here."""
-        a = d.account(note.customer, note.plan, note.first_gateway, note.member_count)
-        pair = a.ledgers.get(peer)
-        if (
-            pair is None
-            or pair.last_round
-            or a.has_peer_level
-            or note.share <= 0
-            or not d.older(d.peer_incarnations[peer])
-        ):
+        incarnation = self.host.peer_incarnations.get(peer)
+        return incarnation is not None and not self.host.older(incarnation)
+
+    def apply_note(self, peer: int, note: Note) -> None:
+        """Begin an account's demand where it balances with that of a neighbour that went on."""
+        account = self.host.account(note.customer, note.plan, note.first_gateway, note.member_count)
+        ledger = account.ledgers.get(peer)
+        if ledger is None or ledger.last_round or account.has_peer_level or note.share <= 0:
             return
-        share = max(0.0, min(1.0, a.base_share() - (pair.received_share + note.share_total) / SLICE_UNIT))
-        a.demand = max(a.demand, min(a.plan.rate, note.demand * share / note.share))
-
-    def kept(self, pair: PeerLedger) -> PeerLedger:
-        """What is left of a pair whose other end started anew: its totals, and that they stand."""
-        return PeerLedger(pair.received_share, pair.received_units, has_peer_totals=True)
-
-    def given(self, d: Gateway, peer: int) -> list[tuple[int, Account]]:
-        """The accounts whose totals a neighbour that started anew is told, the largest first."""
-        mine = [
-            (key, a)
-            for key, a in d.accounts.items()
-            if (pair := a.ledgers.get(peer)) is not None and (pair.received_share or pair.received_units)
+        if not self.host.older(self.host.peer_incarnations[peer]):
+            return
+        restored = account.base_share() - (ledger.received_share + note.share_total) / SLICE_UNIT
+        share = max(0.0, min(1.0, restored))
+        account.demand = max(account.demand, min(account.plan.rate, note.demand * share / note.share))
+
+    def ledger_after_peer_restart(self, ledger: PeerLedger) -> PeerLedger:
+        """What is left of a ledger whose other end started anew: its totals."""
+        return PeerLedger(ledger.received_share, ledger.received_units, has_peer_totals=True)
+
+    def accounts_to_report(self, peer: int) -> list[tuple[int, Account]]:
+        """The accounts, by customer, whose totals go to a neighbour that started anew, largest first."""
+        accounts = [
+            (customer, account)
+            for customer, account in self.host.accounts.items()
+            if _has_totals(account.ledgers.get(peer))
         ]
-        mine.sort(key=lambda row: (-abs(row[1].ledgers[peer].received_share), row[0]))
-        return mine[:MOST_GIVEN]
+        accounts.sort(key=lambda item: (-abs(item[1].ledgers[peer].received_share), item[0]))
+        return accounts[:MAX_REPORTED_ACCOUNTS]
+
+
+def _has_totals(ledger: PeerLedger | None) -> bool:
+    """Whether anything was moved over a ledger."""
+    return ledger is not None and bool(ledger.received_share or ledger.received_units)
--- a/tests/membership/test_members.py
+++ b/tests/membership/test_members.py
@@ -18,7 +18,7 @@
 from corkdeal.membership.messages import GossipEntry, GossipKind, Heartbeat, HeartbeatFlag
 from corkdeal.net.membership import Membership
 from corkdeal.recovery import resume
-from corkdeal.recovery.quota_restore import Ledgers
+from corkdeal.recovery.quota_restore import QuotaRestore
 from tests.helpers import PLAN, Ring, pick, servers, settings
 
 
@@ -31,7 +31,7 @@
 
     def start(self, me, gateways=None):
         made = Gateway(settings(me, self.size, plans=(PLAN,)), seed=me)
-        made.quota_restore, made.membership = Ledgers(), Members(made, later)
+        made.quota_restore, made.membership = QuotaRestore(made), Members(made, later)
         self.gateways[me] = made
         self.take(me, made.handle(self.now, [servers("a", "b", "c")]))
 
--- a/tests/membership/test_parts.py
+++ b/tests/membership/test_parts.py
@@ -276,3 +276,16 @@
     made = log_fields(event)
     assert made == fields and list(made) == list(fields)
     assert all(type(value) in (str, int) for value in made.values())
+
+
+@pytest.mark.parametrize("is_accepted", [True, False])
+def test_a_payload_is_applied_if_it_is_a_heartbeat_that_the_decisions_accept(is_accepted):
+    members, asked = Members(FakeHost(), later), []
+
+    def accept(*arguments):
+        asked.append(arguments)
+        return is_accepted
+
+    assert not members.receive_payload(b"\x03", 0, accept) and not asked
+    assert members.receive_payload(messages.pack(heartbeat()), 0, accept)
+    assert asked == [(0, 10, 77)] and members.sends_heartbeats(0) is is_accepted
--- a/tests/recovery/test_recovery.py
+++ b/tests/recovery/test_recovery.py
@@ -13,7 +13,7 @@
 from corkdeal.net.recovery import Recovery
 from corkdeal.recovery import resume
 from corkdeal.recovery.admission_ramp import RATE_FACTOR, RateEstimator, StallRamp, StartRamp
-from corkdeal.recovery.quota_restore import Ledgers
+from corkdeal.recovery.quota_restore import QuotaRestore
 from corkdeal.recovery.readiness import (
     Readiness,
     ReadinessState,
@@ -150,7 +150,7 @@
 
     def start(self, me, gateways=3):
         made = Gateway(settings(me, gateways, plans=(self.plan,)), seed=me)
-        made.quota_restore = Ledgers()
+        made.quota_restore = QuotaRestore(made)
         self.gateways[me] = made
         self.take(me, made.handle(self.now, [servers("a", "b", "c")]))
 
@@ -205,7 +205,7 @@
 
 def test_a_wide_ring_saves_nothing_up_at_a_start_that_others_may_have_spent():
     made = Gateway(settings(0, 20), seed=1)
-    made.quota_restore = Ledgers()
+    made.quota_restore = QuotaRestore(made)
     made.handle(100.0, [servers("a"), request(1, spread=20)])
     early = made.accounts[7].level
     made.handle(110.0, [request(2, customer=8, spread=20)])
@@ -269,7 +269,7 @@
     del ring.gateways[who]
     ring.run(0.6, busy_share)
     made = Gateway(settings(who, 3), seed=9)
-    made.quota_restore = Ledgers()
+    made.quota_restore = QuotaRestore(made)
     made.remember(older)
     ring.gateways[who] = made
     ring.take(who, made.handle(ring.now, [servers("a", "b", "c")]))
@@ -288,7 +288,7 @@
     ring.flight.clear()
     for me in range(3):
         made = ring.gateways[me] = Gateway(settings(me, 3), seed=9)
-        made.quota_restore = Ledgers()
+        made.quota_restore = QuotaRestore(made)
         made.remember(stores[me])
         ring.take(me, made.handle(ring.now, [servers("a", "b", "c")]))
     ring.run(0.5, busy_share)
@@ -327,13 +327,13 @@
         return self.gateway.handle(now - 60.0, events)
 
 
-@pytest.mark.parametrize("ledgers", [Ledgers, lambda: None])
+@pytest.mark.parametrize("restore", [QuotaRestore, lambda host: None])
 @pytest.mark.parametrize("who", [0, 1, 2])
-def test_one_whose_clock_was_set_back_is_heard_again_and_its_slice_lent_to_nobody(who, ledgers):
+def test_one_whose_clock_was_set_back_is_heard_again_and_its_slice_lent_to_nobody(who, restore):
     ring = Returning()
     ring.run(6.0, busy_share)
     made = Gateway(settings(who, 3, plans=(PLAN,)), seed=9)
-    made.quota_restore = ledgers()
+    made.quota_restore = restore(made)
     ring.gateways[who] = Behind(made)
     ring.take(who, ring.gateways[who].handle(ring.now, [servers("a", "b", "c")]))
     ring.run(2.0, busy_share)
--- a/tests/test_explore.py
+++ b/tests/test_explore.py
@@ -4,7 +4,7 @@
 
 from corkdeal.decisions.records import PeerLedger
 from corkdeal.experiment import explore
-from corkdeal.recovery.quota_restore import Ledgers
+from corkdeal.recovery.quota_restore import QuotaRestore
 
 
 def test_slices_are_conserved_and_the_bound_is_kept_after_every_way():
@@ -25,8 +25,8 @@
     ],
 )
 def test_a_ledger_kept_wrongly_is_found(monkeypatch, broken, said):
-    monkeypatch.setattr(Ledgers, "kept", broken)
-    monkeypatch.setattr(Ledgers, "given", lambda *a: [])
+    monkeypatch.setattr(QuotaRestore, "ledger_after_peer_restart", broken)
+    monkeypatch.setattr(QuotaRestore, "accounts_to_report", lambda *a: [])
     monkeypatch.setattr(explore.Gateway, "take_note", lambda self, peer, number, note: [])
     begin = explore.traded()
     faults = [f for path, world in explore.walk(begin, 2) for f in explore.judge(path, world)]
--- a/tests/test_layout.py
+++ b/tests/test_layout.py
@@ -10,7 +10,7 @@
     "settings": set(),
     "events": set(),
     "actions": set(),
-    "extensions": {"events", "actions", "records", "peer_messages", "persisted_state"},
+    "extensions": {"records", "peer_messages", "persisted_state"},
     "records": {"settings", "events", "actions", "peer_messages"},
     "peer_messages": {"settings", "events", "actions"},
     "slow_start": {"settings", "events", "actions", "records"},
@@ -33,7 +33,7 @@
 }
 MAY = {  # package -> those that it may import
     "errors": set(),
-    "decisions": {"errors", "recovery", "membership"},
+    "decisions": {"errors"},
     "recovery": {"decisions", "errors"},
     "membership": {"decisions", "errors"},
     "simulator": {"decisions", "errors"},
