--- a/corkdeal/experiment/members.py
+++ b/corkdeal/experiment/members.py
@@ -33,7 +33,7 @@
 from ..decisions.plumbing import later
 from ..membership.failure_detector import MemberState
 from ..membership.members import Members
-from ..recovery import resume
+from ..recovery.resume import resume_after_stall
 from ..recovery.stall_detector import MIN_STALL
 from .explore import decisions
 
@@ -103,7 +103,7 @@
                 if (gap := self.now - since) >= MIN_STALL and me in self.up:
                     self.flight = [m for m in self.flight if m[3] != me or m[0] > self.now]
                     heapq.heapify(self.flight)
-                    resume.wake(self.up[me], self.now, gap)
+                    resume_after_stall(self.up[me], self.now, gap)
         waiting = []
         while self.flight and self.flight[0][0] <= self.now:
             message = heapq.heappop(self.flight)
--- a/corkdeal/net/recovery.py
+++ b/corkdeal/net/recovery.py
@@ -9,10 +9,10 @@
 from typing import Any
 
 from .. import logs
-from ..recovery import resume
 from ..recovery.admission_ramp import RateEstimator, StallRamp, StartRamp
 from ..recovery.quota_restore import QuotaRestore
 from ..recovery.readiness import INITIAL_RETRY_BUDGET, Readiness, ReadinessState, Transition, is_among_many
+from ..recovery.resume import resume_after_stall
 from ..recovery.stall_detector import StallDetector
 from .invariants import count
 from .tcp_state import since_last_data
@@ -95,7 +95,7 @@
         self.gateway.decisions.admission_ramp = StallRamp(now, self.usual_rate.rate)
         self.woke_at, self.gap = now, gap
         self.gateway.decisions.is_endpoint_list_stale = self.gateway.begun
-        resume.wake(self.gateway.decisions, now, gap)
+        resume_after_stall(self.gateway.decisions, now, gap)
         for attempt in self.gateway.out.values():
             attempt.sent_at += gap  # its server had no time to answer meanwhile
         self.gateway.pool.drop_connecting()
--- a/tests/membership/test_members.py
+++ b/tests/membership/test_members.py
@@ -17,8 +17,8 @@
 from corkdeal.membership.members import MAX_ROUND_INTERVAL, Members
 from corkdeal.membership.messages import GossipEntry, GossipKind, Heartbeat, HeartbeatFlag
 from corkdeal.net.membership import Membership
-from corkdeal.recovery import resume
 from corkdeal.recovery.quota_restore import QuotaRestore
+from corkdeal.recovery.resume import resume_after_stall
 from tests.helpers import PLAN, Ring, pick, servers, settings
 
 
@@ -139,7 +139,7 @@
     still = tier.gateways.pop(0)
     most = tier.go(pause)
     tier.flight = [m for m in tier.flight if m[2]]
-    resume.wake(still, tier.now, pause)
+    resume_after_stall(still, tier.now, pause)
     assert pause < LEASE_TIME or still.slice(still.accounts[7]) == pytest.approx(KEPT_FRACTION / 5, abs=0.01)
     tier.gateways[0] = still
     still.membership.step()
--- a/tests/recovery/test_recovery.py
+++ b/tests/recovery/test_recovery.py
@@ -11,7 +11,6 @@
 from corkdeal.decisions.gateway import Gateway
 from corkdeal.decisions.peer_messages import pack
 from corkdeal.net.recovery import Recovery
-from corkdeal.recovery import resume
 from corkdeal.recovery.admission_ramp import RATE_FACTOR, RateEstimator, StallRamp, StartRamp
 from corkdeal.recovery.quota_restore import QuotaRestore
 from corkdeal.recovery.readiness import (
@@ -21,6 +20,7 @@
     count_concurrent_starts,
     is_among_many,
 )
+from corkdeal.recovery.resume import resume_after_stall
 from corkdeal.recovery.stall_detector import MIN_STALL, StallDetector
 from tests.helpers import PLAN, Ring, outcome, pick, request, servers, settings
 
@@ -44,7 +44,7 @@
 def test_a_bucket_does_not_fill_while_its_slice_is_on_loan():
     ring, still = paused(6.0)
     account, level = still.accounts[7], still.accounts[7].level
-    resume.wake(still, ring.now, 6.0)
+    resume_after_stall(still, ring.now, 6.0)
     still.now = ring.now
     still.refill(account)
     assert account.level == pytest.approx(level, abs=0.6)
@@ -56,7 +56,7 @@
     ring, still = paused(2.0)
     account = still.accounts[7]
     account.level = 0.0
-    resume.wake(still, ring.now, 2.0)
+    resume_after_stall(still, ring.now, 2.0)
     still.now = ring.now
     assert not still.admits(account, 1.0, still.refill(account))
     assert not any(still.silent(p) for p in account.ledgers)
@@ -67,7 +67,7 @@
     ring = Ring(1)
     one = ring.gateways[0]
     sent = pick(one.handle(101.0, [request(1, spread=1)]), StartAttempt)
-    resume.wake(one, 161.0, 60.0)
+    resume_after_stall(one, 161.0, 60.0)
     for rid, server in [(1, one.backends[sent[0].backend])]:
         one.now = 161.0
         one.watch(rid, server)
