--- a/corkdeal/net/client_connection.py
+++ b/corkdeal/net/client_connection.py
@@ -91,7 +91,7 @@
             return
         now = self.seen_open_at = self.gateway.now()
         if self.gateway.recovery is not None:
-            self.waited = self.gateway.recovery.waited(self.transport.getHandle(), now)
+            self.waited = self.gateway.recovery.unread_time(self.transport.getHandle(), now)
         begun = self.begun if self.parser.midway else now
         self.reading = True
         try:
--- a/corkdeal/net/gateway.py
+++ b/corkdeal/net/gateway.py
@@ -156,7 +156,7 @@
         self.begun = True
         known = self.config.known
         if self.recovery is not None:
-            self.recovery.listed(len(known.entries) if known else 0)
+            self.recovery.backends_known(len(known.entries) if known else 0)
         if known:
             self.backends.take(known, UpdateKind.CACHED)
         else:
@@ -357,7 +357,7 @@
     def pump(self) -> None:
         """Call the module until nothing is left to tell it, and carry out what it wants."""
         if self.recovery is not None:
-            self.recovery.turn(self.now())
+            self.recovery.check_stall(self.now())
         self.busy = True
         try:
             while self.events:
@@ -455,7 +455,7 @@
     def finished(self, attempt: Attempt, reply: Reply) -> None:
         """An attempt ended; a value is passed on before the module hears of it."""
         if self.recovery is not None:
-            self.recovery.turn(self.now())
+            self.recovery.check_stall(self.now())
         elapsed, rpc = attempt.first, attempt.rpc
         if elapsed is None:
             elapsed = max(0.0, self.now() - attempt.sent_at)
@@ -503,8 +503,8 @@
     def told(self, result: DiscoverySnapshot) -> None:
         """Discovery's word."""
         if self.recovery is not None:
-            self.recovery.told()
-            self.recovery.listed(len(result.entries))
+            self.recovery.discovery_answered()
+            self.recovery.backends_known(len(result.entries))
         self.backends.take(result, UpdateKind.COMPLETE if result.complete else UpdateKind.DELTA)
         self.open()
 
--- a/corkdeal/net/recovery.py
+++ b/corkdeal/net/recovery.py
@@ -1,6 +1,6 @@
-"""Coming back on the sockets: pauses noticed before anything is decided, old requests known by their age.
+"""Recovery on the sockets: stalls detected before anything is decided, unread requests dated by their age.
 
-Made only where the operators' file has `recovery`. After a pause nothing is sent until discovery has spoken
+Made only where the operators' file has `recovery`. After a stall nothing is sent until discovery has answered
 again, or had its time to; what clients sent meanwhile is dated by the kernel's own time of its arrival.
 """
 
@@ -11,132 +11,158 @@
 from .. import logs
 from ..recovery.admission_ramp import RateEstimator, StallRamp, StartRamp
 from ..recovery.quota_restore import QuotaRestore
-from ..recovery.readiness import INITIAL_RETRY_BUDGET, Readiness, ReadinessState, Transition, is_among_many
+from ..recovery.readiness import (
+    INITIAL_RETRY_BUDGET,
+    Readiness,
+    ReadinessState,
+    Transition,
+    is_among_many,
+)
 from ..recovery.resume import resume_after_stall
 from ..recovery.stall_detector import StallDetector
 from .invariants import count
 from .tcp_state import since_last_data
 
-LOOK_EVERY = 0.1  # s between looks, which are the beats
-SEE_WAIT = 0.25  # s that sends wait for discovery's first word after a pause, as at a start
-OLD_FOR = 2.0  # s after a pause in which bytes may still be read that came before its end
+CHECK_INTERVAL = 0.1  # s
+DISCOVERY_TIMEOUT = 0.25  # s that sends wait for discovery's first answer after a stall, as at a start
+UNREAD_SPAN = 2.0  # s after a stall in which bytes may still be read that arrived before its end
 
 
 class Recovery:
-    """One gateway's return after a start or a pause."""
+    """One gateway's return after a start or a stall."""
 
     def __init__(self, reactor: Any, gateway: Any) -> None:
-        self.reactor, self.gateway = reactor, gateway
-        self.usual_rate = RateEstimator()
+        self.reactor = reactor
+        self.gateway = gateway
+        self.attempt_rate = RateEstimator()
         self.stall_detector = StallDetector()
         self.readiness = Readiness(gateway.now())
-        self.woke_at = self.gap = self.saved_up = 0.0
-        self.seeing: Any = None  # the call that ends the wait for discovery
+        self.stall_ended_at = 0.0  # s; 0 before the first stall
+        self.stall_time = 0.0  # s, of the last stall
+        self.withheld_retries = 0.0  # of the retry budget
+        self.discovery_timeout: Any = None  # the call that ends the wait for discovery
         gateway.decisions.quota_restore = QuotaRestore(gateway.decisions)
-        gateway.pool.turn = lambda: self.turn(gateway.now())
+        gateway.pool.turn = lambda: self.check_stall(gateway.now())
 
     def start(self) -> None:
-        """Begin to look."""
+        """Begin to check; most of the retry budget is withheld until it is known to be among few."""
+        decisions = self.gateway.decisions
         self.readiness = Readiness(self.gateway.now())
-        self.saved_up = self.gateway.decisions.retry_budget  # held back until it is known to be among few
-        self.gateway.decisions.retry_budget = min(INITIAL_RETRY_BUDGET, self.saved_up)
-        self.look()
-
-    def look(self) -> None:
-        """Beat, and say when the state changes."""
-        now, decisions = self.gateway.now(), self.gateway.decisions
-        self.turn(now)
-        heard = sum(
-            decisions.peer_last_heard.get(p, 0.0) > self.readiness.began_at
-            and p in decisions.peer_incarnations
-            for p in decisions.ring_neighbours
-        )
-        self.usual_rate.update(now, self.gateway.tally["backend_calls"])
-        causes = decisions.rejection_causes
+        self.withheld_retries = decisions.retry_budget
+        decisions.retry_budget = min(INITIAL_RETRY_BUDGET, self.withheld_retries)
+        self.check()
+
+    def check(self) -> None:
+        """Check for a stall, and update the usual rate and the readiness."""
+        now = self.gateway.now()
+        tally = self.gateway.tally
+        self.check_stall(now)
+        self.attempt_rate.update(now, tally["backend_calls"])
         transition = self.readiness.update(
             now,
-            heard,
-            len(decisions.ring_neighbours),
-            self.gateway.tally["success"],
-            sum(n for why, n in causes.items() if why.startswith("inside")),
+            heard=self._count_heard_neighbours(),
+            neighbours=len(self.gateway.decisions.ring_neighbours),
+            answers=tally["success"],
+            given_up=self._count_given_up(),
         )
         if transition is not None:
-            self.tell(transition)
-        self.reactor.callLater(LOOK_EVERY, self.look)
+            self.apply(transition)
+        self.reactor.callLater(CHECK_INTERVAL, self.check)
 
-    def tell(self, transition: Transition) -> None:
-        """A state was left."""
+    def _count_heard_neighbours(self) -> int:
+        """How many ring neighbours sent a message since the gateway began to come back."""
         decisions = self.gateway.decisions
-        many = is_among_many(decisions.incarnation, decisions.peer_incarnations)
+        return sum(
+            decisions.peer_last_heard.get(peer, 0.0) > self.readiness.began_at
+            and peer in decisions.peer_incarnations
+            for peer in decisions.ring_neighbours
+        )
+
+    def _count_given_up(self) -> int:
+        """How many requests inside quotas were given up on so far."""
+        causes = self.gateway.decisions.rejection_causes
+        return sum(number for cause, number in causes.items() if cause.startswith("inside"))
+
+    def apply(self, transition: Transition) -> None:
+        """The readiness changed: lift what was limited for it, and log it."""
+        decisions = self.gateway.decisions
+        among_many = is_among_many(decisions.incarnation, decisions.peer_incarnations)
         if transition.state is ReadinessState.FULL:
             decisions.admission_ramp = None
-        succession = self.gateway.succession
-        divided = succession is not None and succession.given is not None  # with the life before: not its own
-        if transition.state is ReadinessState.LEARNING and not many and not divided:
-            decisions.retry_budget, self.saved_up = max(decisions.retry_budget, self.saved_up), 0.0
+        if transition.state is ReadinessState.LEARNING and not among_many and not self._is_budget_divided():
+            decisions.retry_budget = max(decisions.retry_budget, self.withheld_retries)
+            self.withheld_retries = 0.0
         logs.event(
             "recovery",
             state=transition.state.value,
             before=transition.previous.value,
             why=transition.reason,
-            among="many" if many else "few",
+            among="many" if among_many else "few",
             after=round(transition.elapsed, 2),
         )
 
-    def turn(self, now: float) -> bool:
-        """Something is about to happen: whether the process stood still before it, be it in mid-turn."""
-        if gap := self.stall_detector.check(now):
-            self.woken(now, gap)
-        return gap > 0
+    def _is_budget_divided(self) -> bool:
+        """Whether this incarnation has only a part of the retry budget, beside the one before it."""
+        succession = self.gateway.succession
+        return succession is not None and succession.given is not None
+
+    def check_stall(self, now: float) -> bool:
+        """Called before anything happens: whether the process was stalled until then, be it in mid-turn."""
+        stall_time = self.stall_detector.check(now)
+        if stall_time:
+            self._resume(now, stall_time)
+        return stall_time > 0
 
-    def woken(self, now: float, gap: float) -> None:
-        """It did: age what is known, and send nothing by a list that may be old."""
+    def _resume(self, now: float, stall_time: float) -> None:
+        """Age what is known, and send nothing by an endpoint list that may be old."""
         count("paused")
-        self.gateway.decisions.admission_ramp = StallRamp(now, self.usual_rate.rate)
-        self.woke_at, self.gap = now, gap
-        self.gateway.decisions.is_endpoint_list_stale = self.gateway.begun
-        resume_after_stall(self.gateway.decisions, now, gap)
+        decisions = self.gateway.decisions
+        decisions.admission_ramp = StallRamp(now, self.attempt_rate.rate)
+        self.stall_ended_at = now
+        self.stall_time = stall_time
+        decisions.is_endpoint_list_stale = self.gateway.begun
+        resume_after_stall(decisions, now, stall_time)
         for attempt in self.gateway.out.values():
-            attempt.sent_at += gap  # its server had no time to answer meanwhile
+            attempt.sent_at += stall_time  # its backend had no time to answer meanwhile
         self.gateway.pool.drop_connecting()
-        self.tell(self.readiness.restart(now, f"stood still for {gap:.2f} s"))
+        self.apply(self.readiness.restart(now, f"stood still for {stall_time:.2f} s"))
         if self.gateway.begun:
-            self.gateway.watch_again()
-            if self.seeing is not None and self.seeing.active():
-                self.seeing.cancel()
-            self.seeing = self.reactor.callLater(SEE_WAIT, self.see)
-
-    def listed(self, servers: int) -> None:
-        """Servers are known: a start opens by its part of what they take."""
-        d = self.gateway.decisions
-        if (
-            d.admission_ramp is None
-            and self.readiness.state is ReadinessState.RETURNING
-            and not self.woke_at
-            and servers
-        ):
-            d.admission_ramp = StartRamp(servers, d.settings.gateway_count)
-
-    def told(self) -> None:
-        """Discovery has spoken."""
-        self.readiness.has_fresh_endpoints = True
-        self.gateway.decisions.is_endpoint_list_stale = False
+            self._await_discovery()
 
-    def see(self) -> None:
-        """It had its time: go by the list there is."""
+    def _await_discovery(self) -> None:
+        """Ask discovery again, and go by the old endpoint list if it does not answer in time."""
+        self.gateway.watch_again()
+        if self.discovery_timeout is not None and self.discovery_timeout.active():
+            self.discovery_timeout.cancel()
+        self.discovery_timeout = self.reactor.callLater(DISCOVERY_TIMEOUT, self._use_old_endpoints)
+
+    def _use_old_endpoints(self) -> None:
+        """Discovery did not answer in time."""
         if self.gateway.decisions.is_endpoint_list_stale:
             count("list_old_after_pause")
             self.gateway.decisions.is_endpoint_list_stale = False
 
-    def waited(self, handle: Any, now: float) -> float:
-        """Seconds that bytes about to be read have lain here, as far as a pause held them up.
+    def backends_known(self, backends: int) -> None:
+        """So many backends are known: a start begins with its part of what they surely take."""
+        decisions = self.gateway.decisions
+        is_starting = self.readiness.state is ReadinessState.RETURNING and not self.stall_ended_at
+        if is_starting and backends and decisions.admission_ramp is None:
+            decisions.admission_ramp = StartRamp(backends, decisions.settings.gateway_count)
+
+    def discovery_answered(self) -> None:
+        """The endpoint list is fresh."""
+        self.readiness.has_fresh_endpoints = True
+        self.gateway.decisions.is_endpoint_list_stale = False
+
+    def unread_time(self, handle: Any, now: float) -> float:
+        """Seconds that bytes about to be read lay in the socket, as far as a stall held them up.
 
-        The kernel tells it of the newest bytes; a request before others of its connection is older yet.
+        The kernel dates the newest bytes; a request before others of its connection is older yet.
         """
-        self.turn(now)
-        if now - self.woke_at > OLD_FOR:
+        self.check_stall(now)
+        if now - self.stall_ended_at > UNREAD_SPAN:
             return 0.0
         age = since_last_data(handle)
-        if age is None:  # nothing is known of it
+        if age is None:  # the kernel does not tell
             return 0.0
-        return min(age, self.gap + now - self.woke_at)
+        return min(age, self.stall_time + now - self.stall_ended_at)
