--- a/corkdeal/membership/__init__.py
+++ b/corkdeal/membership/__init__.py
@@ -1,5 +1,6 @@
-"""Who of the tier is there, and which of two gateways may spend a slice when one does not hear the other.
+"""Membership: failure detection in the tier, and leases on the quota shares of its members, without I/O.
 
-Decisions without I/O: `beats` lays messages out, `table` holds what is known of each member, `leases` says
-who spends what, `members` joins them and is what the brain asks. `docs/membership.md` has the protocol.
+`messages` is the datagram codec, `failure_detector` holds each member's state, `leases` who may spend a
+share; `heartbeats` sends, `receiver` applies what arrives, `takeover` and `quota_shares` turn leases into
+shares, and `members` joins them for the decisions. docs/membership.md has the protocol.
 """
--- a/corkdeal/membership/host.py
+++ b/corkdeal/membership/host.py
@@ -50,8 +50,8 @@
     def actions(self) -> list[Action]:
         """The actions of the present event; heartbeats are appended."""
 
-    def silent(self, peer: int) -> bool:
+    def silent(self, peer: int, /) -> bool:
         """Whether nothing arrived from a peer for several exchanges."""
 
-    def refill(self, a: Account) -> float:
+    def refill(self, account: Account, /) -> float:
         """Bring an account's token bucket up to now; returns its quota share."""
--- a/corkdeal/recovery/host.py
+++ b/corkdeal/recovery/host.py
@@ -25,16 +25,16 @@
     def peer_incarnations(self) -> Mapping[int, int]:
         """The latest known incarnation of each peer, in ms."""
 
-    def account(self, customer: int, plan: int, first: int, spread: int) -> Account:
+    def account(self, customer: int, plan: int, first_gateway: int, member_count: int, /) -> Account:
         """The customer's account, which is made if there is none."""
 
     def resumed(self) -> bool:
         """Whether this gateway goes on as an earlier incarnation, with that one's ledgers."""
 
-    def older(self, born: int) -> bool:
+    def older(self, incarnation: int, /) -> bool:
         """Whether a peer of that incarnation knows what was spent before this gateway's start."""
 
-    def tell(self, peer: int, notes: list[Note]) -> None:
+    def tell(self, peer: int, notes: list[Note], /) -> None:
         """Send notes, or a message without any, to a peer."""
 
 
--- a/tests/recovery/test_recovery.py
+++ b/tests/recovery/test_recovery.py
@@ -25,7 +25,7 @@
 from tests.helpers import PLAN, Ring, outcome, pick, request, servers, settings
 
 
-def test_a_pulse_tells_a_pause_once_and_a_busy_turn_not_at_all():
+def test_a_stall_is_reported_once_and_a_busy_turn_not_at_all():
     detector = StallDetector()
     beats = [detector.check(at) for at in (5.0, 5.1, 5.1 + MIN_STALL / 2, 9.0, 9.1)]
     assert beats[:3] == [0.0] * 3 and beats[3] == pytest.approx(9.0 - 5.1 - MIN_STALL / 2) and beats[4] == 0.0
