--- a/corkdeal/decisions/plumbing.py
+++ b/corkdeal/decisions/plumbing.py
@@ -25,11 +25,9 @@
 from .settings import Settings
 
 if TYPE_CHECKING:  # imported where an earlier life's knowledge is used; without one it costs nothing
-    from ..membership.members import Members
-    from ..recovery.admission_ramp import AfterPause, AfterStart
-    from ..recovery.quota_restore import Ledgers
     from . import aggregation_tree, persisted_state
     from .backends import Backends
+    from .extensions import AdmissionRamp, MembershipView, QuotaRestoreView
     from .latency_model import LatencyModel
 
 
@@ -73,11 +71,13 @@
         self.changed_customers: set[int] | None = (
             None  # customers met since a keeper last looked, if there is one
         )
-        self.quota_restore: Ledgers | None = None  # of taking up slices after a start, where that is on
-        self.membership: Members | None = (
+        self.quota_restore: QuotaRestoreView | None = (
+            None  # of taking up slices after a start, where that is on
+        )
+        self.membership: MembershipView | None = (
             None  # who is there, and whose slices may be spent, where that is on
         )
-        self.admission_ramp: AfterPause | AfterStart | None = None  # the budget of the first seconds
+        self.admission_ramp: AdmissionRamp | None = None  # the budget of the first seconds
         self.is_endpoint_list_stale = False  # the list may be old: nothing is sent by it
         self.quota_fraction = 1.0  # of this gateway's quota that is this life's, while two of them serve
         self.incarnation = 0  # own incarnation, ms; 0 until the first event
@@ -187,9 +187,9 @@
 
             persisted_state.restore_account(a, known, self.resumed(), self.peer_incarnations)
             if self.quota_restore is not None and not self.resumed():
-                self.quota_restore.recalled(a, known, self.restored_state.resumes())
+                self.quota_restore.apply_stored(a, known, self.restored_state.resumes())
         if self.quota_restore is not None:
-            self.quota_restore.met(self, a)
+            self.quota_restore.account_created(a)
 
     def set_deadline(self, rid: int, delay: float) -> None:
         """Have the request's last moment announced."""
@@ -242,9 +242,7 @@
         if totals is not None:
             self.on_totals(e.peer, totals)
             return
-        if self.membership is not None and (beat := self.membership.unpack(e.payload, e.peer)) is not None:
-            if self.greeted(e.peer, beat.incarnation, beat.receiver_incarnation):
-                self.membership.hear(e.peer, beat)
+        if self.membership is not None and self.membership.receive_payload(e.payload, e.peer, self.greeted):
             return
         message = peer_messages.decode_exchange(e.payload, e.peer, self.settings)
         if message is not None and self.greeted(
@@ -265,11 +263,11 @@
         if message.receiver_incarnation != self.incarnation:
             return
         if self.quota_restore is not None:
-            self.quota_restore.told.add(peer)
+            self.quota_restore.record_reply(peer)
         replies = []
         for update in message.updates:
             if self.quota_restore is not None:
-                self.quota_restore.take(self, peer, update)
+                self.quota_restore.apply_note(peer, update)
             replies += self.take_note(peer, message.round_number, update)
         if replies:
             self.tell(peer, replies)
@@ -283,7 +281,7 @@
         self.outlive(mine)
         self.peer_last_heard[peer] = self.now
         if born != known:
-            given = self.quota_restore.given(self, peer) if self.quota_restore is not None else []
+            given = self.quota_restore.accounts_to_report(peer) if self.quota_restore is not None else []
             self.tell(peer, [self.note(key, a, peer) for key, a in given])
         return True
 
@@ -297,7 +295,7 @@
                     a.ledgers[peer] = (
                         PeerLedger()
                         if self.quota_restore is None
-                        else self.quota_restore.kept(a.ledgers[peer])
+                        else self.quota_restore.ledger_after_peer_restart(a.ledgers[peer])
                     )
                 if peer in a.tree_edges:
                     a.tree_edges[peer].last_totals = None
@@ -340,7 +338,7 @@
 
     def greet(self, peer: int, notes: list[peer_messages.AccountUpdate]) -> None:
         """Tell a neighbour; where there is nothing to tell and it hears this one's beats, that is enough."""
-        if notes or self.membership is None or not self.membership.speaks(peer):
+        if notes or self.membership is None or not self.membership.sends_heartbeats(peer):
             self.tell(peer, notes)
 
     def tell_totals(self, due: dict[int, list[peer_messages.TreeTotals]]) -> None:
@@ -352,13 +350,13 @@
 
     def opens(self) -> bool:
         """Whether the budget of the first seconds, if there is one, has room for a first attempt."""
-        return self.admission_ramp is None or self.admission_ramp.allows(
+        return self.admission_ramp is None or self.admission_ramp.try_admit(
             self.now, len(self.attempts_in_flight)
         )
 
     def cleared(self, peer: int) -> bool:
         """Whether that neighbour has told what it holds of an earlier life, so that notes may go to it."""
-        return self.quota_restore is None or self.quota_restore.cleared(self, peer)
+        return self.quota_restore is None or self.quota_restore.may_send_notes(peer)
 
     def note(self, key: int, a: Account, peer: int) -> peer_messages.AccountUpdate:
         """One customer's state and running totals for one neighbour."""
--- a/tests/recovery/test_recovery.py
+++ b/tests/recovery/test_recovery.py
@@ -11,18 +11,24 @@
 from corkdeal.decisions.gateway import Gateway
 from corkdeal.decisions.peer_messages import encode_exchange
 from corkdeal.net.recovery import Recovery
-from corkdeal.recovery import resume
-from corkdeal.recovery.admission_ramp import TIMES, AfterPause, AfterStart, Usual
-from corkdeal.recovery.quota_restore import Ledgers
-from corkdeal.recovery.readiness import Left, Standing, together
-from corkdeal.recovery.stall_detector import LEAST, Pulse
+from corkdeal.recovery.admission_ramp import RATE_FACTOR, RateEstimator, StallRamp, StartRamp
+from corkdeal.recovery.quota_restore import QuotaRestore
+from corkdeal.recovery.readiness import (
+    Readiness,
+    ReadinessState,
+    Transition,
+    count_concurrent_starts,
+    is_among_many,
+)
+from corkdeal.recovery.resume import resume_after_stall
+from corkdeal.recovery.stall_detector import MIN_STALL, StallDetector
 from tests.helpers import PLAN, Ring, outcome, pick, request, servers, settings
 
 
-def test_a_pulse_tells_a_pause_once_and_a_busy_turn_not_at_all():
-    pulse = Pulse()
-    beats = [pulse.beat(at) for at in (5.0, 5.1, 5.1 + LEAST / 2, 9.0, 9.1)]
-    assert beats[:3] == [0.0] * 3 and beats[3] == pytest.approx(9.0 - 5.1 - LEAST / 2) and beats[4] == 0.0
+def test_a_stall_is_reported_once_and_a_busy_turn_not_at_all():
+    detector = StallDetector()
+    beats = [detector.check(at) for at in (5.0, 5.1, 5.1 + MIN_STALL / 2, 9.0, 9.1)]
+    assert beats[:3] == [0.0] * 3 and beats[3] == pytest.approx(9.0 - 5.1 - MIN_STALL / 2) and beats[4] == 0.0
 
 
 def paused(seconds):
@@ -38,7 +44,7 @@
 def test_a_bucket_does_not_fill_while_its_slice_is_on_loan():
     ring, still = paused(6.0)
     account, level = still.accounts[7], still.accounts[7].level
-    resume.wake(still, ring.now, 6.0)
+    resume_after_stall(still, ring.now, 6.0)
     still.now = ring.now
     still.refill(account)
     assert account.level == pytest.approx(level, abs=0.6)
@@ -50,7 +56,7 @@
     ring, still = paused(2.0)
     account = still.accounts[7]
     account.level = 0.0
-    resume.wake(still, ring.now, 2.0)
+    resume_after_stall(still, ring.now, 2.0)
     still.now = ring.now
     assert not still.admits(account, 1.0, still.refill(account))
     assert not any(still.silent(p) for p in account.ledgers)
@@ -61,7 +67,7 @@
     ring = Ring(1)
     one = ring.gateways[0]
     sent = pick(one.handle(101.0, [request(1, spread=1)]), StartAttempt)
-    resume.wake(one, 161.0, 60.0)
+    resume_after_stall(one, 161.0, 60.0)
     for rid, server in [(1, one.backends.records[sent[0].backend])]:
         one.now = 161.0
         one.watch(rid, server)
@@ -94,23 +100,22 @@
     ],
 )
 def test_who_came_back_together_is_told_by_incarnations(born, peers, expected):
-    assert together(born, peers) == expected
+    assert (count_concurrent_starts(born, peers), len(peers)) == expected
 
 
 def test_among_many_is_what_counts_while_nobody_was_heard():
-    standing = Standing(0.0)
-    assert standing.among_many(50_000, {}) and standing.among_many(50_000, {1: 49_000, 2: 1, 3: 1})
-    assert not standing.among_many(50_000, {1: 1, 2: 1, 3: 1})
+    assert is_among_many(50_000, {}) and is_among_many(50_000, {1: 49_000, 2: 1, 3: 1})
+    assert not is_among_many(50_000, {1: 1, 2: 1, 3: 1})
 
 
-def walk(standing, until, heard=2, served=20, refused=0, listed=0.0, began=0.0):
+def walk(readiness, until, heard=2, served=20, refused=0, listed=0.0, began=0.0):
     """States as they were left: `served` and `refused` a second."""
     made = []
     for tick in range(1, int(until * 10) + 1):
         now = began + tick / 10
-        standing.listed = standing.listed or now >= began + listed
-        left = standing.look(now, heard, 2, int(served * now), int(refused * now))
-        made += [(left.state, left.why, round(left.after, 1))] if left else []
+        readiness.has_fresh_endpoints = readiness.has_fresh_endpoints or now >= began + listed
+        left = readiness.update(now, heard, 2, int(served * now), int(refused * now))
+        made += [(left.state, left.reason, round(left.elapsed, 1))] if left else []
     return made
 
 
@@ -129,15 +134,15 @@
     ],
 )
 def test_states_are_left_for_their_reasons(given, left):
-    assert walk(Standing(0.0), 40.0, **given) == left
+    assert walk(Readiness(0.0), 40.0, **given) == left
 
 
 def test_a_pause_begins_it_anew():
-    standing = Standing(0.0)
-    walk(standing, 5.0)
-    left = standing.anew(9.0, "stood still for 4.00 s")
-    assert (left.state, left.before, standing.state) == ("returning", "full", "returning")
-    assert walk(standing, 5.0, began=9.0)[-1][0] == "full"
+    readiness = Readiness(0.0)
+    walk(readiness, 5.0)
+    left = readiness.restart(9.0, "stood still for 4.00 s")
+    assert (left.state, left.previous, readiness.state) == ("returning", "full", "returning")
+    assert walk(readiness, 5.0, began=9.0)[-1][0] == "full"
 
 
 class Returning(Ring):
@@ -145,7 +150,7 @@
 
     def start(self, me, gateways=3):
         made = Gateway(settings(me, gateways, plans=(self.plan,)), seed=me)
-        made.quota_restore = Ledgers()
+        made.quota_restore = QuotaRestore(made)
         self.gateways[me] = made
         self.take(me, made.handle(self.now, [servers("a", "b", "c")]))
 
@@ -200,7 +205,7 @@
 
 def test_a_wide_ring_saves_nothing_up_at_a_start_that_others_may_have_spent():
     made = Gateway(settings(0, 20), seed=1)
-    made.quota_restore = Ledgers()
+    made.quota_restore = QuotaRestore(made)
     made.handle(100.0, [servers("a"), request(1, spread=20)])
     early = made.accounts[7].level
     made.handle(110.0, [request(2, customer=8, spread=20)])
@@ -208,18 +213,18 @@
 
 
 def test_what_is_sent_after_a_pause_stays_within_the_usual_rate_and_the_rest_is_refused_at_once():
-    usual = Usual()
+    usual = RateEstimator()
     for tick in range(200):
-        usual.look(100 + tick / 10, tick)  # ten a second
+        usual.update(100 + tick / 10, tick)  # ten a second
     assert usual.rate == pytest.approx(10.0, rel=0.05)
-    opening = AfterPause(130.0, usual.rate)
-    sent = [at for at in (130 + n / 100 for n in range(200)) if opening.allows(at, 0)]
+    ramp = StallRamp(130.0, usual.rate)
+    sent = [at for at in (130 + n / 100 for n in range(200)) if ramp.try_admit(at, 0)]
     for begin in range(8):
         inside = [at for at in sent if 130 + begin / 4 <= at < 130.25 + begin / 4]
-        assert len(inside) <= 2 * TIMES * usual.rate / 4 + 1
-    assert len(sent) == pytest.approx(TIMES * usual.rate * 2.25, abs=2)
+        assert len(inside) <= 2 * RATE_FACTOR * usual.rate / 4 + 1
+    assert len(sent) == pytest.approx(RATE_FACTOR * usual.rate * 2.25, abs=2)
     one = Ring(1).gateways[0]
-    one.admission_ramp = AfterPause(101.0, 0.0)
+    one.admission_ramp = StallRamp(101.0, 0.0)
     acts = [one.handle(101.0, [request(n, spread=1)]) for n in range(1, 4)]
     assert [len(pick(a, StartAttempt)) for a in acts] == [1, 0, 0] and pick(acts[1], Reject)
     assert one.rejection_causes["inside_opening"] == 2
@@ -271,7 +276,7 @@
     del ring.gateways[who]
     ring.run(0.6, busy_share)
     made = Gateway(settings(who, 3), seed=9)
-    made.quota_restore = Ledgers()
+    made.quota_restore = QuotaRestore(made)
     made.remember(older)
     ring.gateways[who] = made
     ring.take(who, made.handle(ring.now, [servers("a", "b", "c")]))
@@ -290,7 +295,7 @@
     ring.flight.clear()
     for me in range(3):
         made = ring.gateways[me] = Gateway(settings(me, 3), seed=9)
-        made.quota_restore = Ledgers()
+        made.quota_restore = QuotaRestore(made)
         made.remember(stores[me])
         ring.take(me, made.handle(ring.now, [servers("a", "b", "c")]))
     ring.run(0.5, busy_share)
@@ -300,18 +305,18 @@
 
 
 def test_a_start_opens_from_what_all_servers_surely_take_and_by_good_answers_only():
-    parts = [AfterStart(400, gateways).most * gateways for gateways in (1, 10, 100)]
+    parts = [StartRamp(400, gateways).limit * gateways for gateways in (1, 10, 100)]
     assert parts == [pytest.approx(400 * 2)] * 3  # the sum over the tier, whatever its size
-    opening = AfterStart(4, 4)
-    assert opening.allows(0.0, 3) and not opening.allows(0.0, 4)
-    opening.answered(True)
-    assert opening.allows(0.0, 4)
+    ramp = StartRamp(4, 4)
+    assert ramp.try_admit(0.0, 3) and not ramp.try_admit(0.0, 4)
+    ramp.record_outcome(True)
+    assert ramp.try_admit(0.0, 4)
     for _ in range(5):
-        opening.answered(False)  # servers are the reason why others got none
-    opening.answered(True)
-    assert not opening.allows(0.0, 5)
+        ramp.record_outcome(False)  # servers are the reason why others got none
+    ramp.record_outcome(True)
+    assert not ramp.try_admit(0.0, 5)
     one = Ring(1).gateways[0]
-    one.admission_ramp = AfterStart(1, 1)
+    one.admission_ramp = StartRamp(1, 1)
     acts = [one.handle(101.0, [request(n, spread=1)]) for n in range(1, 6)]
     assert [len(pick(a, StartAttempt)) for a in acts] == [1, 1, 1, 1, 0] and pick(acts[4], Reject)
 
@@ -329,13 +334,13 @@
         return self.gateway.handle(now - 60.0, events)
 
 
-@pytest.mark.parametrize("ledgers", [Ledgers, lambda: None])
+@pytest.mark.parametrize("restore", [QuotaRestore, lambda host: None])
 @pytest.mark.parametrize("who", [0, 1, 2])
-def test_one_whose_clock_was_set_back_is_heard_again_and_its_slice_lent_to_nobody(who, ledgers):
+def test_one_whose_clock_was_set_back_is_heard_again_and_its_slice_lent_to_nobody(who, restore):
     ring = Returning()
     ring.run(6.0, busy_share)
     made = Gateway(settings(who, 3, plans=(PLAN,)), seed=9)
-    made.quota_restore = ledgers()
+    made.quota_restore = restore(made)
     ring.gateways[who] = Behind(made)
     ring.take(who, ring.gateways[who].handle(ring.now, [servers("a", "b", "c")]))
     ring.run(2.0, busy_share)
@@ -381,6 +386,8 @@
     gateway = SimpleNamespace(decisions=one, pool=SimpleNamespace(), now=lambda: 100.0)
     gateway.succession = given and SimpleNamespace(given=given)
     recovery = Recovery(None, gateway)
-    recovery.saved_up, one.retry_budget = 10.0, 1.0
-    recovery.tell(Left("learning", "returning", "list, neighbours heard", 0.1))
+    recovery.withheld_retries, one.retry_budget = 10.0, 1.0
+    recovery.apply(
+        Transition(ReadinessState.LEARNING, ReadinessState.RETURNING, "list, neighbours heard", 0.1)
+    )
     assert one.retry_budget == left
