--- a/corkdeal/decisions/backend_selection.py
+++ b/corkdeal/decisions/backend_selection.py
@@ -49,7 +49,7 @@
             backend
             for backend in self.backends.preferred
             if self.slow_start.warmth(backend, now) >= 1.0
-            or self.has_slow_start_room(backend, request, now, quota_fraction)
+            or self.has_slow_start_credit(backend, request, now, quota_fraction)
         ]
         while True:
             candidates = self.candidates(request, usable, now)
@@ -60,7 +60,7 @@
             best = min(candidates, key=lambda backend: self.cost(backend, now), default=None)
             if best is None or self.slow_start.warmth(best, now) >= 1.0:
                 return best
-            if self.slow_start.takes(best, self.latency_model.work(request)):
+            if self.slow_start.spend_credit(best, self.latency_model.work(request)):
                 return best
             usable.remove(best)
 
@@ -68,7 +68,7 @@
         """All backends, preferred or not, that have warmed up."""
         return [b for b in self.backends.records.values() if self.slow_start.warmth(b, now) >= 1.0]
 
-    def has_slow_start_room(
+    def has_slow_start_credit(
         self, backend: BackendRecord, request: PendingRequest, now: float, quota_fraction: float
     ) -> bool:
         """Whether a backend that warms up may get one more request of this gateway's."""
@@ -78,7 +78,7 @@
             / len(self.backends.records)
             / (quota_fraction or 1.0)
         )
-        return self.slow_start.room(backend, now, self.latency_model.work(request), sharers)
+        return self.slow_start.has_credit(backend, now, self.latency_model.work(request), sharers)
 
     def candidates(
         self, request: PendingRequest, usable: list[BackendRecord], now: float
--- a/corkdeal/decisions/slow_start.py
+++ b/corkdeal/decisions/slow_start.py
@@ -1,11 +1,18 @@
-"""How much work a server that started a short while ago may be sent: it falls over if all push it at once.
+"""Slow start: how much work a backend that started a short while ago may be sent while it warms up.
 
-Within a window T it stands A(N) = N + 2 sqrt(N) + 2 usual requests, N = multiple x warmth x T x a warm one's
-load. Each of S gateways knows its part of N by what it gets served itself; such parts add up (docs/fleet.md):
-- few have buckets: each gains MARGIN of its part and saves a window's gain, its largest request at least.
-  That all rush after a lull, with S over A(N) - MARGIN N, is not excluded; the judge tells how seldom it is.
-- many draw: each stakes what it saves, its gain in `held` windows, for a request. A window has a mean of
-  m = (1 + held) x the gain, and a variance under m; as sqrt(m) <= sqrt(N) - SHORT, A is 3.4 deviations off.
+A backend that warms up falls over if all gateways send it what a warm one gets. In a window T it can take
+A(N) = N + 2 sqrt(N) + 2 usual requests, N = overload multiple x warmth x T x the load of a warm backend.
+Each of S gateways that share it knows its part of N by what its own requests get served, and these parts add
+up (docs/fleet.md). What a gateway may send is credit, counted as work (s of usual latency):
+
+- Few gateways have a bucket each. It gains BUCKET_FRACTION of its part and holds a window's gain, or the
+  largest request if that is more. All of them sending a full bucket at once could still pass A(N) where S is
+  over A(N) - BUCKET_FRACTION N; `corkdeal/experiment/slow_start.py` measures how seldom that happens.
+- Many gateways draw. Each stakes its credit, at most `saved` windows' gain, for a request. The requests of a
+  window have a mean of m = (1 + saved) x the gain, and a variance under m; as sqrt(m) <= sqrt(N) -
+  ROOT_REDUCTION, A(N) is 3.4 standard deviations above the mean.
+
+`now` is the clock of the gateway in seconds, warmth is the part of its capacity that a backend has by now.
 """
 
 from __future__ import annotations
@@ -17,56 +24,64 @@
 from .records import FadingRate
 from .settings import Settings
 
-FEW, MARGIN = 40, 0.6  # sharers, and the part of N that they gain; the rest is for what each saves
-SURE = 0.7  # of the mean capacity, the smallest server's; what is served may come up to the mean
-LEAST, SHORT = 0.25, 0.7  # part of N, and what is taken off its root, as above
-HELD = 0.2  # requests to a warm server, in whose time a part of one may be saved: with ten servers, two
-MEMORY = 10.0  # s over which served work is averaged: while few are let in, less is served than could be
-START_CORES, START_SPAN = 2.0, 0.5  # taken as served in the seconds before, until more is known
+MAX_BUCKET_SHARERS = 40  # gateways
+BUCKET_FRACTION = 0.6  # of N; the rest is for what each bucket holds
+MAX_DRAW_FRACTION = 0.7  # of N; the smallest backend has this part of the mean capacity
+MIN_DRAW_FRACTION = 0.25  # of N
+ROOT_REDUCTION = 0.7  # taken off the root of N, as above
+SAVED_REQUESTS = 0.2  # requests to a warm backend, in whose time credit may be saved
+SERVED_RATE_TIME = 10.0  # s over which the served work is averaged
+ASSUMED_RATE = 2.0  # s of work a second, taken as served until more is known
+ASSUMED_TIME = 0.5  # s
 
 
 class SlowStartBudget:
-    """One gateway's part of what each cold server stands, counted as work (s of usual latency)."""
+    """One gateway's part of what each backend that warms up may be sent."""
 
     def __init__(self, settings: Settings, rng: random.Random, usual_work: float) -> None:
-        self.s, self.rng, self.usual_work, self.largest = settings, rng, usual_work, usual_work
-        self.served = FadingRate(MEMORY)  # work by one whole warm server
+        self.settings = settings
+        self.rng = rng
+        self.usual_work = usual_work  # s
+        self.largest_work = usual_work  # s
+        self.served = FadingRate(SERVED_RATE_TIME)  # work by one whole warm backend
 
-    def warmth(self, server: BackendRecord, now: float) -> float:
-        """Least share of its capacity that a just-started server has by now."""
-        age = max(0.0, now - min(server.endpoint.started, server.first_seen_at)) / self.s.warm_up_time
-        return (
-            min(1.0, self.s.initial_capacity + (1 - self.s.initial_capacity) * age)
-            if server.endpoint.started
-            else 1.0
-        )
+    def warmth(self, backend: BackendRecord, now: float) -> float:
+        """The least part of its capacity that a backend has by now; 1 once it has warmed up."""
+        started = backend.endpoint.started
+        if not started:
+            return 1.0
+        age = max(0.0, now - min(started, backend.first_seen_at)) / self.settings.warm_up_time
+        initial = self.settings.initial_capacity
+        return min(1.0, initial + (1 - initial) * age)
 
-    def part(self, server: BackendRecord, now: float, sharers: float) -> tuple[float, float]:
-        """Work gained in a window for this server, and the most that may be saved."""
-        rate = self.served.rate(now, START_CORES / sharers, START_SPAN) * self.s.overload_window
-        allowed = self.s.overload_multiple * self.warmth(server, now) * rate
-        if sharers <= FEW:
-            return MARGIN * allowed, max(self.largest, MARGIN * allowed)
-        one, held = self.usual_work / sharers, min(1.0, HELD * self.usual_work / rate)
-        drawn = max(0.0, math.sqrt(allowed / one) - SHORT) ** 2 * one / (1 + held)
-        gain = max(LEAST * allowed, min(SURE * allowed, drawn))
-        return gain, gain * held
+    def window_credit(self, backend: BackendRecord, now: float, sharers: float) -> tuple[float, float]:
+        """Work gained in a window for this backend, and the most that may be saved."""
+        assumed_rate = ASSUMED_RATE / sharers
+        served = self.served.rate(now, assumed_rate, ASSUMED_TIME) * self.settings.overload_window
+        allowed = self.settings.overload_multiple * self.warmth(backend, now) * served
+        if sharers <= MAX_BUCKET_SHARERS:
+            gain = BUCKET_FRACTION * allowed
+            return gain, max(self.largest_work, gain)
+        one = self.usual_work / sharers
+        saved = min(1.0, SAVED_REQUESTS * self.usual_work / served)
+        drawn = max(0.0, math.sqrt(allowed / one) - ROOT_REDUCTION) ** 2 * one / (1 + saved)
+        gain = max(MIN_DRAW_FRACTION * allowed, min(MAX_DRAW_FRACTION * allowed, drawn))
+        return gain, gain * saved
 
-    def room(self, server: BackendRecord, now: float, need: float, sharers: float) -> bool:
-        """Whether it may be sent `need` more, or a draw may be made for it."""
-        self.largest = max(need, self.largest)
-        gain, most = self.part(server, now, max(1.0, sharers))
-        if server.slow_start_credit_at is None:  # by chance, so that not all send at once
-            server.slow_start_credit_at, server.slow_start_credit = now, self.rng.random() * need
-        server.slow_start_credit = min(
-            most,
-            server.slow_start_credit + gain * (now - server.slow_start_credit_at) / self.s.overload_window,
-        )
-        server.slow_start_credit_at = now
-        return server.slow_start_credit >= need or most < need
+    def has_credit(self, backend: BackendRecord, now: float, work: float, sharers: float) -> bool:
+        """Whether the backend may be sent this work, or credit may be staked for it."""
+        self.largest_work = max(work, self.largest_work)
+        gain, most = self.window_credit(backend, now, max(1.0, sharers))
+        if backend.slow_start_credit_at is None:  # by chance, so that not all gateways send at once
+            backend.slow_start_credit = self.rng.random() * work
+            backend.slow_start_credit_at = now
+        gained = gain * (now - backend.slow_start_credit_at) / self.settings.overload_window
+        backend.slow_start_credit = min(most, backend.slow_start_credit + gained)
+        backend.slow_start_credit_at = now
+        return backend.slow_start_credit >= work or most < work
 
-    def takes(self, server: BackendRecord, need: float) -> bool:
-        """Spend what a request needs that would go there, or stake what is saved; whether it goes."""
-        goes = self.rng.random() * need < server.slow_start_credit
-        server.slow_start_credit = max(0.0, server.slow_start_credit - need)
-        return goes
+    def spend_credit(self, backend: BackendRecord, work: float) -> bool:
+        """Spend the work of a request that would go there, or stake the credit; whether the request goes."""
+        has_won = self.rng.random() * work < backend.slow_start_credit
+        backend.slow_start_credit = max(0.0, backend.slow_start_credit - work)
+        return has_won
--- a/corkdeal/experiment/slow_start.py
+++ b/corkdeal/experiment/slow_start.py
@@ -141,8 +141,8 @@
 
     def sends(self, age: float, work: float) -> bool:
         """Whether this request goes to the started server, of whose start it was told."""
-        may = self.budget.room(self.server, age, work, self.sharers)
-        return may and self.budget.takes(self.server, work)
+        may = self.budget.has_credit(self.server, age, work, self.sharers)
+        return may and self.budget.spend_credit(self.server, work)
 
 
 class Play:
--- a/tests/decisions/test_slow_start.py
+++ b/tests/decisions/test_slow_start.py
@@ -34,8 +34,8 @@
         now += rng.expovariate(RATE * 30)
         g = rng.choices(range(gateways), weights)[0]
         sharers = gateways * preferred / 30
-        may = now > 20.0 and g in sharing and budgets[g].room(cold[g], now, WORK, sharers)
-        if may and budgets[g].takes(cold[g], WORK):
+        may = now > 20.0 and g in sharing and budgets[g].has_credit(cold[g], now, WORK, sharers)
+        if may and budgets[g].spend_credit(cold[g], WORK):
             sent.append(now)
         else:
             budgets[g].served.add(now, WORK / preferred)
@@ -52,7 +52,7 @@
     cold = BackendRecord(Endpoint("new", EndpointState.READY, started=1.0))
     sent = 0
     for k in range(160):
-        if budget.room(cold, 1.0 + k / 10, WORK, 40.0) and budget.takes(cold, WORK):
+        if budget.has_credit(cold, 1.0 + k / 10, WORK, 40.0) and budget.spend_credit(cold, WORK):
             sent += 1
     assert 1 <= sent <= 24  # two cores over all gateways: 2 x 4 x 0.4 x warmth x 16 s / 0.2 s / 40
 
@@ -124,7 +124,7 @@
         for at in sorted(chance.uniform(15.0, 16.0) for _ in range(10)):
             for budget, server in zip(budgets, cold, strict=True):
                 work = chance.choice(works)
-                if budget.room(server, at, work, gateways) and budget.takes(server, work):
+                if budget.has_credit(server, at, work, gateways) and budget.spend_credit(server, work):
                     got += work
         allowed = 2.6 * 4.0 * 0.25 / 0.2
         assert got / 0.2 <= allowed + 2 * math.sqrt(allowed) + 2
@@ -137,7 +137,7 @@
             budgets, cold = budgets_of(100, (0.1, 0.3), load=2.6, seed=seed)
             for at in (11.0, 12.0, 13.0, 14.0):
                 for budget, server in zip(budgets, cold, strict=True):
-                    if budget.room(server, at, work, 100) and budget.takes(server, work):
+                    if budget.has_credit(server, at, work, 100) and budget.spend_credit(server, work):
                         sent[work] += work
     assert sent[0.1] == pytest.approx(sent[0.3], rel=0.2)
 
@@ -148,8 +148,8 @@
     g.handle(100.0, [servers("warm")])
     g.handle(100.0, [servers("new", kind=UpdateKind.DELTA, started=100.0)])
     draws = []
-    g.slow_start.room = lambda server, now, need, sharers: True
-    g.slow_start.takes = lambda server, need: draws.append((server.endpoint.backend, need)) or won
+    g.slow_start.has_credit = lambda server, now, need, sharers: True
+    g.slow_start.spend_credit = lambda server, need: draws.append((server.endpoint.backend, need)) or won
     g.backends.records["warm"].in_flight.update({-k: (100.0, 0.0) for k in range(1, 3)})
     assert pick(g.handle(100.1, [request(1, spread=200)]), StartAttempt)[0].backend == goes_to
     assert draws == [("new", g.latency_model.initial_latency)]
