--- a/corkdeal/decisions/backends.py
+++ b/corkdeal/decisions/backends.py
@@ -38,9 +38,7 @@
     peer_load_at: float = float("-inf")
     slow_start_credit: float = 0.0  # work that it may still be sent while it warms up
     slow_start_credit_at: float | None = None
-    rejecting_classes: dict[int | None, tuple[float, float]] = field(
-        default_factory=dict
-    )  # class -> (s, until)
+    rejecting_classes: dict[int, tuple[float, float]] = field(default_factory=dict)  # class -> (s, until)
 
     def load(self, now: float) -> float:
         """Requests in flight there: this gateway's own, and others' by a load report while that is fresh."""
--- a/corkdeal/decisions/persisted_state.py
+++ b/corkdeal/decisions/persisted_state.py
@@ -133,7 +133,7 @@
         [
             ShutMemory(classes[cls].name, wait, max(0.0, until - fresh))
             for cls, (wait, until) in server.rejecting_classes.items()
-            if wait > 0 and cls is not None
+            if wait > 0
         ]
     )
     return ServerMemory(
