--- a/corkdeal/decisions/records.py
+++ b/corkdeal/decisions/records.py
@@ -2,7 +2,6 @@
 
 from __future__ import annotations
 
-import math
 from dataclasses import dataclass, field
 from typing import TYPE_CHECKING
 
@@ -14,28 +13,6 @@
     from .backends import BackendRecord
 
 
-@dataclass(slots=True)
-class FadingRate:
-    """Amount a second, averaged over the last seconds and right from the first ones."""
-
-    time_constant: float  # s in which the weight of what was added falls to 1 / e
-    total: float = 0.0
-    updated_at: float = 0.0
-    started_at: float = math.inf
-
-    def add(self, now: float, amount: float) -> None:
-        """Book an amount; the first one only starts the clock, else it would count as a whole rate."""
-        self.total *= math.exp((self.updated_at - now) / self.time_constant)
-        self.total += amount if self.started_at < now else 0.0
-        self.updated_at, self.started_at = now, min(now, self.started_at)
-
-    def rate(self, now: float, assumed: float = 0.0, span: float = 0.0) -> float:
-        """The rate, averaged with one that is assumed for `span` seconds."""
-        known = self.time_constant * (1 - math.exp(min(0.0, self.started_at - now) / self.time_constant))
-        total = self.total * math.exp((self.updated_at - now) / self.time_constant) + assumed * span
-        return total / (known + span) if total else 0.0
-
-
 @dataclass(slots=True)
 class PeerLedger:
     """The ledger between a gateway and one neighbour for one customer."""
--- a/corkdeal/decisions/slow_start.py
+++ b/corkdeal/decisions/slow_start.py
@@ -19,9 +19,9 @@
 
 import math
 import random
+from dataclasses import dataclass
 
 from .backends import BackendRecord
-from .records import FadingRate
 from .settings import Settings
 
 MAX_BUCKET_SHARERS = 40  # gateways
@@ -35,6 +35,28 @@
 ASSUMED_TIME = 0.5  # s
 
 
+@dataclass(slots=True)
+class FadingRate:
+    """Amount a second, averaged over the last seconds and right from the first ones."""
+
+    time_constant: float  # s in which the weight of what was added falls to 1 / e
+    total: float = 0.0
+    updated_at: float = 0.0
+    started_at: float = math.inf
+
+    def add(self, now: float, amount: float) -> None:
+        """Book an amount; the first one only starts the clock, else it would count as a whole rate."""
+        self.total *= math.exp((self.updated_at - now) / self.time_constant)
+        self.total += amount if self.started_at < now else 0.0
+        self.updated_at, self.started_at = now, min(now, self.started_at)
+
+    def rate(self, now: float, assumed: float = 0.0, span: float = 0.0) -> float:
+        """The rate, averaged with one that is assumed for `span` seconds."""
+        known = self.time_constant * (1 - math.exp(min(0.0, self.started_at - now) / self.time_constant))
+        total = self.total * math.exp((self.updated_at - now) / self.time_constant) + assumed * span
+        return total / (known + span) if total else 0.0
+
+
 class SlowStartBudget:
     """One gateway's part of what each backend that warms up may be sent."""
 
--- a/tests/decisions/test_slow_start.py
+++ b/tests/decisions/test_slow_start.py
@@ -9,9 +9,8 @@
 from corkdeal.decisions.backends import BackendRecord
 from corkdeal.decisions.events import Endpoint, EndpointState, UpdateKind
 from corkdeal.decisions.gateway import Gateway
-from corkdeal.decisions.records import FadingRate
 from corkdeal.decisions.settings import Plan, RequestClass
-from corkdeal.decisions.slow_start import SlowStartBudget
+from corkdeal.decisions.slow_start import FadingRate, SlowStartBudget
 from corkdeal.experiment.slow_start import Play, draw
 from tests.helpers import outcome, pick, request, servers, settings
 
--- a/tests/test_layout.py
+++ b/tests/test_layout.py
@@ -25,7 +25,7 @@
     },
     "deadline_timers": {"actions"},
     "retries": {"settings", "events", "records"},
-    "slow_start": {"settings", "events", "actions", "records", "backends"},
+    "slow_start": {"settings", "events", "actions", "backends"},
     "persisted_state": {"settings", "events", "actions", "records", "backends"},
     "aggregation_tree": {"peer_messages", "records", "gateway"},
     "plumbing": {
