--- a/corkdeal/decisions/persisted_state.py
+++ b/corkdeal/decisions/persisted_state.py
@@ -137,7 +137,7 @@
         [
             StoredRejection(classes[number].name, duration, max(0.0, until - recorded_at))
             for number, (duration, until) in backend.rejecting_classes.items()
-            if duration > 0 and number is not None
+            if duration > 0
         ]
     )
     return StoredBackend(
--- a/corkdeal/net/recovery.py
+++ b/corkdeal/net/recovery.py
@@ -48,8 +48,8 @@
         """Begin to check; most of the retry budget is withheld until it is known to be among few."""
         decisions = self.gateway.decisions
         self.readiness = Readiness(self.gateway.now())
-        self.withheld_retries = decisions.retry_budget
-        decisions.retry_budget = min(INITIAL_RETRY_BUDGET, self.withheld_retries)
+        self.withheld_retries = decisions.retries.budget
+        decisions.retries.budget = min(INITIAL_RETRY_BUDGET, self.withheld_retries)
         self.check()
 
     def check(self) -> None:
@@ -90,7 +90,7 @@
         if transition.state is ReadinessState.FULL:
             decisions.admission_ramp = None
         if transition.state is ReadinessState.LEARNING and not among_many and not self._is_budget_divided():
-            decisions.retry_budget = max(decisions.retry_budget, self.withheld_retries)
+            decisions.retries.budget = max(decisions.retries.budget, self.withheld_retries)
             self.withheld_retries = 0.0
         logs.event(
             "recovery",
--- a/corkdeal/persistence/quota_handover.py
+++ b/corkdeal/persistence/quota_handover.py
@@ -34,7 +34,7 @@
 def keep_fraction(decisions: Gateway, fraction: float) -> None:
     """Keep that fraction of all that may be spent here; the rest was given."""
     decisions.quota_fraction *= fraction
-    decisions.retry_budget *= fraction
+    decisions.retries.budget *= fraction
     for account in decisions.accounts.values():
         account.level *= fraction
         account.hard_limit_level *= fraction
@@ -136,7 +136,7 @@
         if taken % ACCOUNTS_PER_STEP == 0:
             yield
     decisions.now = clock()
-    decisions.retry_budget += fleet.retry_budget
+    decisions.retries.budget += fleet.retry_budget
     decisions.incarnation = fleet.incarnation
     decisions.message_round = fleet.message_round
     decisions.peer_incarnations = incarnations
--- a/tests/recovery/test_net_recovery.py
+++ b/tests/recovery/test_net_recovery.py
@@ -45,7 +45,7 @@
 
 def test_a_start_withholds_retries_and_opens_by_its_part_of_the_backends():
     world = World()
-    assert (world.decisions.retry_budget, world.recovery.withheld_retries) == (1.0, 10.0)
+    assert (world.decisions.retries.budget, world.recovery.withheld_retries) == (1.0, 10.0)
     world.recovery.backends_known(0)
     assert world.decisions.admission_ramp is None
     world.recovery.backends_known(30)
--- a/tests/recovery/test_recovery.py
+++ b/tests/recovery/test_recovery.py
@@ -70,7 +70,7 @@
     resume_after_stall(one, 161.0, 60.0)
     for rid, server in [(1, one.backends.records[sent[0].backend])]:
         one.now = 161.0
-        one.watch(rid, server)
+        one.check_attempt(rid, server)
         assert not server.is_ejected
         one.handle(161.1, [outcome(1, 0, sent[0].backend, elapsed=0.1)])
 
@@ -376,7 +376,7 @@
     one = Gateway(settings(), seed=1)
     one.handle(100.0, [servers("a", started=160.0)])
     one.now = 100.0 + 0.9 * one.settings.warm_up_time
-    assert 0.9 < one.warmth(one.backends.records["a"]) < 1.0
+    assert 0.9 < one.slow_start.warmth(one.backends.records["a"], one.now) < 1.0
 
 
 @pytest.mark.parametrize(("given", "left"), [(None, 10.0), (object(), 1.0)])
@@ -386,8 +386,8 @@
     gateway = SimpleNamespace(decisions=one, pool=SimpleNamespace(), now=lambda: 100.0)
     gateway.succession = given and SimpleNamespace(given=given)
     recovery = Recovery(None, gateway)
-    recovery.withheld_retries, one.retry_budget = 10.0, 1.0
+    recovery.withheld_retries, one.retries.budget = 10.0, 1.0
     recovery.apply(
         Transition(ReadinessState.LEARNING, ReadinessState.RETURNING, "list, neighbours heard", 0.1)
     )
-    assert one.retry_budget == left
+    assert one.retries.budget == left
