--- a/tests/persistence/samples.py
+++ b/tests/persistence/samples.py
@@ -136,11 +136,17 @@
 
 
 def make():
+    """Write the frozen files that are missing; one that exists is from an earlier version, and stays."""
     DATA.mkdir(exist_ok=True)
-    (DATA / "format-1.know").write_bytes(sealed(1, msgspec.json.encode(ONE), packed=False))
-    (DATA / "format-2.know").write_bytes(sealed(2, msgspec.msgpack.encode(TWO)))
-    (DATA / "format-3.know").write_bytes(data())
-    (DATA / "format-4.know").write_bytes(sealed(4, b"what only a later program knows", packed=False))
+    files = {
+        "format-1.know": sealed(1, msgspec.json.encode(ONE), packed=False),
+        "format-2.know": sealed(2, msgspec.msgpack.encode(TWO)),
+        "format-3.know": data(),
+        "format-4.know": sealed(4, b"what only a later program knows", packed=False),
+    }
+    for name, content in files.items():
+        if not (DATA / name).exists():
+            (DATA / name).write_bytes(content)
 
 
 if __name__ == "__main__":
