--- a/corkdeal/decisions/persisted_state.py
+++ b/corkdeal/decisions/persisted_state.py
@@ -110,19 +110,21 @@
     # whether it comes from that process itself, and not from a store that may hold an older copy
     is_exact: bool
 
-    def fleet(self, now: float, first_work: dict[str, float]) -> StoredFleet:
+    def fleet(self, now: float, default_latencies: dict[str, float]) -> StoredFleet:
         """Return the fleet's record.
 
-        `first_work` is the latency in seconds of each class of which nothing is known.
+        `default_latencies` is the latency in seconds of each class of which nothing is known.
         """
 
-    def resumes(self) -> bool:
+    def may_resume(self) -> bool:
         """Whether the ledgers with peers may be resumed."""
 
-    def server(self, entry: Endpoint, now: float) -> StoredBackend | None:
+    def server(self, endpoint: Endpoint, now: float) -> StoredBackend | None:
         """Return the record of the backend that this endpoint names."""
 
-    def account(self, customer: int, plan: Plan, first: int, spread: int, now: float) -> StoredAccount | None:
+    def account(
+        self, customer: int, plan: Plan, first_gateway: int, member_count: int, now: float
+    ) -> StoredAccount | None:
         """Return the customer's account, with what may have been spent unrecorded taken off its level."""
 
 
--- a/corkdeal/decisions/plumbing.py
+++ b/corkdeal/decisions/plumbing.py
@@ -127,7 +127,7 @@
         """
         return (
             self.restored_state is not None
-            and self.restored_state.resumes()
+            and self.restored_state.may_resume()
             and (self.quota_restore is None or self.restored_state.is_exact)
         )
 
@@ -187,7 +187,7 @@
 
             persisted_state.restore_account(a, known, self.resumed(), self.peer_incarnations)
             if self.quota_restore is not None and not self.resumed():
-                self.quota_restore.recalled(a, known, self.restored_state.resumes())
+                self.quota_restore.recalled(a, known, self.restored_state.may_resume())
         if self.quota_restore is not None:
             self.quota_restore.met(self, a)
 
--- a/corkdeal/persistence/quota_handover.py
+++ b/corkdeal/persistence/quota_handover.py
@@ -81,24 +81,24 @@
         self.fraction = fraction
         self.totals: dict[int, Totals] = {}  # of each account as it came over
 
-    def fleet(self, now: float, first_work: dict[str, float]) -> persisted_state.StoredFleet:
+    def fleet(self, now: float, default_latencies: dict[str, float]) -> persisted_state.StoredFleet:
         """Return the fleet's record, with a fraction of the retry budget."""
-        record = self.state.fleet(now, first_work)
+        record = self.state.fleet(now, default_latencies)
         return record._replace(retry_budget=record.retry_budget * self.fraction)
 
-    def resumes(self) -> bool:
+    def may_resume(self) -> bool:
         """Whether shares are those of the ledgers; the old process goes on with them for now."""
-        return self.state.resumes()
+        return self.state.may_resume()
 
-    def server(self, entry: Endpoint, now: float) -> persisted_state.StoredBackend | None:
+    def server(self, endpoint: Endpoint, now: float) -> persisted_state.StoredBackend | None:
         """Return a server's record, whole: nothing of it can be spent."""
-        return self.state.server(entry, now)
+        return self.state.server(endpoint, now)
 
     def account(
-        self, customer: int, plan: Plan, first: int, spread: int, now: float
+        self, customer: int, plan: Plan, first_gateway: int, member_count: int, now: float
     ) -> persisted_state.StoredAccount | None:
         """Return an account with the fraction that was given."""
-        record = self.state.account(customer, plan, first, spread, now)
+        record = self.state.account(customer, plan, first_gateway, member_count, now)
         if record is None:
             return None
         self.totals[customer] = Totals(record.total_asked, record.total_spent)
@@ -130,7 +130,7 @@
         account = decisions.account(customer, plan, record.first_gateway, record.member_count)
         decisions.refill(account)  # one that was not met has its first fraction now, under its bound
         given = first.totals.get(customer, Totals(0.0, 0.0))
-        _add_record(account, record, given, rest.resumes(), incarnations)
+        _add_record(account, record, given, rest.may_resume(), incarnations)
         if account.ledgers:
             decisions.active_accounts[customer] = account
         if taken % ACCOUNTS_PER_STEP == 0:
--- a/corkdeal/persistence/restore.py
+++ b/corkdeal/persistence/restore.py
@@ -72,7 +72,7 @@
         is_within_longest_horizon = self.age < expiry.USUAL_LATENCY.horizon
         return not is_within_longest_horizon
 
-    def resumes(self) -> bool:
+    def may_resume(self) -> bool:
         """Whether ledgers may be resumed: peers may still hold their side, and the place is the same."""
         fleet = self.head.fleet
         stored_place = (fleet.gateway_index, fleet.gateway_count)
@@ -84,10 +84,10 @@
             and stored_place == place
         )
 
-    def fleet(self, now: float, first_work: dict[str, float]) -> StoredFleet:
+    def fleet(self, now: float, default_latencies: dict[str, float]) -> StoredFleet:
         """Return the fleet's record, each figure at its weight.
 
-        `first_work` is the latency in seconds of each class of which nothing is known.
+        `default_latencies` is the latency in seconds of each class of which nothing is known.
         """
         stored = self.head.fleet
         age = self.age_of(self.head.clock.boot, now)
@@ -99,32 +99,32 @@
             pace=interpolate(stored.pace, UNKNOWN_PACE, pace_weight),
             slowness=interpolate(stored.slowness, 1.0, slowness_weight),
             retry_budget=interpolate(retries, FULL_RETRY_BUDGET, retry_weight),
-            usual_latencies=tuple(self._usual_latencies(now, first_work)),
+            usual_latencies=tuple(self._usual_latencies(now, default_latencies)),
             message_round=stored.message_round + ROUND_LEAP,
         )
 
-    def _usual_latencies(self, now: float, first_work: dict[str, float]) -> Iterator[StoredLatency]:
+    def _usual_latencies(self, now: float, default_latencies: dict[str, float]) -> Iterator[StoredLatency]:
         """Yield the usual latency of each class and size that the settings still name."""
         for record in self.head.fleet.usual_latencies:
-            if record.request_class not in first_work:
+            if record.request_class not in default_latencies:
                 self.counts["knowledge_class_unknown"] += 1
                 continue
             weight = expiry.USUAL_LATENCY.weight(self.age_of(record.recorded_at, now))
             if weight and record.latency > 0:
-                seconds = interpolate(record.latency, first_work[record.request_class], weight)
+                seconds = interpolate(record.latency, default_latencies[record.request_class], weight)
                 yield StoredLatency(record.request_class, record.size, seconds)
 
-    def server(self, entry: Endpoint, now: float) -> StoredBackend | None:
+    def server(self, endpoint: Endpoint, now: float) -> StoredBackend | None:
         """Return the record of the process that this endpoint names; None for another under the same id.
 
         A list may be older than the record: one that names an earlier start leaves the record in its place.
         """
-        name = str(entry.backend)
+        name = str(endpoint.backend)
         record = self.servers.get(name)
-        if record is None or entry.started < record.started - START_TOLERANCE:
+        if record is None or endpoint.started < record.started - START_TOLERANCE:
             return None
         del self.servers[name]
-        if entry.started > record.started + START_TOLERANCE:
+        if endpoint.started > record.started + START_TOLERANCE:
             self.counts["knowledge_server_restarted"] += 1
             return None
         address = self.address_of(name)
@@ -145,7 +145,9 @@
             self.counts["knowledge_class_unknown"] += dropped
         return record._replace(rejections=known)
 
-    def account(self, customer: int, plan: Plan, first: int, spread: int, now: float) -> StoredAccount | None:
+    def account(
+        self, customer: int, plan: Plan, first_gateway: int, member_count: int, now: float
+    ) -> StoredAccount | None:
         """Return the customer's account in the module's clock, its refill still to come.
 
         Another plan or another set of gateways makes it another account.
@@ -157,7 +159,7 @@
         if record is None:
             return None
         age = self.age_of(record.refilled_at, now)
-        misfit = self._misfit(record, plan, (first, spread), age)
+        misfit = self._misfit(record, plan, (first_gateway, member_count), age)
         self.counts[misfit or "knowledge_account_used"] += 1
         if misfit:
             return None
--- a/corkdeal/persistence/snapshot_loader.py
+++ b/corkdeal/persistence/snapshot_loader.py
@@ -78,7 +78,7 @@
         age=format_age(age),
         servers=len(restored.servers),
         accounts=len(restored.encoded_accounts),
-        resumes=restored.resumes(),
+        resumes=restored.may_resume(),
         odd=odd,
     )
     return restored
--- a/tests/recovery/test_recovery.py
+++ b/tests/recovery/test_recovery.py
@@ -245,7 +245,7 @@
             peer_incarnations=self.peers,
         )
 
-    def resumes(self):
+    def may_resume(self):
         return True
 
     def server(self, entry, now):
