--- /dev/null
+++ b/corkdeal/decisions/settings_parser.py
@@ -0,0 +1,257 @@
+"""The settings' parser: values by path, as text, to a checked `Settings`.
+
+The paths and units are those that the operators write and that the simulator sends. The tables below are
+the one place that maps them to the fields of `corkdeal.decisions.settings`; a path that no table has is
+skipped. Times come in microseconds and leave in seconds.
+"""
+
+from __future__ import annotations
+
+import math
+from collections.abc import Iterable, Mapping
+from dataclasses import dataclass, field
+from typing import Any
+
+from ..errors import CorkdealError
+from .settings import DeduplicationScope, Effect, Plan, RequestClass, Settings
+
+MICROSECONDS_PER_SECOND = 1_000_000
+MAX_QUOTED_CHARACTERS = 40  # of a wrong value in an error's text
+
+
+class SettingsError(CorkdealError):
+    """A setting that is missing or can't be used; the text names its path."""
+
+
+def parse_number(raw: str | None, path: str, default: float | None, least: float) -> float:
+    """A finite number of at least `least`; without a default the setting has to be there."""
+    if raw is None:
+        if default is None:
+            raise SettingsError(f"setting {path} is missing")
+        return default
+    try:
+        value = float(raw)
+    except ValueError as error:
+        raise SettingsError(f"setting {path} is not a number: {raw[:MAX_QUOTED_CHARACTERS]!r}") from error
+    if not math.isfinite(value) or value < least:
+        raise SettingsError(f"setting {path} makes no sense: {raw[:MAX_QUOTED_CHARACTERS]!r}")
+    return value
+
+
+@dataclass(frozen=True)
+class Setting:
+    """One row of a table: where a setting stands and which field it fills; each kind is a subclass."""
+
+    path: str
+    field_name: str
+
+    def parse(self, raw: str | None, path: str) -> object:
+        """The field's value; `raw` is None where the setting is absent, `path` goes into errors."""
+        raise NotImplementedError
+
+
+@dataclass(frozen=True)
+class Number(Setting):
+    """A finite number; required where it has no default."""
+
+    default: float | None = None
+    least: float = 0.0
+
+    def parse(self, raw: str | None, path: str) -> float:
+        """The number as it stands."""
+        return parse_number(raw, path, self.default, self.least)
+
+
+@dataclass(frozen=True)
+class WholeNumber(Number):
+    """A number of things; a fraction is cut off."""
+
+    def parse(self, raw: str | None, path: str) -> int:
+        """The number without its fraction."""
+        return int(parse_number(raw, path, self.default, self.least))
+
+
+@dataclass(frozen=True)
+class Microseconds(Number):
+    """A time in microseconds, as are its default and its least value."""
+
+    def parse(self, raw: str | None, path: str) -> float:
+        """The time in seconds."""
+        return parse_number(raw, path, self.default, self.least) / MICROSECONDS_PER_SECOND
+
+
+@dataclass(frozen=True)
+class Flag(Setting):
+    """True for `true`; false for all else and where absent."""
+
+    def parse(self, raw: str | None, path: str) -> bool:
+        """Whether the flag is set."""
+        return raw == "true"
+
+
+@dataclass(frozen=True)
+class FlagUnless(Setting):
+    """False for one word; true for all else and where absent."""
+
+    word: str
+
+    def parse(self, raw: str | None, path: str) -> bool:
+        """Whether the setting is another word."""
+        return raw != self.word
+
+
+@dataclass(frozen=True)
+class Choice(Setting):
+    """One of a few words; an empty value is the default."""
+
+    choices: Mapping[str, object]
+    default: str
+
+    def parse(self, raw: str | None, path: str) -> object:
+        """What the word stands for."""
+        word = raw or self.default
+        if word not in self.choices:
+            raise SettingsError(f"setting {path} makes no sense: {word[:MAX_QUOTED_CHARACTERS]!r}")
+        return self.choices[word]
+
+
+@dataclass(frozen=True)
+class Text(Setting):
+    """Any text; empty where absent."""
+
+    def parse(self, raw: str | None, path: str) -> str:
+        """The text as it stands."""
+        return raw or ""
+
+
+@dataclass(frozen=True)
+class Words(Setting):
+    """Words between commas, each replaced by its name in `names` where it has one."""
+
+    names: Mapping[str, str] = field(default_factory=dict)
+
+    def parse(self, raw: str | None, path: str) -> tuple[str, ...]:
+        """The words in their order."""
+        words = (raw or "").split(",")
+        return tuple(self.names.get(word, word) for word in words if word)
+
+
+EFFECTS = {
+    "pure": Effect.IDEMPOTENT,
+    "token": Effect.IDEMPOTENCY_KEY,
+    "side_effect": Effect.NOT_IDEMPOTENT,
+}
+DEDUPLICATION_SCOPES = {scope.value: scope for scope in DeduplicationScope}
+LOAD_REPORT_FIELDS = {
+    "outstanding": "inflight",
+    "backlog": "queue",
+    "utilization": "util",
+    "recent_ms": "latency_ms",
+    "throughput": "qps",
+    "errors_per_s": "eps",
+}
+
+CLASSES_PATH = "classes"
+PLANS_PATH = "tiers_of_service"
+
+# One row a setting: its path, the field it fills, its default and its least value, both in the path's unit.
+# The order of the rows is the order in which they are checked.
+GATEWAY_SETTINGS: tuple[Setting, ...] = (
+    WholeNumber("balancers", "gateway_count", least=1),
+    WholeNumber("me", "gateway_index"),
+    WholeNumber("zone", "zone", default=0),
+)
+CLASS_SETTINGS: tuple[Setting, ...] = (  # below `classes.<index>.`
+    Microseconds("aim_us", "latency_objective", least=1),
+    Microseconds("deadline_us", "deadline", least=1),
+    Number("points", "priority_weight", default=1.0),
+    Number("late_share", "late_share", default=0.0),
+    Choice("semantics", "effect", EFFECTS, default="side_effect"),
+    Choice("group", "deduplication_scope", DEDUPLICATION_SCOPES, default="all"),
+    Microseconds("window_us", "deduplication_window", default=0),
+    Flag("streaming", "is_streaming"),
+    Number("aim_stretch", "latency_objective_stretch", default=0.0),
+    Text("name", "name"),
+)
+PLAN_SETTINGS: tuple[Setting, ...] = (  # below `tiers_of_service.<index>.`
+    Number("quota_rate", "rate", default=0.0),
+    Number("store_size", "burst", default=0.0),
+    WholeNumber("max_out", "max_in_flight", default=0),
+    Number("value_factor", "price", default=1.0),
+    Number("over_worth", "over_quota_weight", default=0.0),
+    Number("over_cost", "over_quota_cost", default=0.0),
+    Number("never_over_rate", "hard_limit_rate", default=0.0),
+    Number("hard_burst", "hard_limit_burst", default=0.0),
+    Number("ceiling_slack", "hard_limit_slack", default=0.0),
+    Text("name", "name"),
+)
+RULE_SETTINGS: tuple[Setting, ...] = (
+    Microseconds("granularity_us", "tick", default=1_000),
+    FlagUnless("membership_mode", "is_endpoint_list_pushed", word="on_request"),
+    Microseconds("rules.ask_every_us", "poll_interval", default=10_000_000),
+    Words("telemetry.columns", "report_fields", LOAD_REPORT_FIELDS),
+    WholeNumber("policy_limits.max_attempts", "max_attempts", default=1),
+    Flag("policy_limits.cancel", "may_cancel"),
+    Flag("policy_limits.may_probe", "may_check_health"),
+    Flag("policy_limits.peers", "may_message_peers"),
+    Flag("policy_limits.retry_after", "may_send_retry_after"),
+    Microseconds("policy_limits.max_retry_after_us", "max_retry_after", default=0),
+    Flag("client_habits.marks_retry", "has_retry_marks"),
+    Microseconds("policy_limits.connect_timeout_us", "connect_timeout", default=250_000),
+    Microseconds("policy_limits.conn_idle_us", "idle_timeout", default=30_000_000),
+    Words("failure_domains", "zones"),
+    Words("host_types", "kinds"),
+    Flag("family_info.counter", "has_counter"),
+    Microseconds("family_info.counter_timeout_us", "counter_timeout", default=0),
+    Microseconds("family_info.meter_us", "meter_period", default=0),
+    Number("family_info.peer_intake", "peer_message_rate", default=0.0),
+    Flag("family_info.post_paid", "is_post_paid"),
+    Number("family_info.units_top", "max_units", default=1.0),
+    Microseconds("rules.answer_slack_us", "answer_slack", default=0),
+    Microseconds("rules.drain_grace_us", "drain_grace", default=0),
+    Number("rules.fall_multiple", "overload_multiple", default=2.0),
+    Microseconds("rules.fall_us", "overload_window", default=1_000_000, least=1),
+    Number("rules.cold_share", "initial_capacity", default=0.1),
+    Microseconds("rules.warm_within_us", "warm_up_time", default=20_000_000),
+)
+
+
+def parse_fields(values: Mapping[str, str], settings: Iterable[Setting], prefix: str = "") -> dict[str, Any]:
+    """The fields that a table fills; `prefix` stands before each of its paths."""
+    fields = {}
+    for setting in settings:
+        path = prefix + setting.path
+        fields[setting.field_name] = setting.parse(values.get(path), path)
+    return fields
+
+
+def parse_count(values: Mapping[str, str], path: str) -> int:
+    """How many numbered records stand below a path; at least one."""
+    count_path = f"{path}.count"
+    return int(parse_number(values.get(count_path), count_path, default=None, least=1))
+
+
+def parse_settings(values: Mapping[str, str]) -> Settings:
+    """Check values by path and give the rest its defaults; `SettingsError` names the first wrong path."""
+    class_count = parse_count(values, CLASSES_PATH)
+    plan_count = parse_count(values, PLANS_PATH)
+    gateway_fields = parse_fields(values, GATEWAY_SETTINGS)
+    classes = tuple(
+        RequestClass(**parse_fields(values, CLASS_SETTINGS, f"{CLASSES_PATH}.{index}."))
+        for index in range(class_count)
+    )
+    plans = tuple(
+        Plan(**parse_fields(values, PLAN_SETTINGS, f"{PLANS_PATH}.{index}.")) for index in range(plan_count)
+    )
+    rule_fields = parse_fields(values, RULE_SETTINGS)
+    return Settings(classes=classes, plans=plans, **gateway_fields, **rule_fields)
+
+
+def parse_settings_text(text: str) -> Settings:
+    """Settings from lines of `path=value`; a line without an equals sign is skipped."""
+    values = {}
+    for line in text.splitlines():
+        path, separator, value = line.partition("=")
+        if separator:
+            values[path] = value
+    return parse_settings(values)
--- a/corkdeal/net/config.py
+++ b/corkdeal/net/config.py
@@ -10,7 +10,7 @@
 import orjson
 
 from ..decisions.settings import Settings
-from ..simulator import protocol
+from ..decisions.settings_parser import SettingsError, parse_settings
 from .discovery_snapshot import DiscoverySnapshot, ListError, parse_list
 
 Address = tuple[str, int]
@@ -81,9 +81,9 @@
     pairs: dict[str, str] = {}
     flatten(raw, "", pairs)
     try:
-        made = protocol.settings_from(pairs)
-    except protocol.WireError as error:
-        raise ConfigError(f"settings: {error}") from None
+        made = parse_settings(pairs)
+    except SettingsError as error:
+        raise ConfigError(f"settings: {error}") from error
     if made.gateway_index >= made.gateway_count:
         raise ConfigError(f"settings: me is {made.gateway_index}, but balancers is {made.gateway_count}")
     return made
--- a/corkdeal/simulator/adapter.py
+++ b/corkdeal/simulator/adapter.py
@@ -6,6 +6,7 @@
 from typing import BinaryIO
 
 from ..decisions.gateway import Gateway
+from ..decisions.settings_parser import SettingsError
 from . import protocol
 
 MOST_FRAME = 1 << 30  # bytes; a longer announcement is taken for a broken frame
@@ -76,7 +77,7 @@
     """Run until the input ends; a malformed frame ends the run with one line."""
     try:
         serve(sys.stdin.buffer, sys.stdout.buffer)
-    except protocol.WireError as error:
+    except (protocol.WireError, SettingsError) as error:
         print(f"corkdeal: {error}", file=sys.stderr)
         return 2
     except BrokenPipeError:
--- a/corkdeal/simulator/protocol.py
+++ b/corkdeal/simulator/protocol.py
@@ -37,7 +37,8 @@
     TimerExpired,
     UpdateKind,
 )
-from ..decisions.settings import DeduplicationScope, Effect, Plan, RequestClass, Settings
+from ..decisions.settings import Settings
+from ..decisions.settings_parser import parse_settings_text
 
 
 class WireError(ValueError):
@@ -55,15 +56,6 @@
     9: Status.ABANDONED,
 }
 LIST_KIND = {0: UpdateKind.DELTA, 1: UpdateKind.COMPLETE, 2: UpdateKind.CACHED, 3: UpdateKind.FAILED}
-EFFECT = {"pure": Effect.IDEMPOTENT, "token": Effect.IDEMPOTENCY_KEY, "side_effect": Effect.NOT_IDEMPOTENT}
-REPORT_FIELD = {
-    "outstanding": "inflight",
-    "backlog": "queue",
-    "utilization": "util",
-    "recent_ms": "latency_ms",
-    "throughput": "qps",
-    "errors_per_s": "eps",
-}
 EVERYONE = 0xFFFFFFFF
 MOST_U32 = 0xFFFFFFFF
 US = 1_000_000
@@ -123,118 +115,6 @@
 TOTAL = struct.Struct("<fQIB")
 
 
-def number(pairs: dict[str, str], key: str, default: float | None = None, least: float = 0.0) -> float:
-    """A finite number of at least `least` from the settings; an error names the key."""
-    raw = pairs.get(key)
-    if raw is None:
-        if default is None:
-            raise WireError(f"setting {key} is missing")
-        return default
-    try:
-        value = float(raw)
-    except ValueError:
-        raise WireError(f"setting {key} is not a number: {raw[:40]!r}") from None
-    if not math.isfinite(value) or value < least:
-        raise WireError(f"setting {key} makes no sense: {raw[:40]!r}")
-    return value
-
-
-def flag(pairs: dict[str, str], key: str) -> bool:
-    """A true or false setting; absent means false."""
-    return pairs.get(key, "false") == "true"
-
-
-def word(pairs: dict[str, str], key: str, known: dict[str, Any], default: str) -> Any:
-    """A setting that is one of a few words."""
-    raw = pairs.get(key) or default
-    if raw not in known:
-        raise WireError(f"setting {key} makes no sense: {raw[:40]!r}")
-    return known[raw]
-
-
-def parse_class(pairs: dict[str, str], at: str) -> RequestClass:
-    """One class of the settings."""
-    return RequestClass(
-        latency_objective=number(pairs, at + "aim_us", least=1) / US,
-        deadline=number(pairs, at + "deadline_us", least=1) / US,
-        priority_weight=number(pairs, at + "points", 1.0),
-        late_share=number(pairs, at + "late_share", 0.0),
-        effect=word(pairs, at + "semantics", EFFECT, "side_effect"),
-        deduplication_scope=word(pairs, at + "group", {g.value: g for g in DeduplicationScope}, "all"),
-        deduplication_window=number(pairs, at + "window_us", 0.0) / US,
-        is_streaming=flag(pairs, at + "streaming"),
-        latency_objective_stretch=number(pairs, at + "aim_stretch", 0.0),
-        name=pairs.get(at + "name", ""),
-    )
-
-
-def parse_plan(pairs: dict[str, str], at: str) -> Plan:
-    """One plan of the settings."""
-    return Plan(
-        rate=number(pairs, at + "quota_rate", 0.0),
-        burst=number(pairs, at + "store_size", 0.0),
-        max_in_flight=int(number(pairs, at + "max_out", 0.0)),
-        price=number(pairs, at + "value_factor", 1.0),
-        over_quota_weight=number(pairs, at + "over_worth", 0.0),
-        over_quota_cost=number(pairs, at + "over_cost", 0.0),
-        hard_limit_rate=number(pairs, at + "never_over_rate", 0.0),
-        hard_limit_burst=number(pairs, at + "hard_burst", 0.0),
-        hard_limit_slack=number(pairs, at + "ceiling_slack", 0.0),
-        name=pairs.get(at + "name", ""),
-    )
-
-
-def parse_settings(text: str) -> Settings:
-    """Settings from path=value lines; unknown paths are skipped."""
-    return settings_from(dict(line.partition("=")[::2] for line in text.splitlines() if "=" in line))
-
-
-def words(pairs: dict[str, str], key: str) -> tuple[str, ...]:
-    """A setting that is a list of words."""
-    return tuple(w for w in pairs.get(key, "").split(",") if w)
-
-
-def settings_from(pairs: dict[str, str]) -> Settings:
-    """Settings from values by path, as text; the simulator's host and the real gateway share this."""
-    count = int(number(pairs, "classes.count", least=1))
-    plans = int(number(pairs, "tiers_of_service.count", least=1))
-    gateways, me = int(number(pairs, "balancers", least=1)), int(number(pairs, "me"))
-    return Settings(
-        gateway_index=me,
-        gateway_count=gateways,
-        zone=int(number(pairs, "zone", 0.0)),
-        classes=tuple(parse_class(pairs, f"classes.{i}.") for i in range(count)),
-        plans=tuple(parse_plan(pairs, f"tiers_of_service.{i}.") for i in range(plans)),
-        tick=number(pairs, "granularity_us", 1000.0) / US,
-        is_endpoint_list_pushed=pairs.get("membership_mode", "pushed") != "on_request",
-        poll_interval=number(pairs, "rules.ask_every_us", 10e6) / US,
-        report_fields=tuple(REPORT_FIELD.get(f, f) for f in words(pairs, "telemetry.columns")),
-        max_attempts=int(number(pairs, "policy_limits.max_attempts", 1.0)),
-        may_cancel=flag(pairs, "policy_limits.cancel"),
-        may_check_health=flag(pairs, "policy_limits.may_probe"),
-        may_message_peers=flag(pairs, "policy_limits.peers"),
-        may_send_retry_after=flag(pairs, "policy_limits.retry_after"),
-        max_retry_after=number(pairs, "policy_limits.max_retry_after_us", 0.0) / US,
-        has_retry_marks=flag(pairs, "client_habits.marks_retry"),
-        connect_timeout=number(pairs, "policy_limits.connect_timeout_us", 250000.0) / US,
-        idle_timeout=number(pairs, "policy_limits.conn_idle_us", 30e6) / US,
-        zones=words(pairs, "failure_domains"),
-        kinds=words(pairs, "host_types"),
-        has_counter=flag(pairs, "family_info.counter"),
-        counter_timeout=number(pairs, "family_info.counter_timeout_us", 0.0) / US,
-        meter_period=number(pairs, "family_info.meter_us", 0.0) / US,
-        peer_message_rate=number(pairs, "family_info.peer_intake", 0.0),
-        is_post_paid=flag(pairs, "family_info.post_paid"),
-        max_units=number(pairs, "family_info.units_top", 1.0),
-        answer_slack=number(pairs, "rules.answer_slack_us", 0.0) / US,
-        drain_grace=number(pairs, "rules.drain_grace_us", 0.0) / US,
-        overload_multiple=number(pairs, "rules.fall_multiple", 2.0),
-        overload_window=number(pairs, "rules.fall_us", 1e6, least=1) / US,
-        initial_capacity=number(pairs, "rules.cold_share", 0.1),
-        warm_up_time=number(pairs, "rules.warm_within_us", 20e6) / US,
-    )
-
-
 def _known(table: dict[int, Any], code: int, what: str, r: Reader) -> Any:
     if code not in table:
         raise WireError(f"unknown {what} {code} before byte {r.at}")
@@ -252,7 +132,7 @@
         text = r.blob(size, "profile_data").decode()
     except UnicodeDecodeError:
         raise WireError(f"profile_data is not text before byte {r.at}") from None
-    return Attach(seed, parse_settings(text))
+    return Attach(seed, parse_settings_text(text))
 
 
 def _members(r: Reader, fields: tuple[str, ...]) -> EndpointUpdate:
--- a/tests/test_layout.py
+++ b/tests/test_layout.py
@@ -8,6 +8,7 @@
 ROOT = pathlib.Path(__file__).parents[1]
 PARTS = {  # module of the decisions -> those of the decisions that it may import
     "settings": set(),
+    "settings_parser": {"settings"},
     "events": set(),
     "actions": set(),
     "records": {"settings", "events", "actions", "peer_messages"},
@@ -39,7 +40,7 @@
     "options": {"halls", "errors"},
     "persistence": {"decisions", "errors", "logs", "options"},
     "standin": {"decisions", "simulator", "options", "logs", "net"},
-    "net": {"decisions", "errors", "simulator", "logs", "options", "persistence", "recovery", "membership"},
+    "net": {"decisions", "errors", "logs", "options", "persistence", "recovery", "membership"},
     "experiment": {"decisions", "recovery", "membership", "halls", "simulator", "options", "persistence"}
     | {"standin", "net", "logs"},
     "cli": {"halls", "options", "persistence", "net", "experiment", "standin", "logs"},
