--- a/corkdeal/simulator/adapter.py
+++ b/corkdeal/simulator/adapter.py
@@ -5,6 +5,7 @@
 import sys
 from typing import BinaryIO
 
+from ..decisions.events import Event
 from ..decisions.gateway import Gateway
 from ..decisions.settings_parser import SettingsError
 from . import protocol
@@ -23,7 +24,7 @@
         """Answer one batch."""
         clock, pairs = protocol.decode(body, self.fields)
         now = clock / protocol.US
-        runs: dict[int, list] = {}
+        runs: dict[int, list[Event]] = {}
         records: list[bytes] = []
         for number, event in pairs:
             if isinstance(event, protocol.Attach):
@@ -83,7 +84,3 @@
     except BrokenPipeError:
         return 1
     return 0
-
-
-if __name__ == "__main__":
-    sys.exit(main())
--- a/tests/simulator/test_adapter.py
+++ b/tests/simulator/test_adapter.py
@@ -93,7 +93,7 @@
 )
 def test_malformed_input_ends_with_one_plain_line(data, word):
     done = subprocess.run(
-        [sys.executable, "-m", "corkdeal.simulator.adapter"],
+        [sys.executable, "-m", "corkdeal.simulator"],
         input=data,
         capture_output=True,
         cwd=pathlib.Path(__file__).parents[2],
