--- a/corkdeal/simulator/adapter.py
+++ b/corkdeal/simulator/adapter.py
@@ -1,4 +1,4 @@
-"""Standard input to standard output: hosts gateways on the wire, each with a brain of its own."""
+"""Hosts gateways of the simulator: batches on standard input, replies on standard output."""
 
 from __future__ import annotations
 
@@ -8,42 +8,53 @@
 from ..decisions.events import Event
 from ..decisions.gateway import Gateway
 from ..decisions.settings_parser import SettingsError
-from . import protocol
+from .decoding import Batch, GatewayKilled, GatewayStarted, ReportFields, decode_batch
+from .encoding import encode_action, encode_decision_error, encode_reply
+from .protocol import MAX_FRAME_BYTES, U32, ProtocolError
 
-MOST_FRAME = 1 << 30  # bytes; a longer announcement is taken for a broken frame
+EXIT_OUTPUT_CLOSED = 1
+EXIT_MALFORMED_INPUT = 2
 
 
-class Host:
-    """The gateways living in this process; they share nothing."""
+class GatewayHost:
+    """The gateways of this process, by number; they share nothing."""
 
     def __init__(self) -> None:
-        self.gateways: dict[int, Gateway] = {}
-        self.fields: dict[int, tuple[str, ...]] = {}
-
-    def reply(self, body: bytes) -> bytes:
-        """Answer one batch."""
-        clock, pairs = protocol.decode(body, self.fields)
-        now = clock / protocol.US
-        runs: dict[int, list[Event]] = {}
+        self._gateways: dict[int, Gateway] = {}
+        self._report_fields: dict[int, ReportFields] = {}
+
+    def reply(self, frame: bytes) -> bytes:
+        """Answer one batch, given without its length; the reply has its own before it."""
+        batch = decode_batch(frame, self._report_fields)
         records: list[bytes] = []
-        for number, event in pairs:
-            if isinstance(event, protocol.Attach):
-                self.gateways[number] = Gateway(event.settings, event.seed)
-                runs[number] = []
-            elif isinstance(event, protocol.PowerOff):
-                self.gateways.pop(number, None)
-                runs.pop(number, None)
-            elif number not in self.gateways:
-                raise protocol.WireError(f"event for gateway {number}, which never started")
+        for number, events in self._events_by_gateway(batch).items():
+            records += self._handle(number, batch.time, events)
+        return encode_reply(records)
+
+    def _events_by_gateway(self, batch: Batch) -> dict[int, list[Event]]:
+        """Start and kill gateways, and sort the other events by gateway."""
+        pending: dict[int, list[Event]] = {}
+        for entry in batch.events:
+            number, event = entry.gateway, entry.event
+            if isinstance(event, GatewayStarted):
+                self._gateways[number] = Gateway(event.settings, event.seed)
+                pending[number] = []
+            elif isinstance(event, GatewayKilled):
+                self._gateways.pop(number, None)
+                pending.pop(number, None)
+            elif number not in self._gateways:
+                raise ProtocolError(f"event for gateway {number}, which never started")
             else:
-                runs.setdefault(number, []).append(event)
-        for number, events in runs.items():
-            try:
-                actions = self.gateways[number].handle(now, events)
-                records += [protocol.encode_action(number, a) for a in actions]
-            except Exception as error:  # the operators want the text, not a dead process
-                records.append(protocol.encode_error(number, f"{type(error).__name__}: {error}"))
-        return protocol.frame(records)
+                pending.setdefault(number, []).append(event)
+        return pending
+
+    def _handle(self, number: int, time: float, events: list[Event]) -> list[bytes]:
+        """Records of a gateway's actions, or the one that reports an exception."""
+        try:
+            actions = self._gateways[number].handle(time, events)
+            return [encode_action(action, number) for action in actions]
+        except Exception as error:  # the simulator reports the text; the other gateways go on
+            return [encode_decision_error(number, f"{type(error).__name__}: {error}")]
 
 
 def read_exactly(stream: BinaryIO, count: int) -> bytes:
@@ -58,29 +69,39 @@
     return b"".join(parts)
 
 
+def read_frame(source: BinaryIO) -> bytes | None:
+    """Read the next frame without its length; None at the end of the input."""
+    length = read_exactly(source, U32.size)
+    if not length:
+        return None
+    if len(length) < U32.size:
+        raise ProtocolError(f"frame length cut short after {len(length)} bytes")
+    (size,) = U32.unpack(length)
+    if size > MAX_FRAME_BYTES:
+        raise ProtocolError(f"frame length {size} is beyond {MAX_FRAME_BYTES}")
+    frame = read_exactly(source, size)
+    if len(frame) < size:
+        raise ProtocolError(f"frame cut short: {len(frame)} of {size} bytes")
+    return frame
+
+
 def serve(source: BinaryIO, sink: BinaryIO) -> None:
     """Answer batches until the input ends."""
-    host = Host()
-    while head := read_exactly(source, 4):
-        if len(head) < 4:
-            raise protocol.WireError(f"frame length cut short after {len(head)} bytes")
-        (size,) = protocol.U32.unpack(head)
-        if size > MOST_FRAME:
-            raise protocol.WireError(f"frame length {size} is beyond {MOST_FRAME}")
-        body = read_exactly(source, size)
-        if len(body) < size:
-            raise protocol.WireError(f"frame cut short: {len(body)} of {size} bytes")
-        sink.write(host.reply(body))
+    host = GatewayHost()
+    frame = read_frame(source)
+    while frame is not None:
+        sink.write(host.reply(frame))
         sink.flush()
+        frame = read_frame(source)
 
 
 def main() -> int:
-    """Run until the input ends; a malformed frame ends the run with one line."""
+    """Run until the input ends and return the exit code; malformed input ends the run with one line."""
     try:
         serve(sys.stdin.buffer, sys.stdout.buffer)
-    except (protocol.WireError, SettingsError) as error:
+    except (ProtocolError, SettingsError) as error:
         print(f"corkdeal: {error}", file=sys.stderr)
-        return 2
+        return EXIT_MALFORMED_INPUT
     except BrokenPipeError:
-        return 1
+        return EXIT_OUTPUT_CLOSED
     return 0
--- a/tests/simulator/test_adapter.py
+++ b/tests/simulator/test_adapter.py
@@ -11,7 +11,8 @@
 import pytest
 
 from corkdeal.decisions.events import Status
-from corkdeal.simulator import adapter, protocol
+from corkdeal.simulator import adapter
+from corkdeal.simulator.decoding import decode_batch
 
 TEXT = """balancers=2
 me=0
@@ -71,11 +72,11 @@
         "04030000 00c4913a5d85250300 00 0a124a078b13 00 44480000 01 5600 0300 03"
         "0000e04000000c4300006841".replace(" ", "")
     )
-    _, [(gateway, e)] = protocol.decode(
-        struct.pack("<QI", 1, 1) + record, {3: ("inflight", "qps", "latency_ms")}
-    )
-    assert gateway == 3 and e.status is Status.OK and e.final and e.metered_use == 0.85
-    assert e.true_units == 3 and e.report == {"inflight": 7.0, "qps": 140.0, "latency_ms": 14.5}
+    columns = {3: ("inflight", "qps", "latency_ms")}
+    [entry] = decode_batch(struct.pack("<QI", 1, 1) + record, columns).events
+    ended = entry.event
+    assert entry.gateway == 3 and ended.status is Status.OK and ended.final and ended.metered_use == 0.85
+    assert ended.true_units == 3 and ended.report == {"inflight": 7.0, "qps": 140.0, "latency_ms": 14.5}
 
 
 @pytest.mark.parametrize(
@@ -104,7 +105,7 @@
     assert len(lines) == 1 and word in lines[0]
 
 
-def test_brain_exception_is_reported(monkeypatch):
+def test_exception_in_the_decisions_is_reported(monkeypatch):
     monkeypatch.setattr(adapter.Gateway, "handle", lambda *a: 1 / 0)
     reply = run(batch(attach(), members()))
     assert b"\x09\x00\x00\x00\x00" in reply and b"ZeroDivision" in reply
