--- /dev/null
+++ b/tests/simulator/test_frame_reader.py
@@ -0,0 +1,36 @@
+"""The frame reader alone: order of fields, and the place of what is cut short."""
+
+import struct
+
+import pytest
+
+from corkdeal.errors import CorkdealError
+from corkdeal.simulator.frame_reader import FrameReader
+from corkdeal.simulator.protocol import U16, U32, ProtocolError
+
+
+def test_fields_are_read_in_order():
+    reader = FrameReader(struct.pack("<HI", 7, 9) + b"abc")
+    assert reader.unpack(U16, "first") == (7,)
+    assert reader.unpack(U32, "second") == (9,)
+    assert (reader.position, reader.remaining) == (6, 3)
+    assert reader.read_bytes(3, "third") == b"abc"
+    assert reader.remaining == 0
+
+
+def test_a_field_cut_short_is_named_with_its_place():
+    reader = FrameReader(b"\x01\x00\x02")
+    reader.unpack(U16, "first")
+    with pytest.raises(ProtocolError, match=r"^second cut short at byte 2 of 3$"):
+        reader.unpack(U32, "second")
+
+
+def test_bytes_cut_short_are_named_with_their_place_and_not_read():
+    reader = FrameReader(b"abc")
+    with pytest.raises(ProtocolError, match=r"^text cut short at byte 0 of 3$"):
+        reader.read_bytes(4, "text")
+    assert reader.position == 0
+
+
+def test_errors_are_errors_of_the_project():
+    assert issubclass(ProtocolError, CorkdealError)
