--- a/corkdeal/decisions/actions.py
+++ b/corkdeal/decisions/actions.py
@@ -8,7 +8,13 @@
 
 @dataclass(slots=True, frozen=True)
 class StartAttempt:
-    """Start an attempt; timeout 0 lasts as long as the client waits."""
+    """Start an attempt; timeout 0 lasts as long as the client waits.
+
+    Attributes:
+        id: the request's id.
+        server: the backend.
+        timeout: time until the host gives the attempt up, s.
+    """
 
     id: int
     server: Hashable
@@ -17,7 +23,12 @@
 
 @dataclass(slots=True, frozen=True)
 class Reject:
-    """Final answer which says that a retry is harmless."""
+    """Final answer which says that a retry is harmless.
+
+    Attributes:
+        id: the request's id.
+        retry_after: time that the client is asked to wait, s; 0 is none.
+    """
 
     id: int
     retry_after: float = 0.0
@@ -32,7 +43,12 @@
 
 @dataclass(slots=True, frozen=True)
 class CancelAttempt:
-    """Stop waiting for an attempt."""
+    """Stop waiting for an attempt.
+
+    Attributes:
+        id: the request's id.
+        attempt: number of the attempt, from 0.
+    """
 
     id: int
     attempt: int
@@ -40,7 +56,12 @@
 
 @dataclass(slots=True, frozen=True)
 class SetTimer:
-    """Ask for a `TimerExpired` after a delay."""
+    """Ask for a `TimerExpired` after a delay.
+
+    Attributes:
+        delay: time from now, s.
+        token: comes back with the event.
+    """
 
     delay: float
     token: int
@@ -89,7 +110,13 @@
 
 @dataclass(slots=True, frozen=True)
 class IncrementCounter:
-    """Add to a shared counter and learn its total."""
+    """Add to a shared counter and learn its total.
+
+    Attributes:
+        name: number of the counter.
+        amount: what is added.
+        lifetime: time for which the counter keeps its value, s.
+    """
 
     name: int
     amount: float
--- a/corkdeal/decisions/events.py
+++ b/corkdeal/decisions/events.py
@@ -42,7 +42,17 @@
 
 @dataclass(slots=True, frozen=True)
 class Endpoint:
-    """One backend in the endpoint list."""
+    """One backend in the endpoint list.
+
+    Attributes:
+        server: the backend's id.
+        state: whether it takes requests.
+        zone: index into the settings' `zones`.
+        cell: number of the cell in its zone.
+        weight: capacity relative to other backends.
+        kind: index into the settings' `kinds`.
+        started: start of its process, s on the list's clock.
+    """
 
     server: Hashable
     state: EndpointState
@@ -55,7 +65,13 @@
 
 @dataclass(slots=True, frozen=True)
 class EndpointUpdate:
-    """The endpoint list, complete or as a delta."""
+    """The endpoint list, complete or as a delta.
+
+    Attributes:
+        kind: whether it is complete, a delta, from a cache, or no list because fetching failed.
+        entries: all endpoints, or those that changed.
+        version: the list's version.
+    """
 
     kind: UpdateKind
     entries: tuple[Endpoint, ...] = ()
@@ -64,7 +80,20 @@
 
 @dataclass(slots=True, frozen=True)
 class Request:
-    """A client's request arrived and needs one final answer."""
+    """A client's request arrived and needs one final answer.
+
+    Attributes:
+        id: unique among the gateway's requests.
+        customer: whose account pays.
+        plan: index into the settings' `plans`.
+        request_class: index into the settings' `classes`.
+        units: what it takes from the quota.
+        first_gateway: first of the gateways to which the customer's requests go.
+        member_count: how many gateways those are, from the first one on.
+        timeout: time that the client still waits, s.
+        is_retry: whether the client marks it as a retry.
+        is_write: whether it changes something.
+    """
 
     id: int
     customer: int
@@ -81,7 +110,14 @@
 
 @dataclass(slots=True, frozen=True)
 class StreamStarted:
-    """The first part of an attempt's answer arrived."""
+    """The first part of an attempt's answer arrived.
+
+    Attributes:
+        id: the request's id.
+        attempt: number of the attempt, from 0.
+        server: the attempt's backend.
+        elapsed: time since the attempt's start, s.
+    """
 
     id: int
     attempt: int
@@ -91,7 +127,19 @@
 
 @dataclass(slots=True, frozen=True)
 class AttemptEnded:
-    """An attempt ended; `final` means the request needs no further answer."""
+    """An attempt ended; `final` means the request needs no further answer.
+
+    Attributes:
+        id: the request's id.
+        attempt: number of the attempt, from 0.
+        server: the attempt's backend.
+        status: how it ended.
+        elapsed: time since the attempt's start, s.
+        final: whether the client has its final answer.
+        metered_use: use that the backend metered, 1 for all; None where there is none.
+        true_units: units that the request took; None where they are not known.
+        report: the backend's load report, by column.
+    """
 
     id: int
     attempt: int
@@ -120,7 +168,14 @@
 
 @dataclass(slots=True, frozen=True)
 class HealthCheckResult:
-    """The result of a health check."""
+    """The result of a health check.
+
+    Attributes:
+        server: the backend that was checked.
+        status: how the check ended.
+        elapsed: time since its start, s.
+        report: the backend's load report, by column.
+    """
 
     server: Hashable
     status: Status
@@ -138,7 +193,14 @@
 
 @dataclass(slots=True, frozen=True)
 class CounterResult:
-    """The shared counter's answer to one `IncrementCounter`."""
+    """The shared counter's answer to one `IncrementCounter`.
+
+    Attributes:
+        name: number of the counter.
+        total: its value after the increment.
+        status: how the call ended.
+        elapsed: time since its start, s.
+    """
 
     name: int
     total: float
