--- a/tests/test_quotas.py
+++ b/tests/test_quotas.py
@@ -49,15 +49,17 @@
 class LetsAllIn(quotas.Gateway):
     """Decisions that know no quota."""
 
-    def admits(self, a, units, share):
-        return True
+    def __init__(self, *args, **more):
+        super().__init__(*args, **more)
+        self.admission.is_within_quota = lambda *_: True
 
 
 class LetsNoneIn(quotas.Gateway):
-    """Decisions that refuse all."""
+    """Decisions that reject all."""
 
-    def admits(self, a, units, share):
-        return False
+    def __init__(self, *args, **more):
+        super().__init__(*args, **more)
+        self.admission.is_within_quota = lambda *_: False
 
 
 def fleet(**more):
