--- a/benchmarks/crowd.py
+++ b/benchmarks/crowd.py
@@ -86,7 +86,7 @@
     async def run(self) -> dict[str, Any]:
         """Play it; the figures."""
         models = [
-            Model(f"s{i}", "north-hall", cell=i % 2, cores=8, queue=4000, overload_multiple=1000.0)
+            Model(f"s{i}", "north-hall", cell=i % 2, cores=8, queue=4000, fall_multiple=1000.0)
             for i in range(SERVERS)
         ]
         servers = [
--- a/benchmarks/departures.py
+++ b/benchmarks/departures.py
@@ -151,7 +151,7 @@
     async def run(self) -> dict[str, Any]:
         """Play it; the figures."""
         models = [
-            Model(f"s{i}", "north-hall", cell=i % 2, cores=8, queue=4000, overload_multiple=1000.0)
+            Model(f"s{i}", "north-hall", cell=i % 2, cores=8, queue=4000, fall_multiple=1000.0)
             for i in range(SERVERS)
         ]
         servers = [Server(m, work_drawer(self.chance, 0.15, 0.5), self.seen) for m in models]
