--- a/corkdeal/decisions/incarnations.py
+++ b/corkdeal/decisions/incarnations.py
@@ -5,7 +5,7 @@
 They are ordered by serial number arithmetic (RFC 1982):
 
 - of a peer the latest incarnation that was heard is followed; what an earlier one sent is dropped;
-- a peer that speaks as an earlier one is told which is followed, at most once in CORRECTION_INTERVAL: either
+- a peer that sends as an earlier one is corrected, at most once in CORRECTION_INTERVAL: either
   its clock was set back, or the message was long on its way;
 - a gateway that is told of a later incarnation of itself takes one after all that it has heard of, so that
   its peers follow it again.
@@ -74,14 +74,14 @@
         return Greeting.NEW
 
     def may_correct(self, peer: int, now: float) -> bool:
-        """Whether a peer may be told by now that it spoke as an earlier incarnation; books that it is."""
+        """Whether a peer that sent as an earlier incarnation may be corrected by now; counts it as corrected."""
         if now - self.corrected_at.get(peer, -CORRECTION_INTERVAL) < CORRECTION_INTERVAL:
             return False
         self.corrected_at[peer] = now
         return True
 
     def outlive(self, own: int) -> bool:
-        """Take an incarnation after all known ones if a peer knows a later one of this gateway.
+        """Take an incarnation after all known ones if a peer follows a later one of this gateway.
 
         Returns whether it did. The new one is so much later that peers count as older, and are asked
         for what they hold.
--- a/corkdeal/decisions/peer_messages.py
+++ b/corkdeal/decisions/peer_messages.py
@@ -1,7 +1,7 @@
 """Codec of the datagrams that gateways exchange about customers' accounts.
 
 There are two kinds of message, told apart by their first byte. An exchange message goes between two
-neighbours of a narrow ring; a totals message goes along an edge of a customer's aggregation tree. Each is a
+ring neighbours; a totals message goes along an edge of a customer's aggregation tree. Each is a
 header and as many rows, one for each customer, as fit into a datagram. All numbers are little-endian.
 """
 
@@ -55,10 +55,10 @@
 
 @dataclass(slots=True, frozen=True)
 class ExchangeMessage:
-    """A message between two neighbours of a narrow ring."""
+    """A message between two ring neighbours."""
 
     sender_incarnation: int
-    receiver_incarnation: int  # as the sender knows it; 0 where it knows none
+    receiver_incarnation: int  # as the sender follows it; 0 for none
     round_number: int
     updates: list[AccountUpdate]
 
--- a/corkdeal/decisions/records.py
+++ b/corkdeal/decisions/records.py
@@ -1,4 +1,4 @@
-"""Plain records that the brain keeps; no decision is made here."""
+"""The record of a request that still needs its final answer."""
 
 from __future__ import annotations
 
