--- a/corkdeal/decisions/extensions.py
+++ b/corkdeal/decisions/extensions.py
@@ -31,14 +31,14 @@
     def account_created(self, account: Account) -> None:
         """An account was just made."""
 
-    def may_send_notes(self, peer: int) -> bool:
-        """Whether notes may go to a neighbour without wiping out what it holds."""
+    def may_send_updates(self, peer: int) -> bool:
+        """Whether updates may go to a neighbour without wiping out what it holds."""
 
     def record_reply(self, peer: int) -> None:
         """A neighbour sent a message to this incarnation."""
 
-    def apply_note(self, peer: int, note: AccountUpdate) -> None:
-        """Take what a neighbour's note tells of before this start."""
+    def apply_update(self, peer: int, update: AccountUpdate) -> None:
+        """Take what a neighbour's update shows of the time before this start."""
 
     def ledger_after_peer_restart(self, ledger: PeerLedger) -> PeerLedger:
         """What is left of a ledger whose other end started anew."""
--- a/corkdeal/decisions/incarnations.py
+++ b/corkdeal/decisions/incarnations.py
@@ -74,7 +74,7 @@
         return Greeting.NEW
 
     def may_correct(self, peer: int, now: float) -> bool:
-        """Whether a peer that sent as an earlier incarnation may be corrected by now; counts it as corrected."""
+        """Whether a peer that sent as an earlier incarnation may be corrected; if so it is counted."""
         if now - self.corrected_at.get(peer, -CORRECTION_INTERVAL) < CORRECTION_INTERVAL:
             return False
         self.corrected_at[peer] = now
--- a/corkdeal/decisions/peer_protocol.py
+++ b/corkdeal/decisions/peer_protocol.py
@@ -141,7 +141,7 @@
         replies = []
         for update in message.updates:
             if quota_restore is not None:
-                quota_restore.apply_note(peer, update)
+                quota_restore.apply_update(peer, update)
             reply = self.receive_update(peer, message.round_number, update)
             if reply is not None:
                 replies.append(reply)
@@ -209,4 +209,4 @@
 
     def _may_send_updates(self, peer: int) -> bool:
         """Whether a neighbour sent what it holds of an earlier incarnation, so that updates may go to it."""
-        return self.host.quota_restore is None or self.host.quota_restore.may_send_notes(peer)
+        return self.host.quota_restore is None or self.host.quota_restore.may_send_updates(peer)
--- a/corkdeal/membership/failure_detector.py
+++ b/corkdeal/membership/failure_detector.py
@@ -136,7 +136,7 @@
         self._set_state(update.member, MemberState.ALIVE, "news of it again")
 
     def _set_state(self, member: int, state: MemberState, reason: str) -> None:
-        """Change a member's state and note the change."""
+        """Change a member's state and keep the change for the events."""
         record = self.members[member]
         if record.state is not state:
             self.changes.append(StateChange(member, state, record.state, reason))
--- a/corkdeal/membership/host.py
+++ b/corkdeal/membership/host.py
@@ -36,7 +36,7 @@
 
     @property
     def ring_neighbours(self) -> Set[int]:
-        """The adjacent members of all narrow rings that this gateway is in."""
+        """The adjacent members of all rings that this gateway is in."""
 
     @property
     def accounts(self) -> Mapping[int, Account]:
@@ -44,7 +44,7 @@
 
     @property
     def active_accounts(self) -> Mapping[int, Account]:
-        """Accounts of narrow rings whose quota shares are in use, by customer."""
+        """Accounts of rings whose quota shares are in use, by customer."""
 
     @property
     def actions(self) -> list[Action]:
--- a/corkdeal/recovery/host.py
+++ b/corkdeal/recovery/host.py
@@ -35,8 +35,8 @@
     def is_older(self, incarnation: int, /) -> bool:
         """Whether a peer of that incarnation knows what was spent before this gateway's start."""
 
-    def send_updates(self, peer: int, notes: list[AccountUpdate], /) -> None:
-        """Send notes, or a message without any, to a peer."""
+    def send_updates(self, peer: int, updates: list[AccountUpdate], /) -> None:
+        """Send updates, or a message without any, to a peer."""
 
 
 class ResumeHost(Protocol):
--- a/corkdeal/recovery/quota_restore.py
+++ b/corkdeal/recovery/quota_restore.py
@@ -4,16 +4,16 @@
 again:
 
 - the end that went on keeps the totals when the other starts anew, and sends them with its next message;
-- the end that started sends a neighbour no notes before the neighbour sent it a message, had PEER_TIMEOUT to,
+- the end that started sends a neighbour no updates before the neighbour sent it a message, had PEER_TIMEOUT to,
   or is known to have started at about the same time, so that its zeros do not wipe out what it asks for;
 - the totals it receives become its side of the ledger without a change to its token bucket: those units were
   spent before;
 - its demand begins where shares and demand balance with the neighbour's, and decays into its own;
 - a stored ledger serves until then; it may be an older copy, so the neighbour's totals override it;
-- without a neighbour's totals or a stored ledger it begins at zero, and its first note sets the other end to
+- without a neighbour's totals or a stored ledger it begins at zero, and its first update sets the other end to
   zero as well.
 
-So in each case both ends have the same totals after the first notes that arrive, and the shares add up to the
+So in each case both ends have the same totals after the first updates that arrive, and the shares add up to the
 whole. An aggregated ring has no ledgers but running totals of what was spent; a start there begins at the
 bucket level at which it admits the quota's rate and no burst, since others may have spent that.
 """
@@ -53,10 +53,10 @@
         account.has_peer_level = False
         if not has_current_ledgers:
             return
-        for pair in stored.ledgers:
-            if pair.peer in account.ledgers:
-                account.ledgers[pair.peer] = PeerLedger(
-                    pair.received_share, pair.received_units, has_peer_totals=True
+        for record in stored.ledgers:
+            if record.peer in account.ledgers:
+                account.ledgers[record.peer] = PeerLedger(
+                    record.received_share, record.received_units, has_peer_totals=True
                 )
 
     def account_created(self, account: Account) -> None:
@@ -75,8 +75,8 @@
         """A neighbour sent a message to this incarnation."""
         self.replied.add(peer)
 
-    def may_send_notes(self, peer: int) -> bool:
-        """Whether notes may go to a neighbour: it sent what it holds, or has nothing to send."""
+    def may_send_updates(self, peer: int) -> bool:
+        """Whether updates may go to a neighbour: it sent what it holds, or has nothing to send."""
         if peer in self.replied or self.host.has_resumed():
             return True
         if self.started_at is None or self.host.now - self.started_at > PEER_TIMEOUT:
@@ -84,17 +84,19 @@
         incarnation = self.host.peer_incarnations.get(peer)
         return incarnation is not None and not self.host.is_older(incarnation)
 
-    def apply_note(self, peer: int, note: AccountUpdate) -> None:
+    def apply_update(self, peer: int, update: AccountUpdate) -> None:
         """Begin an account's demand where it balances with that of a neighbour that went on."""
-        account = self.host.account(note.customer, note.plan_index, note.first_gateway, note.member_count)
+        account = self.host.account(
+            update.customer, update.plan_index, update.first_gateway, update.member_count
+        )
         ledger = account.ledgers.get(peer)
-        if ledger is None or ledger.last_round or account.has_peer_level or note.share <= 0:
+        if ledger is None or ledger.last_round or account.has_peer_level or update.share <= 0:
             return
         if not self.host.is_older(self.host.peer_incarnations[peer]):
             return
-        restored = account.base_share() - (ledger.received_share + note.received_share) / SHARE_STEPS
+        restored = account.base_share() - (ledger.received_share + update.received_share) / SHARE_STEPS
         share = max(0.0, min(1.0, restored))
-        account.demand = max(account.demand, min(account.plan.rate, note.demand * share / note.share))
+        account.demand = max(account.demand, min(account.plan.rate, update.demand * share / update.share))
 
     def ledger_after_peer_restart(self, ledger: PeerLedger) -> PeerLedger:
         """What is left of a ledger whose other end started anew: its totals."""
--- a/tests/recovery/test_quota_restore.py
+++ b/tests/recovery/test_quota_restore.py
@@ -86,16 +86,16 @@
 def test_notes_wait_for_a_neighbour_that_went_on():
     host = FakeHost()
     restore = QuotaRestore(host)
-    assert restore.may_send_notes(0)  # there is no account yet
+    assert restore.may_send_updates(0)  # there is no account yet
     restore.account_created(host.accounts[CUSTOMER])
-    assert not restore.may_send_notes(0) and not restore.may_send_notes(1)
+    assert not restore.may_send_updates(0) and not restore.may_send_updates(1)
     restore.record_reply(0)
-    assert restore.may_send_notes(0) and not restore.may_send_notes(2)
+    assert restore.may_send_updates(0) and not restore.may_send_updates(2)
     host.older_incarnations = {10}
-    assert restore.may_send_notes(2)  # it started at about the same time
+    assert restore.may_send_updates(2)  # it started at about the same time
     host.older_incarnations = {10, 12}
     host.now += PEER_TIMEOUT + 0.01
-    assert restore.may_send_notes(2)
+    assert restore.may_send_updates(2)
 
 
 def test_a_resumed_incarnation_waits_for_nobody():
@@ -103,13 +103,13 @@
     restore = QuotaRestore(host)
     restore.account_created(host.accounts[CUSTOMER])
     host.is_resumed = True
-    assert restore.may_send_notes(0)
+    assert restore.may_send_updates(0)
 
 
 def test_a_note_sets_the_demand_that_balances_with_the_neighbour_s():
     host = FakeHost()
     own = host.accounts[CUSTOMER]
-    QuotaRestore(host).apply_note(0, note(share_total=-SHARE_STEPS // 5))
+    QuotaRestore(host).apply_update(0, note(share_total=-SHARE_STEPS // 5))
     assert own.demand == pytest.approx(3.0 * (1 / 3 + 1 / 5) / 0.3, rel=1e-3)
 
 
@@ -123,7 +123,7 @@
     if reason == "younger":
         host.older_incarnations = set()
     peer = 1 if reason == "no ledger" else 0
-    QuotaRestore(host).apply_note(peer, note(share=0.0 if reason == "no share" else 0.3))
+    QuotaRestore(host).apply_update(peer, note(share=0.0 if reason == "no share" else 0.3))
     assert own.demand == 0.0
 
 
