--- a/corkdeal/recovery/quota_restore.py
+++ b/corkdeal/recovery/quota_restore.py
@@ -4,17 +4,17 @@
 again:
 
 - the end that went on keeps the totals when the other starts anew, and sends them with its next message;
-- the end that started sends a neighbour no updates before the neighbour sent it a message, had PEER_TIMEOUT to,
-  or is known to have started at about the same time, so that its zeros do not wipe out what it asks for;
+- the end that started sends a neighbour no updates before the neighbour sent it a message, had PEER_TIMEOUT
+  to, or is known to have started at about the same time, so that its zeros do not wipe out what it asks for;
 - the totals it receives become its side of the ledger without a change to its token bucket: those units were
   spent before;
 - its demand begins where shares and demand balance with the neighbour's, and decays into its own;
 - a stored ledger serves until then; it may be an older copy, so the neighbour's totals override it;
-- without a neighbour's totals or a stored ledger it begins at zero, and its first update sets the other end to
-  zero as well.
+- without a neighbour's totals or a stored ledger it begins at zero, and its first update sets the other end
+  to zero as well.
 
-So in each case both ends have the same totals after the first updates that arrive, and the shares add up to the
-whole. An aggregated ring has no ledgers but running totals of what was spent; a start there begins at the
+So in each case both ends have the same totals after the first updates that arrive, and the shares add up to
+the whole. An aggregated ring has no ledgers but running totals of what was spent; a start there begins at the
 bucket level at which it admits the quota's rate and no burst, since others may have spent that.
 """
 
