--- a/corkdeal/decisions/persisted_state.py
+++ b/corkdeal/decisions/persisted_state.py
@@ -105,7 +105,7 @@
 
 
 class PersistedState(Protocol):
-    """The state of an earlier process, expired to now; each record is given once, in the module's clock."""
+    """The state of an earlier process, expired to now; each record is given once, in the decisions' clock."""
 
     # whether it comes from that process itself, and not from a store that may hold an older copy
     is_exact: bool
@@ -131,7 +131,7 @@
 def export_backend(
     backend: BackendRecord, classes: tuple[RequestClass, ...], now: float, offset: float
 ) -> StoredBackend:
-    """Return a backend's record; `offset` is the caller's clock less the module's, in seconds."""
+    """Return a backend's record; `offset` is the caller's clock less the decisions', in seconds."""
     recorded_at = now
     if backend.last_attempt_at > 0:  # the record loses weight from the last attempt on
         recorded_at = min(now, backend.last_attempt_at)
--- a/corkdeal/net/__init__.py
+++ b/corkdeal/net/__init__.py
@@ -1,1 +1,1 @@
-"""The real gateway: sockets round the decisions of corkdeal.brain; nothing is decided here."""
+"""The gateway on sockets, round the decisions of `corkdeal.decisions`; nothing is decided here."""
--- a/corkdeal/persistence/restore.py
+++ b/corkdeal/persistence/restore.py
@@ -1,6 +1,6 @@
 """Gives a stored snapshot's records back to the decisions, expired to the moment at which each is asked for.
 
-Pure: the snapshot, its age and the module's clock are passed in. A record is given once. What no longer fits
+Pure: the snapshot, its age and the decisions' clock are passed in. A record is given once. What no longer fits
 the settings or the endpoint list is dropped, and `counts` tells how often and why.
 """
 
@@ -42,7 +42,7 @@
         address_of: Callable[[str], str],
         counts: Counter[str],
     ) -> None:
-        """`age` is the snapshot's in seconds, `now` the module's clock.
+        """`age` is the snapshot's in seconds, `now` the decisions' clock.
 
         `address_of` returns a server's current address, empty where it is unknown.
         """
@@ -148,7 +148,7 @@
     def account(
         self, customer: int, plan: Plan, first_gateway: int, member_count: int, now: float
     ) -> StoredAccount | None:
-        """Return the customer's account in the module's clock, its refill still to come.
+        """Return the customer's account in the decisions' clock, its refill still to come.
 
         Another plan or another set of gateways makes it another account.
         """
