--- a/corkdeal/persistence/restore.py
+++ b/corkdeal/persistence/restore.py
@@ -1,7 +1,7 @@
 """Gives a stored snapshot's records back to the decisions, expired to the moment at which each is asked for.
 
-Pure: the snapshot, its age and the decisions' clock are passed in. A record is given once. What no longer fits
-the settings or the endpoint list is dropped, and `counts` tells how often and why.
+Pure: the snapshot, its age and the decisions' clock are passed in. A record is given once. What no longer
+fits the settings or the endpoint list is dropped, and `counts` tells how often and why.
 """
 
 from __future__ import annotations
