--- a/tests/simulator/test_adapter.py
+++ b/tests/simulator/test_adapter.py
@@ -117,8 +117,9 @@
     assert "StartAttempt" in capsys.readouterr().out
 
 
-def test_deploy_file_names_paths_that_exist():
+def test_deploy_file_names_all_modules_of_the_decisions_and_a_folder_that_exists():
     root = pathlib.Path(__file__).parents[2]
     deploy = tomllib.loads((root / "deploy" / "balancer.toml").read_text())
-    assert deploy["policy"] and deploy["node"]
-    assert all((root / name).exists() for name in [*deploy["policy"], *deploy["node"]])
+    modules = (path.relative_to(root) for path in (root / "corkdeal" / "decisions").glob("*.py"))
+    assert deploy["policy"] == sorted(str(path) for path in modules if path.name != "__init__.py")
+    assert deploy["node"] and all((root / name).is_dir() for name in deploy["node"])
