--- a/corkdeal/membership/__init__.py
+++ b/corkdeal/membership/__init__.py
@@ -1,6 +1,7 @@
-"""Membership: failure detection in the tier, and leases on the quota shares of its members, without I/O.
+"""Failure detection within the tier, and leases on the quota shares of its members. No I/O is done here.
 
-`messages` is the datagram codec, `failure_detector` holds each member's state, `leases` who may spend a
-share; `heartbeats` sends, `receiver` applies what arrives, `takeover` and `quota_shares` turn leases into
-shares, and `members` joins them for the decisions. docs/membership.md has the protocol.
+`messages` is the datagram codec, `failure_detector` tracks the state of each member, and `leases` decides who
+may spend a quota share. `heartbeats` sends heartbeats and `receiver` applies received ones; `takeover` and
+`quota_shares` derive the quota shares from the leases; `members` combines these parts and is what the
+decisions call. docs/membership.md describes the protocol.
 """
--- a/corkdeal/membership/events.py
+++ b/corkdeal/membership/events.py
@@ -1,4 +1,4 @@
-"""What membership reports to its host for the operators' log."""
+"""Events that membership reports to its host, which writes them to the operators' log."""
 
 from __future__ import annotations
 
@@ -9,28 +9,28 @@
 
 @dataclass(frozen=True, slots=True)
 class SharesTakenOver:
-    """The shares of a silent member may be spent here from now on."""
+    """This gateway may now spend the quota shares of an unreachable member."""
 
     member: int
 
 
 @dataclass(frozen=True, slots=True)
 class SharesReturned:
-    """The shares of a member are its own again."""
+    """A member spends its own quota shares again."""
 
     member: int
 
 
 @dataclass(frozen=True, slots=True)
 class LeaseLost:
-    """No neighbour leases the shares that this gateway has beside these neighbours any more."""
+    """This gateway no longer has exclusive use of its shares of accounts with these ring neighbours."""
 
     neighbours: tuple[int, ...]
 
 
 @dataclass(frozen=True, slots=True)
 class LeaseRegained:
-    """A neighbour leases the shares that this gateway has beside these neighbours again."""
+    """This gateway again has exclusive use of its shares of accounts with these ring neighbours."""
 
     neighbours: tuple[int, ...]
 
--- a/corkdeal/membership/failure_detector.py
+++ b/corkdeal/membership/failure_detector.py
@@ -1,9 +1,10 @@
-"""Failure detection: the latest heartbeat known of each member, by whichever path it came, and its state.
+"""Failure detection: the latest heartbeat known of each member, direct or by gossip, and its state.
 
 Members' sequence numbers are gossiped (after Van Renesse, Minsky, Hayden: A gossip-style failure detection
-service, 1998), so a member is reachable as long as any chain of gossip leads here, whatever pair is
-partitioned. The silence after which a member is suspected or held for dead depends on how often its updates
-arrived before (as in accrual detectors). Time in which this process was stalled does not count.
+service, 1998), so a member counts as reachable as long as any chain of gossip leads to this gateway, even if
+the two are partitioned. As in accrual detectors, the length of silence after which a member is suspected or
+declared dead depends on the intervals between its earlier updates. Time during which this process was stalled
+is not counted as silence.
 """
 
 from __future__ import annotations
@@ -18,7 +19,7 @@
 
 
 class MemberState(enum.StrEnum):
-    """How a member is seen; the values are those of the log event `membership`."""
+    """State of a member; the values are those in the log event `membership`."""
 
     ALIVE = "alive"
     SUSPECT = "suspect"
@@ -26,35 +27,36 @@
     LEFT = "left"
 
 
-MAX_STALL = 2.0  # s that a member may be stalled without being held for dead
-MIN_DEAD_SILENCE = 2.5  # s; over a lease's length
-DEAD_DEVIATIONS = 4.0  # usual deviations of the interval, on top of the interval and a stall
-DEAD_INTERVALS = 20.0  # usual intervals, where updates arrive by chance: e^-20 for each
-SUSPECT_FRACTION = 0.5  # of the silence after which it would be held for dead
-INTERVAL_WEIGHT = 0.1  # of a new interval in the average
+MAX_STALL = 2.0  # s; a member that is stalled for less is not declared dead
+MIN_DEAD_SILENCE = 2.5  # s; longer than a lease lasts
+DEAD_DEVIATIONS = 4.0  # mean absolute deviations of the interval, added to the mean interval and MAX_STALL
+# mean intervals; if updates arrive at random, an interval exceeds it with probability e^-20
+DEAD_INTERVALS = 20.0
+SUSPECT_FRACTION = 0.5  # of the silence after which the member is declared dead
+INTERVAL_WEIGHT = 0.1  # of a new interval in the moving average
 INITIAL_INTERVAL = 0.25  # s
 INITIAL_INTERVAL_PER_MEMBER = 0.01  # s, where a datagram can't list all members
-MAX_FULL_GOSSIP_SIZE = MAX_ENTRIES + 1  # members of a tier of which each heartbeat lists all others
-COMMON_SILENCE_TIME = 5.0  # s; silences that began within it may have one cause
+MAX_FULL_GOSSIP_SIZE = MAX_ENTRIES + 1  # largest tier in which each heartbeat lists all other members
+COMMON_SILENCE_TIME = 5.0  # s; silences that began less than this apart may have one cause
 
 
 @dataclass(slots=True)
 class MemberRecord:
-    """What is known of one incarnation of a member."""
+    """What is known of the current incarnation of a member."""
 
     incarnation: int  # ms
     sequence: int
     updated_at: float  # s
-    interval: float  # usual time between updates, s
-    deviation: float  # usual deviation of that time, s
+    interval: float  # moving average of the time between updates, s
+    deviation: float  # moving average of the deviation from `interval`, s
     state: MemberState = MemberState.ALIVE
-    has_announced_leave: bool = False  # by its own heartbeat; gossip by others may be wrong
+    has_announced_leave: bool = False  # by its own heartbeat; gossip that it left may be wrong
     reason: str = ""
 
 
 @dataclass(frozen=True, slots=True)
 class StateChange:
-    """A member's state changed."""
+    """A change of the state of a member."""
 
     member: int
     state: MemberState
@@ -63,10 +65,10 @@
 
 
 class FailureDetector:
-    """The states of all members that were ever heard of, but for this gateway."""
+    """The states of all members that this gateway has received an update of, except itself."""
 
     def __init__(self, is_later: Callable[[int, int], bool], size: int) -> None:
-        """`is_later` tells whether an incarnation is after another; `size` is the tier's."""
+        """`is_later` tells whether one incarnation is later than another; `size` is the tier's."""
         self.is_later = is_later
         self.size = size
         self.has_full_gossip = size <= MAX_FULL_GOSSIP_SIZE
@@ -77,17 +79,20 @@
         self.changes: list[StateChange] = []
 
     def record_heartbeat(self, now: float, update: GossipEntry) -> None:
-        """A member's own update, which overrides gossip of a later incarnation or sequence number."""
+        """Apply an update that the member sent itself.
+
+        It overrides gossip about the member, even gossip with a later incarnation or sequence number.
+        """
         record = self.members.get(update.member)
         if record is not None and self._is_contradicted(record, update):
             record.incarnation = update.incarnation
             record.sequence = (update.sequence - 2) % SEQUENCE_MODULUS + 1
-            self._set_state(update.member, MemberState.ALIVE, "it speaks")
+            self._set_state(update.member, MemberState.ALIVE, "own heartbeat received")
         if self.record_gossip(now, update) and update.kind is GossipKind.LEFT:
             self.members[update.member].has_announced_leave = True
 
     def _is_contradicted(self, record: MemberRecord, update: GossipEntry) -> bool:
-        """Whether a member's own update shows that gossip about it was wrong."""
+        """Return whether a member's own update shows that earlier gossip about it was wrong."""
         if record.has_announced_leave:
             return False
         return (
@@ -97,7 +102,7 @@
         )
 
     def record_gossip(self, now: float, update: GossipEntry) -> bool:
-        """Apply an update by whoever sent it; whether it was new."""
+        """Apply an update from any sender; return whether it was new."""
         record = self.members.get(update.member)
         if record is None:
             interval = self.initial_interval
@@ -108,17 +113,17 @@
             self.members[update.member] = MemberRecord(
                 update.incarnation, update.sequence, now, record.interval, record.deviation, record.state
             )
-            self._set_state(update.member, MemberState.ALIVE, "started again")
+            self._set_state(update.member, MemberState.ALIVE, "restarted")
         elif self._is_outdated(record, update):
             return False
         else:
             self._refresh(record, now, update)
         if update.kind is GossipKind.LEFT:
-            self._set_state(update.member, MemberState.LEFT, "it said so")
+            self._set_state(update.member, MemberState.LEFT, "announced its shutdown")
         return True
 
     def _is_outdated(self, record: MemberRecord, update: GossipEntry) -> bool:
-        """Whether an update of no later incarnation tells nothing new."""
+        """Return whether an update, not of a later incarnation, contains nothing new."""
         return (
             update.incarnation != record.incarnation
             or record.state is MemberState.LEFT
@@ -126,17 +131,17 @@
         )
 
     def _refresh(self, record: MemberRecord, now: float, update: GossipEntry) -> None:
-        """A later heartbeat of the same incarnation."""
-        if record.state is MemberState.ALIVE:  # a silence that raised suspicion is no usual interval
+        """Apply a later heartbeat of the same incarnation."""
+        if record.state is MemberState.ALIVE:  # an interval that raised suspicion is left out of the average
             difference = now - record.updated_at - record.interval
             record.interval += INTERVAL_WEIGHT * difference
             record.deviation += INTERVAL_WEIGHT * (abs(difference) - record.deviation)
         record.sequence = update.sequence
         record.updated_at = now
-        self._set_state(update.member, MemberState.ALIVE, "news of it again")
+        self._set_state(update.member, MemberState.ALIVE, "update received")
 
     def _set_state(self, member: int, state: MemberState, reason: str) -> None:
-        """Change a member's state and keep the change for the events."""
+        """Change the state of a member and queue the change for `take_changes`."""
         record = self.members[member]
         if record.state is not state:
             self.changes.append(StateChange(member, state, record.state, reason))
@@ -144,33 +149,33 @@
         record.reason = reason
 
     def take_changes(self) -> list[StateChange]:
-        """The changes since the last call."""
+        """Return the state changes since the last call."""
         changes, self.changes = self.changes, []
         return changes
 
     def silence(self, member: int, now: float) -> float:
-        """Seconds without an update of a member; infinite for an unknown one."""
+        """Return the seconds since the last update of a member; infinite for an unknown one."""
         record = self.members.get(member)
         return math.inf if record is None else now - record.updated_at
 
     def is_dead_or_left(self, member: int) -> bool:
-        """Whether a member is held for dead or has left."""
+        """Return whether a member was declared dead or has left."""
         record = self.members.get(member)
         return record is not None and record.state in (MemberState.DEAD, MemberState.LEFT)
 
     def update(self, now: float) -> None:
-        """Suspect members, and hold them for dead, by the length of their silence."""
+        """Suspect members, or declare them dead, according to the length of their silence."""
         for member, record in self.members.items():
             silence = now - record.updated_at
             limit = self._dead_after(record)
             if record.state is MemberState.ALIVE and silence > SUSPECT_FRACTION * limit:
-                self._set_state(member, MemberState.SUSPECT, f"no news for {silence:.2f} s")
+                self._set_state(member, MemberState.SUSPECT, f"no update for {silence:.2f} s")
             if record.state is MemberState.SUSPECT and silence > limit:
-                reason = f"no news for {silence:.2f} s, usually {record.interval:.2f} s"
+                reason = f"no update for {silence:.2f} s, average interval {record.interval:.2f} s"
                 self._set_state(member, MemberState.DEAD, reason)
 
     def _dead_after(self, record: MemberRecord) -> float:
-        """The silence after which a member is held for dead, in seconds."""
+        """Return the silence in seconds after which a member is declared dead."""
         if self.has_full_gossip:
             limit = MAX_STALL + record.interval + DEAD_DEVIATIONS * record.deviation
         else:
@@ -178,7 +183,11 @@
         return max(MIN_DEAD_SILENCE, limit)
 
     def is_silent_alone(self, member: int, now: float) -> bool:
-        """Whether no other member fell silent at about the same time and may go on, as in a partition."""
+        """Return whether no other member has been silent since about the same time.
+
+        Several silences with a common start suggest a partition, beyond which those members may still be
+        running.
+        """
         record = self.members.get(member)
         since = now if record is None else record.updated_at
         return not any(
@@ -189,17 +198,17 @@
         )
 
     def resume(self, now: float) -> None:
-        """This process was stalled: all silences begin anew, and suspicions are withdrawn.
+        """Restart the measurement of all silences and withdraw suspicions, after this process was stalled.
 
-        Silence from before the stall counts no more either: an update that ended it may have been lost.
+        Silence from before the stall is dropped too, as an update that ended it may have been lost.
         """
         for member, record in self.members.items():
             record.updated_at = now
             if record.state is MemberState.SUSPECT:
-                self._set_state(member, MemberState.ALIVE, "this process stood still")
+                self._set_state(member, MemberState.ALIVE, "this process was stalled")
 
     def gossip(self, receiver: int, limit: int, chance: random.Random) -> list[GossipEntry]:
-        """The entries for a heartbeat to `receiver`, drawn at random if there are more than `limit`."""
+        """Return the entries for a heartbeat to `receiver`, a random sample if more than `limit`."""
         entries = [
             GossipEntry(_update_kind(record), member, record.incarnation, record.sequence)
             for member, record in self.members.items()
@@ -209,5 +218,5 @@
 
 
 def _update_kind(record: MemberRecord) -> GossipKind:
-    """The kind of entry that tells a member's state."""
+    """Return the kind of gossip entry that conveys a member's state."""
     return GossipKind.LEFT if record.state is MemberState.LEFT else GossipKind.ALIVE_UPDATE
--- a/corkdeal/membership/heartbeats.py
+++ b/corkdeal/membership/heartbeats.py
@@ -1,4 +1,4 @@
-"""Sending heartbeats: their sequence number, content and flags, and the limit on replies."""
+"""Sends heartbeats: their sequence numbers, contents and flags, and the rate limit on replies."""
 
 from __future__ import annotations
 
@@ -12,12 +12,13 @@
 from .messages import GossipEntry, Heartbeat, HeartbeatFlag
 from .takeover import Takeover
 
-INITIAL_SEQUENCES = 10.0  # a second of the clock; more than are sent
-REPLY_INTERVAL = 0.25  # s between replies to one member
+# sequence numbers per second of the clock; more than the heartbeats that are sent in it
+INITIAL_SEQUENCES = 10.0
+REPLY_INTERVAL = 0.25  # s between replies to the same member
 
 
 class HeartbeatSender:
-    """One gateway's outgoing heartbeats."""
+    """The outgoing heartbeats of one gateway."""
 
     def __init__(
         self,
@@ -27,29 +28,29 @@
         takeover: Takeover,
         chance: random.Random,
     ) -> None:
-        """`chance` draws what to gossip where not all fits."""
+        """`chance` selects what to gossip when a datagram cannot hold all of it."""
         self.host = host
         self.detector = detector
         self.leases = leases
         self.takeover = takeover
         self.chance = chance
         self.sequence = 0
-        self.received: dict[int, int] = {}  # by member: the last sequence number that came from itself
+        self.received: dict[int, int] = {}  # by member: last sequence number received from it directly
         self.replied_at: dict[int, float] = {}  # by member, s
         self.has_left = False
 
     def advance(self) -> None:
-        """Begin the next heartbeat, which all receivers of one turn get.
+        """Begin the next heartbeat, which goes to all receivers of one round under the same sequence number.
 
-        The first number follows the clock, so that an incarnation that goes on as another's, as in an
-        upgrade, numbers on behind it.
+        The first number is derived from the clock, so that an incarnation that continues another one, as in
+        an upgrade, starts with a later number than that one has reached.
         """
         first = int(self.host.now * INITIAL_SEQUENCES) % (messages.SEQUENCE_MODULUS - 1)
         self.sequence = messages.next_sequence(self.sequence or first)
         self.leases.record_sent(self.host.now, self.sequence)
 
     def send(self, member: int, entries: tuple[GossipEntry, ...] = ()) -> None:
-        """Send the present heartbeat to a member: these entries, then gossip as far as it fits."""
+        """Send the current heartbeat to a member: `entries`, then as much gossip as fits."""
         renewed_sequence = self._renew_lease(member)
         flags = self._flags(member)
         gossip = self.detector.gossip(member, messages.MAX_ENTRIES - len(entries), self.chance)
@@ -66,7 +67,10 @@
             self.host.actions.append(SendToPeer(member, messages.pack(heartbeat)))
 
     def _renew_lease(self, member: int) -> int:
-        """The member's heartbeat whose lease is renewed, else 0; its shares are returned before."""
+        """Return the sequence number of the member's heartbeat whose lease is renewed, else 0.
+
+        Shares taken over from the member are returned before its lease is renewed.
+        """
         now = self.host.now
         if member not in self.received or not self.leases.may_renew(member, now) or self.has_left:
             return 0
@@ -77,7 +81,7 @@
         return sequence
 
     def _flags(self, member: int) -> HeartbeatFlag:
-        """The flags of a heartbeat to a member."""
+        """Return the flags of a heartbeat to a member."""
         flags = HeartbeatFlag(0)
         if self.has_left:
             flags |= HeartbeatFlag.LEAVING
@@ -88,15 +92,15 @@
         return flags
 
     def has_lease(self) -> bool:
-        """Whether any ring neighbour's lease is held."""
+        """Return whether this gateway holds a lease from any ring neighbour."""
         return any(self.leases.is_held(peer, self.host.now) for peer in self.host.ring_neighbours)
 
     def may_reply(self, member: int) -> bool:
-        """Whether the last reply to a member is long enough ago for one that no lease depends on."""
+        """Return whether a reply that no lease depends on may be sent, by the time since the last reply."""
         return self.host.now - self.replied_at.get(member, -REPLY_INTERVAL) >= REPLY_INTERVAL
 
     def reply(self, member: int, entries: tuple[GossipEntry, ...]) -> None:
-        """Send a heartbeat to one member at once."""
+        """Send a heartbeat to one member immediately."""
         self.replied_at[member] = self.host.now
         self.advance()
         self.send(member, entries)
--- a/corkdeal/membership/host.py
+++ b/corkdeal/membership/host.py
@@ -1,4 +1,4 @@
-"""What membership needs of the decisions that it belongs to."""
+"""The interface that membership needs from the decisions it belongs to."""
 
 from __future__ import annotations
 
@@ -12,19 +12,19 @@
 
 
 class MembershipHost(Protocol):
-    """The part of a gateway's decisions that membership reads, and the two calls that it makes."""
+    """The part of a gateway's decisions that membership reads, and the two methods that it calls."""
 
     @property
     def settings(self) -> Settings:
-        """The settings; they don't change."""
+        """The settings, which never change."""
 
     @property
     def random(self) -> random.Random:
-        """The decisions' generator; membership seeds its own from it."""
+        """The decisions' random generator, from which membership seeds its own."""
 
     @property
     def now(self) -> float:
-        """The time of the present event, in seconds."""
+        """Time of the current event, in seconds."""
 
     @property
     def incarnation(self) -> int:
@@ -36,7 +36,7 @@
 
     @property
     def ring_neighbours(self) -> Set[int]:
-        """The adjacent members of all rings that this gateway is in."""
+        """The adjacent members in all rings that this gateway belongs to."""
 
     @property
     def accounts(self) -> Mapping[int, Account]:
@@ -44,14 +44,14 @@
 
     @property
     def active_accounts(self) -> Mapping[int, Account]:
-        """Accounts of rings whose quota shares are in use, by customer."""
+        """Accounts, by customer, of rings whose quota shares are in use."""
 
     @property
     def actions(self) -> list[Action]:
-        """The actions of the present event; heartbeats are appended."""
+        """The actions of the current event, to which heartbeats are appended."""
 
     def is_silent(self, peer: int, /) -> bool:
-        """Whether nothing arrived from a peer for several exchanges."""
+        """Return whether nothing was received from a peer for several exchanges."""
 
     def refill(self, account: Account, /) -> float:
-        """Bring an account's token bucket up to now; returns its quota share."""
+        """Refill an account's token bucket up to the current time; return the account's quota share."""
--- a/corkdeal/membership/members.py
+++ b/corkdeal/membership/members.py
@@ -1,6 +1,6 @@
-"""One gateway's membership: its parts joined, and the schedule of its heartbeats.
+"""Membership of one gateway: combines the parts of this package and schedules the heartbeats.
 
-The decisions ask for quota shares and call `step` and `receive`; the host of the decisions takes the events.
+The decisions query quota shares and call `step` and `receive_payload`; their host consumes the events.
 """
 
 from __future__ import annotations
@@ -22,18 +22,20 @@
 from .takeover import TIMER_TOLERANCE, Takeover
 
 MIN_ROUND_INTERVAL = 0.25  # s between rounds of heartbeats
-MAX_ROUND_INTERVAL = 0.6  # s; a lease then outlasts the loss of two heartbeats
-HEARTBEAT_RATE = 12.0  # a second, within MAX_ROUND_INTERVAL; with the exchanges below a peer's intake
-CHECK_INTERVAL = 0.2  # s between checks of all members' silence
-RANDOM_RECEIVERS = 2  # of each round, whatever the tier's size
-MAX_RING_RECEIVERS = 14  # of each round
+MAX_ROUND_INTERVAL = 0.6  # s; short enough that a lease survives the loss of two heartbeats in a row
+# heartbeats per second, unless MAX_ROUND_INTERVAL needs more; together with the quota exchange this stays
+# below the message rate that a peer accepts
+HEARTBEAT_RATE = 12.0
+CHECK_INTERVAL = 0.2  # s between checks of the members' silence
+RANDOM_RECEIVERS = 2  # per round, regardless of the size of the tier
+MAX_RING_RECEIVERS = 14  # ring neighbours per round
 
 
 class Members:
-    """One gateway's membership, for as long as it runs."""
+    """Membership of one gateway, for the lifetime of the process."""
 
     def __init__(self, host: MembershipHost, is_later: Callable[[int, int], bool]) -> None:
-        """`is_later` tells whether an incarnation is after another."""
+        """`is_later` tells whether one incarnation is later than another."""
         settings = host.settings
         self.host = host
         self.events: list[MembershipEvent] = []
@@ -48,26 +50,30 @@
         self.round_interval = MIN_ROUND_INTERVAL  # s
         self.round_at = -math.inf  # s
         self.checked_at = -math.inf  # s
-        self.greeted: set[int] = set()  # ring neighbours that got a heartbeat of this incarnation
+        self.greeted: set[int] = set()  # ring neighbours that this incarnation has sent a heartbeat to
 
     def quota_share(self, account: Account) -> float:
-        """The part of an account to spend here: of its own share, and of its predecessor's if taken over."""
+        """Return the part of an account that may be spent here.
+
+        It consists of this gateway's share and, if taken over, of its predecessor's.
+        """
         return self.shares.quota_share(account)
 
     def is_share_exclusive(self, account: Account) -> bool:
-        """Whether nobody else spends any of this gateway's share of an account."""
+        """Return whether no other gateway spends any of this gateway's share of an account."""
         return self.shares.is_exclusive(account)
 
     def sends_heartbeats(self, member: int) -> bool:
-        """Whether heartbeats come from a member, so that no other sign of life is needed between the two."""
+        """Return whether a member sends heartbeats, so that no other keep-alive is needed between the two."""
         return member in self.sender.received
 
     def receive_payload(
         self, payload: bytes, peer: int, is_accepted: Callable[[int, int, int], bool]
     ) -> bool:
-        """Apply a payload if it is a heartbeat that is accepted; False for another kind of message.
+        """Apply a payload if it is a heartbeat and is accepted; return False for any other kind of message.
 
-        `is_accepted` gets the peer, its incarnation and the one of this gateway that it knows, else 0.
+        `is_accepted` is called with the peer, the peer's incarnation, and the incarnation of this gateway
+        that the peer knows, or 0.
         """
         heartbeat = messages.unpack(payload, peer, self.host.settings)
         if heartbeat is None:
@@ -81,7 +87,7 @@
         self.receiver.receive(peer, heartbeat)
 
     def step(self) -> None:
-        """Check the members' silence, and send heartbeats if it is time or a ring neighbour is new."""
+        """Check for silent members; send heartbeats if a round is due or there are new ring neighbours."""
         now = self.host.now
         if now - self.checked_at >= CHECK_INTERVAL:
             self.checked_at = now
@@ -99,7 +105,7 @@
         self.events += self.detector.take_changes()
 
     def _begin_round(self) -> set[int]:
-        """Update what is taken over, and choose the receivers of a round of heartbeats."""
+        """Update takeovers, and return the receivers of a round of heartbeats."""
         self._request_grants()
         self.shares.report_changes()
         ring = sorted(self.host.ring_neighbours)
@@ -121,11 +127,14 @@
             self.sender.send(request.neighbour, (entry,))
 
     def _draw(self, members: list[int]) -> list[int]:
-        """Some members at random."""
+        """Return a random sample of members."""
         return self.chance.sample(members, min(RANDOM_RECEIVERS, len(members)))
 
     def _possible_lessors(self) -> list[int]:
-        """While no ring neighbour's lease is held: some other members that may renew one."""
+        """Return some other members that may renew a lease, while no ring neighbour's lease is held.
+
+        Such a lease shows that this gateway is not partitioned off (`QuotaShares.is_exclusive`).
+        """
         ring = self.host.ring_neighbours
         if not ring or self.sender.has_lease():
             return []
@@ -137,7 +146,7 @@
         return self._draw(candidates)
 
     def leave(self) -> None:
-        """Tell all ring neighbours and some other members, twice, that this gateway shuts down."""
+        """Announce to all ring neighbours and some other members, twice, that this gateway shuts down."""
         self.sender.has_left = True
         receivers = sorted({*self.host.ring_neighbours, *self._draw(self.others)})
         for _ in range(2):
@@ -146,24 +155,27 @@
                 self.sender.send(member)
 
     def resume(self, stall_time: float) -> None:
-        """This process was stalled for so many seconds: nobody is accused and nothing stays taken over."""
+        """Withdraw suspicions and drop takeovers after this process was stalled for `stall_time` seconds."""
         self.detector.resume(self.host.now)
         self.leases.resume(stall_time)
         self.takeover.resume()
-        self.round_at = -math.inf  # all receive a heartbeat at once
+        self.round_at = -math.inf  # send heartbeats in the next step
 
     def delegate_share(self, is_delegated: bool) -> None:
-        """Note whether another incarnation of this gateway holds the leases and gave this one its part."""
+        """Set whether this gateway runs beside another incarnation of itself.
+
+        That incarnation then holds the leases and has delegated a part of its quota share to this one.
+        """
         self.shares.has_delegated_share = is_delegated
 
     def take_events(self) -> list[MembershipEvent]:
-        """What happened since the last call."""
+        """Return the events since the last call."""
         events = list(self.events)
         self.events.clear()
         return events
 
     def metrics(self) -> dict[str, int]:
-        """How the tier is seen now, by the names on the log line `figures`."""
+        """Return the current state of the tier, under the metric names of the log event `figures`."""
         states = [record.state for record in self.detector.members.values()]
         return {
             "now_members": len(states),
--- a/corkdeal/membership/messages.py
+++ b/corkdeal/membership/messages.py
@@ -1,8 +1,9 @@
-"""The membership datagram: its typed message, and its layout in bytes.
+"""The membership datagram: message types and wire format.
 
-A datagram is one heartbeat: the incarnations of both ends, the sender's sequence number, the receiver's last
-sequence number that arrived at the sender, the last one whose lease the sender renews (`leases`), and gossip
-entries about other members. Sequence numbers run from 1 to 65,535 and wrap to 1; 0 stands for none.
+A datagram is one heartbeat. It holds the incarnations of sender and receiver, the sender's sequence number,
+the last sequence number that the sender got from the receiver, the last one whose lease the sender renews
+(see `leases`), and gossip entries about other members. Sequence numbers run from 1 to 65,535 and wrap around
+to 1; 0 means none.
 """
 
 from __future__ import annotations
@@ -14,7 +15,7 @@
 from ..decisions.peer_messages import MESSAGE_BYTES
 from ..decisions.settings import Settings
 
-VERSION = 5  # of a peer datagram; 3 and 4 are those of the quota exchange
+VERSION = 5  # of the peer datagram; 3 and 4 are those of the quota exchange
 HEADER_LAYOUT = struct.Struct("<BIIHHHB")
 ENTRY_LAYOUT = struct.Struct("<BHIH")
 MAX_ENTRIES = (MESSAGE_BYTES - HEADER_LAYOUT.size) // ENTRY_LAYOUT.size
@@ -22,24 +23,24 @@
 
 
 class GossipKind(enum.IntEnum):
-    """What an entry tells or requests; the values are those on the wire."""
+    """Kind of a gossip entry; the values are those on the wire."""
 
-    ALIVE_UPDATE = 1  # the member's latest heartbeat known to the sender
+    ALIVE_UPDATE = 1  # the latest heartbeat of the member that the sender knows of
     LEFT = 2  # that incarnation of the member has shut down as planned
-    LEASE_REQUEST = 3  # the sender asks for leave to take over the member's quota share
-    LEASE_GRANT = 4  # the sender grants that; `sequence` is that of the requesting heartbeat
+    LEASE_REQUEST = 3  # the sender requests permission to take over the member's quota share
+    LEASE_GRANT = 4  # the sender grants such a request; `sequence` is that of the requesting heartbeat
 
 
 class HeartbeatFlag(enum.IntFlag):
     """Flags of a heartbeat; the values are those on the wire."""
 
     LEAVING = 1  # the sender shuts down
-    REPLY_REQUESTED = 2  # the sender holds no lease from the receiver and asks for a reply at once
+    REPLY_REQUESTED = 2  # the sender holds no lease from the receiver and requests an immediate reply
 
 
 @dataclass(frozen=True, slots=True)
 class GossipEntry:
-    """What a heartbeat tells of a member other than its sender and receiver."""
+    """An entry of a heartbeat about a member other than its sender and receiver."""
 
     kind: GossipKind
     member: int
@@ -49,19 +50,19 @@
 
 @dataclass(frozen=True, slots=True)
 class Heartbeat:
-    """One datagram between two members."""
+    """One datagram from a member to another."""
 
     incarnation: int  # ms
-    receiver_incarnation: int  # ms, as far as the sender knows it, else 0
+    receiver_incarnation: int  # ms; 0 if the sender does not know it
     sequence: int
-    received_sequence: int  # the receiver's last heartbeat that arrived at the sender, else 0
-    renewed_sequence: int  # the receiver's last heartbeat whose lease the sender renews, else 0
+    received_sequence: int  # the receiver's last heartbeat that reached the sender, or 0
+    renewed_sequence: int  # the receiver's last heartbeat whose lease the sender renews, or 0
     flags: HeartbeatFlag
     entries: tuple[GossipEntry, ...]
 
 
 def pack(heartbeat: Heartbeat) -> bytes:
-    """The datagram of a heartbeat; entries beyond MAX_ENTRIES are left out."""
+    """Encode a heartbeat as a datagram; entries beyond MAX_ENTRIES are dropped."""
     header = HEADER_LAYOUT.pack(
         VERSION,
         heartbeat.incarnation,
@@ -79,7 +80,7 @@
 
 
 def unpack(payload: bytes, peer: int, settings: Settings) -> Heartbeat | None:
-    """The heartbeat that `peer` sent, or None for a payload that does not follow the layout."""
+    """Decode a heartbeat sent by `peer`; return None for any other or a malformed payload."""
     entries_size = len(payload) - HEADER_LAYOUT.size
     if entries_size < 0 or entries_size % ENTRY_LAYOUT.size:
         return None
@@ -97,7 +98,7 @@
 
 
 def _unpack_entries(payload: bytes, settings: Settings) -> tuple[GossipEntry, ...] | None:
-    """The entries, or None if one of them names an unknown kind or member, or has a zero."""
+    """Decode the entries; return None if one has an unknown kind or member, or a zero field."""
     entries = []
     for kind, member, incarnation, sequence in ENTRY_LAYOUT.iter_unpack(payload):
         is_known_kind = GossipKind.ALIVE_UPDATE <= kind <= GossipKind.LEASE_GRANT
@@ -108,10 +109,10 @@
 
 
 def is_newer(one: int, other: int) -> bool:
-    """Whether a sequence number comes after another."""
+    """Return whether sequence number `one` comes after `other`."""
     return 0 < (one - other) % SEQUENCE_MODULUS < SEQUENCE_MODULUS // 2
 
 
 def next_sequence(sequence: int) -> int:
-    """The sequence number after `sequence`."""
+    """Return the sequence number after `sequence`."""
     return sequence % (SEQUENCE_MODULUS - 1) + 1
--- a/corkdeal/membership/quota_shares.py
+++ b/corkdeal/membership/quota_shares.py
@@ -1,4 +1,4 @@
-"""How much of an account this gateway may spend, by the leases it holds and what it has taken over."""
+"""The part of an account that this gateway may spend, given its leases and the shares it took over."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 
 
 class QuotaShares:
-    """One gateway's shares of its accounts."""
+    """The quota shares of one gateway in its accounts."""
 
     def __init__(
         self,
@@ -21,18 +21,21 @@
         takeover: Takeover,
         events: list[MembershipEvent],
     ) -> None:
-        """Leases that are lost or regained are appended to `events`."""
+        """Lost and regained leases are appended to `events`."""
         self.host = host
         self.detector = detector
         self.leases = leases
         self.takeover = takeover
         self.events = events
-        self.has_delegated_share = False  # from another incarnation of this gateway, which holds the leases
+        self.has_delegated_share = False  # by another incarnation of this gateway, which holds the leases
         self.lease_losses = 0
-        self.was_exclusive: dict[tuple[int, ...], bool] = {}  # by an account's neighbours
+        self.was_exclusive: dict[tuple[int, ...], bool] = {}  # by the ring neighbours of an account
 
     def quota_share(self, account: Account) -> float:
-        """The part of an account to spend here: of its own share, and of its predecessor's if taken over."""
+        """Return the part of an account that may be spent here.
+
+        It consists of this gateway's share and, if taken over, of its predecessor's.
+        """
         share = account.base_share() * self.own_fraction(account)
         predecessor = account.predecessor
         if predecessor is not None and predecessor in self.takeover.members:
@@ -43,20 +46,21 @@
         return min(1.0, share)
 
     def own_fraction(self, account: Account) -> float:
-        """How much of its own share this gateway may spend."""
+        """Return how much of its own share this gateway may spend."""
         return 1.0 if self.is_exclusive(account) else KEPT_FRACTION
 
     def borrowed_fraction(self, account: Account, member: int) -> float:
-        """How much of its predecessor's share this gateway may spend."""
+        """Return how much of its predecessor's share this gateway may spend."""
         if member not in self.takeover.members:
             return 0.0
         return 1 - KEPT_FRACTION if self.takeover.has_leave(account.second_predecessor, member) else 0.0
 
     def is_exclusive(self, account: Account) -> bool:
-        """Whether nobody else spends any of this gateway's share.
+        """Return whether no other gateway spends any of this gateway's share.
 
-        Without a lease by a neighbour it is so too if another member renews one and both neighbours are down:
-        who takes a share over receives all others' gossip, so a gateway in contact would have heard of it.
+        Without a lease from a ring neighbour that is still so if both ring neighbours are down and some other
+        member renews a lease: a gateway that takes a share over receives all others' gossip, so this gateway,
+        being in contact with the tier, would have received gossip about it.
         """
         now = self.host.now
         for neighbour in account.ledgers:
@@ -70,7 +74,10 @@
         return is_in_contact and all(self._is_down(neighbour) for neighbour in account.ledgers)
 
     def _has_neighbour_without_membership(self, account: Account) -> bool:
-        """Whether a neighbour sends messages but no heartbeats: it takes shares over after a second."""
+        """Return whether a ring neighbour sends messages but no heartbeats.
+
+        Such a neighbour takes shares over after one second of silence and knows no leases.
+        """
         return any(
             neighbour not in self.detector.members
             and neighbour in self.host.peer_incarnations
@@ -79,12 +86,12 @@
         )
 
     def _is_down(self, neighbour: int) -> bool:
-        """Whether a neighbour is dead, has left, or is silent for longer than any lease of its lasts."""
+        """Return whether a neighbour is dead, has left, or was silent for longer than its leases last."""
         silence = self.detector.silence(neighbour, self.host.now)
         return silence > TAKEOVER_TIME + LEASE_TIME or self.detector.is_dead_or_left(neighbour)
 
     def report_changes(self) -> None:
-        """Report which shares are exclusive and were not, or the reverse."""
+        """Report the quota shares that became exclusive or ceased to be."""
         current: dict[tuple[int, ...], bool] = {}
         for account in self.host.active_accounts.values():
             neighbours = tuple(account.ledgers)
@@ -94,7 +101,7 @@
         self.was_exclusive.update(current)
 
     def _report(self, neighbours: tuple[int, ...], is_exclusive: bool) -> None:
-        """Report the state of the shares beside these neighbours if it changed."""
+        """Report a change of whether the shares of accounts with these neighbours are exclusive."""
         if is_exclusive == self.was_exclusive.get(neighbours, is_exclusive):
             return
         if is_exclusive:
--- a/corkdeal/membership/receiver.py
+++ b/corkdeal/membership/receiver.py
@@ -1,4 +1,4 @@
-"""Receiving heartbeats: what one changes of the failure detector and the leases, and the reply to it."""
+"""Receives heartbeats: updates the failure detector and the leases, and replies where needed."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 
 
 class HeartbeatReceiver:
-    """One gateway's incoming heartbeats."""
+    """The incoming heartbeats of one gateway."""
 
     def __init__(
         self,
@@ -21,7 +21,7 @@
         takeover: Takeover,
         sender: HeartbeatSender,
     ) -> None:
-        """Replies go out through `sender`, which also tells members what was received."""
+        """Replies are sent by `sender`, which also acknowledges what was received."""
         self.host = host
         self.detector = detector
         self.leases = leases
@@ -47,25 +47,26 @@
             self.sender.reply(peer, grants)
 
     def _forget_earlier_incarnation(self, peer: int, heartbeat: Heartbeat) -> None:
-        """Drop what a peer's earlier incarnation sent or granted."""
+        """Drop what an earlier incarnation of a peer sent or granted."""
         record = self.detector.members.get(peer)
         if record is not None and record.incarnation != heartbeat.incarnation:
             self.leases.restart(peer)
             self.sender.received.pop(peer, None)
 
     def _extend_lease(self, peer: int, renewed_sequence: int) -> None:
-        """Prolong the lease held from a peer that renewed it."""
+        """Extend the lease from a peer that renewed it."""
         end = self.leases.renewed_until(peer, renewed_sequence) if renewed_sequence else None
         if end is None:
             return
         if not self.leases.is_held(peer, self.host.now):
-            self.takeover.settle(peer)  # until now the buckets filled at the rate without a lease
+            # until now the token buckets were refilled at the rate without a lease
+            self.takeover.settle(peer)
         self.leases.held_until[peer] = end
 
     def _apply_entries(
         self, peer: int, entries: tuple[GossipEntry, ...], is_to_this_incarnation: bool
     ) -> tuple[GossipEntry, ...]:
-        """Apply a peer's entries; the grants to answer with."""
+        """Apply a peer's entries; return the grants to reply with."""
         now = self.host.now
         grants = []
         for entry in entries:
@@ -83,7 +84,7 @@
         return tuple(grants)
 
     def _needs_reply(self, peer: int, heartbeat: Heartbeat) -> bool:
-        """Whether a heartbeat asks for a grant, or for a reply that is due."""
+        """Return whether a heartbeat contains a lease request, or asks for a reply that is due."""
         if any(entry.kind is GossipKind.LEASE_REQUEST for entry in heartbeat.entries):
             return True
         return HeartbeatFlag.REPLY_REQUESTED in heartbeat.flags and self.sender.may_reply(peer)
--- a/corkdeal/membership/takeover.py
+++ b/corkdeal/membership/takeover.py
@@ -1,4 +1,4 @@
-"""Taking over the quota shares of members that are down, and returning them."""
+"""Takes over the quota shares of members that are down, and returns them."""
 
 from __future__ import annotations
 
@@ -7,12 +7,16 @@
 from .host import MembershipHost
 from .leases import Leases, TakeoverRequest
 
-REQUEST_INTERVAL = 0.5  # s between requests for one grant, which lasts for a lease
-TIMER_TOLERANCE = 0.025  # s by which a timer may be early; half of the interval of the decisions' scan
+REQUEST_INTERVAL = 0.5  # s between requests for the same grant, which lasts as long as a lease
+# s by which a timer may fire early; half the interval of the decisions' periodic scan
+TIMER_TOLERANCE = 0.025
 
 
 class Takeover:
-    """The members whose shares this gateway has taken over, as far as it decides alone."""
+    """The members whose shares this gateway has taken over.
+
+    Whether it may spend them can depend on the permission of another neighbour too (`has_leave`).
+    """
 
     def __init__(
         self,
@@ -21,7 +25,7 @@
         leases: Leases,
         events: list[MembershipEvent],
     ) -> None:
-        """What happens is appended to `events`."""
+        """Takeovers and returns are appended to `events`."""
         self.host = host
         self.detector = detector
         self.leases = leases
@@ -31,7 +35,10 @@
         self.requested_at: dict[TakeoverRequest, float] = {}  # s
 
     def update(self) -> list[TakeoverRequest]:
-        """Take over and return shares by what is known now; the requests that are due, in order."""
+        """Take shares over, or give them back, according to the current state of the members.
+
+        Returns the takeover requests that are due, sorted.
+        """
         accounts = self.host.active_accounts.values()
         predecessors = {a.predecessor for a in accounts if a.predecessor is not None}
         available = {member for member in predecessors if self._is_available(member)}
@@ -42,7 +49,11 @@
         return self._due_requests(available)
 
     def _is_available(self, member: int) -> bool:
-        """Whether a member left, or it alone is silent or deaf and can't hold this gateway's lease."""
+        """Return whether the shares of a member may be taken over.
+
+        That is so if it announced its shutdown, or if it is the only member that is unreachable (dead, or not
+        receiving) and no lease from this gateway to it can be in force.
+        """
         record = self.detector.members.get(member)
         if record is None or not self.is_enabled:
             return False
@@ -57,26 +68,29 @@
         return self.detector.is_silent_alone(member, now)
 
     def _take(self, member: int) -> None:
-        """Begin to spend a member's shares, with its other neighbour's leave where that is needed."""
+        """Take over a member's shares; spending them may need the permission of its other neighbour."""
         self.settle(member)
         self.members.add(member)
         self.events.append(SharesTakenOver(member))
 
     def release(self, member: int) -> None:
-        """Spend a member's shares no more, if they were taken over."""
+        """Stop spending a member's shares, if they were taken over."""
         if member in self.members:
             self.settle(member)
             self.members.discard(member)
             self.events.append(SharesReturned(member))
 
     def settle(self, member: int) -> None:
-        """Refill the token buckets that a change of a member's lease touches, at the rate until now."""
+        """Refill the token buckets that a change of a member's lease affects, at the rate up to now."""
         for account in self.host.accounts.values():
             if member in account.ledgers:
                 self.host.refill(account)
 
     def _due_requests(self, available: set[int]) -> list[TakeoverRequest]:
-        """Requests to those that may have renewed the members' leases; they are noted as sent now."""
+        """Return the requests that are due, and record them as sent now.
+
+        They go to the neighbours that may have renewed the leases of `available` members.
+        """
         now = self.host.now
         wanted = {
             TakeoverRequest(account.second_predecessor, account.predecessor)
@@ -94,7 +108,11 @@
         return due
 
     def has_leave(self, second_predecessor: int | None, member: int) -> bool:
-        """Whether the other neighbour of a member that was taken over can't have renewed its lease."""
+        """Return whether the other neighbour of a member can have no lease to it in force.
+
+        That holds if there is no other neighbour, it is down, it granted the takeover, or the member has
+        left.
+        """
         if second_predecessor is None or self.detector.is_dead_or_left(second_predecessor):
             return True
         if self.detector.members[member].has_announced_leave:
@@ -102,5 +120,5 @@
         return self.leases.is_granted(TakeoverRequest(second_predecessor, member), self.host.now)
 
     def resume(self) -> None:
-        """This process was stalled: nothing is taken over until it was looked at anew."""
+        """Drop all takeovers after a stall of this process, until the next check."""
         self.members.clear()
--- a/tests/membership/fake_host.py
+++ b/tests/membership/fake_host.py
@@ -1,4 +1,4 @@
-"""A host of membership that is no gateway: records, a settable time, and what was asked of it."""
+"""A fake host of membership: plain records, a settable time, and a record of the calls made to it."""
 
 import random
 
@@ -9,7 +9,7 @@
 
 
 class FakeHost:
-    """The middle one of three ring members: 0 is its predecessor, 2 its successor."""
+    """Gateway 1 of a ring of three: gateway 0 is its predecessor, gateway 2 its successor."""
 
     def __init__(self, gateway_index=1, gateway_count=3):
         self.settings = settings(gateway_index, gateway_count)
--- a/tests/membership/test_explore.py
+++ b/tests/membership/test_explore.py
@@ -1,4 +1,4 @@
-"""Every cut and pause of three gateways, one after another; longer orders are a command."""
+"""Explores every single partition and stall among three gateways; longer sequences are run by a command."""
 
 import pytest
 
@@ -23,8 +23,8 @@
 @pytest.mark.parametrize(
     ("where", "what", "wrong"),
     [
-        (leases, "LEASE_TIME", 9.0),  # the owner is sure for longer than others wait
-        (leases.Leases, "may_renew", lambda self, member, now: False),  # nobody is ever confirmed
+        (leases, "LEASE_TIME", 9.0),  # the owner trusts its lease for longer than others wait to take over
+        (leases.Leases, "may_renew", lambda self, member, now: False),  # no lease is ever renewed
     ],
 )
 def test_a_lease_kept_wrongly_is_found(monkeypatch, where, what, wrong):
--- a/tests/membership/test_failure_detector.py
+++ b/tests/membership/test_failure_detector.py
@@ -1,4 +1,4 @@
-"""The failure detector by itself: updates with their time in, states and gossip out."""
+"""Unit tests of the failure detector: timed updates in, states and gossip out."""
 
 import math
 import random
@@ -20,7 +20,7 @@
 
 
 def detector(size=5, until=40):
-    """A detector that received an update of member 1 every quarter of a second, the last at 0."""
+    """Return a detector that received an update of member 1 every quarter of a second, the last one at 0."""
     made = FailureDetector(is_later, size)
     for sequence in range(1, until + 1):
         made.record_gossip((sequence - until) / 4, update(1, sequence))
@@ -39,7 +39,8 @@
         (MemberState.DEAD, MemberState.ALIVE),
     ]
     assert made.take_changes() == []
-    assert made.members[1].interval == pytest.approx(0.25)  # the time of suspicion is no usual interval
+    # the interval that raised suspicion is not averaged
+    assert made.members[1].interval == pytest.approx(0.25)
 
 
 def test_states_have_the_names_of_the_log_event():
@@ -72,7 +73,9 @@
     made.record_heartbeat(0.1, update(1, 41, GossipKind.LEFT))
     made.record_heartbeat(0.2, update(1, 42))
     assert made.is_dead_or_left(1) and made.members[1].has_announced_leave
-    assert made.take_changes() == [StateChange(1, MemberState.LEFT, MemberState.ALIVE, "it said so")]
+    assert made.take_changes() == [
+        StateChange(1, MemberState.LEFT, MemberState.ALIVE, "announced its shutdown")
+    ]
     made.record_heartbeat(0.3, update(1, 1, incarnation=10))
     assert not made.is_dead_or_left(1) and not made.members[1].has_announced_leave
 
--- a/tests/membership/test_members.py
+++ b/tests/membership/test_members.py
@@ -1,4 +1,4 @@
-"""Membership on the decisions, in virtual time: who is seen as gone, and that no slice is spent twice."""
+"""Membership on whole decisions in virtual time: failure detection, and no quota share spent twice."""
 
 import random
 from types import SimpleNamespace
@@ -23,7 +23,7 @@
 
 
 class Tier(Ring):
-    """Gateways with membership, all in one customer's ring."""
+    """Gateways with membership, all in the ring of one customer."""
 
     def __init__(self, gateways=3):
         self.size = self.spread = gateways
@@ -39,7 +39,7 @@
         return 0.2
 
     def go(self, seconds):
-        """Let time pass; the most that all together might spend of the slices at any moment."""
+        """Let time pass; return the largest total of the quota shares that could be spent at any one time."""
         most = 0.0
         for _ in range(round(seconds / 0.05)):
             self.run(0.05, lambda me: 0.2)
@@ -61,11 +61,11 @@
 
 
 ALL = range(5)
-CUTS = {  # who doesn't hear whom; what remains of the quota in use after the cut has lasted
+CUTS = {  # lost links, one way each; fraction of the quota still in use at the end
     "pair, one way": ([(0, 1)], 0.99),
     "pair": (both([0], [1]), 0.99),
-    "one heard by nobody": ([(0, j) for j in ALL if j], 0.9),
-    "one that hears nobody": ([(j, 0) for j in ALL if j], 0.8),
+    "one received by nobody": ([(0, j) for j in ALL if j], 0.9),
+    "one that receives nothing": ([(j, 0) for j in ALL if j], 0.8),
     "one by itself": (both([0], [1, 2, 3, 4]), 0.9),
     "two and three": (both([0, 1], [2, 3, 4]), 0.99),
     "every other one": (both([0, 2], [1, 3, 4]), 0.5),
@@ -84,7 +84,7 @@
     assert sum(tier.spent().values()) >= least - (loss > 0) * 0.25
     tier.lost = lambda *a: chance.random() < loss
     most = max(most, tier.go(8.0))
-    assert most <= 1.0 + 0.05  # two ends of a trade may see it a message apart
+    assert most <= 1.0 + 0.05  # the two ends of an exchange may differ for as long as a message travels
     assert sum(tier.spent().values()) == pytest.approx(1.0, abs=0.25 if loss else 0.01)
     assert not any(g.membership.takeover.members for g in tier.gateways.values())
 
@@ -127,7 +127,7 @@
         del tier.gateways[me]
     tier.run(4.0, tier.ask)
     assert tier.spent()[0] == pytest.approx(KEPT_FRACTION / 5, abs=0.01)
-    tier.start(2)  # no ring neighbour of 0's
+    tier.start(2)  # not a ring neighbour of gateway 0
     tier.run(7.0, tier.ask)
     assert tier.spent()[0] == pytest.approx(1 / 5, abs=0.01)
 
@@ -206,9 +206,10 @@
         (1, 2.8, MemberState.DEAD),
         (2, 2.8, MemberState.SUSPECT),
     ):
-        detector.update(detector.members[member].updated_at + after)  # one was heard twice a second, two once
+        # updates of member 1 arrived twice a second, those of member 2 once
+        detector.update(detector.members[member].updated_at + after)
         assert detector.members[member].state == state
-    assert detector.is_silent_alone(1, 44.0)  # the other fell silent 20 s after it
+    assert detector.is_silent_alone(1, 44.0)  # member 2 fell silent 20 s after it
     detector.members[2].updated_at = detector.members[1].updated_at + 4.0
     assert not detector.is_silent_alone(1, 44.0) and not detector.is_silent_alone(2, 44.0)
     detector.record_gossip(51.0, GossipEntry(GossipKind.LEFT, 2, 9, 41))
@@ -224,11 +225,11 @@
     other.record_renewal(0, 1, 100.2)
     assert owner.renewed_until(2, 1) == 100.0 + LEASE_TIME and owner.renewed_until(2, 7) is None
     assert not other.try_grant(0, 100.2 + TAKEOVER_TIME - 0.01) and other.try_grant(0, 100.2 + TAKEOVER_TIME)
-    other.received_by[0] = 1e9  # it hears this one well
+    other.received_by[0] = 1e9  # member 0 receives this gateway's heartbeats
     assert not other.may_renew(0, 100.2 + 2 * TAKEOVER_TIME - 0.01) and other.may_renew(
         0, 100.2 + 2 * TAKEOVER_TIME
     )
-    for number in range(2, 400):  # many replies push out no beat that a lease may still count from
+    for number in range(2, 400):  # many replies do not evict a heartbeat that a lease may still count from
         owner.record_sent(100.5, number)
     assert owner.renewed_until(2, 1) == 100.0 + LEASE_TIME
     owner.record_sent(100.0 + LEASE_TIME + TAKEOVER_TIME + 0.1, 400)
@@ -272,7 +273,7 @@
 
 
 class Loop:
-    """A reactor that calls nothing."""
+    """A fake reactor that never runs a call."""
 
     def callLater(self, seconds, what):
         pass
@@ -283,7 +284,8 @@
     [
         (None, False, True),
         (SimpleNamespace(waits=True, done=False), True, True),
-        (SimpleNamespace(waits=False, done=True), False, False),  # handed on: its slices are the next life's
+        # its quota shares were handed over to its successor
+        (SimpleNamespace(waits=False, done=True), False, False),
     ],
 )
 def test_beside_another_life_the_leases_are_that_one_s_and_who_handed_on_does_not_leave(
--- a/tests/membership/test_messages.py
+++ b/tests/membership/test_messages.py
@@ -1,4 +1,4 @@
-"""The membership datagram by itself: bytes of each kind and flag, and what is no heartbeat."""
+"""Unit tests of the membership datagram: the bytes of each kind and flag, and payloads that are rejected."""
 
 import struct
 
--- a/tests/membership/test_parts.py
+++ b/tests/membership/test_parts.py
@@ -1,4 +1,4 @@
-"""Takeover, quota shares, and heartbeats in and out, each made alone on a fake host."""
+"""Unit tests of takeover, quota shares, heartbeat sender and receiver, each on a fake host."""
 
 import random
 
@@ -22,7 +22,7 @@
 
 
 class Parts:
-    """All parts on one host, each with the others that it needs."""
+    """All parts of membership on one host, connected to each other."""
 
     def __init__(self, host=None):
         self.host = host or FakeHost()
@@ -36,7 +36,7 @@
         self.sender.advance()
 
     def let_die(self, member, at=100.0):
-        """A member whose last update came then is held for dead, and its lease has lapsed."""
+        """Have a member declared dead, with its last update at that time and its lease lapsed."""
         incarnation = self.host.peer_incarnations[member]
         self.detector.record_gossip(at, GossipEntry(GossipKind.ALIVE_UPDATE, member, incarnation, 1))
         self.host.now = at + 9.0
@@ -44,7 +44,7 @@
         self.detector.update(self.host.now)
 
     def sent(self):
-        """The heartbeats sent since the last call, by receiver."""
+        """Return the heartbeats sent since the last call, with their receivers."""
         me = self.host.settings.gateway_index
         unpacked = [(a.peer, messages.unpack(a.payload, me, settings(a.peer, 3))) for a in self.host.actions]
         self.host.actions = []
@@ -241,7 +241,7 @@
     assert members.take_events() == [
         SharesTakenOver(0),
         SharesReturned(0),  # its last heartbeat is renewed once
-        StateChange(0, MemberState.LEFT, MemberState.ALIVE, "it said so"),
+        StateChange(0, MemberState.LEFT, MemberState.ALIVE, "announced its shutdown"),
     ]
     assert members.take_events() == []
     host.now += MAX_ROUND_INTERVAL
@@ -257,13 +257,13 @@
     ("event", "fields"),
     [
         (
-            StateChange(3, MemberState.DEAD, MemberState.SUSPECT, "no news for 2.75 s"),
+            StateChange(3, MemberState.DEAD, MemberState.SUSPECT, "no update for 2.75 s"),
             {
                 "what": "member",
                 "member": 3,
                 "state": "gone",
                 "before": "suspect",
-                "why": "no news for 2.75 s",
+                "why": "no update for 2.75 s",
             },
         ),
         (SharesTakenOver(3), {"what": "slices_taken", "member": 3}),
