--- a/corkdeal/recovery/__init__.py
+++ b/corkdeal/recovery/__init__.py
@@ -1,6 +1,7 @@
-"""Recovery: what a gateway may rely on after a start or a stall, without I/O.
+"""Recovery: what a gateway may rely on after a start or a stall of the process. No I/O is done here.
 
-`stall_detector` detects a stall, `resume` ages what was known before it, `quota_restore` takes quota shares
-up from neighbours, `admission_ramp` limits the first seconds, and `readiness` tells how far a gateway has
-come back. `net/recovery.py` joins them to the sockets; docs/recovery.md derives the bounds.
+`stall_detector` detects a stall, `resume` invalidates what was known before it, `quota_restore` restores
+quota shares from ring neighbours, `admission_ramp` limits traffic in the first seconds, and `readiness`
+tracks how far a gateway has recovered. `net/recovery.py` connects them to the sockets; docs/recovery.md
+derives the bounds.
 """
--- a/corkdeal/recovery/admission_ramp.py
+++ b/corkdeal/recovery/admission_ramp.py
@@ -1,40 +1,41 @@
-"""Admission ramps: limits on what a gateway sends in its first seconds after a stall or a start.
+"""Admission ramps: limits on the attempts that a gateway starts in the seconds after a stall or a start.
 
-*After a stall* its usual rate r_i is known. What clients sent meanwhile is read in one turn. Each gateway
-sends at most RATE_FACTOR times its own usual rate, and at most RATE_FACTOR x r_i x BURST_TIME at once, so in
-any BURST_TIME all that resumed together send at most 2 x RATE_FACTOR x BURST_TIME x sum(r_i), and over longer
-times RATE_FACTOR x sum(r_i).
+*After a stall* the gateway's average rate r_i is known, and what clients sent during the stall is read in one
+event-loop iteration. Each gateway sends at most RATE_FACTOR times its own average rate, and at most
+RATE_FACTOR x r_i x BURST_TIME at once. So in any BURST_TIME all gateways that resumed together send at most
+2 x RATE_FACTOR x BURST_TIME x sum(r_i), and over longer times RATE_FACTOR x sum(r_i).
 
-*After a start* it is not known, so the attempts in flight are bounded: at first by the gateway's part of what
-all backends surely take at once, SAFE_CONCURRENCY each, and MIN_IN_FLIGHT. Over G gateways and B backends
-that is at most max(MIN_IN_FLIGHT x G, SAFE_CONCURRENCY x B) together, whatever share of them started. Each
-successful answer raises the limit by one, so it doubles in the time of an answer, be that 1 ms or 0.2 s,
-unless backends turn out to be full.
+*After a start* the rate is unknown, so the attempts in flight are limited: at first to the gateway's part of
+what all backends can certainly handle at once, SAFE_CONCURRENCY each, but no less than MIN_IN_FLIGHT. Over G
+gateways and B backends that is at most max(MIN_IN_FLIGHT x G, SAFE_CONCURRENCY x B), whatever fraction of the
+gateways started. Each successful reply raises the limit by one, so unless backends turn out to be overloaded
+it doubles with each round trip, whether that takes 1 ms or 0.2 s.
 
-What exceeds the limit is rejected at once, with a Retry-After. A ramp ends with the readiness state `full`.
+Requests beyond the limit are rejected immediately with a Retry-After. A ramp is removed when the readiness
+state becomes `full`.
 """
 
 from __future__ import annotations
 
-RATE_FACTOR = 1.25  # of the usual rate
+RATE_FACTOR = 1.25  # of the average rate
 BURST_TIME = 0.25  # s
-MIN_RATE = 4.0  # attempts a second; a gateway with next to no traffic overloads nobody
-SAFE_CONCURRENCY = 2.0  # attempts that any backend takes at once, as for one that warms up
+MIN_RATE = 4.0  # attempts per second; a gateway with almost no traffic cannot overload a backend
+SAFE_CONCURRENCY = 2.0  # concurrent attempts that any backend can handle, as for one in slow start
 MIN_IN_FLIGHT = 4.0  # attempts
-MAX_FAILURE_RATIO = 0.1  # failed attempts for each successful one, above which backends are full
-RATE_TIME_CONSTANT = 5.0  # s over which the usual rate is averaged
+MAX_FAILURE_RATIO = 0.1  # failed attempts per successful one; above it backends count as overloaded
+RATE_TIME_CONSTANT = 5.0  # s over which the rate is averaged
 
 
 class RateEstimator:
-    """The average rate of attempts, from their running total."""
+    """Moving average of the rate of attempts, computed from their running total."""
 
     def __init__(self) -> None:
-        self.rate = 0.0  # attempts a second
+        self.rate = 0.0  # attempts per second
         self.total = 0
         self.updated_at: float | None = None  # s
 
     def update(self, now: float, total: int) -> None:
-        """So many attempts were started by now."""
+        """Update the average; `total` attempts have been started by now."""
         if self.updated_at is not None and now > self.updated_at:
             elapsed = now - self.updated_at
             weight = min(1.0, elapsed / RATE_TIME_CONSTANT)
@@ -44,17 +45,17 @@
 
 
 class StallRamp:
-    """After a stall: a token bucket on attempts, refilled a little faster than the usual rate."""
+    """Limit after a stall: a token bucket of attempts, refilled slightly faster than the average rate."""
 
     def __init__(self, now: float, usual_rate: float) -> None:
-        """`usual_rate` is in attempts a second."""
-        self.rate = RATE_FACTOR * max(usual_rate, MIN_RATE)  # attempts a second
+        """`usual_rate` is the average rate before the stall, in attempts per second."""
+        self.rate = RATE_FACTOR * max(usual_rate, MIN_RATE)  # attempts per second
         self.capacity = max(1.0, self.rate * BURST_TIME)
         self.tokens = self.capacity
         self.refilled_at = now  # s
 
     def try_admit(self, now: float, in_flight: int) -> bool:
-        """Whether one more attempt may start now; if so it takes a token."""
+        """Take a token and return True if one more attempt may start now."""
         self.tokens = min(self.capacity, self.tokens + self.rate * (now - self.refilled_at))
         self.refilled_at = now
         if self.tokens < 1.0:
@@ -63,24 +64,24 @@
         return True
 
     def record_outcome(self, is_success: bool) -> None:
-        """An attempt ended; that does not change the usual rate."""
+        """Ignore the end of an attempt; the rate depends on no outcome."""
 
 
 class StartRamp:
-    """After a start: a limit on attempts in flight, which successful answers raise."""
+    """Limit after a start: a number of attempts in flight, which successful replies raise."""
 
     def __init__(self, backends: int, gateways: int) -> None:
-        """`gateways` is the tier's size."""
+        """`gateways` is the size of the tier."""
         self.limit = max(MIN_IN_FLIGHT, SAFE_CONCURRENCY * backends / max(1, gateways))
         self.successes = 0
         self.failures = 0
 
     def try_admit(self, now: float, in_flight: int) -> bool:
-        """Whether one more attempt may start while so many are in flight."""
+        """Return whether one more attempt may start with `in_flight` attempts in flight."""
         return in_flight < self.limit
 
     def record_outcome(self, is_success: bool) -> None:
-        """An attempt ended; a success raises the limit by one while failures are few."""
+        """Record the end of an attempt; a success raises the limit by one while failures are rare."""
         if not is_success:
             self.failures += 1
             return
--- a/corkdeal/recovery/host.py
+++ b/corkdeal/recovery/host.py
@@ -1,4 +1,4 @@
-"""What recovery needs of the decisions that it belongs to."""
+"""The interfaces that recovery needs from the decisions it belongs to."""
 
 from __future__ import annotations
 
@@ -12,11 +12,11 @@
 
 
 class QuotaRestoreHost(Protocol):
-    """The part of a gateway's decisions that restoring quota shares reads, and the calls that it makes."""
+    """The part of a gateway's decisions that restoring quota shares reads, and the methods that it calls."""
 
     @property
     def now(self) -> float:
-        """The time of the present event, in seconds."""
+        """Time of the current event, in seconds."""
 
     @property
     def accounts(self) -> Mapping[int, Account]:
@@ -27,20 +27,20 @@
         """The latest known incarnation of each peer, in ms."""
 
     def account(self, customer: int, plan: int, first_gateway: int, member_count: int, /) -> Account:
-        """The customer's account, which is made if there is none."""
+        """Return the customer's account; create it if there is none."""
 
     def has_resumed(self) -> bool:
-        """Whether this gateway goes on as an earlier incarnation, with that one's ledgers."""
+        """Return whether this gateway continues an earlier incarnation, with its ledgers."""
 
     def is_older(self, incarnation: int, /) -> bool:
-        """Whether a peer of that incarnation knows what was spent before this gateway's start."""
+        """Return whether a peer of that incarnation saw what was spent before this gateway started."""
 
     def send_updates(self, peer: int, updates: list[AccountUpdate], /) -> None:
-        """Send updates, or a message without any, to a peer."""
+        """Send account updates, or a message without any, to a peer."""
 
 
 class ResumeHost(Protocol):
-    """The state of a gateway's decisions that a stall makes old."""
+    """The state of a gateway's decisions that a stall makes out of date."""
 
     now: float  # s
     last_exchange_at: float  # s
@@ -52,7 +52,7 @@
 
     @property
     def peer_last_heard(self) -> MutableMapping[int, float]:
-        """By peer: when its last message arrived, in seconds."""
+        """By peer: when its last message was received, in seconds."""
 
     @property
     def backends(self) -> Backends:
@@ -60,4 +60,4 @@
 
     @property
     def membership(self) -> MembershipView | None:
-        """Membership, where that is on."""
+        """Membership, if it is enabled."""
--- a/corkdeal/recovery/quota_restore.py
+++ b/corkdeal/recovery/quota_restore.py
@@ -1,21 +1,25 @@
-"""Restoring quota shares after a start, from ring neighbours that hold the ledgers' running totals.
-
-Both ends of a peer ledger hold the same totals, so the end that went on can give them to the one that started
-again:
-
-- the end that went on keeps the totals when the other starts anew, and sends them with its next message;
-- the end that started sends a neighbour no updates before the neighbour sent it a message, had PEER_TIMEOUT
-  to, or is known to have started at about the same time, so that its zeros do not wipe out what it asks for;
-- the totals it receives become its side of the ledger without a change to its token bucket: those units were
-  spent before;
-- its demand begins where shares and demand balance with the neighbour's, and decays into its own;
-- a stored ledger serves until then; it may be an older copy, so the neighbour's totals override it;
-- without a neighbour's totals or a stored ledger it begins at zero, and its first update sets the other end
-  to zero as well.
-
-So in each case both ends have the same totals after the first updates that arrive, and the shares add up to
-the whole. An aggregated ring has no ledgers but running totals of what was spent; a start there begins at the
-bucket level at which it admits the quota's rate and no burst, since others may have spent that.
+"""Restores quota shares after a start, from ring neighbours that hold the same running totals of the ledgers.
+
+Both ends of a peer ledger hold the same totals, so the end that kept running can send them to the end that
+restarted:
+
+- The end that kept running retains the totals when the other end restarts, and sends them with its next
+  message.
+- The end that restarted sends a neighbour no updates until that neighbour has sent it a message, PEER_TIMEOUT
+  has passed, or the neighbour is known to have started at about the same time. Otherwise its zeros would
+  overwrite the totals that it asks for.
+- The totals that it receives replace its side of the ledger without changing its token bucket, as those units
+  were spent before.
+- Its demand starts at the value that balances share against demand with the neighbour, and decays towards its
+  actual demand.
+- A stored ledger is used until the neighbour's totals arrive. These override it, as it may be out of date.
+- Without totals from the neighbour or a stored ledger the totals start at zero, and the first update sets
+  those of the other end to zero as well.
+
+In each case both ends hold the same totals after the first updates have arrived, and the quota shares add up
+to the whole quota. An aggregated ring has no ledgers but running totals of what was spent. There a start
+begins with the bucket level at which the quota's rate is admitted but no burst, since others may have spent
+the burst.
 """
 
 from __future__ import annotations
@@ -29,26 +33,27 @@
 if TYPE_CHECKING:  # at run time only a gateway that restores stored state imports it
     from ..decisions.persisted_state import StoredAccount
 
-PEER_TIMEOUT = 1.0  # s that neighbours have to send a message; three exchanges and a late one
-AGGREGATION_DELAY = 4.0  # s after a start until an aggregated ring's totals have arrived
-AGGREGATED_INITIAL_FILL = 0.4  # of the burst, at which an aggregated ring admits its rate
-MAX_REPORTED_ACCOUNTS = 56  # eight datagrams of the sixty a second that a peer accepts
+PEER_TIMEOUT = 1.0  # s that neighbours have to send a message; three exchanges and a delayed one
+AGGREGATION_DELAY = 4.0  # s from a start until the totals of an aggregated ring have arrived
+AGGREGATED_INITIAL_FILL = 0.4  # of the burst; at this level an aggregated ring admits its rate
+MAX_REPORTED_ACCOUNTS = 56  # fill eight of the sixty datagrams per second that a peer accepts
 
 
 class QuotaRestore:
-    """One gateway's restoring of quota shares, for as long as it runs."""
+    """Restores the quota shares of one gateway; lives as long as the process."""
 
     def __init__(self, host: QuotaRestoreHost) -> None:
         self.host = host
-        self.started_at: float | None = None  # s, of the first account
-        self.asked: set[int] = set()  # neighbours that were sent a message for their totals
-        self.replied: set[int] = set()  # neighbours that sent a message to this incarnation
+        self.started_at: float | None = None  # s, when the first account was created
+        # neighbours that were sent a message so that they reply with their totals
+        self.asked: set[int] = set()
+        self.replied: set[int] = set()  # neighbours that have sent a message to this incarnation
 
     def apply_stored(self, account: Account, stored: StoredAccount, has_current_ledgers: bool) -> None:
-        """Take ledgers from a stored record; they serve until a neighbour sends its totals.
+        """Use the ledgers of a stored account until a neighbour sends its totals.
 
-        The record may be an older copy, so the neighbour's totals override it, and of two bucket levels the
-        lower counts.
+        The stored account may be out of date, so the neighbour's totals override it, and the lower of the two
+        bucket levels is used.
         """
         account.has_peer_level = False
         if not has_current_ledgers:
@@ -60,7 +65,10 @@
                 )
 
     def account_created(self, account: Account) -> None:
-        """An account was just made: ask its neighbours, and trust no level that others may have spent."""
+        """Ask the neighbours of a new account for their totals.
+
+        In an aggregated ring, soon after a start, also lower the level, which others may have spent.
+        """
         now = self.host.now
         if self.started_at is None:
             self.started_at = now
@@ -72,11 +80,11 @@
             self.host.send_updates(peer, [])
 
     def record_reply(self, peer: int) -> None:
-        """A neighbour sent a message to this incarnation."""
+        """Record that a neighbour sent a message to this incarnation."""
         self.replied.add(peer)
 
     def may_send_updates(self, peer: int) -> bool:
-        """Whether updates may go to a neighbour: it sent what it holds, or has nothing to send."""
+        """Return whether updates may be sent to a neighbour: it has sent its totals, or has none to send."""
         if peer in self.replied or self.host.has_resumed():
             return True
         if self.started_at is None or self.host.now - self.started_at > PEER_TIMEOUT:
@@ -85,7 +93,10 @@
         return incarnation is not None and not self.host.is_older(incarnation)
 
     def apply_update(self, peer: int, update: AccountUpdate) -> None:
-        """Begin an account's demand where it balances with that of a neighbour that went on."""
+        """Set the initial demand of an account from an update by a neighbour that kept running.
+
+        It is the demand with which the restored share balances the neighbour's.
+        """
         account = self.host.account(
             update.customer, update.plan_index, update.first_gateway, update.member_count
         )
@@ -99,11 +110,14 @@
         account.demand = max(account.demand, min(account.plan.rate, update.demand * share / update.share))
 
     def ledger_after_peer_restart(self, ledger: PeerLedger) -> PeerLedger:
-        """What is left of a ledger whose other end started anew: its totals."""
+        """Return what is kept of a ledger whose other end restarted: its totals."""
         return PeerLedger(ledger.received_share, ledger.received_units, has_peer_totals=True)
 
     def accounts_to_report(self, peer: int) -> list[tuple[int, Account]]:
-        """The accounts, by customer, whose totals go to a neighbour that started anew, largest first."""
+        """Return the accounts, by customer, whose totals to send to a neighbour that restarted.
+
+        Those with the largest transferred shares come first.
+        """
         accounts = [
             (customer, account)
             for customer, account in self.host.accounts.items()
@@ -114,5 +128,5 @@
 
 
 def _has_totals(ledger: PeerLedger | None) -> bool:
-    """Whether anything was moved over a ledger."""
+    """Return whether any quota was transferred over a ledger."""
     return ledger is not None and bool(ledger.received_share or ledger.received_units)
--- a/corkdeal/recovery/resume.py
+++ b/corkdeal/recovery/resume.py
@@ -1,13 +1,13 @@
-"""Resuming after a stall: what the decisions knew before it is aged, so that nothing is used past its time.
+"""Resumes the decisions after a stall: invalidates what they knew before it, so that no old data is used.
 
-While a gateway is stalled its ring successor takes its shares over, its neighbours' bucket levels change, and
-backends answer into its socket buffers. So after a stall
+While a gateway is stalled, its ring successor takes its shares over, its neighbours' bucket levels change,
+and replies of backends accumulate in its socket buffers. So after a stall:
 
-- no token bucket fills for the time in which others may have spent its share; that costs at most
-  `rate x share` a second of the stall, never more than the bucket, and comes back by the usual refill;
-- no bucket level that a neighbour sent earlier backs a credit until that neighbour sends another;
-- no peer counts as silent and no backend as hung for the time of the stall;
-- load reports and saved-up slow start credit from before count for nothing.
+- No token bucket is refilled for the time in which others may have spent its share. That costs at most
+  `rate x share` per second of the stall, never more than the bucket, and the usual refill makes up for it.
+- No bucket level that a neighbour sent earlier is used as credit until that neighbour sends a new one.
+- No peer counts as silent, and no backend as unresponsive, on account of the stall.
+- Load reports and accumulated slow start credit from before the stall are discarded.
 """
 
 from __future__ import annotations
@@ -22,7 +22,10 @@
 
 
 def resume_after_stall(host: ResumeHost, now: float, stall_time: float) -> None:
-    """The process was stalled for `stall_time` s until `now`; called before the decisions get any event."""
+    """Update the decisions after the process was stalled for `stall_time` seconds until `now`.
+
+    This must be called before the decisions handle any event.
+    """
     for account in host.accounts.values():
         _age_account(account, now, stall_time)
     for peer in host.peer_last_heard:
@@ -37,14 +40,14 @@
 
 
 def _age_account(account: Account, now: float, stall_time: float) -> None:
-    """Leave the stall out of the account's next refill, and its peers' levels out of its credit."""
+    """Exclude the stall from the account's next refill, and its peers' levels from its credit."""
     account.refilled_at = max(account.refilled_at, min(now, account.refilled_at + stall_time))
     for ledger in account.ledgers.values():
         ledger.peer_state_at = LONG_AGO
 
 
 def _age_backend(backend: BackendRecord, now: float, stall_time: float) -> None:
-    """Leave the stall out of the backend's silence, and drop its reported load and its credit."""
+    """Exclude the stall from the backend's silence, and discard its reported load and its credit."""
     backend.in_flight = {
         request: (sent_at + stall_time, load) for request, (sent_at, load) in backend.in_flight.items()
     }
--- a/tests/recovery/test_admission_ramp.py
+++ b/tests/recovery/test_admission_ramp.py
@@ -1,4 +1,4 @@
-"""The admission ramps and the rate estimator, each by itself."""
+"""Unit tests of the admission ramps and the rate estimator."""
 
 import pytest
 
@@ -60,7 +60,7 @@
     assert ramp.limit == MIN_IN_FLIGHT
     for _ in range(9):
         ramp.record_outcome(True)
-    assert ramp.limit == MIN_IN_FLIGHT + 1  # two failures are few beside ten successes
+    assert ramp.limit == MIN_IN_FLIGHT + 1  # two failures are few compared to ten successes
 
 
 def test_both_are_admission_ramps_to_the_decisions():
--- a/tests/recovery/test_net_recovery.py
+++ b/tests/recovery/test_net_recovery.py
@@ -1,4 +1,4 @@
-"""Recovery on the sockets, with a reactor that only counts and a gateway of plain records."""
+"""Recovery connected to a gateway of plain records, with a simulated reactor clock."""
 
 from collections import Counter
 from types import SimpleNamespace
@@ -15,7 +15,7 @@
 
 
 class World:
-    """A gateway that has begun to serve, with its recovery."""
+    """A gateway that is serving, with its recovery."""
 
     def __init__(self, has_begun=True):
         self.clock = Clock()
@@ -62,7 +62,7 @@
     world = World()
     world.run(0.5)
     assert world.gateway.pool.turn() is False
-    world.clock.rightNow += 5.0  # no call was made meanwhile
+    world.clock.rightNow += 5.0  # no delayed call ran in this time
     assert world.gateway.pool.turn() is True
     assert world.watched == 1 and world.decisions.is_endpoint_list_stale
     assert world.attempt.sent_at == pytest.approx(995.0, abs=0.2)
--- a/tests/recovery/test_quota_restore.py
+++ b/tests/recovery/test_quota_restore.py
@@ -1,4 +1,4 @@
-"""Restoring quota shares by itself, on a fake host."""
+"""Unit tests of restoring quota shares, on a fake host."""
 
 import pytest
 
@@ -33,7 +33,7 @@
 
 
 class FakeHost:
-    """A gateway's decisions as far as restoring quota shares needs them."""
+    """The part of a gateway's decisions that restoring quota shares needs."""
 
     def __init__(self):
         self.now = 100.0
--- a/tests/recovery/test_readiness.py
+++ b/tests/recovery/test_readiness.py
@@ -1,4 +1,4 @@
-"""Readiness and the stall detector, each by itself with the time passed in."""
+"""Unit tests of readiness and of the stall detector, with the time passed in."""
 
 import pytest
 
@@ -25,7 +25,9 @@
     readiness.has_fresh_endpoints = True
     assert readiness.update(10.5, heard=1, neighbours=2, answers=0, given_up=0) is None
     transition = readiness.update(10.5, heard=2, neighbours=2, answers=0, given_up=0)
-    expected = Transition(ReadinessState.LEARNING, ReadinessState.RETURNING, "list, neighbours heard", 0.5)
+    expected = Transition(
+        ReadinessState.LEARNING, ReadinessState.RETURNING, "list, neighbours responded", 0.5
+    )
     assert transition == expected and readiness.state is ReadinessState.LEARNING
 
 
@@ -38,7 +40,7 @@
         given_up += round(1000 * fraction / (1 - fraction))
         transition = readiness.update(float(second), 0, 0, 1000 * second, given_up)
         reasons += [(second, transition.reason)] if transition else []
-    assert reasons == [(1, "list, neighbours heard"), (int(MAX_LEARNING_TIME) + 2, "time")]
+    assert reasons == [(1, "list, neighbours responded"), (int(MAX_LEARNING_TIME) + 2, "time")]
 
 
 def test_a_restart_drops_the_samples_and_needs_a_fresh_endpoint_list():
--- a/tests/recovery/test_recovery.py
+++ b/tests/recovery/test_recovery.py
@@ -1,4 +1,4 @@
-"""Coming back after a pause or a start: what is old is not used, states are left for their reasons."""
+"""Recovery on whole decisions after a stall or a start: no old data is used, quota shares are conserved."""
 
 import random
 from types import SimpleNamespace
@@ -32,7 +32,7 @@
 
 
 def paused(seconds):
-    """A ring of three of which number 1 stood still and woke before it heard anybody."""
+    """Return a ring of three and its gateway 1, which was stalled and resumes before it receives anything."""
     ring = Ring()
     ring.run(6.0, ask=lambda me: 0.2)
     still = ring.gateways.pop(1)
@@ -49,7 +49,8 @@
     still.refill(account)
     assert account.level == pytest.approx(level, abs=0.6)
     ahead = ring.gateways[2].quota_share(ring.gateways[2].accounts[7])
-    assert ahead > ring.gateways[2].accounts[7].base_share()  # the loan that the wake has to reckon with
+    # gateway 2 borrows the share, which the resumed gateway must allow for
+    assert ahead > ring.gateways[2].accounts[7].base_share()
 
 
 def test_what_neighbours_told_before_a_pause_backs_nothing_and_nobody_is_silent():
@@ -85,7 +86,8 @@
 
 def test_a_request_that_lay_unread_past_its_aim_is_refused_and_a_young_one_is_not():
     one = Ring(1).gateways[0]
-    one.handle(101.0, [request(n, spread=1) for n in (1, 2, 3)])  # no server is due for a look
+    # so that no backend is untried or due for a trial
+    one.handle(101.0, [request(n, spread=1) for n in (1, 2, 3)])
     old = one.handle(101.1, [request(8, spread=1, unread_time=0.95)])
     young = one.handle(101.1, [request(9, spread=1, unread_time=0.1)])
     assert pick(old, Reject) and not pick(old, StartAttempt) and pick(young, StartAttempt)
@@ -96,7 +98,7 @@
     [
         (50_000, {1: 49_000, 2: 1_000}, (1, 2)),
         (50_000, {}, (0, 0)),
-        (500, {1: (1 << 32) - 500}, (1, 1)),  # the milliseconds began anew in between
+        (500, {1: (1 << 32) - 500}, (1, 1)),  # the incarnation, in ms, wrapped around in between
     ],
 )
 def test_who_came_back_together_is_told_by_incarnations(born, peers, expected):
@@ -109,7 +111,7 @@
 
 
 def walk(readiness, until, heard=2, served=20, refused=0, listed=0.0, began=0.0):
-    """States as they were left: `served` and `refused` a second."""
+    """Return the transitions with their reasons, given `served` and `refused` requests per second."""
     made = []
     for tick in range(1, int(until * 10) + 1):
         now = began + tick / 10
@@ -122,15 +124,15 @@
 @pytest.mark.parametrize(
     ("given", "left"),
     [
-        ({}, [("learning", "list, neighbours heard", 0.1), ("full", "served", 2.1)]),
-        ({"heard": 1}, [("learning", "list, 1 of 2 neighbours heard", 1.1), ("full", "served", 3.1)]),
+        ({}, [("learning", "list, neighbours responded", 0.1), ("full", "served", 2.1)]),
+        ({"heard": 1}, [("learning", "list, 1 of 2 neighbours responded", 1.1), ("full", "served", 3.1)]),
         (
             {"listed": 99.0},
-            [("learning", "list did not come, neighbours heard", 2.1), ("full", "served", 4.2)],
+            [("learning", "list not received, neighbours responded", 2.1), ("full", "served", 4.2)],
         ),
-        ({"served": 0}, [("learning", "list, neighbours heard", 0.1), ("full", "nothing asked", 2.1)]),
-        ({"refused": 20}, [("learning", "list, neighbours heard", 0.1), ("full", "levelled off", 2.2)]),
-        ({"served": 1}, [("learning", "list, neighbours heard", 0.1), ("full", "served", 20.0)]),
+        ({"served": 0}, [("learning", "list, neighbours responded", 0.1), ("full", "no requests", 2.1)]),
+        ({"refused": 20}, [("learning", "list, neighbours responded", 0.1), ("full", "levelled off", 2.2)]),
+        ({"served": 1}, [("learning", "list, neighbours responded", 0.1), ("full", "served", 20.0)]),
     ],
 )
 def test_states_are_left_for_their_reasons(given, left):
@@ -146,7 +148,7 @@
 
 
 class Returning(Ring):
-    """A ring whose gateways take up slices after a start."""
+    """A ring whose gateways restore their quota shares after a start."""
 
     def start(self, me, gateways=3):
         made = Gateway(settings(me, gateways, plans=(self.plan,)), seed=me)
@@ -155,7 +157,7 @@
         self.take(me, made.handle(self.now, [servers("a", "b", "c")]))
 
     def again(self, *who):
-        """Those are killed, lose what was on its way to them, and start again."""
+        """Kill these gateways, lose the messages sent to them meanwhile, and start them again."""
         for me in who:
             del self.gateways[me]
         self.run(0.6, busy_share)
@@ -215,7 +217,7 @@
 def test_what_is_sent_after_a_pause_stays_within_the_usual_rate_and_the_rest_is_refused_at_once():
     usual = RateEstimator()
     for tick in range(200):
-        usual.update(100 + tick / 10, tick)  # ten a second
+        usual.update(100 + tick / 10, tick)  # ten per second
     assert usual.rate == pytest.approx(10.0, rel=0.05)
     ramp = StallRamp(130.0, usual.rate)
     sent = [at for at in (130 + n / 100 for n in range(200)) if ramp.try_admit(at, 0)]
@@ -231,7 +233,7 @@
 
 
 class Stored:
-    """A store's document of one account, as `persistence/restore.py` gives it; maybe an older copy."""
+    """A stored account as `persistence/restore.py` provides it, possibly out of date."""
 
     is_exact = False
 
@@ -312,7 +314,7 @@
     ramp.record_outcome(True)
     assert ramp.try_admit(0.0, 4)
     for _ in range(5):
-        ramp.record_outcome(False)  # servers are the reason why others got none
+        ramp.record_outcome(False)  # backends are overloaded
     ramp.record_outcome(True)
     assert not ramp.try_admit(0.0, 5)
     one = Ring(1).gateways[0]
@@ -322,7 +324,7 @@
 
 
 class Behind:
-    """A gateway whose clock is a minute behind the others'."""
+    """A gateway whose clock is a minute behind the others."""
 
     def __init__(self, gateway):
         self.gateway = gateway
@@ -388,6 +390,6 @@
     recovery = Recovery(None, gateway)
     recovery.withheld_retries, one.retries.budget = 10.0, 1.0
     recovery.apply(
-        Transition(ReadinessState.LEARNING, ReadinessState.RETURNING, "list, neighbours heard", 0.1)
+        Transition(ReadinessState.LEARNING, ReadinessState.RETURNING, "list, neighbours responded", 0.1)
     )
     assert one.retries.budget == left
--- a/tests/recovery/test_resume.py
+++ b/tests/recovery/test_resume.py
@@ -1,4 +1,4 @@
-"""Resuming after a stall by itself, on records without a gateway."""
+"""Unit tests of resuming after a stall, on records without a gateway."""
 
 import math
 from types import SimpleNamespace
@@ -16,7 +16,7 @@
 
 
 class FakeMembership:
-    """Records the stall that it is resumed after, and the time its host had then."""
+    """Records the stalls that it is resumed after, and the host's time at each."""
 
     def __init__(self):
         self.resumed = []
@@ -48,7 +48,7 @@
     resume_after_stall(host, NOW, STALL_TIME)
     account = host.accounts[7]
     assert account.refilled_at == 160.0 and account.ledgers[0].peer_state_at == -math.inf
-    assert account.ledgers[0].received_share == 5  # totals are kept
+    assert account.ledgers[0].received_share == 5  # the totals are kept
 
 
 @pytest.mark.parametrize(("refilled_at", "expected"), [(90.0, 150.0), (130.0, 160.0), (170.0, 170.0)])
