--- a/corkdeal/net/membership.py
+++ b/corkdeal/net/membership.py
@@ -1,6 +1,7 @@
-"""Membership on the sockets: its events go to the log, and the end of the program is announced.
+"""Connects membership to the running gateway: logs its events and announces a shutdown to the other members.
 
-Made only where the operators' file has `membership`. The decisions send the heartbeats themselves.
+It is created only if the operators' options contain `membership`. The decisions send the heartbeats
+themselves.
 """
 
 from __future__ import annotations
@@ -14,11 +15,11 @@
 from ..membership.failure_detector import StateChange
 from ..membership.members import Members
 
-POLL_INTERVAL = 0.1  # s between polls of the events
+POLL_INTERVAL = 0.1  # s between polls for events
 
 
 class Membership:
-    """One gateway's place among the members."""
+    """Membership of one running gateway."""
 
     def __init__(self, reactor: Any, gateway: Any) -> None:
         self.reactor = reactor
@@ -27,12 +28,15 @@
         gateway.decisions.membership = self.members
 
     def start(self) -> None:
-        """Begin to log events; the end of the program is announced to the others."""
+        """Start logging events, and register for the shutdown of the process."""
         self.gateway.before_end.append(self)
         self.poll()
 
     def poll(self) -> None:
-        """Log what happened. Beside another incarnation of this gateway, that one holds the leases."""
+        """Log new events and schedule the next poll.
+
+        While another incarnation of this gateway is running, that one holds the leases.
+        """
         succession = self.gateway.succession
         self.members.delegate_share(succession is not None and succession.waits)
         for event in self.members.take_events():
@@ -40,9 +44,10 @@
         self.reactor.callLater(POLL_INTERVAL, self.poll)
 
     def stop(self, done: Callable[[], None]) -> None:
-        """The gateway ends after its last answer: others may spend its quota shares from now on.
+        """Announce the shutdown after the last reply, so that others may spend this gateway's quota shares.
 
-        One that handed its quota to the next incarnation of the same gateway does not leave.
+        A gateway that handed its quota over to its successor announces nothing. `done` is called in either
+        case.
         """
         succession = self.gateway.succession
         if succession is None or not succession.done:
@@ -56,7 +61,7 @@
 
 
 def log_fields(event: MembershipEvent) -> dict[str, object]:
-    """The fields of the log event `membership`, as on its operators' page."""
+    """Return the fields of the log event `membership`, as documented for operators."""
     match event:
         case StateChange(member, state, previous, reason):
             return {
--- a/corkdeal/net/peering.py
+++ b/corkdeal/net/peering.py
@@ -13,7 +13,7 @@
 
 
 class Peering(DatagramProtocol):
-    """Sends payloads to peers by number; a sender is known by its address alone."""
+    """Sends payloads to peers by their number; the sender of a datagram is identified by its address only."""
 
     def __init__(
         self,
@@ -26,7 +26,7 @@
         self.numbers = {at: i for i, at in enumerate(peers) if i != me}
 
     def datagramReceived(self, datagram: bytes, addr: Address) -> None:
-        """Hand on what a peer sent; strangers and what is too long are dropped."""
+        """Pass a datagram from a peer on; drop those from unknown senders and of invalid length."""
         peer = self.numbers.get(addr)
         if peer is None:
             return count("datagram_from_stranger")
@@ -35,7 +35,10 @@
         self.heard(peer, datagram)
 
     def tell(self, peer: int | None, payload: bytes) -> None:
-        """One datagram to a peer, or to all of them; UDP may lose it, so a failed send is only counted."""
+        """Send a datagram to a peer, or to all peers if `peer` is None.
+
+        UDP may lose it, so a failed send is only counted.
+        """
         at = self.everyone if peer is None else self.peers[peer] if peer < len(self.peers) else None
         if not holds(len(payload) <= MESSAGE_BYTES, "datagram_too_long"):
             return
--- a/corkdeal/net/recovery.py
+++ b/corkdeal/net/recovery.py
@@ -1,7 +1,8 @@
-"""Recovery on the sockets: stalls detected before anything is decided, unread requests dated by their age.
+"""Connects recovery to the running gateway: checks for stalls before any decision, and ages unread requests.
 
-Made only where the operators' file has `recovery`. After a stall nothing is sent until discovery has answered
-again, or had its time to; what clients sent meanwhile is dated by the kernel's own time of its arrival.
+It is created only if the operators' options contain `recovery`. After a stall nothing is sent until discovery
+has replied or timed out. Requests that clients sent during the stall get the arrival time recorded by the
+kernel.
 """
 
 from __future__ import annotations
@@ -24,12 +25,12 @@
 from .tcp_state import since_last_data
 
 CHECK_INTERVAL = 0.1  # s
-DISCOVERY_TIMEOUT = 0.25  # s that sends wait for discovery's first answer after a stall, as at a start
+DISCOVERY_TIMEOUT = 0.25  # s for which sends wait for discovery's first reply after a stall, as after a start
 UNREAD_SPAN = 2.0  # s after a stall in which bytes may still be read that arrived before its end
 
 
 class Recovery:
-    """One gateway's return after a start or a stall."""
+    """Recovery of one gateway after a start or a stall."""
 
     def __init__(self, reactor: Any, gateway: Any) -> None:
         self.reactor = reactor
@@ -37,15 +38,18 @@
         self.attempt_rate = RateEstimator()
         self.stall_detector = StallDetector()
         self.readiness = Readiness(gateway.now())
-        self.stall_ended_at = 0.0  # s; 0 before the first stall
-        self.stall_time = 0.0  # s, of the last stall
-        self.withheld_retries = 0.0  # of the retry budget
-        self.discovery_timeout: Any = None  # the call that ends the wait for discovery
+        self.stall_ended_at = 0.0  # s; 0 if there was no stall
+        self.stall_time = 0.0  # s, duration of the last stall
+        self.withheld_retries = 0.0  # part of the retry budget
+        self.discovery_timeout: Any = None  # the delayed call that ends the wait for discovery
         gateway.decisions.quota_restore = QuotaRestore(gateway.decisions)
         gateway.pool.turn = lambda: self.check_stall(gateway.now())
 
     def start(self) -> None:
-        """Begin to check; most of the retry budget is withheld until it is known to be among few."""
+        """Start the periodic check, and withhold most of the retry budget.
+
+        It is withheld until it is known that few other gateways started at the same time.
+        """
         decisions = self.gateway.decisions
         self.readiness = Readiness(self.gateway.now())
         self.withheld_retries = decisions.retries.budget
@@ -53,7 +57,7 @@
         self.check()
 
     def check(self) -> None:
-        """Check for a stall, and update the usual rate and the readiness."""
+        """Check for a stall, and update the average rate and the readiness."""
         now = self.gateway.now()
         tally = self.gateway.tally
         self.check_stall(now)
@@ -70,7 +74,7 @@
         self.reactor.callLater(CHECK_INTERVAL, self.check)
 
     def _count_heard_neighbours(self) -> int:
-        """How many ring neighbours sent a message since the gateway began to come back."""
+        """Return how many ring neighbours have sent a message since the start or stall."""
         decisions = self.gateway.decisions
         return sum(
             decisions.peer_last_heard.get(peer, 0.0) > self.readiness.began_at
@@ -79,12 +83,12 @@
         )
 
     def _count_given_up(self) -> int:
-        """How many requests inside quotas were given up on so far."""
+        """Return how many requests inside quotas have ended unserved so far."""
         causes = self.gateway.decisions.requests.rejection_causes
         return sum(number for cause, number in causes.items() if cause.startswith("inside"))
 
     def apply(self, transition: Transition) -> None:
-        """The readiness changed: lift what was limited for it, and log it."""
+        """Apply a readiness transition: lift the limits that end with it, and log it."""
         decisions = self.gateway.decisions
         among_many = is_among_many(decisions.incarnation, decisions.peer_incarnations)
         if transition.state is ReadinessState.FULL:
@@ -102,19 +106,26 @@
         )
 
     def _is_budget_divided(self) -> bool:
-        """Whether this incarnation has only a part of the retry budget, beside the one before it."""
+        """Return whether this incarnation shares the retry budget with its predecessor.
+
+        Its predecessor then runs beside it and has the other part.
+        """
         succession = self.gateway.succession
         return succession is not None and succession.given is not None
 
     def check_stall(self, now: float) -> bool:
-        """Called before anything happens: whether the process was stalled until then, be it in mid-turn."""
+        """Return whether the process was stalled until now, and resume the gateway if so.
+
+        It is called before anything else is handled, as a stall may also occur within an event-loop
+        iteration.
+        """
         stall_time = self.stall_detector.check(now)
         if stall_time:
             self._resume(now, stall_time)
         return stall_time > 0
 
     def _resume(self, now: float, stall_time: float) -> None:
-        """Age what is known, and send nothing by an endpoint list that may be old."""
+        """Invalidate old data, and send nothing while the endpoint list may be out of date."""
         count("paused")
         decisions = self.gateway.decisions
         decisions.admission_ramp = StallRamp(now, self.attempt_rate.rate)
@@ -123,46 +134,47 @@
         decisions.is_endpoint_list_stale = self.gateway.begun
         resume_after_stall(decisions, now, stall_time)
         for attempt in self.gateway.out.values():
-            attempt.sent_at += stall_time  # its backend had no time to answer meanwhile
+            attempt.sent_at += stall_time  # its backend could not have replied during the stall
         self.gateway.pool.drop_connecting()
         self.apply(self.readiness.restart(now, f"stood still for {stall_time:.2f} s"))
         if self.gateway.begun:
             self._await_discovery()
 
     def _await_discovery(self) -> None:
-        """Ask discovery again, and go by the old endpoint list if it does not answer in time."""
+        """Query discovery again, with a timeout after which the old endpoint list is used."""
         self.gateway.watch_again()
         if self.discovery_timeout is not None and self.discovery_timeout.active():
             self.discovery_timeout.cancel()
         self.discovery_timeout = self.reactor.callLater(DISCOVERY_TIMEOUT, self._use_old_endpoints)
 
     def _use_old_endpoints(self) -> None:
-        """Discovery did not answer in time."""
+        """Use the old endpoint list, as discovery did not reply in time."""
         if self.gateway.decisions.is_endpoint_list_stale:
             count("list_old_after_pause")
             self.gateway.decisions.is_endpoint_list_stale = False
 
     def backends_known(self, backends: int) -> None:
-        """So many backends are known: a start begins with its part of what they surely take."""
+        """Limit a start, once backends are known, to this gateway's part of what they surely can handle."""
         decisions = self.gateway.decisions
         is_starting = self.readiness.state is ReadinessState.RETURNING and not self.stall_ended_at
         if is_starting and backends and decisions.admission_ramp is None:
             decisions.admission_ramp = StartRamp(backends, decisions.settings.gateway_count)
 
     def discovery_answered(self) -> None:
-        """The endpoint list is fresh."""
+        """Mark the endpoint list as up to date."""
         self.readiness.has_fresh_endpoints = True
         self.gateway.decisions.is_endpoint_list_stale = False
 
     def unread_time(self, handle: Any, now: float) -> float:
-        """Seconds that bytes about to be read lay in the socket, as far as a stall held them up.
+        """Return for how many seconds bytes about to be read have waited in the socket because of a stall.
 
-        The kernel dates the newest bytes; a request before others of its connection is older yet.
+        The kernel records the arrival of the newest bytes only, so earlier requests of the same connection
+        have waited longer.
         """
         self.check_stall(now)
         if now - self.stall_ended_at > UNREAD_SPAN:
             return 0.0
         age = since_last_data(handle)
-        if age is None:  # the kernel does not tell
+        if age is None:  # not reported by the kernel
             return 0.0
         return min(age, self.stall_time + now - self.stall_ended_at)
