--- a/corkdeal/membership/leases.py
+++ b/corkdeal/membership/leases.py
@@ -48,7 +48,7 @@
     granted_at: dict[int, float] = field(default_factory=dict)
     grants: dict[TakeoverRequest, float] = field(default_factory=dict)  # end of each grant received
     # by member: send time of the last heartbeat that it acknowledged
-    received_by: dict[int, float] = field(default_factory=dict)
+    acknowledged_sent_at: dict[int, float] = field(default_factory=dict)
 
     def record_sent(self, now: float, sequence: int) -> None:
         """Record the send time of a heartbeat of this gateway, and drop send times no longer needed."""
@@ -59,11 +59,11 @@
             del self.sent_at[oldest]
             oldest = next(iter(self.sent_at))
 
-    def record_received_by(self, member: int, sequence: int) -> None:
+    def record_acknowledgement(self, member: int, sequence: int) -> None:
         """Record that a member acknowledged this gateway's heartbeat with that sequence number."""
         sent_at = self.sent_at.get(sequence)
         if sent_at is not None:
-            self.received_by[member] = max(sent_at, self.received_by.get(member, sent_at))
+            self.acknowledged_sent_at[member] = max(sent_at, self.acknowledged_sent_at.get(member, sent_at))
 
     def renewed_until(self, neighbour: int, sequence: int) -> float | None:
         """Return the end of the lease that a neighbour renewed by naming a heartbeat of this gateway.
@@ -86,15 +86,15 @@
         It may be if no other gateway can be using its shares by a grant, and the member receives heartbeats.
         """
         is_free = now >= self.granted_at.get(member, -TAKEOVER_TIME) + TAKEOVER_TIME
-        return is_free and not self.is_deaf(member, now)
+        return is_free and not self.has_stopped_receiving(member, now)
 
-    def is_deaf(self, member: int, now: float) -> bool:
+    def has_stopped_receiving(self, member: int, now: float) -> bool:
         """Return whether a member can't hold a lease from this gateway, for lack of received heartbeats.
 
         It has then acknowledged no heartbeat sent in the last TAKEOVER_TIME, which is counted at the earliest
         from the first check.
         """
-        return now - self.received_by.setdefault(member, now) > TAKEOVER_TIME
+        return now - self.acknowledged_sent_at.setdefault(member, now) > TAKEOVER_TIME
 
     def record_renewal(self, member: int, sequence: int, now: float) -> None:
         """Record the first renewal of a member's lease by that heartbeat.
@@ -130,15 +130,15 @@
 
         This gateway sent nothing during the stall.
         """
-        for member in self.received_by:
-            self.received_by[member] += stall_time
+        for member in self.acknowledged_sent_at:
+            self.acknowledged_sent_at[member] += stall_time
 
-    def restart(self, member: int) -> None:
+    def record_restart(self, member: int) -> None:
         """Reset the state of a member that restarted: its grants are void, and it has received nothing yet.
 
         Leases that it renewed remain in force: its new incarnation takes nothing over for TAKEOVER_TIME,
         which is longer than any lease.
         """
-        self.received_by.pop(member, None)
+        self.acknowledged_sent_at.pop(member, None)
         self.renewed_sequences.pop(member, None)
         self.grants = {request: end for request, end in self.grants.items() if request.neighbour != member}
--- a/corkdeal/membership/receiver.py
+++ b/corkdeal/membership/receiver.py
@@ -40,7 +40,7 @@
             self.sender.received[peer] = heartbeat.sequence
         is_to_this_incarnation = heartbeat.receiver_incarnation == self.host.incarnation
         if is_to_this_incarnation:
-            self.leases.record_received_by(peer, heartbeat.received_sequence)
+            self.leases.record_acknowledgement(peer, heartbeat.received_sequence)
             self._extend_lease(peer, heartbeat.renewed_sequence)
         grants = self._apply_entries(peer, heartbeat.entries, is_to_this_incarnation)
         if not is_leaving and self._needs_reply(peer, heartbeat):
@@ -50,7 +50,7 @@
         """Drop what an earlier incarnation of a peer sent or granted."""
         record = self.detector.members.get(peer)
         if record is not None and record.incarnation != heartbeat.incarnation:
-            self.leases.restart(peer)
+            self.leases.record_restart(peer)
             self.sender.received.pop(peer, None)
 
     def _extend_lease(self, peer: int, renewed_sequence: int) -> None:
--- a/corkdeal/membership/takeover.py
+++ b/corkdeal/membership/takeover.py
@@ -61,7 +61,7 @@
             return True
         now = self.host.now
         is_unreachable = self.detector.is_dead_or_left(member) or (
-            record.state is not MemberState.SUSPECT and self.leases.is_deaf(member, now)
+            record.state is not MemberState.SUSPECT and self.leases.has_stopped_receiving(member, now)
         )
         if not is_unreachable or not self.leases.has_lapsed(member, now):
             return False
--- a/tests/membership/test_leases.py
+++ b/tests/membership/test_leases.py
@@ -43,13 +43,15 @@
 
 def test_a_member_that_receives_nothing_is_deaf_and_is_not_renewed():
     leases = started()
-    assert not leases.is_deaf(3, 100.0)  # the time is counted from the first check
-    assert leases.is_deaf(3, 100.1 + TAKEOVER_TIME) and not leases.may_renew(3, 100.1 + TAKEOVER_TIME)
+    assert not leases.has_stopped_receiving(3, 100.0)  # the time is counted from the first check
+    assert leases.has_stopped_receiving(3, 100.1 + TAKEOVER_TIME) and not leases.may_renew(
+        3, 100.1 + TAKEOVER_TIME
+    )
     leases.record_sent(102.0, 2)
-    leases.record_received_by(3, 2)
-    leases.record_received_by(3, 1)  # an older heartbeat that is acknowledged later changes nothing
-    leases.record_received_by(3, 99)  # not a heartbeat of this gateway
-    assert leases.received_by == {3: 102.0} and leases.may_renew(3, 100.1 + TAKEOVER_TIME)
+    leases.record_acknowledgement(3, 2)
+    leases.record_acknowledgement(3, 1)  # an older heartbeat that is acknowledged later changes nothing
+    leases.record_acknowledgement(3, 99)  # not a heartbeat of this gateway
+    assert leases.acknowledged_sent_at == {3: 102.0} and leases.may_renew(3, 100.1 + TAKEOVER_TIME)
 
 
 @pytest.mark.parametrize("restarted", [1, 2])
@@ -60,7 +62,7 @@
         leases.record_grant(request, 1)
         leases.record_grant(TakeoverRequest(request.neighbour, 4), 99)  # not a heartbeat of this gateway
     leases.record_renewal(restarted, 7, 100.0)
-    leases.restart(restarted)
+    leases.record_restart(restarted)
     assert [leases.is_granted(request, 100.0) for request in requests] == [restarted != 1, restarted != 2]
     assert len(leases.grants) == 1 and not leases.renewed_sequences
     assert not leases.has_lapsed(restarted, 100.0 + TAKEOVER_TIME - 0.01)  # the renewal had been sent
--- a/tests/membership/test_members.py
+++ b/tests/membership/test_members.py
@@ -225,7 +225,7 @@
     other.record_renewal(0, 1, 100.2)
     assert owner.renewed_until(2, 1) == 100.0 + LEASE_TIME and owner.renewed_until(2, 7) is None
     assert not other.try_grant(0, 100.2 + TAKEOVER_TIME - 0.01) and other.try_grant(0, 100.2 + TAKEOVER_TIME)
-    other.received_by[0] = 1e9  # member 0 receives this gateway's heartbeats
+    other.acknowledged_sent_at[0] = 1e9  # member 0 receives this gateway's heartbeats
     assert not other.may_renew(0, 100.2 + 2 * TAKEOVER_TIME - 0.01) and other.may_renew(
         0, 100.2 + 2 * TAKEOVER_TIME
     )
--- a/tests/membership/test_parts.py
+++ b/tests/membership/test_parts.py
@@ -177,14 +177,14 @@
     parts.receiver.receive(0, renewal)
     parts.receiver.receive(0, renewal)
     assert parts.leases.held_until == {0: 100.0 + LEASE_TIME} and parts.host.refilled == [100.0]
-    assert parts.leases.received_by == {0: 100.0} and parts.sender.received == {0: 1}
+    assert parts.leases.acknowledged_sent_at == {0: 100.0} and parts.sender.received == {0: 1}
 
 
 def test_what_was_for_an_earlier_incarnation_of_this_gateway_renews_and_grants_nothing():
     parts = Parts()
     entry = GossipEntry(GossipKind.LEASE_GRANT, 2, 12, 1001)
     parts.receiver.receive(0, heartbeat(entry, receiver=76, received=1001, renewed=1001))
-    assert not parts.leases.held_until and not parts.leases.grants and not parts.leases.received_by
+    assert not parts.leases.held_until and not parts.leases.grants and not parts.leases.acknowledged_sent_at
     parts.receiver.receive(0, heartbeat(entry, sequence=2))
     assert parts.leases.grants == {TakeoverRequest(0, 2): 100.0 + LEASE_TIME}
 
