--- a/corkdeal/membership/heartbeats.py
+++ b/corkdeal/membership/heartbeats.py
@@ -13,7 +13,7 @@
 from .takeover import Takeover
 
 # sequence numbers per second of the clock; more than the heartbeats that are sent in it
-INITIAL_SEQUENCES = 10.0
+INITIAL_SEQUENCE_RATE = 10.0
 REPLY_INTERVAL = 0.25  # s between replies to the same member
 
 
@@ -35,7 +35,9 @@
         self.takeover = takeover
         self.chance = chance
         self.sequence = 0
-        self.received: dict[int, int] = {}  # by member: last sequence number received from it directly
+        self.received_sequences: dict[
+            int, int
+        ] = {}  # by member: last sequence number received from it directly
         self.replied_at: dict[int, float] = {}  # by member, s
         self.has_left = False
 
@@ -45,7 +47,7 @@
         The first number is derived from the clock, so that an incarnation that continues another one, as in
         an upgrade, starts with a later number than that one has reached.
         """
-        first = int(self.host.now * INITIAL_SEQUENCES) % (messages.SEQUENCE_MODULUS - 1)
+        first = int(self.host.now * INITIAL_SEQUENCE_RATE) % (messages.SEQUENCE_MODULUS - 1)
         self.sequence = messages.next_sequence(self.sequence or first)
         self.leases.record_sent(self.host.now, self.sequence)
 
@@ -58,7 +60,7 @@
             incarnation=self.host.incarnation,
             receiver_incarnation=self.host.peer_incarnations.get(member, 0),
             sequence=self.sequence,
-            received_sequence=self.received.get(member, 0),
+            received_sequence=self.received_sequences.get(member, 0),
             renewed_sequence=renewed_sequence,
             flags=flags,
             entries=(*entries, *gossip),
@@ -72,9 +74,9 @@
         Shares taken over from the member are returned before its lease is renewed.
         """
         now = self.host.now
-        if member not in self.received or not self.leases.may_renew(member, now) or self.has_left:
+        if member not in self.received_sequences or not self.leases.may_renew(member, now) or self.has_left:
             return 0
-        sequence = self.received[member]
+        sequence = self.received_sequences[member]
         if sequence != self.leases.renewed_sequences.get(member):
             self.takeover.release(member)
             self.leases.record_renewal(member, sequence, now)
--- a/corkdeal/membership/members.py
+++ b/corkdeal/membership/members.py
@@ -65,7 +65,7 @@
 
     def sends_heartbeats(self, member: int) -> bool:
         """Return whether a member sends heartbeats, so that no other keep-alive is needed between the two."""
-        return member in self.sender.received
+        return member in self.sender.received_sequences
 
     def receive_payload(
         self, payload: bytes, peer: int, is_accepted: Callable[[int, int, int], bool]
@@ -140,7 +140,7 @@
             return []
         candidates = [
             member
-            for member in sorted(self.sender.received)
+            for member in sorted(self.sender.received_sequences)
             if member not in ring and not self.detector.is_dead_or_left(member)
         ]
         return self._draw(candidates)
--- a/corkdeal/membership/messages.py
+++ b/corkdeal/membership/messages.py
@@ -108,9 +108,9 @@
     return tuple(entries)
 
 
-def is_newer(one: int, other: int) -> bool:
-    """Return whether sequence number `one` comes after `other`."""
-    return 0 < (one - other) % SEQUENCE_MODULUS < SEQUENCE_MODULUS // 2
+def is_newer(sequence: int, reference: int) -> bool:
+    """Return whether sequence number `sequence` comes after `reference`."""
+    return 0 < (sequence - reference) % SEQUENCE_MODULUS < SEQUENCE_MODULUS // 2
 
 
 def next_sequence(sequence: int) -> int:
--- a/corkdeal/membership/receiver.py
+++ b/corkdeal/membership/receiver.py
@@ -35,9 +35,9 @@
         kind = GossipKind.LEFT if is_leaving else GossipKind.ALIVE_UPDATE
         update = GossipEntry(kind, peer, heartbeat.incarnation, heartbeat.sequence)
         self.detector.record_heartbeat(self.host.now, update)
-        received = self.sender.received.get(peer, 0)
+        received = self.sender.received_sequences.get(peer, 0)
         if not received or is_newer(heartbeat.sequence, received):
-            self.sender.received[peer] = heartbeat.sequence
+            self.sender.received_sequences[peer] = heartbeat.sequence
         is_to_this_incarnation = heartbeat.receiver_incarnation == self.host.incarnation
         if is_to_this_incarnation:
             self.leases.record_acknowledgement(peer, heartbeat.received_sequence)
@@ -51,7 +51,7 @@
         record = self.detector.members.get(peer)
         if record is not None and record.incarnation != heartbeat.incarnation:
             self.leases.record_restart(peer)
-            self.sender.received.pop(peer, None)
+            self.sender.received_sequences.pop(peer, None)
 
     def _extend_lease(self, peer: int, renewed_sequence: int) -> None:
         """Extend the lease from a peer that renewed it."""
--- a/tests/membership/test_parts.py
+++ b/tests/membership/test_parts.py
@@ -134,7 +134,7 @@
 def test_a_heartbeat_renews_a_lease_once_and_returns_the_member_s_shares_before():
     parts = Parts()
     parts.takeover.members.add(0)
-    parts.sender.received[0] = 5
+    parts.sender.received_sequences[0] = 5
     parts.sender.send(0)
     parts.host.now += 1.0
     parts.sender.send(0)
@@ -177,7 +177,7 @@
     parts.receiver.receive(0, renewal)
     parts.receiver.receive(0, renewal)
     assert parts.leases.held_until == {0: 100.0 + LEASE_TIME} and parts.host.refilled == [100.0]
-    assert parts.leases.acknowledged_sent_at == {0: 100.0} and parts.sender.received == {0: 1}
+    assert parts.leases.acknowledged_sent_at == {0: 100.0} and parts.sender.received_sequences == {0: 1}
 
 
 def test_what_was_for_an_earlier_incarnation_of_this_gateway_renews_and_grants_nothing():
@@ -216,7 +216,7 @@
     parts = Parts()
     parts.receiver.receive(0, heartbeat(GossipEntry(GossipKind.LEASE_GRANT, 2, 12, 1001), sequence=9))
     parts.receiver.receive(0, heartbeat(sequence=1, incarnation=11))
-    assert parts.sender.received == {0: 1} and not parts.leases.grants
+    assert parts.sender.received_sequences == {0: 1} and not parts.leases.grants
 
 
 def test_members_greets_ring_neighbours_at_once_and_keeps_its_interval():
