--- a/corkdeal/membership/quota_shares.py
+++ b/corkdeal/membership/quota_shares.py
@@ -53,7 +53,7 @@
         """Return how much of its predecessor's share this gateway may spend."""
         if member not in self.takeover.members:
             return 0.0
-        return 1 - KEPT_FRACTION if self.takeover.has_leave(account.second_predecessor, member) else 0.0
+        return 1 - KEPT_FRACTION if self.takeover.has_permission(account.second_predecessor, member) else 0.0
 
     def is_exclusive(self, account: Account) -> bool:
         """Return whether no other gateway spends any of this gateway's share.
--- a/corkdeal/membership/receiver.py
+++ b/corkdeal/membership/receiver.py
@@ -60,7 +60,7 @@
             return
         if not self.leases.is_held(peer, self.host.now):
             # until now the token buckets were refilled at the rate without a lease
-            self.takeover.settle(peer)
+            self.takeover.refill_buckets(peer)
         self.leases.held_until[peer] = end
 
     def _apply_entries(
--- a/corkdeal/membership/takeover.py
+++ b/corkdeal/membership/takeover.py
@@ -15,7 +15,7 @@
 class Takeover:
     """The members whose shares this gateway has taken over.
 
-    Whether it may spend them can depend on the permission of another neighbour too (`has_leave`).
+    Whether it may spend them can depend on the permission of another neighbour too (`has_permission`).
     """
 
     def __init__(
@@ -45,7 +45,7 @@
         for member in sorted(self.members - available):
             self.release(member)
         for member in sorted(available - self.members):
-            self._take(member)
+            self._take_over(member)
         return self._due_requests(available)
 
     def _is_available(self, member: int) -> bool:
@@ -67,20 +67,20 @@
             return False
         return self.detector.is_silent_alone(member, now)
 
-    def _take(self, member: int) -> None:
+    def _take_over(self, member: int) -> None:
         """Take over a member's shares; spending them may need the permission of its other neighbour."""
-        self.settle(member)
+        self.refill_buckets(member)
         self.members.add(member)
         self.events.append(SharesTakenOver(member))
 
     def release(self, member: int) -> None:
         """Stop spending a member's shares, if they were taken over."""
         if member in self.members:
-            self.settle(member)
+            self.refill_buckets(member)
             self.members.discard(member)
             self.events.append(SharesReturned(member))
 
-    def settle(self, member: int) -> None:
+    def refill_buckets(self, member: int) -> None:
         """Refill the token buckets that a change of a member's lease affects, at the rate up to now."""
         for account in self.host.accounts.values():
             if member in account.ledgers:
@@ -107,7 +107,7 @@
         self.requested_at.update(dict.fromkeys(due, now))
         return due
 
-    def has_leave(self, second_predecessor: int | None, member: int) -> bool:
+    def has_permission(self, second_predecessor: int | None, member: int) -> bool:
         """Return whether the other neighbour of a member can have no lease to it in force.
 
         That holds if there is no other neighbour, it is down, it granted the takeover, or the member has
