--- a/corkdeal/membership/failure_detector.py
+++ b/corkdeal/membership/failure_detector.py
@@ -182,7 +182,7 @@
             limit = MAX_STALL + DEAD_INTERVALS * record.interval
         return max(MIN_DEAD_SILENCE, limit)
 
-    def is_silent_alone(self, member: int, now: float) -> bool:
+    def has_isolated_silence(self, member: int, now: float) -> bool:
         """Return whether no other member has been silent since about the same time.
 
         Several silences with a common start suggest a partition, beyond which those members may still be
@@ -207,14 +207,14 @@
             if record.state is MemberState.SUSPECT:
                 self._set_state(member, MemberState.ALIVE, "this process was stalled")
 
-    def gossip(self, receiver: int, limit: int, chance: random.Random) -> list[GossipEntry]:
+    def gossip(self, receiver: int, limit: int, rng: random.Random) -> list[GossipEntry]:
         """Return the entries for a heartbeat to `receiver`, a random sample if more than `limit`."""
         entries = [
             GossipEntry(_update_kind(record), member, record.incarnation, record.sequence)
             for member, record in self.members.items()
             if record.state is not MemberState.DEAD and member != receiver
         ]
-        return entries if len(entries) <= limit else chance.sample(entries, limit)
+        return entries if len(entries) <= limit else rng.sample(entries, limit)
 
 
 def _update_kind(record: MemberRecord) -> GossipKind:
--- a/corkdeal/membership/heartbeats.py
+++ b/corkdeal/membership/heartbeats.py
@@ -26,14 +26,14 @@
         detector: FailureDetector,
         leases: Leases,
         takeover: Takeover,
-        chance: random.Random,
+        rng: random.Random,
     ) -> None:
-        """`chance` selects what to gossip when a datagram cannot hold all of it."""
+        """`rng` selects what to gossip when a datagram cannot hold all of it."""
         self.host = host
         self.detector = detector
         self.leases = leases
         self.takeover = takeover
-        self.chance = chance
+        self.rng = rng
         self.sequence = 0
         self.received_sequences: dict[
             int, int
@@ -55,7 +55,7 @@
         """Send the current heartbeat to a member: `entries`, then as much gossip as fits."""
         renewed_sequence = self._renew_lease(member)
         flags = self._flags(member)
-        gossip = self.detector.gossip(member, messages.MAX_ENTRIES - len(entries), self.chance)
+        gossip = self.detector.gossip(member, messages.MAX_ENTRIES - len(entries), self.rng)
         heartbeat = Heartbeat(
             incarnation=self.host.incarnation,
             receiver_incarnation=self.host.peer_incarnations.get(member, 0),
--- a/corkdeal/membership/members.py
+++ b/corkdeal/membership/members.py
@@ -39,12 +39,12 @@
         settings = host.settings
         self.host = host
         self.events: list[MembershipEvent] = []
-        self.chance = random.Random(host.random.random())
+        self.rng = random.Random(host.random.random())
         self.detector = FailureDetector(is_later, settings.gateway_count)
         self.leases = Leases()
         self.takeover = Takeover(host, self.detector, self.leases, self.events)
         self.shares = QuotaShares(host, self.detector, self.leases, self.takeover, self.events)
-        self.sender = HeartbeatSender(host, self.detector, self.leases, self.takeover, self.chance)
+        self.sender = HeartbeatSender(host, self.detector, self.leases, self.takeover, self.rng)
         self.receiver = HeartbeatReceiver(host, self.detector, self.leases, self.takeover, self.sender)
         self.others = [member for member in range(settings.gateway_count) if member != settings.gateway_index]
         self.round_interval = MIN_ROUND_INTERVAL  # s
@@ -110,7 +110,7 @@
         self.shares.report_changes()
         ring = sorted(self.host.ring_neighbours)
         if len(ring) > MAX_RING_RECEIVERS:
-            ring = self.chance.sample(ring, MAX_RING_RECEIVERS)
+            ring = self.rng.sample(ring, MAX_RING_RECEIVERS)
         receivers = {*self._draw(self.others), *ring, *self._possible_lessors()}
         interval = len(receivers) / HEARTBEAT_RATE
         self.round_interval = min(MAX_ROUND_INTERVAL, max(MIN_ROUND_INTERVAL, interval))
@@ -128,7 +128,7 @@
 
     def _draw(self, members: list[int]) -> list[int]:
         """Return a random sample of members."""
-        return self.chance.sample(members, min(RANDOM_RECEIVERS, len(members)))
+        return self.rng.sample(members, min(RANDOM_RECEIVERS, len(members)))
 
     def _possible_lessors(self) -> list[int]:
         """Return some other members that may renew a lease, while no ring neighbour's lease is held.
--- a/corkdeal/membership/takeover.py
+++ b/corkdeal/membership/takeover.py
@@ -65,7 +65,7 @@
         )
         if not is_unreachable or not self.leases.has_lapsed(member, now):
             return False
-        return self.detector.is_silent_alone(member, now)
+        return self.detector.has_isolated_silence(member, now)
 
     def _take_over(self, member: int) -> None:
         """Take over a member's shares; spending them may need the permission of its other neighbour."""
--- a/tests/membership/test_members.py
+++ b/tests/membership/test_members.py
@@ -209,9 +209,9 @@
         # updates of member 1 arrived twice a second, those of member 2 once
         detector.update(detector.members[member].updated_at + after)
         assert detector.members[member].state == state
-    assert detector.is_silent_alone(1, 44.0)  # member 2 fell silent 20 s after it
+    assert detector.has_isolated_silence(1, 44.0)  # member 2 fell silent 20 s after it
     detector.members[2].updated_at = detector.members[1].updated_at + 4.0
-    assert not detector.is_silent_alone(1, 44.0) and not detector.is_silent_alone(2, 44.0)
+    assert not detector.has_isolated_silence(1, 44.0) and not detector.has_isolated_silence(2, 44.0)
     detector.record_gossip(51.0, GossipEntry(GossipKind.LEFT, 2, 9, 41))
     assert not detector.record_gossip(
         52.0, GossipEntry(GossipKind.ALIVE_UPDATE, 2, 9, 42)
