--- a/corkdeal/membership/members.py
+++ b/corkdeal/membership/members.py
@@ -46,11 +46,15 @@
         self.shares = QuotaShares(host, self.detector, self.leases, self.takeover, self.events)
         self.sender = HeartbeatSender(host, self.detector, self.leases, self.takeover, self.rng)
         self.receiver = HeartbeatReceiver(host, self.detector, self.leases, self.takeover, self.sender)
-        self.others = [member for member in range(settings.gateway_count) if member != settings.gateway_index]
+        self.other_members = [
+            member for member in range(settings.gateway_count) if member != settings.gateway_index
+        ]
         self.round_interval = MIN_ROUND_INTERVAL  # s
-        self.round_at = -math.inf  # s
+        self.last_round_at = -math.inf  # s
         self.checked_at = -math.inf  # s
-        self.greeted: set[int] = set()  # ring neighbours that this incarnation has sent a heartbeat to
+        self.contacted_neighbours: set[int] = (
+            set()
+        )  # ring neighbours that this incarnation has sent a heartbeat to
 
     def quota_share(self, account: Account) -> float:
         """Return the part of an account that may be spent here.
@@ -93,11 +97,11 @@
             self.checked_at = now
             self.detector.update(now)
         receivers: set[int] = set()
-        if now - self.round_at >= self.round_interval - TIMER_TOLERANCE:
-            self.round_at = now
+        if now - self.last_round_at >= self.round_interval - TIMER_TOLERANCE:
+            self.last_round_at = now
             receivers = self._begin_round()
-        receivers |= self.host.ring_neighbours - self.greeted
-        self.greeted |= self.host.ring_neighbours
+        receivers |= self.host.ring_neighbours - self.contacted_neighbours
+        self.contacted_neighbours |= self.host.ring_neighbours
         if receivers and not self.sender.has_left:
             self.sender.advance()
             for member in sorted(receivers):
@@ -111,7 +115,7 @@
         ring = sorted(self.host.ring_neighbours)
         if len(ring) > MAX_RING_RECEIVERS:
             ring = self.rng.sample(ring, MAX_RING_RECEIVERS)
-        receivers = {*self._draw(self.others), *ring, *self._possible_lessors()}
+        receivers = {*self._sample(self.other_members), *ring, *self._possible_lessors()}
         interval = len(receivers) / HEARTBEAT_RATE
         self.round_interval = min(MAX_ROUND_INTERVAL, max(MIN_ROUND_INTERVAL, interval))
         return receivers
@@ -126,7 +130,7 @@
             entry = GossipEntry(GossipKind.LEASE_REQUEST, request.member, incarnation, self.sender.sequence)
             self.sender.send(request.neighbour, (entry,))
 
-    def _draw(self, members: list[int]) -> list[int]:
+    def _sample(self, members: list[int]) -> list[int]:
         """Return a random sample of members."""
         return self.rng.sample(members, min(RANDOM_RECEIVERS, len(members)))
 
@@ -143,12 +147,12 @@
             for member in sorted(self.sender.received_sequences)
             if member not in ring and not self.detector.is_dead_or_left(member)
         ]
-        return self._draw(candidates)
+        return self._sample(candidates)
 
     def leave(self) -> None:
         """Announce to all ring neighbours and some other members, twice, that this gateway shuts down."""
         self.sender.has_left = True
-        receivers = sorted({*self.host.ring_neighbours, *self._draw(self.others)})
+        receivers = sorted({*self.host.ring_neighbours, *self._sample(self.other_members)})
         for _ in range(2):
             self.sender.advance()
             for member in receivers:
@@ -159,9 +163,9 @@
         self.detector.resume(self.host.now)
         self.leases.resume(stall_time)
         self.takeover.resume()
-        self.round_at = -math.inf  # send heartbeats in the next step
+        self.last_round_at = -math.inf  # send heartbeats in the next step
 
-    def delegate_share(self, is_delegated: bool) -> None:
+    def set_delegated_share(self, is_delegated: bool) -> None:
         """Set whether this gateway runs beside another incarnation of itself.
 
         That incarnation then holds the leases and has delegated a part of its quota share to this one.
--- a/corkdeal/net/membership.py
+++ b/corkdeal/net/membership.py
@@ -38,7 +38,7 @@
         While another incarnation of this gateway is running, that one holds the leases.
         """
         succession = self.gateway.succession
-        self.members.delegate_share(succession is not None and succession.waits)
+        self.members.set_delegated_share(succession is not None and succession.waits)
         for event in self.members.take_events():
             logs.event("membership", **log_fields(event))
         self.reactor.callLater(POLL_INTERVAL, self.poll)
