--- a/corkdeal/recovery/admission_ramp.py
+++ b/corkdeal/recovery/admission_ramp.py
@@ -47,9 +47,9 @@
 class StallRamp:
     """Limit after a stall: a token bucket of attempts, refilled slightly faster than the average rate."""
 
-    def __init__(self, now: float, usual_rate: float) -> None:
-        """`usual_rate` is the average rate before the stall, in attempts per second."""
-        self.rate = RATE_FACTOR * max(usual_rate, MIN_RATE)  # attempts per second
+    def __init__(self, now: float, average_rate: float) -> None:
+        """`average_rate` is the average rate before the stall, in attempts per second."""
+        self.rate = RATE_FACTOR * max(average_rate, MIN_RATE)  # attempts per second
         self.capacity = max(1.0, self.rate * BURST_TIME)
         self.tokens = self.capacity
         self.refilled_at = now  # s
