--- a/corkdeal/net/recovery.py
+++ b/corkdeal/net/recovery.py
@@ -17,7 +17,7 @@
     Readiness,
     ReadinessState,
     Transition,
-    is_among_many,
+    is_mass_start,
 )
 from ..recovery.resume import resume_after_stall
 from ..recovery.stall_detector import StallDetector
@@ -64,16 +64,16 @@
         self.attempt_rate.update(now, tally["backend_calls"])
         transition = self.readiness.update(
             now,
-            heard=self._count_heard_neighbours(),
+            responded=self._count_responding_neighbours(),
             neighbours=len(self.gateway.decisions.ring_neighbours),
             answers=tally["success"],
-            given_up=self._count_given_up(),
+            unserved=self._count_unserved(),
         )
         if transition is not None:
             self.apply(transition)
         self.reactor.callLater(CHECK_INTERVAL, self.check)
 
-    def _count_heard_neighbours(self) -> int:
+    def _count_responding_neighbours(self) -> int:
         """Return how many ring neighbours have sent a message since the start or stall."""
         decisions = self.gateway.decisions
         return sum(
@@ -82,7 +82,7 @@
             for peer in decisions.ring_neighbours
         )
 
-    def _count_given_up(self) -> int:
+    def _count_unserved(self) -> int:
         """Return how many requests inside quotas have ended unserved so far."""
         causes = self.gateway.decisions.requests.rejection_causes
         return sum(number for cause, number in causes.items() if cause.startswith("inside"))
@@ -90,10 +90,10 @@
     def apply(self, transition: Transition) -> None:
         """Apply a readiness transition: lift the limits that end with it, and log it."""
         decisions = self.gateway.decisions
-        among_many = is_among_many(decisions.incarnation, decisions.peer_incarnations)
+        many_started = is_mass_start(decisions.incarnation, decisions.peer_incarnations)
         if transition.state is ReadinessState.FULL:
             decisions.admission_ramp = None
-        if transition.state is ReadinessState.LEARNING and not among_many and not self._is_budget_divided():
+        if transition.state is ReadinessState.LEARNING and not many_started and not self._is_budget_divided():
             decisions.retries.budget = max(decisions.retries.budget, self.withheld_retries)
             self.withheld_retries = 0.0
         logs.event(
@@ -101,7 +101,7 @@
             state=transition.state.value,
             before=transition.previous.value,
             why=transition.reason,
-            among="many" if among_many else "few",
+            among="many" if many_started else "few",
             after=round(transition.elapsed, 2),
         )
 
--- a/corkdeal/recovery/readiness.py
+++ b/corkdeal/recovery/readiness.py
@@ -16,12 +16,12 @@
 
 NEIGHBOUR_TIMEOUT = 1.0  # s; three exchanges and a delayed message
 ENDPOINT_LIST_TIMEOUT = 2.0  # s to wait for discovery
-SERVICE_SPAN = 2.0  # s over which the fraction of unserved requests is measured
-MAX_GIVEN_UP_FRACTION = 0.02  # of the requests inside quotas, in addition to the fraction in the span before
+SERVICE_WINDOW = 2.0  # s over which the fraction of unserved requests is measured
+MAX_UNSERVED_FRACTION = 0.02  # of the requests inside quotas, in addition to the fraction in the span before
 MAX_LEARNING_TIME = 30.0  # s; requests that are unserved after this time have another cause than missing data
 MIN_ANSWERS = 20  # replies until the average latency is known; one reply has a weight of 0.05 in it
 CONCURRENT_START_TIME = 10_000  # ms; gateways that started at most this far apart count as starting together
-MANY_FRACTION = 1 / 3  # of the known peers
+MASS_START_FRACTION = 1 / 3  # of the known peers
 INITIAL_RETRY_BUDGET = 1.0  # retries available after a start while many gateways may have started
 INCARNATION_MODULUS = 1 << 32  # ms
 
@@ -50,11 +50,11 @@
 
     at: float  # s
     answers: int
-    given_up: int  # requests inside quotas that were rejected or failed without being served
+    unserved: int  # requests inside quotas that were rejected or failed without being served
 
     def requests_since(self, earlier: ServiceSample) -> int:
         """Return how many requests ended between an earlier sample and this one."""
-        return self.answers - earlier.answers + self.given_up - earlier.given_up
+        return self.answers - earlier.answers + self.unserved - earlier.unserved
 
 
 def count_concurrent_starts(incarnation: int, peers: Mapping[int, int]) -> int:
@@ -66,9 +66,9 @@
     return sum(distance <= CONCURRENT_START_TIME for distance in distances)
 
 
-def is_among_many(incarnation: int, peers: Mapping[int, int]) -> bool:
+def is_mass_start(incarnation: int, peers: Mapping[int, int]) -> bool:
     """Return whether many gateways may have started together with this one; True if no peer is known."""
-    return not peers or count_concurrent_starts(incarnation, peers) >= MANY_FRACTION * len(peers)
+    return not peers or count_concurrent_starts(incarnation, peers) >= MASS_START_FRACTION * len(peers)
 
 
 class Readiness:
@@ -92,35 +92,39 @@
         return transition
 
     def update(
-        self, now: float, heard: int, neighbours: int, answers: int, given_up: int
+        self, now: float, responded: int, neighbours: int, answers: int, unserved: int
     ) -> Transition | None:
         """Record the running totals and return the transition that is due, if any.
 
-        `heard` is how many of the ring `neighbours` have sent a message since the start or stall.
-        `answers` and `given_up` are running totals of replies, and of requests inside quotas that were
+        `responded` is how many of the ring `neighbours` have sent a message since the start or stall.
+        `answers` and `unserved` are running totals of replies, and of requests inside quotas that were
         not served.
         """
-        self.samples.append(ServiceSample(now, answers, given_up))
-        while len(self.samples) > 2 and self.samples[1].at <= now - 2 * SERVICE_SPAN:
+        self.samples.append(ServiceSample(now, answers, unserved))
+        while len(self.samples) > 2 and self.samples[1].at <= now - 2 * SERVICE_WINDOW:
             self.samples.popleft()
         if self.state is ReadinessState.RETURNING:
-            reason = self._returned_reason(now, heard, neighbours)
+            reason = self._returned_reason(now, responded, neighbours)
             return self._enter(ReadinessState.LEARNING, reason, now) if reason else None
         if self.state is ReadinessState.LEARNING:
             reason = self._learned_reason(now)
             return self._enter(ReadinessState.FULL, reason, now) if reason else None
         return None
 
-    def _returned_reason(self, now: float, heard: int, neighbours: int) -> str:
+    def _returned_reason(self, now: float, responded: int, neighbours: int) -> str:
         """Return why `returning` ends now, or an empty string."""
         age = now - self.began_at
-        has_heard_all = heard >= neighbours
+        has_all_responded = responded >= neighbours
         if not self.has_fresh_endpoints and age <= ENDPOINT_LIST_TIMEOUT:
             return ""
-        if not has_heard_all and age <= NEIGHBOUR_TIMEOUT:
+        if not has_all_responded and age <= NEIGHBOUR_TIMEOUT:
             return ""
         endpoints = "list" if self.has_fresh_endpoints else "list not received"
-        peers = "neighbours responded" if has_heard_all else f"{heard} of {neighbours} neighbours responded"
+        peers = (
+            "neighbours responded"
+            if has_all_responded
+            else f"{responded} of {neighbours} neighbours responded"
+        )
         return f"{endpoints}, {peers}"
 
     def _learned_reason(self, now: float) -> str:
@@ -128,27 +132,29 @@
         time_in_state = now - self.state_since
         if time_in_state > MAX_LEARNING_TIME:
             return "time"
-        if time_in_state < SERVICE_SPAN:
+        if time_in_state < SERVICE_WINDOW:
             return ""
-        middle = self._sample_at(now - SERVICE_SPAN)
+        window_start = self._sample_at(now - SERVICE_WINDOW)
         last = self.samples[-1]
-        requests = last.requests_since(middle)
+        requests = last.requests_since(window_start)
         if not requests:
             return "no requests"
         if last.answers < MIN_ANSWERS:
             return ""
-        given_up_fraction = (last.given_up - middle.given_up) / requests
-        if given_up_fraction <= MAX_GIVEN_UP_FRACTION:
+        unserved_fraction = (last.unserved - window_start.unserved) / requests
+        if unserved_fraction <= MAX_UNSERVED_FRACTION:
             return "served"
-        return "levelled off" if self._has_levelled_off(middle, given_up_fraction) else ""
+        return "levelled off" if self._has_levelled_off(window_start, unserved_fraction) else ""
 
-    def _has_levelled_off(self, middle: ServiceSample, given_up_fraction: float) -> bool:
-        """Return whether the unserved fraction is no higher than in the span before `middle`."""
+    def _has_levelled_off(self, window_start: ServiceSample, unserved_fraction: float) -> bool:
+        """Return whether the unserved fraction is no higher than in the span before `window_start`."""
         first = self.samples[0]
-        requests = middle.requests_since(first)
+        requests = window_start.requests_since(first)
         if not requests:
             return False
-        return given_up_fraction <= MAX_GIVEN_UP_FRACTION + (middle.given_up - first.given_up) / requests
+        return (
+            unserved_fraction <= MAX_UNSERVED_FRACTION + (window_start.unserved - first.unserved) / requests
+        )
 
     def _sample_at(self, time: float) -> ServiceSample:
         """Return the last sample taken by that time, else the first one available."""
--- a/tests/recovery/test_readiness.py
+++ b/tests/recovery/test_readiness.py
@@ -10,7 +10,7 @@
     ServiceSample,
     Transition,
     count_concurrent_starts,
-    is_among_many,
+    is_mass_start,
 )
 from corkdeal.recovery.stall_detector import StallDetector
 
@@ -21,10 +21,10 @@
 
 def test_the_first_transition_is_a_record_with_its_reason():
     readiness = Readiness(10.0)
-    assert readiness.update(10.5, heard=1, neighbours=2, answers=0, given_up=0) is None
+    assert readiness.update(10.5, responded=1, neighbours=2, answers=0, unserved=0) is None
     readiness.has_fresh_endpoints = True
-    assert readiness.update(10.5, heard=1, neighbours=2, answers=0, given_up=0) is None
-    transition = readiness.update(10.5, heard=2, neighbours=2, answers=0, given_up=0)
+    assert readiness.update(10.5, responded=1, neighbours=2, answers=0, unserved=0) is None
+    transition = readiness.update(10.5, responded=2, neighbours=2, answers=0, unserved=0)
     expected = Transition(
         ReadinessState.LEARNING, ReadinessState.RETURNING, "list, neighbours responded", 0.5
     )
@@ -34,11 +34,11 @@
 def test_learning_ends_after_its_longest_time_while_more_and_more_is_given_up_on():
     readiness = Readiness(0.0)
     readiness.has_fresh_endpoints = True
-    reasons, given_up = [], 0
+    reasons, unserved = [], 0
     for second in range(1, int(MAX_LEARNING_TIME) + 3):
         fraction = 0.03 * second
-        given_up += round(1000 * fraction / (1 - fraction))
-        transition = readiness.update(float(second), 0, 0, 1000 * second, given_up)
+        unserved += round(1000 * fraction / (1 - fraction))
+        transition = readiness.update(float(second), 0, 0, 1000 * second, unserved)
         reasons += [(second, transition.reason)] if transition else []
     assert reasons == [(1, "list, neighbours responded"), (int(MAX_LEARNING_TIME) + 2, "time")]
 
@@ -62,7 +62,7 @@
 def test_starts_are_concurrent_up_to_a_distance_across_the_wrap(incarnation, distance, count):
     for peer in (incarnation + distance, (incarnation - distance) % (1 << 32)):
         assert count_concurrent_starts(incarnation, {1: peer}) == count
-        assert is_among_many(incarnation, {1: peer}) is (count == 1)
+        assert is_mass_start(incarnation, {1: peer}) is (count == 1)
 
 
 def test_the_first_check_finds_no_stall_and_the_threshold_counts_as_one():
--- a/tests/recovery/test_recovery.py
+++ b/tests/recovery/test_recovery.py
@@ -18,7 +18,7 @@
     ReadinessState,
     Transition,
     count_concurrent_starts,
-    is_among_many,
+    is_mass_start,
 )
 from corkdeal.recovery.resume import resume_after_stall
 from corkdeal.recovery.stall_detector import MIN_STALL, StallDetector
@@ -106,8 +106,8 @@
 
 
 def test_among_many_is_what_counts_while_nobody_was_heard():
-    assert is_among_many(50_000, {}) and is_among_many(50_000, {1: 49_000, 2: 1, 3: 1})
-    assert not is_among_many(50_000, {1: 1, 2: 1, 3: 1})
+    assert is_mass_start(50_000, {}) and is_mass_start(50_000, {1: 49_000, 2: 1, 3: 1})
+    assert not is_mass_start(50_000, {1: 1, 2: 1, 3: 1})
 
 
 def walk(readiness, until, heard=2, served=20, refused=0, listed=0.0, began=0.0):
