--- a/corkdeal/recovery/resume.py
+++ b/corkdeal/recovery/resume.py
@@ -18,7 +18,7 @@
 from ..decisions.backends import BackendRecord
 from .host import ResumeHost
 
-LONG_AGO = -math.inf  # s
+NEVER = -math.inf  # s
 
 
 def resume_after_stall(host: ResumeHost, now: float, stall_time: float) -> None:
@@ -27,11 +27,11 @@
     This must be called before the decisions handle any event.
     """
     for account in host.accounts.values():
-        _age_account(account, now, stall_time)
+        _adjust_account(account, now, stall_time)
     for peer in host.peer_last_heard:
         host.peer_last_heard[peer] = now
     for backend in host.backends.records.values():
-        _age_backend(backend, now, stall_time)
+        _adjust_backend(backend, now, stall_time)
     if host.membership is not None:
         host.now = now
         host.membership.resume(stall_time)
@@ -39,21 +39,21 @@
     host.last_poll_at = now
 
 
-def _age_account(account: Account, now: float, stall_time: float) -> None:
+def _adjust_account(account: Account, now: float, stall_time: float) -> None:
     """Exclude the stall from the account's next refill, and its peers' levels from its credit."""
     account.refilled_at = max(account.refilled_at, min(now, account.refilled_at + stall_time))
     for ledger in account.ledgers.values():
-        ledger.peer_state_at = LONG_AGO
+        ledger.peer_state_at = NEVER
 
 
-def _age_backend(backend: BackendRecord, now: float, stall_time: float) -> None:
+def _adjust_backend(backend: BackendRecord, now: float, stall_time: float) -> None:
     """Exclude the stall from the backend's silence, and discard its reported load and its credit."""
     backend.in_flight = {
         request: (sent_at + stall_time, load) for request, (sent_at, load) in backend.in_flight.items()
     }
     backend.last_answer_at = max(backend.last_answer_at, now)
     backend.last_attempt_at += stall_time
-    backend.peer_load_at = LONG_AGO
+    backend.peer_load_at = NEVER
     backend.slow_start_credit = min(backend.slow_start_credit, 0.0)
     if backend.slow_start_credit_at is not None:
         backend.slow_start_credit_at = now
