--- a/corkdeal/recovery/quota_restore.py
+++ b/corkdeal/recovery/quota_restore.py
@@ -46,7 +46,7 @@
         self.host = host
         self.started_at: float | None = None  # s, when the first account was created
         # neighbours that were sent a message so that they reply with their totals
-        self.asked: set[int] = set()
+        self.queried: set[int] = set()
         self.replied: set[int] = set()  # neighbours that have sent a message to this incarnation
 
     def apply_stored(self, account: Account, stored: StoredAccount, has_current_ledgers: bool) -> None:
@@ -75,8 +75,8 @@
         is_early = now - self.started_at < AGGREGATION_DELAY
         if account.is_aggregated and is_early and not self.host.has_resumed():
             account.level = min(account.level, AGGREGATED_INITIAL_FILL * account.plan.burst)
-        for peer in sorted(account.ledgers.keys() - self.asked):
-            self.asked.add(peer)
+        for peer in sorted(account.ledgers.keys() - self.queried):
+            self.queried.add(peer)
             self.host.send_updates(peer, [])
 
     def record_reply(self, peer: int) -> None:
