--- a/corkdeal/net/recovery.py
+++ b/corkdeal/net/recovery.py
@@ -26,7 +26,7 @@
 
 CHECK_INTERVAL = 0.1  # s
 DISCOVERY_TIMEOUT = 0.25  # s for which sends wait for discovery's first reply after a stall, as after a start
-UNREAD_SPAN = 2.0  # s after a stall in which bytes may still be read that arrived before its end
+UNREAD_WINDOW = 2.0  # s after a stall in which bytes may still be read that arrived before its end
 
 
 class Recovery:
@@ -145,9 +145,9 @@
         self.gateway.watch_again()
         if self.discovery_timeout is not None and self.discovery_timeout.active():
             self.discovery_timeout.cancel()
-        self.discovery_timeout = self.reactor.callLater(DISCOVERY_TIMEOUT, self._use_old_endpoints)
+        self.discovery_timeout = self.reactor.callLater(DISCOVERY_TIMEOUT, self._use_stale_endpoints)
 
-    def _use_old_endpoints(self) -> None:
+    def _use_stale_endpoints(self) -> None:
         """Use the old endpoint list, as discovery did not reply in time."""
         if self.gateway.decisions.is_endpoint_list_stale:
             count("list_old_after_pause")
@@ -172,7 +172,7 @@
         have waited longer.
         """
         self.check_stall(now)
-        if now - self.stall_ended_at > UNREAD_SPAN:
+        if now - self.stall_ended_at > UNREAD_WINDOW:
             return 0.0
         age = since_last_data(handle)
         if age is None:  # not reported by the kernel
--- a/tests/recovery/test_net_recovery.py
+++ b/tests/recovery/test_net_recovery.py
@@ -8,7 +8,7 @@
 
 from corkdeal.decisions.gateway import Gateway
 from corkdeal.net import recovery as net_recovery
-from corkdeal.net.recovery import DISCOVERY_TIMEOUT, UNREAD_SPAN, Recovery
+from corkdeal.net.recovery import DISCOVERY_TIMEOUT, UNREAD_WINDOW, Recovery
 from corkdeal.recovery.admission_ramp import StallRamp, StartRamp
 from corkdeal.recovery.readiness import ReadinessState
 from tests.helpers import settings
@@ -90,7 +90,7 @@
 
 @pytest.mark.parametrize(
     ("age", "elapsed", "expected"),
-    [(None, 0.1, 0.0), (0.3, 0.1, 0.3), (99.0, 0.1, 5.1), (99.0, UNREAD_SPAN + 0.1, 0.0)],
+    [(None, 0.1, 0.0), (0.3, 0.1, 0.3), (99.0, 0.1, 5.1), (99.0, UNREAD_WINDOW + 0.1, 0.0)],
 )
 def test_unread_bytes_are_as_old_as_the_kernel_tells_within_the_stall(monkeypatch, age, elapsed, expected):
     monkeypatch.setattr(net_recovery, "since_last_data", lambda handle: age)
