--- a/tests/membership/fake_host.py
+++ b/tests/membership/fake_host.py
@@ -33,12 +33,12 @@
         self.accounts = {CUSTOMER: self.account}
         self.active_accounts = dict(self.accounts)
         self.actions = []
-        self.refilled = []
+        self.refill_times = []
         self.silent_peers = set()
 
     def is_silent(self, peer):
         return peer in self.silent_peers
 
-    def refill(self, a):
-        self.refilled.append(self.now)
+    def refill(self, account):
+        self.refill_times.append(self.now)
         return 1.0
--- a/tests/membership/test_members.py
+++ b/tests/membership/test_members.py
@@ -29,185 +29,205 @@
         self.size = self.spread = gateways
         super().__init__(gateways)
 
-    def start(self, me, gateways=None):
-        made = Gateway(settings(me, self.size, plans=(PLAN,)), seed=me)
-        made.quota_restore, made.membership = QuotaRestore(made), Members(made, is_later)
-        self.gateways[me] = made
-        self.take(me, made.handle(self.now, [servers("a", "b", "c")]))
+    def start(self, index, gateways=None):
+        gateway = Gateway(settings(index, self.size, plans=(PLAN,)), seed=index)
+        gateway.quota_restore, gateway.membership = QuotaRestore(gateway), Members(gateway, is_later)
+        self.gateways[index] = gateway
+        self.take(index, gateway.handle(self.now, [servers("a", "b", "c")]))
 
-    def ask(self, me):
+    def offered_units(self, index):
         return 0.2
 
-    def go(self, seconds):
+    def run_and_track(self, seconds):
         """Let time pass; return the largest total of the quota shares that could be spent at any one time."""
-        most = 0.0
+        max_total = 0.0
         for _ in range(round(seconds / 0.05)):
-            self.run(0.05, lambda me: 0.2)
-            most = max(most, sum(self.spent().values()))
-        return most
+            self.run(0.05, lambda index: 0.2)
+            max_total = max(max_total, sum(self.quota_shares().values()))
+        return max_total
 
-    def spent(self):
-        return {me: g.quota_share(g.accounts[7]) for me, g in self.gateways.items() if 7 in g.accounts}
+    def quota_shares(self):
+        return {
+            index: gateway.quota_share(gateway.accounts[7])
+            for index, gateway in self.gateways.items()
+            if 7 in gateway.accounts
+        }
 
-    def cut(self, *pairs):
-        self.lost = lambda sender, to, number: (sender, to) in pairs
+    def drop_links(self, *links):
+        self.lost = lambda sender, to, number: (sender, to) in links
 
-    def seen(self, by, member):
-        return self.gateways[by].membership.detector.members[member].state
+    def member_state(self, observer, member):
+        return self.gateways[observer].membership.detector.members[member].state
 
 
-def both(ones, others):
-    return [(i, j) for i in ones for j in others] + [(j, i) for i in ones for j in others]
+def two_way_links(first, second):
+    return [(i, j) for i in first for j in second] + [(j, i) for i in first for j in second]
 
 
-ALL = range(5)
-CUTS = {  # lost links, one way each; fraction of the quota still in use at the end
+ALL_GATEWAYS = range(5)
+PARTITIONS = {  # lost links, one way each; fraction of the quota still in use at the end
     "pair, one way": ([(0, 1)], 0.99),
-    "pair": (both([0], [1]), 0.99),
-    "one received by nobody": ([(0, j) for j in ALL if j], 0.9),
-    "one that receives nothing": ([(j, 0) for j in ALL if j], 0.8),
-    "one by itself": (both([0], [1, 2, 3, 4]), 0.9),
-    "two and three": (both([0, 1], [2, 3, 4]), 0.99),
-    "every other one": (both([0, 2], [1, 3, 4]), 0.5),
+    "pair": (two_way_links([0], [1]), 0.99),
+    "one received by nobody": ([(0, j) for j in ALL_GATEWAYS if j], 0.9),
+    "one that receives nothing": ([(j, 0) for j in ALL_GATEWAYS if j], 0.8),
+    "one by itself": (two_way_links([0], [1, 2, 3, 4]), 0.9),
+    "two and three": (two_way_links([0, 1], [2, 3, 4]), 0.99),
+    "every other one": (two_way_links([0, 2], [1, 3, 4]), 0.5),
     "a ring of one-way cuts": ([(0, 1), (1, 2), (2, 3), (3, 4), (4, 0)], 0.99),
 }
 
 
-@pytest.mark.parametrize("kind", CUTS)
+@pytest.mark.parametrize("partition", PARTITIONS)
 @pytest.mark.parametrize("loss", [0.0, 0.12])
-def test_no_part_of_the_quota_is_spent_twice_in_a_cut_or_its_healing_and_most_stays_in_use(kind, loss):
-    tier, (cut, least), chance = Tier(5), CUTS[kind], random.Random(5)
-    tier.lost = lambda *a: chance.random() < loss
-    tier.run(4.0, tier.ask)
-    tier.lost = lambda sender, to, number: (sender, to) in cut or chance.random() < loss
-    most = tier.go(14.0)
-    assert sum(tier.spent().values()) >= least - (loss > 0) * 0.25
-    tier.lost = lambda *a: chance.random() < loss
-    most = max(most, tier.go(8.0))
-    assert most <= 1.0 + 0.05  # the two ends of an exchange may differ for as long as a message travels
-    assert sum(tier.spent().values()) == pytest.approx(1.0, abs=0.25 if loss else 0.01)
-    assert not any(g.membership.takeover.members for g in tier.gateways.values())
-
-
-def test_a_dead_one_s_slice_is_in_use_again_and_its_own_once_it_is_back():
+def test_no_part_of_the_quota_is_spent_twice_in_a_partition_or_after_it_and_most_stays_in_use(
+    partition, loss
+):
+    tier, (lost_links, min_in_use), rng = Tier(5), PARTITIONS[partition], random.Random(5)
+    tier.lost = lambda *a: rng.random() < loss
+    tier.run(4.0, tier.offered_units)
+    tier.lost = lambda sender, to, number: (sender, to) in lost_links or rng.random() < loss
+    max_total = tier.run_and_track(14.0)
+    assert sum(tier.quota_shares().values()) >= min_in_use - (loss > 0) * 0.25
+    tier.lost = lambda *a: rng.random() < loss
+    max_total = max(max_total, tier.run_and_track(8.0))
+    assert max_total <= 1.0 + 0.05  # the two ends of an exchange may differ for as long as a message travels
+    assert sum(tier.quota_shares().values()) == pytest.approx(1.0, abs=0.25 if loss else 0.01)
+    assert not any(gateway.membership.takeover.members for gateway in tier.gateways.values())
+
+
+def test_a_dead_member_s_share_is_taken_over_and_returned_after_its_restart():
     tier = Tier(5)
-    tier.run(4.0, tier.ask)
+    tier.run(4.0, tier.offered_units)
     del tier.gateways[2]
-    tier.run(MIN_DEAD_SILENCE + 2 * MAX_ROUND_INTERVAL + 1.0, tier.ask)
-    assert sum(tier.spent().values()) == pytest.approx(1 - KEPT_FRACTION / 5, abs=0.02)
-    assert all(tier.seen(by, 2) == MemberState.DEAD for by in tier.gateways)
+    tier.run(MIN_DEAD_SILENCE + 2 * MAX_ROUND_INTERVAL + 1.0, tier.offered_units)
+    assert sum(tier.quota_shares().values()) == pytest.approx(1 - KEPT_FRACTION / 5, abs=0.02)
+    assert all(tier.member_state(observer, 2) == MemberState.DEAD for observer in tier.gateways)
     tier.start(2)
-    assert tier.go(2.0) <= 1.02 and all(tier.seen(by, 2) == MemberState.ALIVE for by in (0, 1, 3, 4))
-    assert sum(tier.spent().values()) == pytest.approx(1.0, abs=0.01)
+    assert tier.run_and_track(2.0) <= 1.02 and all(
+        tier.member_state(observer, 2) == MemberState.ALIVE for observer in (0, 1, 3, 4)
+    )
+    assert sum(tier.quota_shares().values()) == pytest.approx(1.0, abs=0.01)
 
 
-def test_one_that_leaves_is_not_waited_for_and_does_not_rise():
+def test_the_share_of_a_leaving_member_is_taken_over_at_once_and_gossip_does_not_revive_it():
     tier = Tier(5)
-    tier.run(4.0, tier.ask)
-    gone = tier.gateways.pop(2)
-    gone.actions = []
-    gone.membership.leave()
-    tier.take(2, gone.actions)
-    tier.run(2 * MAX_ROUND_INTERVAL + 0.1, tier.ask)
-    assert all(tier.seen(by, 2) == MemberState.LEFT for by in tier.gateways)
-    assert sum(tier.spent().values()) == pytest.approx(1 - KEPT_FRACTION / 5, abs=0.02)
-    late = GossipEntry(
-        GossipKind.ALIVE_UPDATE, 2, gone.incarnation, messages.next_sequence(gone.membership.sender.sequence)
+    tier.run(4.0, tier.offered_units)
+    leaving = tier.gateways.pop(2)
+    leaving.actions = []
+    leaving.membership.leave()
+    tier.take(2, leaving.actions)
+    tier.run(2 * MAX_ROUND_INTERVAL + 0.1, tier.offered_units)
+    assert all(tier.member_state(observer, 2) == MemberState.LEFT for observer in tier.gateways)
+    assert sum(tier.quota_shares().values()) == pytest.approx(1 - KEPT_FRACTION / 5, abs=0.02)
+    late_update = GossipEntry(
+        GossipKind.ALIVE_UPDATE,
+        2,
+        leaving.incarnation,
+        messages.next_sequence(leaving.membership.sender.sequence),
     )
     assert (
-        not tier.gateways[0].membership.detector.record_gossip(tier.now, late)
-        and tier.seen(0, 2) == MemberState.LEFT
+        not tier.gateways[0].membership.detector.record_gossip(tier.now, late_update)
+        and tier.member_state(0, 2) == MemberState.LEFT
     )
 
 
-def test_four_of_five_dead_leave_the_fifth_its_kept_part_and_two_in_company_their_own():
+def test_a_sole_survivor_keeps_a_part_of_its_share_and_one_of_two_survivors_all_of_it():
     tier = Tier(5)
-    tier.run(4.0, tier.ask)
-    for me in (1, 2, 3, 4):
-        del tier.gateways[me]
-    tier.run(4.0, tier.ask)
-    assert tier.spent()[0] == pytest.approx(KEPT_FRACTION / 5, abs=0.01)
+    tier.run(4.0, tier.offered_units)
+    for index in (1, 2, 3, 4):
+        del tier.gateways[index]
+    tier.run(4.0, tier.offered_units)
+    assert tier.quota_shares()[0] == pytest.approx(KEPT_FRACTION / 5, abs=0.01)
     tier.start(2)  # not a ring neighbour of gateway 0
-    tier.run(7.0, tier.ask)
-    assert tier.spent()[0] == pytest.approx(1 / 5, abs=0.01)
+    tier.run(7.0, tier.offered_units)
+    assert tier.quota_shares()[0] == pytest.approx(1 / 5, abs=0.01)
 
 
-@pytest.mark.parametrize("pause", [0.8, 2.2, 6.0])
-def test_an_observer_that_stood_still_accuses_nobody_and_spends_nothing_on_an_old_lease(pause):
+@pytest.mark.parametrize("stall_time", [0.8, 2.2, 6.0])
+def test_a_stalled_gateway_suspects_nobody_and_spends_nothing_on_an_expired_lease(stall_time):
     tier = Tier(5)
-    tier.run(4.0, tier.ask)
-    still = tier.gateways.pop(0)
-    most = tier.go(pause)
-    tier.flight = [m for m in tier.flight if m[2]]
-    resume_after_stall(still, tier.now, pause)
-    share = still.quota_share(still.accounts[7])
-    assert pause < LEASE_TIME or share == pytest.approx(KEPT_FRACTION / 5, abs=0.01)
-    tier.gateways[0] = still
-    still.membership.step()
-    assert {m.state for m in still.membership.detector.members.values()} == {MemberState.ALIVE}
-    assert max(most, tier.go(3.0)) <= 1.02
-    assert sum(tier.spent().values()) == pytest.approx(1.0, abs=0.01)
-
-
-def test_one_that_lies_about_all_others_moves_no_slice_and_who_hears_them_believes_themselves():
+    tier.run(4.0, tier.offered_units)
+    stalled = tier.gateways.pop(0)
+    max_total = tier.run_and_track(stall_time)
+    tier.flight = [message for message in tier.flight if message[2]]
+    resume_after_stall(stalled, tier.now, stall_time)
+    share = stalled.quota_share(stalled.accounts[7])
+    assert stall_time < LEASE_TIME or share == pytest.approx(KEPT_FRACTION / 5, abs=0.01)
+    tier.gateways[0] = stalled
+    stalled.membership.step()
+    assert {record.state for record in stalled.membership.detector.members.values()} == {MemberState.ALIVE}
+    assert max(max_total, tier.run_and_track(3.0)) <= 1.02
+    assert sum(tier.quota_shares().values()) == pytest.approx(1.0, abs=0.01)
+
+
+def test_false_gossip_moves_no_quota_share_and_is_overridden_by_the_members_own_heartbeats():
     tier = Tier(5)
-    tier.run(4.0, tier.ask)
-    liar, most = tier.gateways[4], 0.0
-    lies = (
+    tier.run(4.0, tier.offered_units)
+    faulty, max_total = tier.gateways[4], 0.0
+    false_entries = (
         (GossipKind.LEFT, 0, 9),
         (GossipKind.ALIVE_UPDATE, 0, 30000),
         (GossipKind.ALIVE_UPDATE, 5000, 1),
         (GossipKind.LEASE_GRANT, 0, 1),
         (GossipKind.LEASE_REQUEST, 0, 1),
     )
-    for kind, later_by, ahead in lies * 4:
-        rows = tuple(
-            GossipEntry(kind, m, g.incarnation + later_by, (g.membership.sender.sequence + ahead) % 65535 + 1)
-            for m, g in tier.gateways.items()
-            if m != 4
+    for kind, incarnation_offset, sequence_offset in false_entries * 4:
+        entries = tuple(
+            GossipEntry(
+                kind,
+                member,
+                gateway.incarnation + incarnation_offset,
+                (gateway.membership.sender.sequence + sequence_offset) % 65535 + 1,
+            )
+            for member, gateway in tier.gateways.items()
+            if member != 4
         )
-        for to in range(4):
-            lie = Heartbeat(
-                liar.incarnation,
-                tier.gateways[to].incarnation,
-                liar.membership.sender.sequence,
+        for receiver in range(4):
+            false_heartbeat = Heartbeat(
+                faulty.incarnation,
+                tier.gateways[receiver].incarnation,
+                faulty.membership.sender.sequence,
                 0,
                 0,
                 HeartbeatFlag(0),
-                rows,
+                entries,
             )
-            tier.flight.append((tier.now, 4, to, messages.pack(lie)))
-        most = max(most, tier.go(0.5))
-    assert most <= 1.02 and not any(g.membership.takeover.members for g in tier.gateways.values())
-    assert {tier.seen(i, j) for i, j in both([1], [0, 2]) + both([2], [1, 3])} == {
+            tier.flight.append((tier.now, 4, receiver, messages.pack(false_heartbeat)))
+        max_total = max(max_total, tier.run_and_track(0.5))
+    assert max_total <= 1.02 and not any(
+        gateway.membership.takeover.members for gateway in tier.gateways.values()
+    )
+    assert {tier.member_state(i, j) for i, j in two_way_links([1], [0, 2]) + two_way_links([2], [1, 3])} == {
         MemberState.ALIVE
     }  # ring neighbours
-    assert sum(tier.spent().values()) == pytest.approx(1.0, abs=0.01)
+    assert sum(tier.quota_shares().values()) == pytest.approx(1.0, abs=0.01)
 
 
-def test_a_program_before_this_is_heard_as_it_was_and_nothing_of_it_is_taken():
+def test_quota_is_exchanged_with_a_gateway_without_membership_whose_share_is_not_taken_over():
     tier = Tier(3)
     tier.gateways[1].membership = None
-    tier.run(4.0, tier.ask)
-    assert sum(tier.spent().values()) == pytest.approx(1.0, abs=0.01)
+    tier.run(4.0, tier.offered_units)
+    assert sum(tier.quota_shares().values()) == pytest.approx(1.0, abs=0.01)
     del tier.gateways[1]
-    tier.run(6.0, tier.ask)
+    tier.run(6.0, tier.offered_units)
     assert not tier.gateways[2].membership.takeover.members
 
 
-def test_silences_go_by_how_often_news_came_and_one_silence_among_several_is_not_its_own():
+def test_silence_limits_follow_the_update_interval_and_concurrent_silences_are_recognized():
     detector = FailureDetector(is_later, 5)
-    for beat in range(1, 41):
+    for sequence in range(1, 41):
         for member in (1, 2):
-            detector.record_gossip(beat * member / 2, GossipEntry(GossipKind.ALIVE_UPDATE, member, 9, beat))
-    for member, after, state in (
+            detector.record_gossip(
+                sequence * member / 2, GossipEntry(GossipKind.ALIVE_UPDATE, member, 9, sequence)
+            )
+    for member, silence, state in (
         (1, 1.4, MemberState.SUSPECT),
         (2, 1.4, MemberState.ALIVE),
         (1, 2.8, MemberState.DEAD),
         (2, 2.8, MemberState.SUSPECT),
     ):
         # updates of member 1 arrived twice a second, those of member 2 once
-        detector.update(detector.members[member].updated_at + after)
+        detector.update(detector.members[member].updated_at + silence)
         assert detector.members[member].state == state
     assert detector.has_isolated_silence(1, 44.0)  # member 2 fell silent 20 s after it
     detector.members[2].updated_at = detector.members[1].updated_at + 4.0
@@ -218,7 +238,7 @@
     ) and detector.record_gossip(52.0, GossipEntry(GossipKind.ALIVE_UPDATE, 2, 10, 1))
 
 
-def test_a_lease_counts_from_when_the_beat_was_sent_and_a_grant_keeps_from_confirming():
+def test_a_lease_counts_from_the_send_time_of_the_heartbeat_and_a_grant_prevents_renewal():
     owner, taker, other = Leases(), Leases(), Leases()
     for each in (owner, taker, other):
         each.record_sent(100.0, 1)
@@ -229,8 +249,8 @@
     assert not other.may_renew(0, 100.2 + 2 * TAKEOVER_TIME - 0.01) and other.may_renew(
         0, 100.2 + 2 * TAKEOVER_TIME
     )
-    for number in range(2, 400):  # many replies do not evict a heartbeat that a lease may still count from
-        owner.record_sent(100.5, number)
+    for sequence in range(2, 400):  # many replies do not evict a heartbeat that a lease may still count from
+        owner.record_sent(100.5, sequence)
     assert owner.renewed_until(2, 1) == 100.0 + LEASE_TIME
     owner.record_sent(100.0 + LEASE_TIME + TAKEOVER_TIME + 0.1, 400)
     assert owner.renewed_until(2, 1) is None and len(owner.sent_at) == 399
@@ -239,17 +259,17 @@
     assert taker.grants[TakeoverRequest(1, 0)] == 103.0 + LEASE_TIME
 
 
-starts, numbers = st.integers(1, 2**32 - 1), st.integers(1, 65535)
-rows = st.builds(GossipEntry, st.sampled_from(GossipKind), st.integers(0, 4), starts, numbers)
+incarnations, sequences = st.integers(1, 2**32 - 1), st.integers(1, 65535)
+entries = st.builds(GossipEntry, st.sampled_from(GossipKind), st.integers(0, 4), incarnations, sequences)
 words = st.builds(
     Heartbeat,
-    starts,
-    st.just(0) | starts,
-    numbers,
-    st.just(0) | numbers,
-    st.just(0) | numbers,
+    incarnations,
+    st.just(0) | incarnations,
+    sequences,
+    st.just(0) | sequences,
+    st.just(0) | sequences,
     st.integers(0, 3).map(HeartbeatFlag),
-    st.lists(rows, max_size=messages.MAX_ENTRIES).map(tuple),
+    st.lists(entries, max_size=messages.MAX_ENTRIES).map(tuple),
 )
 
 
@@ -272,15 +292,15 @@
     assert GossipKind.LEASE_REQUEST not in {r.kind for b in told for r in b.entries}
 
 
-class Loop:
+class FakeReactor:
     """A fake reactor that never runs a call."""
 
-    def callLater(self, seconds, what):
+    def callLater(self, seconds, call):
         pass
 
 
 @pytest.mark.parametrize(
-    ("succession", "trusts", "leaves"),
+    ("succession", "is_delegated", "announces_leave"),
     [
         (None, False, True),
         (SimpleNamespace(waits=True, done=False), True, True),
@@ -288,18 +308,22 @@
         (SimpleNamespace(waits=False, done=True), False, False),
     ],
 )
-def test_beside_another_life_the_leases_are_that_one_s_and_who_handed_on_does_not_leave(
-    succession, trusts, leaves
+def test_beside_another_incarnation_the_share_is_delegated_and_after_a_handover_no_leave_is_announced(
+    succession, is_delegated, announces_leave
 ):
     tier = Tier(3)
-    tier.run(2.0, tier.ask)
-    one, told, ended = tier.gateways[0], [], []
-    gateway = SimpleNamespace(decisions=one, succession=succession, before_end=[], now=lambda: tier.now)
-    gateway.tell = told.append
-    membership = Membership(Loop(), gateway)
+    tier.run(2.0, tier.offered_units)
+    decisions, sent, stopped = tier.gateways[0], [], []
+    gateway = SimpleNamespace(decisions=decisions, succession=succession, before_end=[], now=lambda: tier.now)
+    gateway.tell = sent.append
+    membership = Membership(FakeReactor(), gateway)
     membership.start()
-    assert one.membership.shares.has_delegated_share is trusts and gateway.before_end == [membership]
-    assert not trusts or one.membership.shares.own_fraction(one.accounts[7]) == 1.0
-    membership.stop(lambda: ended.append(True))
-    flags = {messages.unpack(a.payload, 0, settings(1, 3)).flags & HeartbeatFlag.LEAVING for a in told}
-    assert ended and flags == ({HeartbeatFlag.LEAVING} if leaves else set())
+    assert decisions.membership.shares.has_delegated_share is is_delegated and gateway.before_end == [
+        membership
+    ]
+    assert not is_delegated or decisions.membership.shares.own_fraction(decisions.accounts[7]) == 1.0
+    membership.stop(lambda: stopped.append(True))
+    flags = {
+        messages.unpack(action.payload, 0, settings(1, 3)).flags & HeartbeatFlag.LEAVING for action in sent
+    }
+    assert stopped and flags == ({HeartbeatFlag.LEAVING} if announces_leave else set())
--- a/tests/membership/test_parts.py
+++ b/tests/membership/test_parts.py
@@ -35,7 +35,7 @@
         self.receiver = HeartbeatReceiver(self.host, self.detector, self.leases, self.takeover, self.sender)
         self.sender.advance()
 
-    def let_die(self, member, at=100.0):
+    def declare_dead(self, member, at=100.0):
         """Have a member declared dead, with its last update at that time and its lease lapsed."""
         incarnation = self.host.peer_incarnations[member]
         self.detector.record_gossip(at, GossipEntry(GossipKind.ALIVE_UPDATE, member, incarnation, 1))
@@ -45,8 +45,11 @@
 
     def sent(self):
         """Return the heartbeats sent since the last call, with their receivers."""
-        me = self.host.settings.gateway_index
-        unpacked = [(a.peer, messages.unpack(a.payload, me, settings(a.peer, 3))) for a in self.host.actions]
+        index = self.host.settings.gateway_index
+        unpacked = [
+            (action.peer, messages.unpack(action.payload, index, settings(action.peer, 3)))
+            for action in self.host.actions
+        ]
         self.host.actions = []
         return unpacked
 
@@ -57,9 +60,9 @@
 
 def test_a_dead_member_s_shares_are_taken_over_requested_and_returned():
     parts = Parts()
-    parts.let_die(0)
+    parts.declare_dead(0)
     assert parts.takeover.update() == [TakeoverRequest(2, 0)]
-    assert parts.takeover.members == {0} and parts.host.refilled == [109.0]
+    assert parts.takeover.members == {0} and parts.host.refill_times == [109.0]
     assert parts.takeover.update() == []  # the request is not due again
     parts.host.now += REQUEST_INTERVAL
     assert parts.takeover.update() == [TakeoverRequest(2, 0)]
@@ -70,18 +73,18 @@
 
 def test_nothing_is_taken_over_from_one_of_several_silent_members_or_in_a_tier_of_two():
     parts = Parts()
-    parts.let_die(0)
+    parts.declare_dead(0)
     parts.detector.members[2].updated_at = 100.0
     parts.detector.update(parts.host.now)
     assert parts.takeover.update() == [] and not parts.takeover.members
     pair = Parts(FakeHost(gateway_count=2))
-    pair.let_die(0)
+    pair.declare_dead(0)
     assert not pair.takeover.is_enabled and pair.takeover.update() == [] and not pair.takeover.members
 
 
 def test_a_taken_share_is_spent_only_with_leave_of_its_other_neighbour():
     parts = Parts()
-    parts.let_die(0)
+    parts.declare_dead(0)
     parts.takeover.update()
     account = parts.host.account
     assert parts.shares.borrowed_fraction(account, 0) == 0.0
@@ -164,7 +167,7 @@
     assert parts.host.actions == []
 
 
-def test_the_first_sequence_number_follows_the_clock_and_each_turn_counts_one():
+def test_the_first_sequence_number_follows_the_clock_and_each_advance_adds_one():
     sender = Parts().sender
     first = sender.sequence
     sender.advance()
@@ -176,7 +179,7 @@
     renewal = heartbeat(received=1001, renewed=1001)
     parts.receiver.receive(0, renewal)
     parts.receiver.receive(0, renewal)
-    assert parts.leases.held_until == {0: 100.0 + LEASE_TIME} and parts.host.refilled == [100.0]
+    assert parts.leases.held_until == {0: 100.0 + LEASE_TIME} and parts.host.refill_times == [100.0]
     assert parts.leases.acknowledged_sent_at == {0: 100.0} and parts.sender.received_sequences == {0: 1}
 
 
@@ -194,21 +197,21 @@
     parts = Parts()
     parts.host.now += wait
     parts.receiver.receive(0, heartbeat(GossipEntry(GossipKind.LEASE_REQUEST, 2, 12, 9)))
-    ((to, answer),) = parts.sent()
+    ((receiver, answer),) = parts.sent()
     own_entries = [entry for entry in answer.entries if entry.kind is not GossipKind.ALIVE_UPDATE]
-    assert to == 0 and [entry.kind for entry in own_entries] == kinds
+    assert receiver == 0 and [entry.kind for entry in own_entries] == kinds
     assert all((entry.member, entry.incarnation, entry.sequence) == (2, 12, 9) for entry in own_entries)
 
 
 def test_replies_that_nothing_depends_on_are_limited():
     parts = Parts()
-    wish = HeartbeatFlag.REPLY_REQUESTED
+    reply_requested = HeartbeatFlag.REPLY_REQUESTED
     for sequence, wait in ((1, 0.0), (2, 0.1), (3, REPLY_INTERVAL)):
         parts.host.now += wait
-        parts.receiver.receive(0, heartbeat(sequence=sequence, flags=wish))
+        parts.receiver.receive(0, heartbeat(sequence=sequence, flags=reply_requested))
     assert len(parts.sent()) == 2
     parts.host.now += REPLY_INTERVAL
-    parts.receiver.receive(0, heartbeat(sequence=4, flags=wish | HeartbeatFlag.LEAVING))
+    parts.receiver.receive(0, heartbeat(sequence=4, flags=reply_requested | HeartbeatFlag.LEAVING))
     assert parts.sent() == [] and parts.detector.members[0].state is MemberState.LEFT
 
 
@@ -219,18 +222,18 @@
     assert parts.sender.received_sequences == {0: 1} and not parts.leases.grants
 
 
-def test_members_greets_ring_neighbours_at_once_and_keeps_its_interval():
+def test_members_contacts_ring_neighbours_at_once_and_keeps_its_interval():
     host = FakeHost()
     members = Members(host, is_later)
     members.step()
-    greeted = {action.peer for action in host.actions}
+    contacted = {action.peer for action in host.actions}
     host.actions = []
     host.now += 0.05
     members.step()
-    quiet = list(host.actions)
+    sent_early = list(host.actions)
     host.now += MAX_ROUND_INTERVAL
     members.step()
-    assert greeted == {0, 2} and not quiet and {action.peer for action in host.actions} == {0, 2}
+    assert contacted == {0, 2} and not sent_early and {action.peer for action in host.actions} == {0, 2}
 
 
 def test_members_hands_each_event_out_once_and_counts_states():
@@ -272,10 +275,10 @@
         (LeaseRegained((1, 2)), {"what": "slices_sure", "neighbours": "1,2"}),
     ],
 )
-def test_events_are_logged_as_the_operators_page_has_them(event, fields):
-    made = log_fields(event)
-    assert made == fields and list(made) == list(fields)
-    assert all(type(value) in (str, int) for value in made.values())
+def test_events_are_logged_with_the_documented_fields(event, fields):
+    logged = log_fields(event)
+    assert logged == fields and list(logged) == list(fields)
+    assert all(type(value) in (str, int) for value in logged.values())
 
 
 @pytest.mark.parametrize("is_accepted", [True, False])
