--- a/tests/recovery/test_net_recovery.py
+++ b/tests/recovery/test_net_recovery.py
@@ -21,7 +21,7 @@
         self.clock = Clock()
         self.clock.advance(1000.0)
         self.decisions = Gateway(settings(0, 3), seed=1)
-        self.watched = 0
+        self.discovery_queries = 0
         self.attempt = SimpleNamespace(sent_at=990.0)
         self.gateway = SimpleNamespace(
             decisions=self.decisions,
@@ -31,19 +31,19 @@
             out={1: self.attempt},
             begun=has_begun,
             succession=None,
-            watch_again=self.watch,
+            watch_again=self.query_discovery,
         )
         self.recovery = Recovery(self.clock, self.gateway)
         self.recovery.start()
 
-    def watch(self):
-        self.watched += 1
+    def query_discovery(self):
+        self.discovery_queries += 1
 
     def run(self, seconds):
         self.clock.pump([0.05] * round(seconds / 0.05))
 
 
-def test_a_start_withholds_retries_and_opens_by_its_part_of_the_backends():
+def test_a_start_withholds_retries_and_is_limited_to_its_part_of_the_backends():
     world = World()
     assert (world.decisions.retries.budget, world.recovery.withheld_retries) == (1.0, 10.0)
     world.recovery.backends_known(0)
@@ -58,13 +58,13 @@
     assert world.recovery.readiness.state is ReadinessState.FULL and world.decisions.admission_ramp is None
 
 
-def test_a_stall_waits_for_discovery_and_goes_by_the_old_list_after_its_time():
+def test_a_stall_waits_for_discovery_and_uses_the_old_list_after_a_timeout():
     world = World()
     world.run(0.5)
     assert world.gateway.pool.turn() is False
     world.clock.rightNow += 5.0  # no delayed call ran in this time
     assert world.gateway.pool.turn() is True
-    assert world.watched == 1 and world.decisions.is_endpoint_list_stale
+    assert world.discovery_queries == 1 and world.decisions.is_endpoint_list_stale
     assert world.attempt.sent_at == pytest.approx(995.0, abs=0.2)
     assert isinstance(world.decisions.admission_ramp, StallRamp)
     world.run(DISCOVERY_TIMEOUT - 0.1)
@@ -85,7 +85,7 @@
     world = World(has_begun=False)
     world.clock.rightNow += 5.0
     assert world.recovery.check_stall(world.clock.seconds())
-    assert world.watched == 0 and not world.decisions.is_endpoint_list_stale
+    assert world.discovery_queries == 0 and not world.decisions.is_endpoint_list_stale
 
 
 @pytest.mark.parametrize(
--- a/tests/recovery/test_quota_restore.py
+++ b/tests/recovery/test_quota_restore.py
@@ -41,22 +41,22 @@
         self.peer_incarnations = {0: 10, 2: 12}
         self.older_incarnations = {10, 12}
         self.is_resumed = False
-        self.told = []
+        self.sent = []
 
-    def account(self, customer, plan, first, spread):
+    def account(self, customer, plan, first_gateway, member_count):
         return self.accounts[customer]
 
     def has_resumed(self):
         return self.is_resumed
 
-    def is_older(self, born):
-        return born in self.older_incarnations
+    def is_older(self, incarnation):
+        return incarnation in self.older_incarnations
 
-    def send_updates(self, peer, notes):
-        self.told.append((peer, notes))
+    def send_updates(self, peer, updates):
+        self.sent.append((peer, updates))
 
 
-def note(share=0.3, demand=3.0, share_total=0):
+def account_update(share=0.3, demand=3.0, share_total=0):
     return AccountUpdate(CUSTOMER, 0, 0, 3, share, demand, 1.0, share_total, 0.0)
 
 
@@ -65,7 +65,7 @@
     restore = QuotaRestore(host)
     restore.account_created(host.accounts[CUSTOMER])
     restore.account_created(account())
-    assert host.told == [(0, []), (2, [])]
+    assert host.sent == [(0, []), (2, [])]
 
 
 @pytest.mark.parametrize(
@@ -83,7 +83,7 @@
     assert aggregated.level == pytest.approx(fill * PLAN.burst)
 
 
-def test_notes_wait_for_a_neighbour_that_went_on():
+def test_updates_wait_for_a_neighbour_that_kept_running():
     host = FakeHost()
     restore = QuotaRestore(host)
     assert restore.may_send_updates(0)  # there is no account yet
@@ -106,15 +106,15 @@
     assert restore.may_send_updates(0)
 
 
-def test_a_note_sets_the_demand_that_balances_with_the_neighbour_s():
+def test_an_update_sets_the_demand_that_balances_with_the_neighbour_s():
     host = FakeHost()
     own = host.accounts[CUSTOMER]
-    QuotaRestore(host).apply_update(0, note(share_total=-SHARE_STEPS // 5))
+    QuotaRestore(host).apply_update(0, account_update(share_total=-SHARE_STEPS // 5))
     assert own.demand == pytest.approx(3.0 * (1 / 3 + 1 / 5) / 0.3, rel=1e-3)
 
 
 @pytest.mark.parametrize("reason", ["later round", "level known", "no share", "no ledger", "younger"])
-def test_a_note_that_tells_nothing_of_before_this_start_changes_no_demand(reason):
+def test_an_update_without_state_from_before_this_start_changes_no_demand(reason):
     host = FakeHost()
     own = host.accounts[CUSTOMER]
     if reason == "later round":
@@ -123,7 +123,7 @@
     if reason == "younger":
         host.older_incarnations = set()
     peer = 1 if reason == "no ledger" else 0
-    QuotaRestore(host).apply_update(peer, note(share=0.0 if reason == "no share" else 0.3))
+    QuotaRestore(host).apply_update(peer, account_update(share=0.0 if reason == "no share" else 0.3))
     assert own.demand == 0.0
 
 
@@ -132,11 +132,11 @@
     host = FakeHost()
     own = host.accounts[CUSTOMER]
     own.has_peer_level = True
-    pairs = tuple(StoredLedger(peer, 500, 2.0, 9, None, 0.0, 0.0, True) for peer in (0, 1))
-    stored = StoredAccount("p", 0, 3, 90.0, 90.0, 1.0, 1.0, 1.0, 0, ledgers=pairs)
+    ledgers = tuple(StoredLedger(peer, 500, 2.0, 9, None, 0.0, 0.0, True) for peer in (0, 1))
+    stored = StoredAccount("p", 0, 3, 90.0, 90.0, 1.0, 1.0, 1.0, 0, ledgers=ledgers)
     QuotaRestore(host).apply_stored(own, stored, has_current_ledgers)
-    taken = PeerLedger(500, 2.0, has_peer_totals=True)
-    assert own.ledgers == {0: taken if has_current_ledgers else PeerLedger(), 2: PeerLedger()}
+    restored = PeerLedger(500, 2.0, has_peer_totals=True)
+    assert own.ledgers == {0: restored if has_current_ledgers else PeerLedger(), 2: PeerLedger()}
     assert not own.has_peer_level
 
 
--- a/tests/recovery/test_readiness.py
+++ b/tests/recovery/test_readiness.py
@@ -31,7 +31,7 @@
     assert transition == expected and readiness.state is ReadinessState.LEARNING
 
 
-def test_learning_ends_after_its_longest_time_while_more_and_more_is_given_up_on():
+def test_learning_ends_after_its_longest_time_while_ever_more_requests_are_unserved():
     readiness = Readiness(0.0)
     readiness.has_fresh_endpoints = True
     reasons, unserved = [], 0
@@ -53,7 +53,7 @@
     assert readiness.update(4.5, 0, 0, 5, 0) is None
 
 
-def test_requests_between_samples_are_answers_and_those_given_up_on():
+def test_requests_between_samples_are_answers_and_unserved_requests():
     assert ServiceSample(9.0, 30, 7).requests_since(ServiceSample(7.0, 20, 4)) == 13
 
 
--- a/tests/recovery/test_recovery.py
+++ b/tests/recovery/test_recovery.py
@@ -25,227 +25,239 @@
 from tests.helpers import PLAN, Ring, outcome, pick, request, servers, settings
 
 
-def test_a_stall_is_reported_once_and_a_busy_turn_not_at_all():
+def test_a_stall_is_reported_once_and_a_busy_iteration_not_at_all():
     detector = StallDetector()
-    beats = [detector.check(at) for at in (5.0, 5.1, 5.1 + MIN_STALL / 2, 9.0, 9.1)]
-    assert beats[:3] == [0.0] * 3 and beats[3] == pytest.approx(9.0 - 5.1 - MIN_STALL / 2) and beats[4] == 0.0
+    stall_times = [detector.check(now) for now in (5.0, 5.1, 5.1 + MIN_STALL / 2, 9.0, 9.1)]
+    assert (
+        stall_times[:3] == [0.0] * 3
+        and stall_times[3] == pytest.approx(9.0 - 5.1 - MIN_STALL / 2)
+        and stall_times[4] == 0.0
+    )
 
 
-def paused(seconds):
+def stalled_ring(seconds):
     """Return a ring of three and its gateway 1, which was stalled and resumes before it receives anything."""
     ring = Ring()
-    ring.run(6.0, ask=lambda me: 0.2)
-    still = ring.gateways.pop(1)
-    ring.run(seconds, ask=lambda me: 0.2)
+    ring.run(6.0, ask=lambda index: 0.2)
+    stalled = ring.gateways.pop(1)
+    ring.run(seconds, ask=lambda index: 0.2)
     ring.flight.clear()
-    return ring, still
+    return ring, stalled
 
 
-def test_a_bucket_does_not_fill_while_its_slice_is_on_loan():
-    ring, still = paused(6.0)
-    account, level = still.accounts[7], still.accounts[7].level
-    resume_after_stall(still, ring.now, 6.0)
-    still.now = ring.now
-    still.refill(account)
+def test_a_bucket_does_not_fill_while_its_quota_share_is_on_loan():
+    ring, stalled = stalled_ring(6.0)
+    account, level = stalled.accounts[7], stalled.accounts[7].level
+    resume_after_stall(stalled, ring.now, 6.0)
+    stalled.now = ring.now
+    stalled.refill(account)
     assert account.level == pytest.approx(level, abs=0.6)
-    ahead = ring.gateways[2].quota_share(ring.gateways[2].accounts[7])
+    successor_share = ring.gateways[2].quota_share(ring.gateways[2].accounts[7])
     # gateway 2 borrows the share, which the resumed gateway must allow for
-    assert ahead > ring.gateways[2].accounts[7].base_share()
+    assert successor_share > ring.gateways[2].accounts[7].base_share()
 
 
-def test_what_neighbours_told_before_a_pause_backs_nothing_and_nobody_is_silent():
-    ring, still = paused(2.0)
-    account = still.accounts[7]
+def test_levels_received_before_a_stall_give_no_credit_and_nobody_is_silent():
+    ring, stalled = stalled_ring(2.0)
+    account = stalled.accounts[7]
     account.level = 0.0
-    resume_after_stall(still, ring.now, 2.0)
-    still.now = ring.now
-    assert not still.admission.is_within_quota(account, 1.0, still.refill(account), still.now)
-    assert not any(still.is_silent(p) for p in account.ledgers)
-    assert still.quota_share(account) == pytest.approx(account.base_share())
+    resume_after_stall(stalled, ring.now, 2.0)
+    stalled.now = ring.now
+    assert not stalled.admission.is_within_quota(account, 1.0, stalled.refill(account), stalled.now)
+    assert not any(stalled.is_silent(peer) for peer in account.ledgers)
+    assert stalled.quota_share(account) == pytest.approx(account.base_share())
 
 
-def test_servers_are_not_held_to_be_hung_for_the_time_of_a_pause():
+def test_backends_do_not_count_as_hung_for_the_time_of_a_stall():
     ring = Ring(1)
-    one = ring.gateways[0]
-    sent = pick(one.handle(101.0, [request(1, spread=1)]), StartAttempt)
-    resume_after_stall(one, 161.0, 60.0)
-    for rid, server in [(1, one.backends.records[sent[0].backend])]:
-        one.now = 161.0
-        one.requests.check_attempt(rid, server)
-        assert not server.is_ejected
-        one.handle(161.1, [outcome(1, 0, sent[0].backend, elapsed=0.1)])
-
-
-def test_nothing_is_sent_by_a_list_that_may_be_old_and_what_waits_goes_out_with_the_new_one():
-    one = Ring(1).gateways[0]
-    one.is_endpoint_list_stale = True
-    assert not pick(one.handle(101.0, [request(1, spread=1)]), StartAttempt)
-    one.is_endpoint_list_stale = False
-    assert [s.id for s in pick(one.handle(101.1, [TimerExpired(0)]), StartAttempt)] == [1]
-
-
-def test_a_request_that_lay_unread_past_its_aim_is_refused_and_a_young_one_is_not():
-    one = Ring(1).gateways[0]
+    gateway = ring.gateways[0]
+    sent = pick(gateway.handle(101.0, [request(1, spread=1)]), StartAttempt)
+    resume_after_stall(gateway, 161.0, 60.0)
+    for request_id, backend in [(1, gateway.backends.records[sent[0].backend])]:
+        gateway.now = 161.0
+        gateway.requests.check_attempt(request_id, backend)
+        assert not backend.is_ejected
+        gateway.handle(161.1, [outcome(1, 0, sent[0].backend, elapsed=0.1)])
+
+
+def test_nothing_is_sent_while_the_endpoint_list_is_stale_and_waiting_requests_go_out_afterwards():
+    gateway = Ring(1).gateways[0]
+    gateway.is_endpoint_list_stale = True
+    assert not pick(gateway.handle(101.0, [request(1, spread=1)]), StartAttempt)
+    gateway.is_endpoint_list_stale = False
+    assert [attempt.id for attempt in pick(gateway.handle(101.1, [TimerExpired(0)]), StartAttempt)] == [1]
+
+
+def test_a_request_unread_past_its_latency_objective_is_rejected_and_a_recent_one_is_not():
+    gateway = Ring(1).gateways[0]
     # so that no backend is untried or due for a trial
-    one.handle(101.0, [request(n, spread=1) for n in (1, 2, 3)])
-    old = one.handle(101.1, [request(8, spread=1, unread_time=0.95)])
-    young = one.handle(101.1, [request(9, spread=1, unread_time=0.1)])
-    assert pick(old, Reject) and not pick(old, StartAttempt) and pick(young, StartAttempt)
+    gateway.handle(101.0, [request(n, spread=1) for n in (1, 2, 3)])
+    old_actions = gateway.handle(101.1, [request(8, spread=1, unread_time=0.95)])
+    recent_actions = gateway.handle(101.1, [request(9, spread=1, unread_time=0.1)])
+    assert (
+        pick(old_actions, Reject)
+        and not pick(old_actions, StartAttempt)
+        and pick(recent_actions, StartAttempt)
+    )
 
 
 @pytest.mark.parametrize(
-    ("born", "peers", "expected"),
+    ("incarnation", "peers", "expected"),
     [
         (50_000, {1: 49_000, 2: 1_000}, (1, 2)),
         (50_000, {}, (0, 0)),
         (500, {1: (1 << 32) - 500}, (1, 1)),  # the incarnation, in ms, wrapped around in between
     ],
 )
-def test_who_came_back_together_is_told_by_incarnations(born, peers, expected):
-    assert (count_concurrent_starts(born, peers), len(peers)) == expected
+def test_concurrent_starts_are_counted_by_incarnations(incarnation, peers, expected):
+    assert (count_concurrent_starts(incarnation, peers), len(peers)) == expected
 
 
-def test_among_many_is_what_counts_while_nobody_was_heard():
+def test_many_starts_are_assumed_while_no_peer_is_known():
     assert is_mass_start(50_000, {}) and is_mass_start(50_000, {1: 49_000, 2: 1, 3: 1})
     assert not is_mass_start(50_000, {1: 1, 2: 1, 3: 1})
 
 
-def walk(readiness, until, heard=2, served=20, refused=0, listed=0.0, began=0.0):
-    """Return the transitions with their reasons, given `served` and `refused` requests per second."""
-    made = []
+def run_readiness(readiness, until, responded=2, answers=20, unserved=0, list_delay=0.0, began_at=0.0):
+    """Return the transitions with their reasons, given `answers` and `unserved` requests per second."""
+    transitions = []
     for tick in range(1, int(until * 10) + 1):
-        now = began + tick / 10
-        readiness.has_fresh_endpoints = readiness.has_fresh_endpoints or now >= began + listed
-        left = readiness.update(now, heard, 2, int(served * now), int(refused * now))
-        made += [(left.state, left.reason, round(left.elapsed, 1))] if left else []
-    return made
+        now = began_at + tick / 10
+        readiness.has_fresh_endpoints = readiness.has_fresh_endpoints or now >= began_at + list_delay
+        transition = readiness.update(now, responded, 2, int(answers * now), int(unserved * now))
+        transitions += (
+            [(transition.state, transition.reason, round(transition.elapsed, 1))] if transition else []
+        )
+    return transitions
 
 
 @pytest.mark.parametrize(
-    ("given", "left"),
+    ("arguments", "expected"),
     [
         ({}, [("learning", "list, neighbours responded", 0.1), ("full", "served", 2.1)]),
-        ({"heard": 1}, [("learning", "list, 1 of 2 neighbours responded", 1.1), ("full", "served", 3.1)]),
+        ({"responded": 1}, [("learning", "list, 1 of 2 neighbours responded", 1.1), ("full", "served", 3.1)]),
         (
-            {"listed": 99.0},
+            {"list_delay": 99.0},
             [("learning", "list not received, neighbours responded", 2.1), ("full", "served", 4.2)],
         ),
-        ({"served": 0}, [("learning", "list, neighbours responded", 0.1), ("full", "no requests", 2.1)]),
-        ({"refused": 20}, [("learning", "list, neighbours responded", 0.1), ("full", "levelled off", 2.2)]),
-        ({"served": 1}, [("learning", "list, neighbours responded", 0.1), ("full", "served", 20.0)]),
+        ({"answers": 0}, [("learning", "list, neighbours responded", 0.1), ("full", "no requests", 2.1)]),
+        ({"unserved": 20}, [("learning", "list, neighbours responded", 0.1), ("full", "levelled off", 2.2)]),
+        ({"answers": 1}, [("learning", "list, neighbours responded", 0.1), ("full", "served", 20.0)]),
     ],
 )
-def test_states_are_left_for_their_reasons(given, left):
-    assert walk(Readiness(0.0), 40.0, **given) == left
+def test_states_are_left_for_their_reasons(arguments, expected):
+    assert run_readiness(Readiness(0.0), 40.0, **arguments) == expected
 
 
-def test_a_pause_begins_it_anew():
+def test_a_stall_restarts_readiness():
     readiness = Readiness(0.0)
-    walk(readiness, 5.0)
-    left = readiness.restart(9.0, "stood still for 4.00 s")
-    assert (left.state, left.previous, readiness.state) == ("returning", "full", "returning")
-    assert walk(readiness, 5.0, began=9.0)[-1][0] == "full"
+    run_readiness(readiness, 5.0)
+    transition = readiness.restart(9.0, "stood still for 4.00 s")
+    assert (transition.state, transition.previous, readiness.state) == ("returning", "full", "returning")
+    assert run_readiness(readiness, 5.0, began_at=9.0)[-1][0] == "full"
 
 
-class Returning(Ring):
+class RestoringRing(Ring):
     """A ring whose gateways restore their quota shares after a start."""
 
-    def start(self, me, gateways=3):
-        made = Gateway(settings(me, gateways, plans=(self.plan,)), seed=me)
-        made.quota_restore = QuotaRestore(made)
-        self.gateways[me] = made
-        self.take(me, made.handle(self.now, [servers("a", "b", "c")]))
+    def start(self, index, gateways=3):
+        gateway = Gateway(settings(index, gateways, plans=(self.plan,)), seed=index)
+        gateway.quota_restore = QuotaRestore(gateway)
+        self.gateways[index] = gateway
+        self.take(index, gateway.handle(self.now, [servers("a", "b", "c")]))
 
-    def again(self, *who):
+    def restart(self, *indices):
         """Kill these gateways, lose the messages sent to them meanwhile, and start them again."""
-        for me in who:
-            del self.gateways[me]
-        self.run(0.6, busy_share)
-        for me in who:
-            self.start(me, 3)
-
-
-def busy_share(me):
-    return 0.6 if me == 0 else 0.03
-
-
-@pytest.mark.parametrize("who", [0, 1, 2])
-def test_one_that_starts_again_takes_up_its_slice_from_its_neighbours(who):
-    ring = Returning()
-    ring.run(10.0, busy_share)
-    before = ring.slices()
-    assert before[0] > 0.6
-    ring.again(who)
-    ring.run(0.6, busy_share)
-    assert ring.slices()[who] == pytest.approx(before[who], abs=0.1)
-    ring.run(1.0, busy_share)
+        for index in indices:
+            del self.gateways[index]
+        self.run(0.6, uneven_load)
+        for index in indices:
+            self.start(index, 3)
+
+
+def uneven_load(index):
+    return 0.6 if index == 0 else 0.03
+
+
+@pytest.mark.parametrize("restarted", [0, 1, 2])
+def test_a_restarted_gateway_restores_its_quota_share_from_its_neighbours(restarted):
+    ring = RestoringRing()
+    ring.run(10.0, uneven_load)
+    shares_before = ring.slices()
+    assert shares_before[0] > 0.6
+    ring.restart(restarted)
+    ring.run(0.6, uneven_load)
+    assert ring.slices()[restarted] == pytest.approx(shares_before[restarted], abs=0.1)
+    ring.run(1.0, uneven_load)
     assert sum(ring.slices().values()) == pytest.approx(1.0, abs=1e-9)
 
 
-@pytest.mark.parametrize("who", [(0, 1), (1, 2), (0, 1, 2)])
+@pytest.mark.parametrize("restarted", [(0, 1), (1, 2), (0, 1, 2)])
 @pytest.mark.parametrize("loss", [0.0, 0.12, 0.4])
-def test_slices_are_conserved_whoever_starts_again_and_whatever_is_lost(who, loss):
-    ring, chance = Returning(), random.Random(loss)
-    ring.run(10.0, busy_share)
-    ring.lost = lambda sender, to, number: chance.random() < loss
-    ring.again(*who)
-    ring.run(3.0, busy_share)
+def test_quota_shares_are_conserved_whoever_restarts_and_whatever_is_lost(restarted, loss):
+    ring, rng = RestoringRing(), random.Random(loss)
+    ring.run(10.0, uneven_load)
+    ring.lost = lambda sender, to, number: rng.random() < loss
+    ring.restart(*restarted)
+    ring.run(3.0, uneven_load)
     ring.lost = lambda *a: False
-    ring.run(1.0, lambda me: 0.3)
+    ring.run(1.0, lambda index: 0.3)
     assert sum(ring.slices().values()) == pytest.approx(1.0, abs=1e-9)
 
 
-def test_a_neighbour_of_before_that_change_is_understood():
-    ring = Returning()
-    ring.run(10.0, busy_share)
-    for g in ring.gateways.values():
-        g.quota_restore = None
-    ring.again(0)
-    ring.run(2.0, busy_share)
+def test_a_neighbour_without_quota_restore_is_supported():
+    ring = RestoringRing()
+    ring.run(10.0, uneven_load)
+    for gateway in ring.gateways.values():
+        gateway.quota_restore = None
+    ring.restart(0)
+    ring.run(2.0, uneven_load)
     assert sum(ring.slices().values()) == pytest.approx(1.0, abs=1e-9)
 
 
-def test_a_wide_ring_saves_nothing_up_at_a_start_that_others_may_have_spent():
-    made = Gateway(settings(0, 20), seed=1)
-    made.quota_restore = QuotaRestore(made)
-    made.handle(100.0, [servers("a"), request(1, spread=20)])
-    early = made.accounts[7].level
-    made.handle(110.0, [request(2, customer=8, spread=20)])
-    assert early < 0.4 * PLAN.burst <= 0.6 * PLAN.burst < made.accounts[8].level
+def test_an_aggregated_ring_starts_without_a_burst_that_others_may_have_spent():
+    gateway = Gateway(settings(0, 20), seed=1)
+    gateway.quota_restore = QuotaRestore(gateway)
+    gateway.handle(100.0, [servers("a"), request(1, spread=20)])
+    early_level = gateway.accounts[7].level
+    gateway.handle(110.0, [request(2, customer=8, spread=20)])
+    assert early_level < 0.4 * PLAN.burst <= 0.6 * PLAN.burst < gateway.accounts[8].level
 
 
-def test_what_is_sent_after_a_pause_stays_within_the_usual_rate_and_the_rest_is_refused_at_once():
-    usual = RateEstimator()
+def test_attempts_after_a_stall_stay_within_the_average_rate_and_the_rest_is_rejected_at_once():
+    estimator = RateEstimator()
     for tick in range(200):
-        usual.update(100 + tick / 10, tick)  # ten per second
-    assert usual.rate == pytest.approx(10.0, rel=0.05)
-    ramp = StallRamp(130.0, usual.rate)
-    sent = [at for at in (130 + n / 100 for n in range(200)) if ramp.try_admit(at, 0)]
+        estimator.update(100 + tick / 10, tick)  # ten per second
+    assert estimator.rate == pytest.approx(10.0, rel=0.05)
+    ramp = StallRamp(130.0, estimator.rate)
+    sent_at = [at for at in (130 + n / 100 for n in range(200)) if ramp.try_admit(at, 0)]
     for begin in range(8):
-        inside = [at for at in sent if 130 + begin / 4 <= at < 130.25 + begin / 4]
-        assert len(inside) <= 2 * RATE_FACTOR * usual.rate / 4 + 1
-    assert len(sent) == pytest.approx(RATE_FACTOR * usual.rate * 2.25, abs=2)
-    one = Ring(1).gateways[0]
-    one.admission_ramp = StallRamp(101.0, 0.0)
-    acts = [one.handle(101.0, [request(n, spread=1)]) for n in range(1, 4)]
-    assert [len(pick(a, StartAttempt)) for a in acts] == [1, 0, 0] and pick(acts[1], Reject)
-    assert one.requests.rejection_causes["inside_opening"] == 2
+        in_window = [at for at in sent_at if 130 + begin / 4 <= at < 130.25 + begin / 4]
+        assert len(in_window) <= 2 * RATE_FACTOR * estimator.rate / 4 + 1
+    assert len(sent_at) == pytest.approx(RATE_FACTOR * estimator.rate * 2.25, abs=2)
+    gateway = Ring(1).gateways[0]
+    gateway.admission_ramp = StallRamp(101.0, 0.0)
+    actions_by_request = [gateway.handle(101.0, [request(n, spread=1)]) for n in range(1, 4)]
+    assert [len(pick(actions, StartAttempt)) for actions in actions_by_request] == [1, 0, 0] and pick(
+        actions_by_request[1], Reject
+    )
+    assert gateway.requests.rejection_causes["inside_opening"] == 2
 
 
-class Stored:
+class FakeStoredState:
     """A stored account as `persistence/restore.py` provides it, possibly out of date."""
 
     is_exact = False
 
-    def __init__(self, account, born, peers):
-        self.account_record, self.born, self.peers = account, born, peers
+    def __init__(self, record, incarnation, peers):
+        self.account_record, self.incarnation, self.peers = record, incarnation, peers
 
     def fleet(self, now, first_work):
         return persisted_state.StoredFleet(
             0.5,
             1.0,
             10.0,
-            incarnation=self.born,
+            incarnation=self.incarnation,
             message_round=1 << 20,
             gateway_index=0,
             gateway_count=3,
@@ -258,57 +270,59 @@
     def server(self, entry, now):
         return None
 
-    def account(self, customer, plan, first, spread, now):
+    def account(self, customer, plan, first_gateway, member_count, now):
         return self.account_record
 
 
-def stored(ring, me):
-    g = ring.gateways[me]
-    record = persisted_state.export_account(g.accounts[7], 0.0, g.peer_incarnations)
-    return Stored(record, g.incarnation, tuple(g.peer_incarnations.items()))
-
-
-@pytest.mark.parametrize("who", [0, 1, 2])
-def test_an_older_copy_of_a_store_gives_way_to_what_neighbours_hold(who):
-    ring = Returning()
-    ring.run(2.0, busy_share)
-    older = stored(ring, who)
-    ring.run(10.0, busy_share)
-    now, low = ring.slices(), ring.gateways[(who + 1) % 3].accounts[7]
-    del ring.gateways[who]
-    ring.run(0.6, busy_share)
-    made = Gateway(settings(who, 3), seed=9)
-    made.quota_restore = QuotaRestore(made)
-    made.restore(older)
-    ring.gateways[who] = made
-    ring.take(who, made.handle(ring.now, [servers("a", "b", "c")]))
-    assert made.incarnation > older.born
-    ring.run(0.6, busy_share)
-    assert ring.slices()[who] == pytest.approx(now[who], abs=0.1)
-    ring.run(1.0, busy_share)
-    assert sum(ring.slices().values()) == pytest.approx(1.0, abs=1e-9) and low.level <= PLAN.burst
-
-
-def test_where_all_started_again_the_stores_stand_in_for_the_neighbours():
-    ring = Returning()
-    ring.run(10.0, busy_share)
-    before, stores = ring.slices(), [stored(ring, me) for me in range(3)]
+def stored_state(ring, index):
+    gateway = ring.gateways[index]
+    record = persisted_state.export_account(gateway.accounts[7], 0.0, gateway.peer_incarnations)
+    return FakeStoredState(record, gateway.incarnation, tuple(gateway.peer_incarnations.items()))
+
+
+@pytest.mark.parametrize("restarted", [0, 1, 2])
+def test_totals_of_neighbours_override_outdated_stored_state(restarted):
+    ring = RestoringRing()
+    ring.run(2.0, uneven_load)
+    older = stored_state(ring, restarted)
+    ring.run(10.0, uneven_load)
+    shares_before, neighbour_account = ring.slices(), ring.gateways[(restarted + 1) % 3].accounts[7]
+    del ring.gateways[restarted]
+    ring.run(0.6, uneven_load)
+    gateway = Gateway(settings(restarted, 3), seed=9)
+    gateway.quota_restore = QuotaRestore(gateway)
+    gateway.restore(older)
+    ring.gateways[restarted] = gateway
+    ring.take(restarted, gateway.handle(ring.now, [servers("a", "b", "c")]))
+    assert gateway.incarnation > older.incarnation
+    ring.run(0.6, uneven_load)
+    assert ring.slices()[restarted] == pytest.approx(shares_before[restarted], abs=0.1)
+    ring.run(1.0, uneven_load)
+    assert (
+        sum(ring.slices().values()) == pytest.approx(1.0, abs=1e-9) and neighbour_account.level <= PLAN.burst
+    )
+
+
+def test_stored_state_is_used_where_all_gateways_restarted():
+    ring = RestoringRing()
+    ring.run(10.0, uneven_load)
+    shares_before, stored = ring.slices(), [stored_state(ring, index) for index in range(3)]
     ring.now += 1.0
     ring.flight.clear()
-    for me in range(3):
-        made = ring.gateways[me] = Gateway(settings(me, 3), seed=9)
-        made.quota_restore = QuotaRestore(made)
-        made.restore(stores[me])
-        ring.take(me, made.handle(ring.now, [servers("a", "b", "c")]))
-    ring.run(0.5, busy_share)
-    assert ring.slices()[0] == pytest.approx(before[0], abs=0.1)
-    ring.run(2.0, busy_share)
+    for index in range(3):
+        gateway = ring.gateways[index] = Gateway(settings(index, 3), seed=9)
+        gateway.quota_restore = QuotaRestore(gateway)
+        gateway.restore(stored[index])
+        ring.take(index, gateway.handle(ring.now, [servers("a", "b", "c")]))
+    ring.run(0.5, uneven_load)
+    assert ring.slices()[0] == pytest.approx(shares_before[0], abs=0.1)
+    ring.run(2.0, uneven_load)
     assert sum(ring.slices().values()) == pytest.approx(1.0, abs=1e-9)
 
 
-def test_a_start_opens_from_what_all_servers_surely_take_and_by_good_answers_only():
-    parts = [StartRamp(400, gateways).limit * gateways for gateways in (1, 10, 100)]
-    assert parts == [pytest.approx(400 * 2)] * 3  # the sum over the tier, whatever its size
+def test_a_start_is_limited_to_what_backends_surely_handle_and_successes_raise_the_limit():
+    total_limits = [StartRamp(400, gateways).limit * gateways for gateways in (1, 10, 100)]
+    assert total_limits == [pytest.approx(400 * 2)] * 3  # the sum over the tier, whatever its size
     ramp = StartRamp(4, 4)
     assert ramp.try_admit(0.0, 3) and not ramp.try_admit(0.0, 4)
     ramp.record_outcome(True)
@@ -317,13 +331,15 @@
         ramp.record_outcome(False)  # backends are overloaded
     ramp.record_outcome(True)
     assert not ramp.try_admit(0.0, 5)
-    one = Ring(1).gateways[0]
-    one.admission_ramp = StartRamp(1, 1)
-    acts = [one.handle(101.0, [request(n, spread=1)]) for n in range(1, 6)]
-    assert [len(pick(a, StartAttempt)) for a in acts] == [1, 1, 1, 1, 0] and pick(acts[4], Reject)
+    gateway = Ring(1).gateways[0]
+    gateway.admission_ramp = StartRamp(1, 1)
+    actions_by_request = [gateway.handle(101.0, [request(n, spread=1)]) for n in range(1, 6)]
+    assert [len(pick(actions, StartAttempt)) for actions in actions_by_request] == [1, 1, 1, 1, 0] and pick(
+        actions_by_request[4], Reject
+    )
 
 
-class Behind:
+class ClockBehind:
     """A gateway whose clock is a minute behind the others."""
 
     def __init__(self, gateway):
@@ -337,59 +353,66 @@
 
 
 @pytest.mark.parametrize("restore", [QuotaRestore, lambda host: None])
-@pytest.mark.parametrize("who", [0, 1, 2])
-def test_one_whose_clock_was_set_back_is_heard_again_and_its_slice_lent_to_nobody(who, restore):
-    ring = Returning()
-    ring.run(6.0, busy_share)
-    made = Gateway(settings(who, 3, plans=(PLAN,)), seed=9)
-    made.quota_restore = restore(made)
-    ring.gateways[who] = Behind(made)
-    ring.take(who, ring.gateways[who].handle(ring.now, [servers("a", "b", "c")]))
-    ring.run(2.0, busy_share)
-    others = [g for me, g in ring.gateways.items() if me != who]
-    assert not any(g.is_silent(who) for g in others) and made.incarnation > 100_000
-    assert all(g.quota_share(g.accounts[7]) == g.accounts[7].base_share() for g in others)
+@pytest.mark.parametrize("restarted", [0, 1, 2])
+def test_a_gateway_whose_clock_was_set_back_is_accepted_again_and_its_share_not_lent(restarted, restore):
+    ring = RestoringRing()
+    ring.run(6.0, uneven_load)
+    gateway = Gateway(settings(restarted, 3, plans=(PLAN,)), seed=9)
+    gateway.quota_restore = restore(gateway)
+    ring.gateways[restarted] = ClockBehind(gateway)
+    ring.take(restarted, ring.gateways[restarted].handle(ring.now, [servers("a", "b", "c")]))
+    ring.run(2.0, uneven_load)
+    others = [other for index, other in ring.gateways.items() if index != restarted]
+    assert not any(other.is_silent(restarted) for other in others) and gateway.incarnation > 100_000
+    assert all(other.quota_share(other.accounts[7]) == other.accounts[7].base_share() for other in others)
     assert sum(ring.slices().values()) == pytest.approx(1.0, abs=1e-9)
 
 
-def test_a_wide_ring_too_tells_one_whose_clock_was_set_back_and_not_more_often_than_it_must():
-    one, two = (Gateway(settings(me, 20), seed=1) for me in (0, 1))
-    two.handle(100.0, [servers("a")])
-    one.peer_incarnations[1] = two.incarnation + 60_000
-    one.handle(100.0, [servers("a")])
-    news = pick(two.handle(101.0, [request(n, spread=20, units=6.0) for n in range(9)]), SendToPeer)
-    assert news
-    late = [PeerMessage(1, news[0].payload)]
-    words = [pick(one.handle(at, late), SendToPeer) for at in (101.0, 101.1, 101.3)]
-    assert [[w.peer for w in each if w.peer == 1] for each in words] == [[1], [], [1]]
-    said = two.handle(101.4, [PeerMessage(0, words[0][0].payload)])
-    assert two.incarnation > one.peer_incarnations[1] - 1 and pick(said, Log)
-
-
-@pytest.mark.parametrize("born", [1, (1 << 31) + 5, (1 << 32) - 1])
-def test_one_of_whom_a_peer_knows_nothing_stays_the_start_that_it_is(born):
-    one = Gateway(settings(), seed=1)
-    one.handle(born / 1000, [servers("a")])
+def test_an_aggregated_ring_notifies_a_gateway_whose_clock_was_set_back_at_a_limited_rate():
+    running, restarted = (Gateway(settings(index, 20), seed=1) for index in (0, 1))
+    restarted.handle(100.0, [servers("a")])
+    running.peer_incarnations[1] = restarted.incarnation + 60_000
+    running.handle(100.0, [servers("a")])
+    updates = pick(restarted.handle(101.0, [request(n, spread=20, units=6.0) for n in range(9)]), SendToPeer)
+    assert updates
+    received = [PeerMessage(1, updates[0].payload)]
+    sent = [pick(running.handle(now, received), SendToPeer) for now in (101.0, 101.1, 101.3)]
+    assert [[message.peer for message in messages if message.peer == 1] for messages in sent] == [
+        [1],
+        [],
+        [1],
+    ]
+    actions = restarted.handle(101.4, [PeerMessage(0, sent[0][0].payload)])
+    assert restarted.incarnation > running.peer_incarnations[1] - 1 and pick(actions, Log)
+
+
+@pytest.mark.parametrize("started_ms", [1, (1 << 31) + 5, (1 << 32) - 1])
+def test_a_gateway_unknown_to_its_peer_keeps_its_incarnation(started_ms):
+    gateway = Gateway(settings(), seed=1)
+    gateway.handle(started_ms / 1000, [servers("a")])
     message = encode_exchange(5, 0, 1, [])[0]
-    assert not pick(one.handle(born / 1000 + 1, [PeerMessage(1, message)]), Log) and one.incarnation == born
+    assert (
+        not pick(gateway.handle(started_ms / 1000 + 1, [PeerMessage(1, message)]), Log)
+        and gateway.incarnation == started_ms
+    )
 
 
-def test_a_server_that_started_after_this_gateway_s_clock_warms_up_from_when_it_was_met():
-    one = Gateway(settings(), seed=1)
-    one.handle(100.0, [servers("a", started=160.0)])
-    one.now = 100.0 + 0.9 * one.settings.warm_up_time
-    assert 0.9 < one.slow_start.warmth(one.backends.records["a"], one.now) < 1.0
+def test_a_backend_with_a_later_start_time_than_the_clock_warms_up_from_its_first_listing():
+    gateway = Gateway(settings(), seed=1)
+    gateway.handle(100.0, [servers("a", started=160.0)])
+    gateway.now = 100.0 + 0.9 * gateway.settings.warm_up_time
+    assert 0.9 < gateway.slow_start.warmth(gateway.backends.records["a"], gateway.now) < 1.0
 
 
-@pytest.mark.parametrize(("given", "left"), [(None, 10.0), (object(), 1.0)])
-def test_saved_up_retries_come_back_among_few_but_not_where_they_are_divided_with_another_life(given, left):
-    one = Gateway(settings(0, 3), seed=1)
-    one.peers.incarnations.resume(90_000, {1: 1, 2: 1})
-    gateway = SimpleNamespace(decisions=one, pool=SimpleNamespace(), now=lambda: 100.0)
+@pytest.mark.parametrize(("given", "expected_budget"), [(None, 10.0), (object(), 1.0)])
+def test_withheld_retries_are_released_among_few_unless_divided_with_the_predecessor(given, expected_budget):
+    gateway_decisions = Gateway(settings(0, 3), seed=1)
+    gateway_decisions.peers.incarnations.resume(90_000, {1: 1, 2: 1})
+    gateway = SimpleNamespace(decisions=gateway_decisions, pool=SimpleNamespace(), now=lambda: 100.0)
     gateway.succession = given and SimpleNamespace(given=given)
     recovery = Recovery(None, gateway)
-    recovery.withheld_retries, one.retries.budget = 10.0, 1.0
+    recovery.withheld_retries, gateway_decisions.retries.budget = 10.0, 1.0
     recovery.apply(
         Transition(ReadinessState.LEARNING, ReadinessState.RETURNING, "list, neighbours responded", 0.1)
     )
-    assert one.retries.budget == left
+    assert gateway_decisions.retries.budget == expected_budget
