--- a/corkdeal/membership/leases.py
+++ b/corkdeal/membership/leases.py
@@ -83,7 +83,7 @@
     def may_renew(self, member: int, now: float) -> bool:
         """Return whether a member's lease may be renewed.
 
-        It may be if no other gateway can be using its shares by a grant, and the member receives heartbeats.
+        That is so if no grant of its shares to another gateway can be in force, and it receives heartbeats.
         """
         is_free = now >= self.granted_at.get(member, -TAKEOVER_TIME) + TAKEOVER_TIME
         return is_free and not self.has_stopped_receiving(member, now)
@@ -91,8 +91,8 @@
     def has_stopped_receiving(self, member: int, now: float) -> bool:
         """Return whether a member can't hold a lease from this gateway, for lack of received heartbeats.
 
-        It has then acknowledged no heartbeat sent in the last TAKEOVER_TIME, which is counted at the earliest
-        from the first check.
+        That is so if it acknowledged no heartbeat sent in the last TAKEOVER_TIME. Without any acknowledgement
+        that time counts from the first check.
         """
         return now - self.acknowledged_sent_at.setdefault(member, now) > TAKEOVER_TIME
 
--- a/corkdeal/membership/members.py
+++ b/corkdeal/membership/members.py
@@ -52,9 +52,8 @@
         self.round_interval = MIN_ROUND_INTERVAL  # s
         self.last_round_at = -math.inf  # s
         self.checked_at = -math.inf  # s
-        self.contacted_neighbours: set[int] = (
-            set()
-        )  # ring neighbours that this incarnation has sent a heartbeat to
+        # ring neighbours that this incarnation has sent a heartbeat to
+        self.contacted_neighbours: set[int] = set()
 
     def quota_share(self, account: Account) -> float:
         """Return the part of an account that may be spent here.
--- a/corkdeal/membership/quota_shares.py
+++ b/corkdeal/membership/quota_shares.py
@@ -58,9 +58,9 @@
     def is_exclusive(self, account: Account) -> bool:
         """Return whether no other gateway spends any of this gateway's share.
 
-        Without a lease from a ring neighbour that is still so if both ring neighbours are down and some other
-        member renews a lease: a gateway that takes a share over receives all others' gossip, so this gateway,
-        being in contact with the tier, would have received gossip about it.
+        Without a lease from a ring neighbour the share is still exclusive if both ring neighbours are down
+        and some other member renews a lease. A gateway that takes a share over receives all others' gossip,
+        so this gateway, being in contact with the tier, would have received gossip about it.
         """
         now = self.host.now
         for neighbour in account.ledgers:
--- a/tests/membership/test_members.py
+++ b/tests/membership/test_members.py
@@ -197,9 +197,10 @@
     assert max_total <= 1.02 and not any(
         gateway.membership.takeover.members for gateway in tier.gateways.values()
     )
+    # ring neighbours
     assert {tier.member_state(i, j) for i, j in two_way_links([1], [0, 2]) + two_way_links([2], [1, 3])} == {
         MemberState.ALIVE
-    }  # ring neighbours
+    }
     assert sum(tier.quota_shares().values()) == pytest.approx(1.0, abs=0.01)
 
 
