--- a/tests/membership/test_parts.py
+++ b/tests/membership/test_parts.py
@@ -82,7 +82,7 @@
     assert not pair.takeover.is_enabled and pair.takeover.update() == [] and not pair.takeover.members
 
 
-def test_a_taken_share_is_spent_only_with_leave_of_its_other_neighbour():
+def test_a_taken_share_is_spent_only_with_permission_of_its_other_neighbour():
     parts = Parts()
     parts.declare_dead(0)
     parts.takeover.update()
@@ -174,7 +174,7 @@
     assert (first, sender.sequence) == (1001, 1002)
 
 
-def test_a_received_renewal_prolongs_the_lease_and_settles_the_buckets_once():
+def test_a_received_renewal_prolongs_the_lease_and_refills_the_buckets_once():
     parts = Parts()
     renewal = heartbeat(received=1001, renewed=1001)
     parts.receiver.receive(0, renewal)
--- a/tests/recovery/test_resume.py
+++ b/tests/recovery/test_resume.py
@@ -44,7 +44,7 @@
     )
 
 
-def test_buckets_do_not_fill_for_the_stall_and_told_levels_are_old(host):
+def test_buckets_do_not_fill_for_the_stall_and_received_levels_are_old(host):
     resume_after_stall(host, NOW, STALL_TIME)
     account = host.accounts[7]
     assert account.refilled_at == 160.0 and account.ledgers[0].peer_state_at == -math.inf
