--- a/tests/membership/fake_host.py
+++ b/tests/membership/fake_host.py
@@ -1,4 +1,4 @@
-"""A host of membership that is no gateway: records, a settable time, and what was asked of it."""
+"""A fake host of membership: plain records, a settable time, and a record of the calls made to it."""
 
 import random
 
@@ -9,7 +9,7 @@
 
 
 class FakeHost:
-    """The middle one of three ring members: 0 is its predecessor, 2 its successor."""
+    """Gateway 1 of a ring of three: gateway 0 is its predecessor, gateway 2 its successor."""
 
     def __init__(self, gateway_index=1, gateway_count=3):
         self.settings = settings(gateway_index, gateway_count)
@@ -33,12 +33,12 @@
         self.accounts = {CUSTOMER: self.account}
         self.active_accounts = dict(self.accounts)
         self.actions = []
-        self.refilled = []
+        self.refill_times = []
         self.silent_peers = set()
 
     def is_silent(self, peer):
         return peer in self.silent_peers
 
-    def refill(self, a):
-        self.refilled.append(self.now)
+    def refill(self, account):
+        self.refill_times.append(self.now)
         return 1.0
--- a/tests/membership/test_parts.py
+++ b/tests/membership/test_parts.py
@@ -1,4 +1,4 @@
-"""Takeover, quota shares, and heartbeats in and out, each made alone on a fake host."""
+"""Unit tests of takeover, quota shares, heartbeat sender and receiver, each on a fake host."""
 
 import random
 
@@ -22,7 +22,7 @@
 
 
 class Parts:
-    """All parts on one host, each with the others that it needs."""
+    """All parts of membership on one host, connected to each other."""
 
     def __init__(self, host=None):
         self.host = host or FakeHost()
@@ -35,8 +35,8 @@
         self.receiver = HeartbeatReceiver(self.host, self.detector, self.leases, self.takeover, self.sender)
         self.sender.advance()
 
-    def let_die(self, member, at=100.0):
-        """A member whose last update came then is held for dead, and its lease has lapsed."""
+    def declare_dead(self, member, at=100.0):
+        """Have a member declared dead, with its last update at that time and its lease lapsed."""
         incarnation = self.host.peer_incarnations[member]
         self.detector.record_gossip(at, GossipEntry(GossipKind.ALIVE_UPDATE, member, incarnation, 1))
         self.host.now = at + 9.0
@@ -44,9 +44,12 @@
         self.detector.update(self.host.now)
 
     def sent(self):
-        """The heartbeats sent since the last call, by receiver."""
-        me = self.host.settings.gateway_index
-        unpacked = [(a.peer, messages.unpack(a.payload, me, settings(a.peer, 3))) for a in self.host.actions]
+        """Return the heartbeats sent since the last call, with their receivers."""
+        index = self.host.settings.gateway_index
+        unpacked = [
+            (action.peer, messages.unpack(action.payload, index, settings(action.peer, 3)))
+            for action in self.host.actions
+        ]
         self.host.actions = []
         return unpacked
 
@@ -57,9 +60,9 @@
 
 def test_a_dead_member_s_shares_are_taken_over_requested_and_returned():
     parts = Parts()
-    parts.let_die(0)
+    parts.declare_dead(0)
     assert parts.takeover.update() == [TakeoverRequest(2, 0)]
-    assert parts.takeover.members == {0} and parts.host.refilled == [109.0]
+    assert parts.takeover.members == {0} and parts.host.refill_times == [109.0]
     assert parts.takeover.update() == []  # the request is not due again
     parts.host.now += REQUEST_INTERVAL
     assert parts.takeover.update() == [TakeoverRequest(2, 0)]
@@ -70,18 +73,18 @@
 
 def test_nothing_is_taken_over_from_one_of_several_silent_members_or_in_a_tier_of_two():
     parts = Parts()
-    parts.let_die(0)
+    parts.declare_dead(0)
     parts.detector.members[2].updated_at = 100.0
     parts.detector.update(parts.host.now)
     assert parts.takeover.update() == [] and not parts.takeover.members
     pair = Parts(FakeHost(gateway_count=2))
-    pair.let_die(0)
+    pair.declare_dead(0)
     assert not pair.takeover.is_enabled and pair.takeover.update() == [] and not pair.takeover.members
 
 
-def test_a_taken_share_is_spent_only_with_leave_of_its_other_neighbour():
+def test_a_taken_share_is_spent_only_with_permission_of_its_other_neighbour():
     parts = Parts()
-    parts.let_die(0)
+    parts.declare_dead(0)
     parts.takeover.update()
     account = parts.host.account
     assert parts.shares.borrowed_fraction(account, 0) == 0.0
@@ -134,7 +137,7 @@
 def test_a_heartbeat_renews_a_lease_once_and_returns_the_member_s_shares_before():
     parts = Parts()
     parts.takeover.members.add(0)
-    parts.sender.received[0] = 5
+    parts.sender.received_sequences[0] = 5
     parts.sender.send(0)
     parts.host.now += 1.0
     parts.sender.send(0)
@@ -164,27 +167,27 @@
     assert parts.host.actions == []
 
 
-def test_the_first_sequence_number_follows_the_clock_and_each_turn_counts_one():
+def test_the_first_sequence_number_follows_the_clock_and_each_advance_adds_one():
     sender = Parts().sender
     first = sender.sequence
     sender.advance()
     assert (first, sender.sequence) == (1001, 1002)
 
 
-def test_a_received_renewal_prolongs_the_lease_and_settles_the_buckets_once():
+def test_a_received_renewal_prolongs_the_lease_and_refills_the_buckets_once():
     parts = Parts()
     renewal = heartbeat(received=1001, renewed=1001)
     parts.receiver.receive(0, renewal)
     parts.receiver.receive(0, renewal)
-    assert parts.leases.held_until == {0: 100.0 + LEASE_TIME} and parts.host.refilled == [100.0]
-    assert parts.leases.received_by == {0: 100.0} and parts.sender.received == {0: 1}
+    assert parts.leases.held_until == {0: 100.0 + LEASE_TIME} and parts.host.refill_times == [100.0]
+    assert parts.leases.acknowledged_sent_at == {0: 100.0} and parts.sender.received_sequences == {0: 1}
 
 
 def test_what_was_for_an_earlier_incarnation_of_this_gateway_renews_and_grants_nothing():
     parts = Parts()
     entry = GossipEntry(GossipKind.LEASE_GRANT, 2, 12, 1001)
     parts.receiver.receive(0, heartbeat(entry, receiver=76, received=1001, renewed=1001))
-    assert not parts.leases.held_until and not parts.leases.grants and not parts.leases.received_by
+    assert not parts.leases.held_until and not parts.leases.grants and not parts.leases.acknowledged_sent_at
     parts.receiver.receive(0, heartbeat(entry, sequence=2))
     assert parts.leases.grants == {TakeoverRequest(0, 2): 100.0 + LEASE_TIME}
 
@@ -194,21 +197,21 @@
     parts = Parts()
     parts.host.now += wait
     parts.receiver.receive(0, heartbeat(GossipEntry(GossipKind.LEASE_REQUEST, 2, 12, 9)))
-    ((to, answer),) = parts.sent()
+    ((receiver, answer),) = parts.sent()
     own_entries = [entry for entry in answer.entries if entry.kind is not GossipKind.ALIVE_UPDATE]
-    assert to == 0 and [entry.kind for entry in own_entries] == kinds
+    assert receiver == 0 and [entry.kind for entry in own_entries] == kinds
     assert all((entry.member, entry.incarnation, entry.sequence) == (2, 12, 9) for entry in own_entries)
 
 
 def test_replies_that_nothing_depends_on_are_limited():
     parts = Parts()
-    wish = HeartbeatFlag.REPLY_REQUESTED
+    reply_requested = HeartbeatFlag.REPLY_REQUESTED
     for sequence, wait in ((1, 0.0), (2, 0.1), (3, REPLY_INTERVAL)):
         parts.host.now += wait
-        parts.receiver.receive(0, heartbeat(sequence=sequence, flags=wish))
+        parts.receiver.receive(0, heartbeat(sequence=sequence, flags=reply_requested))
     assert len(parts.sent()) == 2
     parts.host.now += REPLY_INTERVAL
-    parts.receiver.receive(0, heartbeat(sequence=4, flags=wish | HeartbeatFlag.LEAVING))
+    parts.receiver.receive(0, heartbeat(sequence=4, flags=reply_requested | HeartbeatFlag.LEAVING))
     assert parts.sent() == [] and parts.detector.members[0].state is MemberState.LEFT
 
 
@@ -216,21 +219,21 @@
     parts = Parts()
     parts.receiver.receive(0, heartbeat(GossipEntry(GossipKind.LEASE_GRANT, 2, 12, 1001), sequence=9))
     parts.receiver.receive(0, heartbeat(sequence=1, incarnation=11))
-    assert parts.sender.received == {0: 1} and not parts.leases.grants
+    assert parts.sender.received_sequences == {0: 1} and not parts.leases.grants
 
 
-def test_members_greets_ring_neighbours_at_once_and_keeps_its_interval():
+def test_members_contacts_ring_neighbours_at_once_and_keeps_its_interval():
     host = FakeHost()
     members = Members(host, is_later)
     members.step()
-    greeted = {action.peer for action in host.actions}
+    contacted = {action.peer for action in host.actions}
     host.actions = []
     host.now += 0.05
     members.step()
-    quiet = list(host.actions)
+    sent_early = list(host.actions)
     host.now += MAX_ROUND_INTERVAL
     members.step()
-    assert greeted == {0, 2} and not quiet and {action.peer for action in host.actions} == {0, 2}
+    assert contacted == {0, 2} and not sent_early and {action.peer for action in host.actions} == {0, 2}
 
 
 def test_members_hands_each_event_out_once_and_counts_states():
@@ -241,7 +244,7 @@
     assert members.take_events() == [
         SharesTakenOver(0),
         SharesReturned(0),  # its last heartbeat is renewed once
-        StateChange(0, MemberState.LEFT, MemberState.ALIVE, "it said so"),
+        StateChange(0, MemberState.LEFT, MemberState.ALIVE, "announced its shutdown"),
     ]
     assert members.take_events() == []
     host.now += MAX_ROUND_INTERVAL
@@ -257,13 +260,13 @@
     ("event", "fields"),
     [
         (
-            StateChange(3, MemberState.DEAD, MemberState.SUSPECT, "no news for 2.75 s"),
+            StateChange(3, MemberState.DEAD, MemberState.SUSPECT, "no update for 2.75 s"),
             {
                 "what": "member",
                 "member": 3,
                 "state": "gone",
                 "before": "suspect",
-                "why": "no news for 2.75 s",
+                "why": "no update for 2.75 s",
             },
         ),
         (SharesTakenOver(3), {"what": "slices_taken", "member": 3}),
@@ -272,10 +275,10 @@
         (LeaseRegained((1, 2)), {"what": "slices_sure", "neighbours": "1,2"}),
     ],
 )
-def test_events_are_logged_as_the_operators_page_has_them(event, fields):
-    made = log_fields(event)
-    assert made == fields and list(made) == list(fields)
-    assert all(type(value) in (str, int) for value in made.values())
+def test_events_are_logged_with_the_documented_fields(event, fields):
+    logged = log_fields(event)
+    assert logged == fields and list(logged) == list(fields)
+    assert all(type(value) in (str, int) for value in logged.values())
 
 
 @pytest.mark.parametrize("is_accepted", [True, False])
