--- a/corkdeal/persistence/codec.py
+++ b/corkdeal/persistence/codec.py
@@ -1,8 +1,9 @@
-"""The stored form of a snapshot: format 3, and the way to it from the two older formats.
+"""Encodes and decodes snapshots: writes format 3, and reads it and the two older formats.
 
-The body is one Zstandard frame of a msgpack document. Accounts lie in pages, maps from the customer's number
-to its record, and a record is only decoded when its customer comes: a start with 100,000 accounts must not
-wait for them. Field names of the stored form are mapped to those of `SnapshotHead` here and nowhere else.
+The body is one Zstandard frame that holds a msgpack document. Accounts are stored in pages, maps from the
+customer's number to its record, and a record is only decoded at the customer's first request: a start with
+100,000 accounts must not wait for all of them. The names of stored fields are mapped to those of
+`SnapshotHead` here and nowhere else.
 """
 
 from __future__ import annotations
@@ -28,7 +29,7 @@
 
 CURRENT_FORMAT = 3
 MINIMUM_READER = 3
-COMPRESSION_LEVEL = 1  # of Zstandard: higher levels cost more processor time than the bytes are worth
+COMPRESSION_LEVEL = 1  # of Zstandard; the bytes that higher levels save are not worth their processor time
 MAX_SERVERS = 100_000
 MAX_ACCOUNTS = 1_000_000
 
@@ -40,32 +41,32 @@
 class SnapshotHead(msgspec.Struct, frozen=True, forbid_unknown_fields=False):
     """All of a snapshot but the accounts."""
 
-    name: str  # the gateway's
-    program: str  # version that wrote it
+    name: str  # of the gateway
+    program: str  # the version that wrote the snapshot
     clock: ClockReading
-    # seconds between writes: so much may have been spent unrecorded
+    # seconds between writes, in which units may have been spent that no snapshot records
     write_interval: float = msgspec.field(name="every")
-    # written at a planned end, after which nothing was spent
+    # written at a planned shutdown, after which no units were spent
     is_clean: bool = msgspec.field(name="clean")
     fleet: StoredFleet
     servers: tuple[StoredBackend, ...]
 
 
 class Snapshot(msgspec.Struct):
-    """A gateway's state at one time; `accounts` holds pages of records that are still encoded."""
+    """A gateway's state; `accounts` holds pages of records that are still encoded."""
 
     head: SnapshotHead
     accounts: list[dict[int, msgspec.Raw]]
 
     def encoded_accounts(self) -> dict[int, msgspec.Raw]:
-        """Return all accounts by customer, still encoded; of one that occurs twice the later record."""
+        """Return all accounts by customer, still encoded; for one that occurs twice the later record."""
         if len(self.accounts) == 1:
             return self.accounts[0]
         return {customer: record for page in self.accounts for customer, record in page.items()}
 
 
 class DecodedSnapshot(NamedTuple):
-    """A file's generation, the format it was stored in, and its snapshot in the current form."""
+    """A file's generation, the format it was stored in, and its snapshot, migrated to the current format."""
 
     generation: int
     format: int
@@ -76,23 +77,23 @@
 _account_decoder = msgspec.msgpack.Decoder(StoredAccount)
 _encoder = msgspec.msgpack.Encoder()
 
-# Encodes one record, or any other value of the stored form.
+# Encodes a record or any other value of the stored form as msgpack.
 encode_record = _encoder.encode
 
 
 def decode_account(encoded: bytes | msgspec.Raw) -> StoredAccount:
-    """Decode one account's record; raises `MalformedRecordError` for what is none."""
+    """Decode one account's record; raises `MalformedRecordError` for bytes that are not one."""
     try:
         record = _account_decoder.decode(encoded)
     except msgspec.MsgspecError as error:
         raise MalformedRecordError(str(error)) from error
     if not is_finite(record):
-        raise MalformedRecordError("a figure is not finite")
+        raise MalformedRecordError("a number is not finite")
     return record
 
 
 def is_finite(value: object) -> bool:
-    """Whether every float in nested records is finite."""
+    """Whether every float in a record and the records nested in it is finite."""
     if isinstance(value, float):
         return math.isfinite(value)
     if isinstance(value, tuple):
@@ -106,19 +107,19 @@
 
 
 def encode_page_entry(customer: int, record: bytes | msgspec.Raw) -> bytes:
-    """Encode a page's entry from a record that is encoded already."""
+    """Encode the entry of one customer in a page; the record is encoded already."""
     return encode_record(customer) + bytes(record)
 
 
 def encode_snapshot(generation: int, head: SnapshotHead, pages: list[bytes]) -> list[bytes]:
-    """Encode, compress and seal a whole file, in parts. May run in a thread of its own.
+    """Return a whole file in parts: encoded, compressed and in an envelope. May run in a worker thread.
 
-    Raises `SnapshotTooLargeError` for more than any reader accepts.
+    Raises `SnapshotTooLargeError` for a document larger than readers accept.
     """
     document = list(_document_parts(head, pages))
     size = sum(map(len, document))
     if size > MAX_UNPACKED_SIZE:
-        raise SnapshotTooLargeError(f"{size} bytes of knowledge are over {MAX_UNPACKED_SIZE}")
+        raise SnapshotTooLargeError(f"{size} bytes unpacked exceed the limit of {MAX_UNPACKED_SIZE}")
     compressor = zstandard.ZstdCompressor(level=COMPRESSION_LEVEL, write_content_size=True)
     frame = compressor.compressobj(size=size)
     compressed = [part for part in map(frame.compress, document) if part]
@@ -127,7 +128,7 @@
 
 
 def _document_parts(head: SnapshotHead, pages: list[bytes]) -> Iterator[bytes]:
-    """Encode the document around pages that are encoded already."""
+    """Yield the parts of the document; the pages are encoded already."""
     yield MSGPACK_MAP_OF_2 + encode_record("head") + encode_record(head) + encode_record("accounts")
     yield MSGPACK_ARRAY_32 + len(pages).to_bytes(4, "big")
     yield from pages
@@ -136,7 +137,8 @@
 def decode_snapshot(data: bytes) -> DecodedSnapshot:
     """Decode a file of any supported format.
 
-    Raises `UnsupportedFormatError` where a newer reader is needed, `DamagedSnapshotError` for other faults.
+    Raises `UnsupportedFormatError` for an intact file that needs a newer reader, and `DamagedSnapshotError`
+    for any other fault.
     """
     envelope = parse_envelope(data)
     if envelope.minimum_reader > CURRENT_FORMAT:
@@ -151,7 +153,7 @@
 
 
 def _current_document(envelope: Envelope) -> bytes:
-    """Return an envelope's document in the current format's msgpack."""
+    """Return an envelope's document as msgpack of the current format."""
     if envelope.format == migrate.UNCOMPRESSED_FORMAT:
         document = bytes(envelope.body)
     else:
@@ -162,9 +164,9 @@
 
 
 def decompress(body: memoryview, unpacked_size: int) -> bytes:
-    """Return a Zstandard frame's content, which must have exactly the stated size.
+    """Return the content of a Zstandard frame, which must have exactly `unpacked_size` bytes.
 
-    No more memory than that is allocated. Raises `DamagedSnapshotError` for any other frame.
+    No more memory than that is allocated. Raises `DamagedSnapshotError` for any other body.
     """
     try:
         stated_size = zstandard.frame_content_size(body)
@@ -180,11 +182,11 @@
 
 
 def validate(snapshot: Snapshot) -> None:
-    """Check what the types leave open: sizes, and that every figure of the head is finite."""
+    """Check what decoding by type does not: sizes, and that all numbers of the head are finite."""
     head = snapshot.head
     account_count = sum(map(len, snapshot.accounts))
     if len(head.servers) > MAX_SERVERS or account_count > MAX_ACCOUNTS:
-        raise DamagedSnapshotError("body: more servers or accounts than any gateway has")
+        raise DamagedSnapshotError("body: more backends or accounts than a reader accepts")
     figures = {
         "clock": head.clock,
         "fleet": head.fleet,
@@ -193,6 +195,6 @@
     }
     for stored_name, value in figures.items():
         if not is_finite(value):
-            raise DamagedSnapshotError(f"body: {stored_name}: a figure is not finite")
+            raise DamagedSnapshotError(f"body: {stored_name}: a number is not finite")
     if head.write_interval < 0:
-        raise DamagedSnapshotError("body: every: below 0")
+        raise DamagedSnapshotError("body: every: must not be negative")
--- a/corkdeal/persistence/envelope.py
+++ b/corkdeal/persistence/envelope.py
@@ -1,20 +1,20 @@
-"""The envelope of a stored file: its format, generation, size and checksum. The same for all formats.
+"""The envelope of a stored file: format, generation, sizes and checksum. It is the same for all formats.
 
     offset  size  field, little-endian
          0     8  magic `CORKKNOW`
          8     2  format of the body
-        10     2  lowest format that a reader must support
-        12     2  size of this header (80; a later one may be longer, the checksum keeps its offset)
+        10     2  lowest format that a reader of the file must support
+        12     2  size of this header: 80; a later one may be longer, with the checksum at the same offset
         14     2  flags, 0
         16     8  generation, incremented by each write
         24     8  size of the body as stored
-        32     8  size of the body unpacked; no more memory is allocated
+        32     8  size of the body unpacked; a reader allocates no more memory than that
         40     8  reserved, 0
-        48    32  BLAKE3 of the header's first 48 bytes and of all that follows the checksum
+        48    32  BLAKE3 of the first 48 bytes of the header and of all bytes after the checksum
         80        the body
 
-The checksum is verified before any field but the magic is used. It shows that the file is whole, not who
-wrote it: the folder's mode protects against other writers.
+The checksum is verified before any field but the magic is used. It detects damage, but does not authenticate
+the writer: against other writers the folder's mode protects.
 """
 
 from __future__ import annotations
@@ -33,11 +33,11 @@
 CHECKSUM_SIZE = 32
 MAX_BODY_SIZE = 64 << 20  # bytes as stored
 MAX_UNPACKED_SIZE = 192 << 20  # bytes
-MAX_FILE_SIZE = MAX_BODY_SIZE + 4096  # bytes; leaves room for longer headers
+MAX_FILE_SIZE = MAX_BODY_SIZE + 4096  # bytes; allows for a longer header
 
 
 class Envelope(NamedTuple):
-    """The fields of a verified header, and the body as stored."""
+    """The fields of a verified header, with the body as stored."""
 
     format: int
     minimum_reader: int
@@ -53,7 +53,7 @@
     unpacked_size: int,
     body_parts: Iterable[bytes],
 ) -> list[bytes]:
-    """Return the file's parts, header first; they are not joined, so large bodies are not copied."""
+    """Return the file's parts, header first; they are not joined, so that a large body is not copied."""
     parts = list(body_parts)
     body_size = sum(map(len, parts))
     header = HEADER.pack(
@@ -76,11 +76,11 @@
 
 
 def parse_envelope(data: bytes) -> Envelope:
-    """Verify a file's bytes; raises `DamagedSnapshotError` where they are not whole."""
+    """Verify a file's bytes and return its fields; raises `DamagedSnapshotError` for a damaged file."""
     if len(data) < HEADER.size:
-        raise DamagedSnapshotError(f"byte {len(data)}: ends within the header of {HEADER.size} bytes")
+        raise DamagedSnapshotError(f"byte {len(data)}: file ends within the header of {HEADER.size} bytes")
     if len(data) > MAX_FILE_SIZE:
-        raise DamagedSnapshotError(f"byte {MAX_FILE_SIZE}: larger than any file of ours")
+        raise DamagedSnapshotError(f"byte {MAX_FILE_SIZE}: file is larger than a reader accepts")
     fields = HEADER.unpack_from(data)
     (
         magic,
@@ -95,23 +95,23 @@
         checksum,
     ) = fields
     if magic != MAGIC:
-        raise DamagedSnapshotError("byte 0: no file of knowledge")
+        raise DamagedSnapshotError("byte 0: not a snapshot file")
     if _checksum_of(data) != checksum:
         raise DamagedSnapshotError(
-            f"byte {CHECKSUM_OFFSET}: the checksum does not fit; it was cut short, changed or mixed"
+            f"byte {CHECKSUM_OFFSET}: checksum mismatch: the file is truncated or corrupted"
         )
     if header_size < HEADER.size or header_size + body_size != len(data):
-        raise DamagedSnapshotError(f"byte 12: header and body do not make {len(data)} bytes")
+        raise DamagedSnapshotError(f"byte 12: header and body sizes do not add up to {len(data)} bytes")
     if unpacked_size > MAX_UNPACKED_SIZE:
         raise DamagedSnapshotError(
-            f"byte 32: would unpack to {unpacked_size} bytes, over {MAX_UNPACKED_SIZE}"
+            f"byte 32: unpacked size of {unpacked_size} bytes exceeds the limit of {MAX_UNPACKED_SIZE}"
         )
     body = memoryview(data)[header_size:]
     return Envelope(format_number, minimum_reader, generation, unpacked_size, body)
 
 
 def _checksum_of(data: bytes) -> bytes:
-    """Return the checksum that a whole file of these bytes would state."""
+    """Return the checksum of all bytes of a file but those of the checksum itself."""
     view = memoryview(data)
     checksum = blake3(view[:CHECKSUM_OFFSET])
     checksum.update(view[CHECKSUM_OFFSET + CHECKSUM_SIZE :])
--- a/corkdeal/persistence/errors.py
+++ b/corkdeal/persistence/errors.py
@@ -1,7 +1,7 @@
-"""Errors of persisted state: what is wrong with a file, a folder or a record.
+"""Errors of persisted state: faults of a file, a folder or a record.
 
-Errors of content are also `ValueError` and errors of the file system also `OSError`, so a caller that only
-has to survive them may catch the built-in class.
+Errors of content are also `ValueError`, and errors of the file system also `OSError`, so that a caller that
+handles all of them alike may catch the built-in class.
 """
 
 from __future__ import annotations
@@ -14,15 +14,15 @@
 
 
 class DamagedSnapshotError(PersistenceError, ValueError):
-    """A file that is not whole; the text names the byte or the part of the body."""
+    """A truncated or corrupted file; the text names the byte or the part of the body."""
 
 
 class UnsupportedFormatError(PersistenceError, ValueError):
-    """A whole file that needs a newer reader; it is left untouched."""
+    """An intact file that needs a newer reader; it is never removed."""
 
 
 class MigrationError(PersistenceError, ValueError):
-    """A body that is not of the older format that its envelope states."""
+    """A body that does not have the older format that its envelope states."""
 
 
 class MalformedRecordError(PersistenceError, ValueError):
@@ -30,16 +30,16 @@
 
 
 class SnapshotTooLargeError(PersistenceError, ValueError):
-    """A snapshot larger than any reader would accept."""
+    """A snapshot that is larger than readers accept."""
 
 
 class UnsafeFileError(PersistenceError, OSError):
-    """Something that is not a plain file or folder of this user's; the text names it."""
+    """A path that is not a file or folder of this user's alone, or too large; the text names it."""
 
 
 class FolderLockedError(PersistenceError, OSError):
-    """Another process has the folder."""
+    """The folder is locked by another process."""
 
 
 class GenerationsExhaustedError(PersistenceError, OSError):
-    """The folder holds the highest generation number that a file name can bear."""
+    """The folder holds the highest generation number that a file name can express."""
--- a/corkdeal/persistence/migrate.py
+++ b/corkdeal/persistence/migrate.py
@@ -1,9 +1,10 @@
-"""Brings older formats forward one step at a time, on plain dictionaries.
+"""Migrates documents of older formats to the current one, format by format, as plain dictionaries.
 
-Format 1: JSON, not compressed. Wall clock only, no shut-outs, no ledgers; times are wall times.
-Format 2: msgpack in a Zstandard frame. Both clocks, shut-outs, ledgers without the rounds and incarnations
-that are needed to resume them; times are of the boot clock. Accounts are one map of named fields.
-Format 3: see `codec`. Records are arrays, accounts lie in pages, and ledgers can be resumed.
+Format 1: JSON, not compressed. It has no boot clock, class rejections or ledgers; times are wall times.
+Format 2: msgpack in a Zstandard frame. It has both clocks and class rejections; times are of the boot clock.
+Its ledgers lack the rounds and incarnations that are needed to resume them. The accounts are one map from
+customer to a record of named fields.
+Format 3: see `codec`. Records are arrays, accounts are stored in pages, and ledgers can be resumed.
 """
 
 from __future__ import annotations
@@ -16,19 +17,19 @@
 from .errors import MigrationError
 
 UNCOMPRESSED_FORMAT = 1
-# The decisions bound saved-up retries by fewer than this, so an unknown number becomes their own bound.
+# More than the greatest retry budget of the decisions: an unknown budget is reduced to that one.
 UNKNOWN_RETRIES = 1e6
 
 Document = dict[str, Any]
 
 
 def migrate_to_current(format_number: int, body: bytes) -> Document:
-    """Return an older format's body in the plain form of format 3.
+    """Return the body of an older format as a plain document of format 3.
 
-    Raises `MigrationError` for a body that is not of that format.
+    Raises `MigrationError` for a body that does not have that format.
     """
     if format_number not in READERS:
-        raise MigrationError(f"there is no format {format_number}")
+        raise MigrationError(f"unknown format {format_number}")
     try:
         document = READERS[format_number](body)
         while format_number in STEPS:
@@ -36,7 +37,7 @@
             format_number += 1
     except (KeyError, TypeError, AttributeError, IndexError, ValueError, msgspec.MsgspecError) as error:
         reason = f"{type(error).__name__}: {error}"
-        raise MigrationError(f"not of format {format_number}: {reason}") from error
+        raise MigrationError(f"malformed document of format {format_number}: {reason}") from error
     return document
 
 
@@ -51,7 +52,7 @@
 
 
 def format_1_to_2(old: Document) -> Document:
-    """Turn wall times into those of a boot clock that was 0 at the writing; its boot id is unknown."""
+    """Convert wall times to those of a boot clock that was 0 at the write; the boot id is unknown."""
     wall = old["wall"]
     work = [[entry["class"], entry["size"], entry["seconds"], 0.0] for entry in old["work"]]
     return {
@@ -78,7 +79,7 @@
 
 
 def format_2_to_3(old: Document) -> Document:
-    """Turn records into arrays; drop ledgers, for no incarnation tells whether they may be resumed."""
+    """Convert records to arrays; drop ledgers, which can't be resumed without an incarnation."""
     clock = old["clock"]
     accounts = {customer: _account_2_to_3(account) for customer, account in old["accounts"].items()}
     return {
@@ -96,7 +97,7 @@
 
 
 def _fleet_2_to_3(fleet: Document, boot: float) -> list[Any]:
-    """The last five fields are place, tier, incarnation, round and peers, all unknown."""
+    """Return the fleet's record, with gateway index and count, incarnation, round and peers unknown."""
     work = [[*entry[:3], boot] for entry in fleet["work"]]
     return [fleet["pace"], fleet["slow"], UNKNOWN_RETRIES, work, 0, 0, 0, 0, []]
 
@@ -108,7 +109,7 @@
 
 
 def _account_2_to_3(account: Document) -> list[Any]:
-    """The account was last asked for `at` its time; ceiling and totals start at 0, ledgers empty."""
+    """Return an account's record, with `at` as the time of its last request and all that is unknown empty."""
     at = account["at"]
     identity = [account["plan"], account["first"], account["spread"]]
     bucket = [at, at, account["level"], 0.0, account["demand"], account["open"]]
--- a/tests/persistence/samples.py
+++ b/tests/persistence/samples.py
@@ -1,4 +1,4 @@
-"""Snapshots for tests, and how the frozen files of older and newer formats were made."""
+"""Sample snapshots, and the code that made the stored files of all formats in `data`."""
 
 import pathlib
 
@@ -52,7 +52,7 @@
 
 
 def plain(snapshot):
-    """The snapshot with its accounts decoded, to compare by value."""
+    """Return the snapshot with its accounts decoded, for comparison by value."""
     return snapshot.head, merge.accounts_of(snapshot)
 
 
@@ -136,7 +136,7 @@
 
 
 def make():
-    """Write the frozen files that are missing; one that exists is from an earlier version, and stays."""
+    """Write the files that are missing; existing ones come from earlier versions and must not change."""
     DATA.mkdir(exist_ok=True)
     files = {
         "format-1.know": sealed(1, msgspec.json.encode(ONE), packed=False),
--- a/tests/persistence/test_codec.py
+++ b/tests/persistence/test_codec.py
@@ -1,4 +1,4 @@
-"""Files of all formats and everything that may be wrong with one."""
+"""Unit tests of `codec`: files of all formats, and damaged or malicious ones."""
 
 import math
 import pathlib
@@ -43,7 +43,7 @@
     assert [s.request_class for s in server.rejections] == ([] if form == 1 else ["note"]) and bool(
         account.ledgers
     ) is (form == 3)
-    assert (head.fleet.incarnation > 0) is (form == 3)  # older ones can't go on with their ledgers
+    assert (head.fleet.incarnation > 0) is (form == 3)  # 0: ledgers can't be resumed
 
 
 def test_a_newer_format_is_distinguished_from_a_damaged_one():
@@ -74,7 +74,7 @@
 @pytest.mark.parametrize(
     ("data", "why"),
     [
-        (resized(MAX_UNPACKED_SIZE + 1, b"x"), "would unpack to"),
+        (resized(MAX_UNPACKED_SIZE + 1, b"x"), "unpacked size of"),
         (resized(100, zstandard.compress(bytes(1 << 28))), "unpacks to 268435456 bytes, not to 100"),
         (
             resized(100, zstandard.ZstdCompressor(write_content_size=False).compress(bytes(1 << 28))),
@@ -82,12 +82,15 @@
         ),
         (resized(3, zstandard.compress(b"abc")), "body: "),
         (samples.sealed(3, msgspec.msgpack.encode({"head": 1, "accounts": []})), "head"),
-        (samples.sealed(1, b"{}", packed=False), "not of format 1: KeyError"),
-        (samples.sealed(2, msgspec.msgpack.encode({**samples.TWO, "accounts": 3})), "not of format 2"),
+        (samples.sealed(1, b"{}", packed=False), "malformed document of format 1: KeyError"),
+        (
+            samples.sealed(2, msgspec.msgpack.encode({**samples.TWO, "accounts": 3})),
+            "malformed document of format 2",
+        ),
         (samples.sealed(7, b"x", least=3), "body: "),
         (
             samples.data(head=msgspec.structs.replace(samples.HEAD, write_interval=math.nan)),
-            "every: a figure is not finite",
+            "every: a number is not finite",
         ),
         (
             samples.data(
@@ -95,7 +98,7 @@
                     samples.HEAD, servers=(samples.SERVER._replace(slowness=math.inf),)
                 )
             ),
-            "servers: a figure is not finite",
+            "servers: a number is not finite",
         ),
     ],
 )
@@ -111,7 +114,7 @@
         "resource.setrlimit(resource.RLIMIT_AS, (1 << 29, 1 << 29))\n"
         "try:\n    decode_snapshot(sys.stdin.buffer.read())\nexcept DamagedSnapshotError as e:\n    print(e)"
     )
-    bomb = zstandard.compress(bytes(3 << 30))  # 3 GiB of nothing in about 100 kB
+    bomb = zstandard.compress(bytes(3 << 30))  # 3 GiB of zeros compressed to about 100 kB
     for data in (resized(3 << 30, bomb), resized(1 << 20, bomb)):
         done = subprocess.run(
             [sys.executable, "-c", code],
--- a/tests/persistence/test_envelope.py
+++ b/tests/persistence/test_envelope.py
@@ -1,4 +1,4 @@
-"""The envelope alone: what is built is parsed, and each field that does not fit is named by its byte."""
+"""Unit tests of `envelope`: what is built can be parsed, and an error names the byte of the wrong field."""
 
 import pytest
 
@@ -23,7 +23,7 @@
 
 
 def restated(offset, value, size):
-    """An envelope with one changed header field and a checksum that fits it."""
+    """Return an envelope with one changed header field and a matching checksum."""
     data = bytearray(b"".join(envelope.build_envelope(3, 3, 1, 10, [b"body"])))
     data[offset : offset + size] = value.to_bytes(size, "little")
     checksum = envelope.blake3(bytes(data[: envelope.CHECKSUM_OFFSET]))
@@ -35,8 +35,8 @@
 @pytest.mark.parametrize(
     ("data", "reason"),
     [
-        (b"", "byte 0: ends within the header"),
-        (bytes(80), "byte 0: no file of knowledge"),
+        (b"", "byte 0: file ends within the header"),
+        (bytes(80), "byte 0: not a snapshot file"),
         (restated(12, 79, 2), "byte 12: "),
         (restated(24, 5, 8), "byte 12: "),
         (restated(32, envelope.MAX_UNPACKED_SIZE + 1, 8), "byte 32: "),
--- a/tests/persistence/test_errors.py
+++ b/tests/persistence/test_errors.py
@@ -1,4 +1,4 @@
-"""The typed errors of persisted state, and the built-in classes by which callers may catch them."""
+"""Unit tests of `errors`: the common base class, and the built-in classes by which callers catch errors."""
 
 import inspect
 
@@ -42,7 +42,7 @@
 
 def test_a_snapshot_over_the_readers_bound_is_not_encoded(monkeypatch):
     monkeypatch.setattr("corkdeal.persistence.codec.MAX_UNPACKED_SIZE", 100)
-    with pytest.raises(errors.SnapshotTooLargeError, match="bytes of knowledge are over 100"):
+    with pytest.raises(errors.SnapshotTooLargeError, match="bytes unpacked exceed the limit of 100"):
         encode_snapshot(1, samples.HEAD, [])
 
 
--- a/tests/persistence/test_migrate.py
+++ b/tests/persistence/test_migrate.py
@@ -1,4 +1,4 @@
-"""Bringing older formats forward, alone: one step at a time on plain dictionaries."""
+"""Unit tests of `migrate`: each step from one format to the next, and malformed documents."""
 
 import msgspec
 import pytest
@@ -47,11 +47,11 @@
 @pytest.mark.parametrize(
     ("format_number", "body", "reason"),
     [
-        (0, b"{}", "there is no format 0"),
-        (3, b"", "there is no format 3"),
-        (1, b"no json", "not of format 1: DecodeError: "),
-        (1, b"[]", "not of format 1: TypeError: "),
-        (2, msgspec.msgpack.encode({}), "not of format 2: KeyError: 'clock'"),
+        (0, b"{}", "unknown format 0"),
+        (3, b"", "unknown format 3"),
+        (1, b"no json", "malformed document of format 1: DecodeError: "),
+        (1, b"[]", "malformed document of format 1: TypeError: "),
+        (2, msgspec.msgpack.encode({}), "malformed document of format 2: KeyError: 'clock'"),
     ],
 )
 def test_a_body_that_is_not_of_its_format_is_an_error_that_names_the_step(format_number, body, reason):
--- a/tests/persistence/test_stored_form.py
+++ b/tests/persistence/test_stored_form.py
@@ -1,6 +1,6 @@
-"""The stored form stays as it is, to the byte.
+"""The stored form must not change by a byte, so that earlier and later versions read each other's files.
 
-`data/format-3-full.know` is generation 2 of a folder that the store of revision 42616ba (version 0.2.0) wrote
+`data/format-3-full.know` is generation 2 in a folder that the store of revision 42616ba (version 0.2.0) wrote
 from the records below.
 """
 
@@ -52,7 +52,7 @@
 
 
 def full_parts(generation):
-    """The file's parts, each account in a page of its own."""
+    """Return the parts of the file, with each account in a page of its own."""
     pages = [
         encode_page([encode_page_entry(customer, encode_record(a))], 1) for customer, a in ACCOUNTS.items()
     ]
