--- a/corkdeal/persistence/files.py
+++ b/corkdeal/persistence/files.py
@@ -1,8 +1,8 @@
-"""The operations on one folder that the store needs; tests record, fail or replay each of them.
+"""The file system operations on one folder that the store needs; tests record, fail or replay each of them.
 
-All of them go through the folder's descriptor: a folder that is moved or replaced meanwhile leads to an
-error, never to another folder's files. No symbolic link is followed, and only regular files of this user are
-read.
+All of them go through the folder's descriptor, so that a folder that is moved or replaced meanwhile leads to
+an error and never to another folder's files. Symbolic links are not followed, and only regular files of this
+user are read.
 """
 
 from __future__ import annotations
@@ -14,19 +14,20 @@
 
 from .errors import FolderLockedError, UnsafeFileError
 
-# O_NONBLOCK: a FIFO in a file's place must not block the reader
+# O_NONBLOCK: opening a FIFO instead of a file must not block
 OPEN_FLAGS = os.O_CLOEXEC | os.O_NOFOLLOW | os.O_NONBLOCK
-WRITE_CHUNK_SIZE = 1 << 20  # bytes in one call, so that none takes long
-CLOSED = -1  # in a descriptor's place
+WRITE_CHUNK_SIZE = 1 << 20  # bytes read or written by one system call, so that none takes long
+CLOSED = -1  # stands for a descriptor that is closed
 
 
 class StateFolder:
-    """One open folder; close it with `close`."""
+    """An open folder; call `close` when done with it."""
 
     def __init__(self, path: str, create_missing: bool = True) -> None:
         """Open the folder, created with mode 0700 if it is missing and `create_missing` is set.
 
-        Raises `OSError` where that fails, and `UnsafeFileError` for a folder that others may write.
+        Raises `OSError` where that fails, and `UnsafeFileError` for a folder of another user or, if
+        `create_missing` is set, one that others may write.
         """
         if create_missing:
             os.makedirs(path, mode=0o700, exist_ok=True)
@@ -36,7 +37,7 @@
         may_others_write = create_missing and bool(status.st_mode & 0o022)
         if status.st_uid != os.geteuid() or may_others_write:
             self.close()
-            raise UnsafeFileError(f"{path}: not this user's alone to write")
+            raise UnsafeFileError(f"{path}: not owned by this user, or writable by others")
 
     def close(self) -> None:
         """Close the folder; a second call has no effect."""
@@ -45,27 +46,27 @@
             self.descriptor = CLOSED
 
     def list_names(self) -> list[str]:
-        """Return the names in the folder."""
+        """Return the names of all files in the folder."""
         return os.listdir(self.descriptor)
 
     def read(self, name: str, max_size: int) -> bytes:
-        """Return a file's bytes, at most one more than `max_size` if it grows while it is read.
+        """Return a file's bytes; if it grows while it is read, at most one more than `max_size`.
 
-        Raises `UnsafeFileError` for a larger file and for one that is not a regular file of this user's.
+        Raises `UnsafeFileError` for a larger file and for what is not a regular file of this user's.
         """
         descriptor = os.open(name, os.O_RDONLY | OPEN_FLAGS, dir_fd=self.descriptor)
         with os.fdopen(descriptor, "rb", buffering=0) as file:
             status = os.fstat(descriptor)
             require_own_regular_file(status, name)
             if status.st_size > max_size:
-                raise UnsafeFileError(f"{name}: {status.st_size} bytes, more than any file of ours")
+                raise UnsafeFileError(f"{name}: {status.st_size} bytes, over the size limit")
             data = bytearray()
             while chunk := file.read(min(WRITE_CHUNK_SIZE, max_size + 1 - len(data))):
                 data += chunk
             return bytes(data)
 
     def create(self, name: str) -> int:
-        """Return a new file's descriptor, mode 0600; raises `FileExistsError` if the name is taken."""
+        """Create a file of mode 0600 and return its descriptor; raises `FileExistsError` if there is one."""
         flags = os.O_WRONLY | os.O_CREAT | os.O_EXCL | OPEN_FLAGS
         return os.open(name, flags, 0o600, dir_fd=self.descriptor)
 
@@ -78,7 +79,7 @@
                 view = view[written:]
 
     def sync(self, file: int) -> None:
-        """Return once a file's content is durable."""
+        """Make a file's content durable; blocks until it is."""
         os.fsync(file)
 
     def close_file(self, file: int) -> None:
@@ -86,15 +87,15 @@
         os.close(file)
 
     def rename(self, old: str, new: str) -> None:
-        """Rename a file, atomically replacing one of the new name."""
+        """Rename a file; one of the new name is replaced atomically."""
         os.rename(old, new, src_dir_fd=self.descriptor, dst_dir_fd=self.descriptor)
 
     def sync_folder(self) -> None:
-        """Return once the folder's names are durable."""
+        """Make the folder's names durable; blocks until they are."""
         os.fsync(self.descriptor)
 
     def unlink(self, name: str) -> None:
-        """Remove a name."""
+        """Remove a file."""
         os.unlink(name, dir_fd=self.descriptor)
 
     def is_current(self) -> bool:
@@ -115,7 +116,7 @@
             fcntl.flock(file, fcntl.LOCK_EX | fcntl.LOCK_NB)
         except BlockingIOError as error:
             os.close(file)
-            raise FolderLockedError(f"{self.path}: kept by another process") from error
+            raise FolderLockedError(f"{self.path}: locked by another process") from error
         except BaseException:
             os.close(file)
             raise
@@ -123,8 +124,8 @@
 
 
 def require_own_regular_file(status: os.stat_result, name: str) -> None:
-    """Raise `UnsafeFileError` for what is not a regular file of this user's."""
+    """Raise `UnsafeFileError` unless the status is that of a regular file of this user's."""
     if not stat.S_ISREG(status.st_mode):
         raise UnsafeFileError(f"{name}: no regular file")
     if status.st_uid != os.geteuid():
-        raise UnsafeFileError(f"{name}: another user's file")
+        raise UnsafeFileError(f"{name}: owned by another user")
--- a/corkdeal/persistence/handover_files.py
+++ b/corkdeal/persistence/handover_files.py
@@ -1,13 +1,14 @@
-"""The folder that successive processes of one gateway share, and the snapshots that they hand over in it.
+"""The folder that successive processes of one gateway share, and the snapshots they hand over in it.
 
-    0000000000000007.life          locked by incarnation 7 while it runs; its number is never used twice
-    0000000000000006-7.first       what incarnation 6 gave incarnation 7 as that one started
-    0000000000000006-7.rest        what it gave at its end
+    0000000000000007.life          locked by incarnation 7 while it runs; no number is used twice
+    0000000000000006-7.first       handed over by incarnation 6 to incarnation 7 when 7 started
+    0000000000000006-7.rest        handed over by incarnation 6 to incarnation 7 when 6 ended
 
-A snapshot's name states from whom and for whom it is: only that incarnation writes it, and only the other one
-reads it. So an old process can't overwrite what a new one goes by, and a third one finds nothing that was not
-meant for it. Files are renamed into place whole and carry the checksum of `envelope`; nothing is synced, for
-no process outlasts the machine.
+A snapshot's name states its writer and its reader: only incarnation 6 writes the files above, and only
+incarnation 7 reads them. So no process overwrites a snapshot that another one has to read, and none reads a
+snapshot that was written for another. Files are written under a temporary name and then renamed, and carry
+the checksum of `envelope`. They are not synced: a crash of the machine ends all processes that would read
+them.
 """
 
 from __future__ import annotations
@@ -28,23 +29,23 @@
 
 
 class HandoverPart(enum.Enum):
-    """Which part of its state an incarnation hands over; the value is the file's suffix."""
+    """The two snapshots that an incarnation hands over; the value is the suffix of the file's name."""
 
     PARTIAL = "first"
     FINAL = "rest"
 
 
 class HandoverFiles:
-    """One incarnation's view of the folder; each call is a few short operations on files."""
+    """One incarnation's access to the folder; each call makes a few short system calls."""
 
     def __init__(self, folder: str, opener: Callable[[str], StateFolder] = StateFolder) -> None:
         self.files = opener(folder)
         self.lock = CLOSED
-        self.incarnation = 0  # until `join`
-        self.ended: set[int] = set()  # incarnations found to have ended; they stay so
+        self.incarnation = 0  # 0 until `join`
+        self.ended: set[int] = set()  # incarnations known to have ended; an ended one never runs again
 
     def join(self) -> int | None:
-        """Take the next incarnation number; return the newest one before it that still runs, if any."""
+        """Take the next incarnation number; return the predecessor, if one runs."""
         while True:
             known = self.incarnations()
             self.incarnation = max(known, default=0) + 1
@@ -52,32 +53,32 @@
             try:
                 self.files.close_file(self.files.create(name))
             except FileExistsError:
-                continue  # another process was faster
+                continue  # another process took the number
             self.lock = self.files.lock(name)
             self._remove_ended([number for number in known if self.is_running(number)])
             return self.predecessor()
 
     def incarnations(self) -> list[int]:
-        """Return all numbers in use, ascending."""
+        """Return the numbers of all incarnations whose file exists, in ascending order."""
         matches = map(match_incarnation_name, self.files.list_names())
         return sorted(int(match[1]) for match in matches if match)
 
     def predecessor(self) -> int | None:
-        """Return the newest incarnation before this one that runs."""
+        """Return the newest running incarnation before this one."""
         for number in reversed(self.incarnations()):
             if number < self.incarnation and self.is_running(number):
                 return number
         return None
 
     def successor(self) -> int | None:
-        """Return the next incarnation after this one that runs."""
+        """Return the oldest running incarnation after this one."""
         for number in self.incarnations():
             if number > self.incarnation and self.is_running(number):
                 return number
         return None
 
     def is_running(self, number: int) -> bool:
-        """Whether an incarnation's process runs, which holds a lock for that long."""
+        """Whether an incarnation's process runs; it holds the lock of its file while it does."""
         if number == self.incarnation:
             return True
         if number in self.ended:
@@ -91,9 +92,9 @@
         return False
 
     def write(self, successor: int, part: HandoverPart, encode: Callable[[int], list[bytes]]) -> None:
-        """Hand a snapshot over; `encode` makes its parts from this incarnation's number.
+        """Hand a snapshot over; `encode` returns its parts, given this incarnation's number.
 
-        Raises `OSError` where it can't be written, and then there is none.
+        Raises `OSError` where it can't be written; the successor then finds no snapshot.
         """
         pair = f"{self.incarnation:016d}-{successor}"
         temporary = f"{pair}.tmp"
@@ -107,9 +108,9 @@
         self.files.rename(temporary, f"{pair}.{part.value}")
 
     def read(self, predecessor: int, part: HandoverPart) -> Snapshot | None:
-        """Return what that incarnation handed over to this one; None while there is none.
+        """Return the snapshot that an incarnation handed over to this one; None while there is none.
 
-        Raises `DamagedSnapshotError` for a file that is not whole.
+        Raises `DamagedSnapshotError` for a damaged file.
         """
         name = f"{predecessor:016d}-{self.incarnation}.{part.value}"
         try:
@@ -118,18 +119,18 @@
             return None
         decoded = decode_snapshot(data)
         if decoded.generation != predecessor:
-            raise DamagedSnapshotError(f"byte 16: life {decoded.generation} under the name of {predecessor}")
+            raise DamagedSnapshotError(f"byte 16: from incarnation {decoded.generation}, not {predecessor}")
         return decoded.snapshot
 
     def close(self) -> None:
-        """Unlock this incarnation's number and close the folder; a second call has no effect."""
+        """Unlock this incarnation's file and close the folder; a second call has no effect."""
         if self.lock != CLOSED:
             os.close(self.lock)
             self.lock = CLOSED
         self.files.close()
 
     def _remove_ended(self, running: Collection[int]) -> None:
-        """Remove the files of ended incarnations; this one's stays, so that no number is used twice."""
+        """Remove the files of ended incarnations. This one's stays, so that its number is not used again."""
         for name in self.files.list_names():
             match = match_incarnation_name(name) or match_snapshot_name(name)
             if match is None:
@@ -141,5 +142,5 @@
 
 
 def incarnation_name(number: int) -> str:
-    """Return the name of the file that an incarnation holds locked."""
+    """Return the name of the file that an incarnation keeps locked while it runs."""
     return f"{number:016d}.life"
--- a/corkdeal/persistence/store.py
+++ b/corkdeal/persistence/store.py
@@ -1,8 +1,9 @@
-"""Generations of snapshots in one gateway's folder: which is loaded, how one is written, which are removed.
+"""Keeps generations of snapshots in a gateway's folder: loads the newest, writes the next, removes old ones.
 
-A write is atomic: a temporary file, its content synced, renamed to its generation's name, the folder synced.
-Only then is the generation durable, and only then are older ones removed, so a crash at any moment leaves the
-newest durable generation or a newer one. A file that cannot be read is passed over for the one before it.
+A write is atomic: the content goes to a temporary file, which is synced and renamed to the generation's name,
+and then the folder is synced. Only then is the generation durable, and only then are older ones removed, so
+that a crash at any moment leaves the newest durable generation or a newer one. If a file cannot be read, the
+generation before it is loaded.
 """
 
 from __future__ import annotations
@@ -26,14 +27,14 @@
 
 
 class RejectedFile(NamedTuple):
-    """A file that was not loaded, and the reason."""
+    """A file that could not be loaded, and why."""
 
     file: str
     reason: str
 
 
 class LoadedSnapshot(NamedTuple):
-    """The newest readable snapshot; without one `file` is empty and `snapshot` is None."""
+    """The newest readable snapshot; if there is none, `file` is empty and `snapshot` is None."""
 
     file: str
     format: int
@@ -42,7 +43,7 @@
 
 
 def gateway_folder(path: str, name: str) -> str:
-    """Return a gateway's own folder: its name with all but letters, digits, `_` and `-` written as %XX."""
+    """Return a gateway's folder: its name, with all but letters, digits, `_` and `-` encoded as %XX."""
 
     def escaped(match: re.Match[str]) -> str:
         return "".join(f"%{byte:02X}" for byte in match[0].encode())
@@ -56,12 +57,12 @@
 
 
 def temporary_name(generation: int) -> str:
-    """Return the file name of a generation that is being written."""
+    """Return the file name of a generation while it is written."""
     return f"{generation:016d}.tmp"
 
 
 class SnapshotStore:
-    """One gateway's folder. Every method may block, so it belongs in a thread of its own."""
+    """The snapshots in one gateway's folder. All methods may block: call them in a worker thread."""
 
     def __init__(
         self, folder: str, retained: int = 2, opener: Callable[[str], StateFolder] = StateFolder
@@ -71,15 +72,15 @@
         self.opener = opener
         self.files: StateFolder | None = None
         self.lock: int | None = None
-        self.newest_generation = 0  # the highest in any file's name
-        self.generations: list[int] = []  # those that may be loaded, oldest first
-        self.newer_formats: set[int] = set()  # generations that are never removed
-        self.replaceable: set[int] = set()  # generations known to be of a format that may be removed
+        self.newest_generation = 0  # the highest number in a file's name
+        self.generations: list[int] = []  # that may be loaded, oldest first
+        self.newer_formats: set[int] = set()  # generations of a newer format; they are never removed
+        self.replaceable: set[int] = set()  # generations known to have a format that may be removed
 
     def open(self) -> None:
-        """Open and lock the folder; a folder that has vanished or was replaced is opened anew.
+        """Open and lock the folder; opens it again if it was removed or replaced since.
 
-        Raises `FolderLockedError` if another process has it and `OSError` where it can't be used.
+        Raises `FolderLockedError` if another process has locked it, and `OSError` where it can't be used.
         """
         if self.files is not None and not self.files.is_current():
             self.close()
@@ -105,7 +106,7 @@
         self.lock = None
 
     def load(self) -> LoadedSnapshot:
-        """Return the newest snapshot that is whole and of a supported format."""
+        """Return the newest snapshot that is intact and of a supported format."""
         rejected: list[RejectedFile] = []
         for generation in reversed(self.generations[:]):
             name = snapshot_name(generation)
@@ -122,11 +123,11 @@
         return LoadedSnapshot("", 0, None, rejected)
 
     def write(self, encode: Callable[[int], list[bytes]]) -> int:
-        """Write the parts that `encode` returns for the next generation; return its number once durable."""
+        """Write the parts that `encode` returns for the next generation; returns its number once durable."""
         self.open()
         generation = self.newest_generation + 1
         if generation > MAX_GENERATION:
-            raise GenerationsExhaustedError("no generation is left")
+            raise GenerationsExhaustedError("the highest generation number is in use")
         parts = encode(generation)
         try:
             self._write_file(generation, parts)
@@ -145,7 +146,7 @@
         return self.files
 
     def _scan(self) -> None:
-        """List the generations in the folder, and remove temporary files that a crash left."""
+        """List the generations in the folder, and remove temporary files that a crash left behind."""
         files = self._opened()
         names = files.list_names()
         for name in filter(match_temporary_name, names):
@@ -156,7 +157,7 @@
         self.newest_generation = max([self.newest_generation, *self.generations])
 
     def _rescan(self) -> None:
-        """List the generations again after a failure, which may have left the folder in any state."""
+        """List the generations again after a failed write, which may have left the folder in any state."""
         try:
             self._scan()
         except OSError:
@@ -169,7 +170,7 @@
         data = self._opened().read(snapshot_name(generation), MAX_FILE_SIZE)
         stated, format_number, snapshot = decode_snapshot(data)
         if stated != generation:
-            raise DamagedSnapshotError(f"byte 16: generation {stated} under the name of {generation}")
+            raise DamagedSnapshotError(f"byte 16: generation {stated} in the file of generation {generation}")
         return format_number, snapshot
 
     def _write_file(self, generation: int, parts: list[bytes]) -> None:
@@ -183,12 +184,12 @@
         finally:
             files.close_file(file)
         files.rename(temporary, snapshot_name(generation))
-        # The name may exist from here on, durable or not, so the number is never used again.
+        # From here on the name may exist, durable or not, so the number must not be used again.
         self.newest_generation = generation
         files.sync_folder()
 
     def _remove_old_generations(self) -> None:
-        """Remove all but the newest generations; files of a newer format stay."""
+        """Remove all but the newest `retained` generations; files of a newer format stay."""
         surplus = self.generations[: -self.retained]
         self.generations = self.generations[-self.retained :]
         for generation in surplus:
@@ -197,16 +198,16 @@
             except FileNotFoundError:
                 continue
             except OSError:
-                self.generations.insert(0, generation)  # tried again after the next write
+                self.generations.insert(0, generation)  # retried after the next write
 
     def _remove(self, generation: int) -> None:
-        """Remove a generation's file, unless it is of a newer format."""
+        """Remove a generation's file, unless it has a newer format."""
         if self._may_remove(generation):
             self._opened().unlink(snapshot_name(generation))
             self.replaceable.discard(generation)
 
     def _may_remove(self, generation: int) -> bool:
-        """Whether a file may be removed: not if its format is newer, also where it was never loaded."""
+        """Whether a generation's file may be removed: not if it has a newer format; reads it if unknown."""
         if generation in self.replaceable:
             return True
         data = self._opened().read(snapshot_name(generation), MAX_FILE_SIZE)
--- a/corkdeal/persistence/write_health.py
+++ b/corkdeal/persistence/write_health.py
@@ -1,4 +1,4 @@
-"""Whether writing works: counts each failure, logs the first and the recovery, spaces out retries."""
+"""Tracks failures to write: counts each one, logs the first and the recovery, and spaces out retries."""
 
 from __future__ import annotations
 
@@ -9,12 +9,12 @@
 from .errors import FolderLockedError
 
 MAX_RETRY_DELAY = 10.0  # seconds between attempts while writing fails
-LOCK_RETRY_DELAY = 2.0  # seconds between attempts while another process has the folder
+LOCK_RETRY_DELAY = 2.0  # seconds between attempts while another process has locked the folder
 MAX_BACKOFF_EXPONENT = 8
 
 
 class WriteHealth:
-    """The failures since the last write that succeeded."""
+    """The failures since the last successful write."""
 
     def __init__(self, folder: str, counts: Counter[str]) -> None:
         self.folder = folder
@@ -23,12 +23,12 @@
         self.is_locked = False
 
     def use_folder(self, folder: str) -> None:
-        """Start over for another folder."""
+        """Switch to another folder, without failures."""
         self.folder = folder
         self._reset()
 
     def record_failure(self, error: BaseException) -> None:
-        """Count a failure to open or write; logged once until writing works again."""
+        """Count a failure to open or write; only the first since the last success is logged."""
         if isinstance(error, FolderLockedError):
             self._record_lock()
             return
@@ -38,14 +38,14 @@
         self.failures += 1
 
     def record_capture_failure(self) -> None:
-        """Count the exception that is being handled, a bug while capturing state."""
+        """Count the exception being handled, which a bug in capturing state raised."""
         self.counts["knowledge_collect_failed"] += 1
         if self.failures == 0:
             logs.event("knowledge_collect_failed", trace=traceback.format_exc())
         self.failures += 1
 
     def record_success(self) -> None:
-        """Note a write that succeeded; logged if failures came before it."""
+        """Record a successful write; logs the recovery if failures came before it."""
         if self.is_locked:
             logs.event("knowledge_unlocked", folder=self.folder)
         if self.failures:
@@ -53,7 +53,7 @@
         self._reset()
 
     def retry_delay(self, interval: float) -> float:
-        """Return the seconds until the next attempt, never less than the usual interval."""
+        """Return the seconds until the next attempt, at least `interval`."""
         if self.is_locked:
             return max(LOCK_RETRY_DELAY, interval)
         backoff = interval * 2.0 ** min(self.failures, MAX_BACKOFF_EXPONENT)
--- a/tests/persistence/crash_states.py
+++ b/tests/persistence/crash_states.py
@@ -1,4 +1,4 @@
-"""A recording folder, and every state of a disk that a crash may leave while the recorded operations run."""
+"""Records operations on a folder and enumerates the states in which a crash may leave the disk."""
 
 import itertools
 from collections.abc import Iterator
@@ -8,10 +8,10 @@
 
 
 def recording(log):
-    """An opener of folders that append what they did to `log`."""
+    """Return a subclass of `StateFolder` that appends its operations to `log`."""
 
     class Recording(StateFolder):
-        """Operates as the real one does, and keeps the list of what it did."""
+        """Performs each operation as `StateFolder` does and records it."""
 
         def create(self, name):
             file = super().create(name)
@@ -21,7 +21,7 @@
         def write(self, file, parts):
             for part in parts:
                 half = len(part) // 2
-                for piece in (part[:half], part[half:]):  # the system may take a write in pieces
+                for piece in (part[:half], part[half:]):  # the operating system may perform a write in pieces
                     super().write(file, [piece])
                     log.append(("write", file, bytes(piece)))
 
@@ -49,7 +49,7 @@
 
 
 class NameChange(NamedTuple):
-    """A change of the folder's names that may not be durable yet."""
+    """A change of the names in the folder, which may not be durable yet."""
 
     kind: str  # "link", "move" or "drop"
     name: str
@@ -58,18 +58,18 @@
 
 
 class Disk:
-    """Files and names after some operations, and which of them are durable."""
+    """The files and names after some operations, and which of them are durable."""
 
     def __init__(self):
         self.content: dict[int, bytes] = {}  # by inode, as last written
         self.synced: dict[int, bytes] = {}  # by inode, as last synced
         self.names: dict[str, int] = {}  # as of the folder's last sync
-        self.pending: list[NameChange] = []  # since then
-        self.open_files: dict[int, int] = {}  # descriptor to inode
-        self.durable = 0  # the last generation that was reported durable
+        self.pending: list[NameChange] = []  # changes of names since then
+        self.open_files: dict[int, int] = {}  # inode by descriptor
+        self.durable = 0  # the last generation that the store reported as durable
 
     def apply(self, number, operation, *args):
-        """Apply one recorded operation; its number is the inode of a file that it creates."""
+        """Apply one recorded operation; `number` is the inode of a file that it creates."""
         handler = getattr(self, f"apply_{operation}", None)
         if handler is not None:
             handler(number, *args)
@@ -102,12 +102,12 @@
         self.durable = generation
 
     def possible_names(self) -> Iterator[dict[str, int]]:
-        """Names after a crash: each change that was not synced is there or not, in any combination."""
+        """Yield the names after a crash: any subset of the unsynced changes has taken effect."""
         for chosen in itertools.product((False, True), repeat=len(self.pending)):
             yield changed(self.names, itertools.compress(self.pending, chosen))
 
     def possible_content(self) -> Iterator[dict[int, bytes]]:
-        """Files after a crash: what was not synced is there whole, by half, as zeros or not at all."""
+        """Yield the files after a crash: unsynced data is there whole, by half, as zeros or not at all."""
         unsynced = [inode for inode in self.content if self.content[inode] != self.synced[inode]]
         forms = [possible_forms(self.content[inode], len(self.synced[inode])) for inode in unsynced]
         for chosen in itertools.product(*forms):
@@ -115,7 +115,7 @@
 
 
 def possible_forms(content, synced_size):
-    """What a file may hold after a crash of which the first bytes were synced."""
+    """Return what a file may hold after a crash if its first `synced_size` bytes were synced."""
     return (
         content[:synced_size],
         content,
@@ -125,7 +125,7 @@
 
 
 def changed(names, changes):
-    """The names after some changes."""
+    """Return the names after some changes."""
     names = dict(names)
     for change in changes:
         if change.kind == "link":
@@ -138,7 +138,7 @@
 
 
 def crash_states(log):
-    """Each state once: (generation that was reported durable, sorted pairs of name and content)."""
+    """Yield each state once: (last generation reported durable, sorted pairs of name and content)."""
     seen = set()
     for stop in range(len(log) + 1):
         disk = Disk()
--- a/tests/persistence/test_files.py
+++ b/tests/persistence/test_files.py
@@ -1,4 +1,4 @@
-"""One folder's operations alone."""
+"""Unit tests of `files`: the operations on one folder."""
 
 import os
 
@@ -33,7 +33,7 @@
     data = os.urandom(WRITE_CHUNK_SIZE + 7)
     write(folder, "a", [data[:5], b"", data[5:]])
     assert folder.read("a", len(data)) == data
-    with pytest.raises(UnsafeFileError, match="more than any file of ours"):
+    with pytest.raises(UnsafeFileError, match="over the size limit"):
         folder.read("a", len(data) - 1)
 
 
@@ -51,7 +51,7 @@
 
 def test_a_lock_holds_until_its_descriptor_is_closed(folder):
     lock = folder.lock("lock")
-    with pytest.raises(FolderLockedError, match="kept by another process"):
+    with pytest.raises(FolderLockedError, match="locked by another process"):
         folder.lock("lock")
     os.close(lock)
     os.close(folder.lock("lock"))
--- a/tests/persistence/test_handover_files.py
+++ b/tests/persistence/test_handover_files.py
@@ -1,4 +1,4 @@
-"""The folder that processes hand over in, alone."""
+"""Unit tests of `handover_files`: numbering, locks and snapshots in the shared folder."""
 
 import pytest
 
@@ -10,7 +10,7 @@
 
 @pytest.fixture
 def joined(tmp_path):
-    """Makes processes that have joined, and ends them."""
+    """Returns a function that makes a `HandoverFiles` that has joined; all are closed at the end."""
     made = []
 
     def join():
@@ -55,7 +55,7 @@
 def test_a_snapshot_under_anothers_name_is_not_taken(joined):
     first, second = joined(), joined()
     first.write(second.incarnation, HandoverPart.PARTIAL, lambda number: samples.parts(number + 5))
-    with pytest.raises(DamagedSnapshotError, match="byte 16: life 6 under the name of 1"):
+    with pytest.raises(DamagedSnapshotError, match="byte 16: from incarnation 6, not 1"):
         second.read(first.incarnation, HandoverPart.PARTIAL)
 
 
--- a/tests/persistence/test_store.py
+++ b/tests/persistence/test_store.py
@@ -1,4 +1,4 @@
-"""Every state that a crash may leave, odd files in the place of ours, and disks that fail."""
+"""Tests of `store`: all states that a crash may leave, unexpected files in the folder, and disk errors."""
 
 import errno
 import os
@@ -14,11 +14,11 @@
 from . import samples
 from .crash_states import crash_states, recording
 
-STRANGER = 54321  # some other user's number
+STRANGER = 54321  # uid of another user
 
 
 def numbered(generation):
-    """A document that tells its generation, of some pieces."""
+    """Return the parts of a snapshot that contains its generation, as the slowness of its backends."""
     servers = tuple(samples.SERVER._replace(backend=f"s-{i}", slowness=float(generation)) for i in range(40))
     return samples.parts(generation, head=msgspec.structs.replace(samples.HEAD, servers=servers))
 
@@ -47,19 +47,19 @@
         loaded = opened.load()
         if loaded.snapshot is None:
             assert durable == 0, (number, [n for n, _ in state], loaded.rejected)
-        else:  # exactly one generation's content, of one that was written, under its own name
+        else:  # the content of exactly one generation, under its own name
             found = generation_of(loaded.snapshot)
             assert found >= durable and loaded.file == snapshot_name(found)
             newer += found > durable
-        after = opened.write(numbered)  # and whatever was left, the next write is whole
+        after = opened.write(numbered)  # whatever the crash left, the next write succeeds
         assert generation_of(opened.load().snapshot) == after > durable
         assert not [n for n in os.listdir(folder) if n.endswith(".tmp")]
         opened.close()
-    assert newer  # some states hold a generation before it was reported
+    assert newer  # some states have a generation that was not reported as durable yet
 
 
 def test_without_the_sync_before_the_rename_the_same_states_do_lose_one(tmp_path):
-    """That the enumeration can fail: a store that leaves out one step is caught."""
+    """Shows that the enumeration detects a fault: a store that leaves out one sync loses a generation."""
     log = []
     store = SnapshotStore(str(tmp_path / "recorded"), opener=recording(log))
     for _ in range(3):
@@ -86,7 +86,8 @@
     assert (tmp_path / snapshot_name(5)).stat().st_mode & 0o777 == 0o600
     store.close()
     (tmp_path / snapshot_name(5)).write_bytes(b"".join(numbered(5))[:-1])
-    (tmp_path / snapshot_name(6)).write_bytes(b"".join(numbered(5)))  # whole, but not what its name says
+    # intact, but not of the generation in its name
+    (tmp_path / snapshot_name(6)).write_bytes(b"".join(numbered(5)))
     again = SnapshotStore(str(tmp_path))
     again.open()
     loaded = again.load()
@@ -94,7 +95,9 @@
         snapshot_name(6),
         snapshot_name(5),
     ]
-    assert "checksum" in loaded.rejected[1].reason and "under the name of 6" in loaded.rejected[0].reason
+    assert (
+        "checksum" in loaded.rejected[1].reason and "in the file of generation 6" in loaded.rejected[0].reason
+    )
     assert again.write(numbered) == 7
     again.close()
 
@@ -110,7 +113,7 @@
     for _ in range(4):
         store.write(numbered)
     store.close()
-    unread = SnapshotStore(str(tmp_path))  # writes without ever having loaded
+    unread = SnapshotStore(str(tmp_path))  # writes without loading first
     for _ in range(4):
         unread.write(numbered)
     unread.close()
@@ -127,7 +130,7 @@
         path.mkdir()
     elif kind == "large":
         with open(path, "wb") as file:
-            file.truncate(1 << 40)  # a hole
+            file.truncate(1 << 40)  # sparse
     else:
         path.write_bytes(b"".join(numbered(9)))
         os.chown(path, STRANGER, STRANGER)
@@ -145,7 +148,7 @@
     assert generation_of(loaded.snapshot) == 1 and loaded.rejected[0].file == snapshot_name(9)
     assert store.write(numbered) == 10
     store.close()
-    if kind in ("symlink", "fifo", "folder"):  # nor in the lock's place, nor in the folder's
+    if kind in ("symlink", "fifo", "folder"):  # also as the lock file or as the folder itself
         (tmp_path / "lock").unlink()
         put(tmp_path / "lock", kind)
         with pytest.raises(OSError):
@@ -181,7 +184,7 @@
 
 
 class Failing(StateFolder):
-    """Fails one kind of step while `failing` names it."""
+    """A folder on which the operation named by `failing` fails."""
 
     failing = ""
     number = errno.ENOSPC
--- a/tests/persistence/test_write_health.py
+++ b/tests/persistence/test_write_health.py
@@ -1,4 +1,4 @@
-"""Counts, log lines and delays of writes that fail, alone."""
+"""Unit tests of `write_health`: counters, log lines and retry delays of failed writes."""
 
 from collections import Counter
 
@@ -30,7 +30,7 @@
 def test_a_lock_is_logged_once_and_is_no_failure_to_write(lines):
     health = WriteHealth("/folder", Counter())
     for _ in range(2):
-        health.record_failure(FolderLockedError("kept by another process"))
+        health.record_failure(FolderLockedError("locked by another process"))
     assert lines == ["knowledge_locked"] and health.counts == {"knowledge_locked": 2}
     assert health.retry_delay(0.5) == LOCK_RETRY_DELAY and health.retry_delay(60.0) == 60.0
     health.record_success()
@@ -59,7 +59,7 @@
 
 def test_another_folder_starts_over(lines):
     health = WriteHealth("/folder", Counter())
-    health.record_failure(FolderLockedError("kept by another process"))
+    health.record_failure(FolderLockedError("locked by another process"))
     health.record_failure(OSError("failed"))
     health.use_folder("/other")
     assert (health.folder, health.failures, health.is_locked) == ("/other", 0, False)
