--- a/corkdeal/persistence/__init__.py
+++ b/corkdeal/persistence/__init__.py
@@ -1,8 +1,10 @@
-"""State that survives a restart: what the decisions learned, expired when it is read, kept in a folder.
+"""Persisted state: what the decisions learned, kept in a folder and expired by age when a restart reads it.
 
-Pure: `clock` (how old a snapshot is), `expiry` (how far a record of that age counts), `restore` (gives
-records back to the decisions), `capture` (makes snapshots of them), `merge`, `quota_handover` (divides a
-quota between two processes). With I/O: `files` (the file system), `store` (generations in a folder),
-`snapshot_writer` with `snapshot_loader`, `write_health` and `worker` (beside the reactor), `handover_files`.
-Between them `codec`, `migrate` and `envelope`: the stored form.
+Without I/O: `clock` (a snapshot's age), `expiry` (the weight of a record of that age), `restore` (returns
+records to the decisions), `capture` (makes snapshots of the decisions), `merge` (combines snapshots of
+several machines), `quota_handover` (divides a quota between two processes).
+With I/O: `files` (file system operations), `store` (the generations in a folder), `snapshot_writer` with
+`snapshot_loader`, `write_health`, `worker` and `host` (run beside the reactor), `handover_files` (snapshots
+passed from one process to the next).
+The stored form, between the two: `codec`, `migrate` and `envelope`.
 """
--- a/corkdeal/persistence/capture.py
+++ b/corkdeal/persistence/capture.py
@@ -1,7 +1,8 @@
-"""Captures the decisions' state as a snapshot, a few accounts a turn, so that no turn of the reactor is long.
+"""Captures the decisions' state as a snapshot, in steps short enough not to delay the reactor.
 
-Records carry their own times, so they need not all be of one moment. Only accounts that were met since the
-last snapshot, or had attempts in flight then, are encoded anew; the others' bytes are kept.
+Each record carries its own time, so the records of a snapshot may be captured at different moments. Only
+accounts that had a request since the last snapshot, or had attempts in flight when it was made, are encoded
+again; for the others the bytes of the last snapshot are reused.
 """
 
 from __future__ import annotations
@@ -20,8 +21,8 @@
 if TYPE_CHECKING:
     from ..decisions.gateway import Gateway
 
-ACCOUNTS_PER_CHECK = 32  # accounts encoded between two looks at the clock
-MAX_STEP_TIME = 0.0007  # seconds that one step may take before it yields
+ACCOUNTS_PER_CHECK = 32  # accounts encoded between two readings of the clock
+MAX_STEP_TIME = 0.0007  # seconds after which a step yields
 ACCOUNTS_PER_PAGE = 1000
 
 
@@ -31,16 +32,16 @@
     def __init__(
         self, decisions: Gateway, name: str, program: str, restored: RestoredState | None = None
     ) -> None:
-        """`restored` is what the decisions got back, whose unclaimed records are carried on."""
+        """`restored` is what the decisions were given; what they have not claimed of it is written again."""
         self.decisions = decisions
         self.name = name
         self.program = program
         self.restored = restored
-        self.packed: dict[int, bytes] = {}  # page entries by customer
-        self._in_flight: set[int] = set()  # customers whose entry counts attempts that will end
-        self._unclaimed: dict[int, bytes] | None = None  # made at the first snapshot, then only removed from
-        self._unclaimed_entries: list[bytes] = []  # as of this snapshot's begin
-        decisions.changed_customers = None  # the first snapshot holds all accounts
+        self.packed: dict[int, bytes] = {}  # encoded page entries by customer
+        self._in_flight: set[int] = set()  # customers whose entry counts attempts in flight
+        self._unclaimed: dict[int, bytes] | None = None  # filled by the first snapshot, then only shrinks
+        self._unclaimed_entries: list[bytes] = []  # as this snapshot began
+        decisions.changed_customers = None  # None: the first snapshot encodes all accounts
 
     def steps(
         self,
@@ -48,11 +49,12 @@
         clock: Callable[[], ClockReading],
         tick: Callable[[], float],
     ) -> Iterator[None]:
-        """Bring the accounts' entries up to date; yields whenever `tick` shows that `MAX_STEP_TIME` passed.
+        """Bring the accounts' entries up to date; yields whenever a step has taken `MAX_STEP_TIME` by `tick`.
 
-        `now` is the decisions' time, `clock` reads both clocks, `tick` is a performance counter.
+        `now` returns the decisions' time, `clock` reads both clocks, `tick` is a performance counter.
         """
-        # Taken and written first: an account that is asked for meanwhile occurs twice, and the later counts.
+        # Collected and written first: an account that is claimed during the capture occurs twice in the
+        # snapshot, and a reader takes the later entry.
         self._unclaimed_entries = list(self._update_unclaimed(now(), clock()).values())
         began = tick()
         customers = iter(self._take_changed_customers())
@@ -67,7 +69,7 @@
         self._drop_forgotten_accounts()
 
     def pages(self) -> Iterator[bytes]:
-        """Yield the accounts' pages; each takes about as long as one step."""
+        """Yield the accounts' pages; encoding one takes about as long as a step."""
         yield from encoded_pages(self._unclaimed_entries)
         yield from encoded_pages(list(self.packed.values()))
 
@@ -79,7 +81,7 @@
         is_clean: bool,
         addresses: dict[str, str],
     ) -> SnapshotHead:
-        """Return all of the snapshot but the accounts; `addresses` are the backends' as `host:port`."""
+        """Return all of the snapshot but the accounts; `addresses` maps backends to `host:port`."""
         servers = self._server_records(now, clock, addresses)
         fleet: StoredFleet = self.decisions.state_transfer.export_fleet(self.decisions.quota_fraction)
         work = tuple([record._replace(recorded_at=clock.boot) for record in fleet.usual_latencies])
@@ -94,7 +96,7 @@
         )
 
     def _take_changed_customers(self) -> list[int]:
-        """Return the customers whose accounts are to be encoded anew, and begin to collect the next ones."""
+        """Return the customers whose accounts must be encoded again, and start collecting the next ones."""
         changed = self.decisions.changed_customers
         customers = list(self.decisions.accounts)
         if changed is not None:
@@ -104,7 +106,7 @@
         return customers
 
     def _encode_accounts(self, customers: Iterable[int], offset: float) -> None:
-        """Encode the accounts that still exist; `offset` turns the decisions' time into the boot clock's."""
+        """Encode the accounts that still exist; `offset` is the boot clock less the decisions' time."""
         incarnations = self.decisions.peer_incarnations
         for customer in customers:
             account = self.decisions.accounts.get(customer)
@@ -112,17 +114,17 @@
                 continue
             record = persisted_state.export_account(account, offset, incarnations)
             self.packed[customer] = encode_page_entry(customer, encode_record(record))
-            if account.in_flight:  # the attempts' end does not mark the customer as changed
+            if account.in_flight:  # an attempt's end does not add the customer to `changed_customers`
                 self._in_flight.add(customer)
 
     def _drop_forgotten_accounts(self) -> None:
-        """Drop the entries of accounts that the decisions have forgotten."""
+        """Drop the entries of accounts that the decisions no longer have."""
         if len(self.packed) > len(self.decisions.accounts):
             for customer in self.packed.keys() - self.decisions.accounts.keys():
                 del self.packed[customer]
 
     def _update_unclaimed(self, now: float, clock: ClockReading) -> dict[int, bytes]:
-        """Return the entries of restored accounts that nobody has asked for yet."""
+        """Return the entries of restored accounts that the decisions have not claimed yet."""
         restored = self.restored
         if restored is None:
             return {}
@@ -140,7 +142,7 @@
     def _server_records(
         self, now: float, clock: ClockReading, addresses: dict[str, str]
     ) -> list[StoredBackend]:
-        """Return the records of all listed servers and of restored ones that no list has named yet."""
+        """Return the records of all listed backends, and of restored ones not listed yet."""
         classes = self.decisions.settings.classes
         offset = clock.boot - now
         records: list[StoredBackend] = []
@@ -153,7 +155,7 @@
 
 
 def encoded_pages(entries: list[bytes]) -> Iterator[bytes]:
-    """Yield pages of the entries, in order."""
+    """Yield the entries in pages of at most `ACCOUNTS_PER_PAGE`, in order."""
     remaining = iter(entries)
     while batch := list(islice(remaining, ACCOUNTS_PER_PAGE)):
         yield encode_page(batch, len(batch))
--- a/corkdeal/persistence/clock.py
+++ b/corkdeal/persistence/clock.py
@@ -1,17 +1,19 @@
-"""The age of a snapshot by two clocks that may disagree; no I/O but reading the clocks themselves.
-
-Each rule has a count of its own. In doubt the older reading is taken, so that the state counts for less.
-
-- Same boot: the boot clock (it runs on while the machine sleeps, and nobody sets it) gives the age. If the
-  wall clock moved otherwise by more than `MAX_CLOCK_DRIFT`, it was set: counted as `clock_stepped`, and the
-  age stands.
-- Same boot, but the boot clock went back: that is impossible; the age is unknown (`clock_impossible`).
-- Another boot, wall clock forward: the wall clock gives the age, at least the time since this boot, because
-  the snapshot is from before it (`clock_rebooted`; also `clock_stepped` where the wall clock gives less than
-  that).
-- Another boot, wall clock back: the snapshot is from the future, its age unknown (`clock_future`).
-- No boot id on one side (it could not be read, or the format had none): the wall clock alone gives the age
-  (`clock_boot_unknown`), unknown if it went back.
+"""Measures the age of a snapshot by two clocks that may disagree. Its only I/O is reading the clocks.
+
+Each anomaly has its own counter, named in parentheses. If two ages are possible, the greater one is
+used, so that the persisted state has less weight.
+
+- Same boot: the age is the difference of the boot clock, which runs on while the machine sleeps and cannot be
+  set. If the difference of the wall clock is off by more than `MAX_CLOCK_DRIFT`, the wall clock was set
+  (`clock_stepped`); the age stays.
+- Same boot, boot clock earlier than in the snapshot: this cannot happen; the age is unknown
+  (`clock_impossible`).
+- Another boot, wall clock later: the age is the difference of the wall clock (`clock_rebooted`), but at least
+  the time since this boot, because the snapshot is older than the boot (if the wall clock gives less than
+  that, also `clock_stepped`).
+- Another boot, wall clock earlier: the snapshot lies in the future; the age is unknown (`clock_future`).
+- One side has no boot id (it could not be read, or the format did not store it): the age is the difference of
+  the wall clock (`clock_boot_unknown`), or unknown if that is negative (`clock_future`).
 """
 
 from __future__ import annotations
@@ -21,24 +23,24 @@
 import time
 from typing import NamedTuple
 
-MAX_CLOCK_DRIFT = 2.0  # seconds between both clocks before the wall clock counts as set
-UNKNOWN_AGE = math.inf  # older than every horizon
+MAX_CLOCK_DRIFT = 2.0  # seconds; a greater one between the two clocks means that the wall clock was set
+UNKNOWN_AGE = math.inf  # beyond every horizon
 BOOT_ID_PATH = "/proc/sys/kernel/random/boot_id"
 
 Anomalies = tuple[str, ...]
 
 
 class ClockReading(NamedTuple):
-    """Both clocks at one moment."""
+    """The readings of both clocks at one moment."""
 
     wall: float  # seconds since 1970
-    boot: float  # seconds since the machine booted, sleep included
+    boot: float  # seconds since the machine booted, including sleep
     boot_id: str  # empty where it can't be read
 
 
 @functools.cache
 def boot_id() -> str:
-    """Return this boot's id, empty where it can't be read; it does not change while a process runs."""
+    """Return this boot's id, empty where it can't be read. Cached: it is constant while a process runs."""
     try:
         with open(BOOT_ID_PATH, encoding="ascii") as file:
             return file.read().strip()
--- a/corkdeal/persistence/expiry.py
+++ b/corkdeal/persistence/expiry.py
@@ -1,19 +1,20 @@
-"""How far a record of some age still counts: pure functions of a record and its age, in seconds.
+"""Expires persisted state: pure functions of a record and its age in seconds.
 
-Each kind has a half-life, by which its distance from an unknown record halves, and a horizon, from which on
-it counts for nothing. A record never makes a server look better than it did when recorded, nor better than an
-unknown one: every figure moves from the recorded one towards the unknown one and not past it.
+With age each value of a record moves from the recorded one towards that of an unknown backend or fleet, and
+never past it. Each kind of record has a half-life, in which the distance to the unknown value halves, and a
+horizon, from which on the record is ignored. A backend therefore never looks better than both its record and
+an unknown backend.
 
 | kind | half-life | horizon | why |
 | --- | --- | --- | --- |
-| a server's slowness | 20 s | 120 s | slow spells last 14 to 32 s |
-| failures, ejections, shut-outs | 15 s | 90 s | a trial costs one request; a zone outage lasts 5 to 17 s |
-| usual latency by class and size | 1 h | 1 day | it changes with the content, not with the minute |
-| pace | 1 h | 1 day | a property of the servers' machines |
-| the fleet's slowness | 5 s | 30 s | shared faults last 3 to 14 s |
+| slowness of a backend | 20 s | 120 s | slow phases last 14 to 32 s |
+| failures, ejections, class rejections | 15 s | 90 s | a trial costs a request; zone outages last 5 to 17 s |
+| usual latency by class and size | 1 h | 1 day | it depends on the content, which changes slowly |
+| pace | 1 h | 1 day | a property of the backends' machines |
+| slowness of the fleet | 5 s | 30 s | faults common to all backends last 3 to 14 s |
 | retry budget | 10 s | 60 s | it refills by itself |
-| ledgers with peers | none | 30 s | peers resume them, or they don't |
-| an account | by its own refill | 1 h | a bucket that is full again needs no record |
+| ledgers with peers | none | 30 s | a ledger is resumed whole or not at all |
+| an account | by its refill | 1 h | a bucket that has refilled needs no record |
 """
 
 from __future__ import annotations
@@ -25,13 +26,13 @@
 
 
 class ExpiryRule(NamedTuple):
-    """How one kind of record loses its weight."""
+    """The half-life and the horizon of one kind of record."""
 
     half_life: float  # seconds
     horizon: float  # seconds
 
     def weight(self, age: float) -> float:
-        """Return 1 at no age, half at the half-life, 0 from the horizon on and for an age that is NaN."""
+        """Return 1 at age 0, 0.5 at the half-life, and 0 from the horizon on and for an age of NaN."""
         is_within_horizon = age < self.horizon
         if not is_within_horizon:
             return 0.0
@@ -45,22 +46,22 @@
 RETRY_BUDGET = ExpiryRule(10.0, 60.0)
 LEDGER_HORIZON = 30.0  # seconds; see also restore.ROUND_LEAP
 ACCOUNT_HORIZON = 3600.0  # seconds
-DEMAND_TIME_CONSTANT = 2.0  # seconds, as the decisions average demand
-MIN_FAILURES = 0.5  # a weighted run of failures below this counts as none
+DEMAND_TIME_CONSTANT = 2.0  # seconds; the decisions average demand with the same one
+MIN_FAILURES = 0.5  # a weighted number of failures below this becomes 0
 
 
 def interpolate(recorded: float, unknown: float, weight: float) -> float:
-    """Return the recorded figure at its weight, the unknown one for the rest; never outside the two."""
+    """Return the average of both values, the recorded one at `weight`; it lies between the two."""
     low = min(recorded, unknown)
     high = max(recorded, unknown)
-    between = unknown + (recorded - unknown) * weight  # rounding could pass either end
+    between = unknown + (recorded - unknown) * weight  # rounding errors may exceed either bound
     return min(high, max(low, between))
 
 
 def expire_server(record: StoredBackend, age: float) -> StoredBackend | None:
-    """Return a server's record as it counts at that age; None where nothing of it does.
+    """Return a backend's record, weighted by age; None where nothing of it has weight.
 
-    An ejection stays only as the need of a trial, its length weighted; it is never a verdict.
+    An ejected backend remains due for a trial, with its ejection time weighted; no record alone keeps it out.
     """
     slowness_weight = SERVER_SLOWNESS.weight(age)
     failure_weight = SERVER_FAILURES.weight(age)
@@ -86,12 +87,13 @@
 def unrecorded_spending(
     record: StoredAccount, rate: float, share: float, quiet: float, unseen: float
 ) -> float:
-    """Return the units assumed spent between the last write and the process's end.
+    """Return an estimate of the units spent between the last write and the end of the process.
 
-    The demand at the write continues for `unseen` seconds, the longest that no write may have seen. It is
-    bounded by what the bucket held and gained meanwhile, `rate` times `share` a second, so an account starts
-    empty at the worst and never in debt that it did not have. `quiet` is how many seconds before the write
-    the record was made: nothing was asked in between, or it would be newer.
+    The demand at the write is assumed to continue for `unseen` seconds, the longest time that the last
+    snapshot may not cover. The estimate is bounded by what the bucket held and gained in that time, `rate`
+    times `share` a second, so an account starts empty at worst, and in debt only if it was in debt before.
+    `quiet` is how many seconds before the write the record was made; no request came in between, or the
+    record would be newer.
     """
     demand = record.demand * math.exp(-max(0.0, quiet) / DEMAND_TIME_CONSTANT)
     available = max(0.0, record.level) + rate * share * unseen
--- a/corkdeal/persistence/merge.py
+++ b/corkdeal/persistence/merge.py
@@ -1,10 +1,10 @@
-"""Merges the snapshots of lost machines into another's, record by record, by age; pure.
+"""Merges the snapshots of machines that were lost into the one of another machine. Without I/O.
 
-Of each server, class and size, and account the newest record counts; where two are of one moment, the one
-whose bytes sort later, so that the order of merging makes no difference. Times of another machine are
-translated by its wall clock. What belongs to a place in the tier stays the target's: its name, pace,
-incarnation and ledgers, and the addresses under which it reaches servers. An account taken from another
-machine comes without ledgers.
+For each backend, each request class and size, and each account the newest record is taken. If two have the
+same time, the one whose encoding sorts later is taken, so that the result does not depend on the order of the
+snapshots. Times of another machine are converted by means of its wall clock. What belongs to the position of
+the target's gateway in its tier is kept: its name, pace, incarnation and ledgers, and the addresses at which
+it reaches backends. An account that is taken from another machine has no ledgers.
 """
 
 from __future__ import annotations
@@ -23,14 +23,14 @@
 
 
 def clock_offset(head: SnapshotHead, target: SnapshotHead) -> float:
-    """Return the seconds to add to a time of one snapshot to make it one of the target's boot clock."""
+    """Return the seconds to add to a snapshot's times to convert them to the target's boot clock."""
     if head.clock.boot_id and head.clock.boot_id == target.clock.boot_id:
         return 0.0
     return (head.clock.wall - head.clock.boot) - (target.clock.wall - target.clock.boot)
 
 
 def newest_records(records: Iterable[tuple[Key, Record]]) -> dict[Key, Record]:
-    """Return the record that counts for each key."""
+    """Return for each key the record of the highest precedence."""
     newest: dict[Key, Record] = {}
     for key, record in records:
         if key not in newest or precedence(record) > precedence(newest[key]):
@@ -39,19 +39,19 @@
 
 
 def precedence(record: Record) -> tuple[float, float, bytes]:
-    """Order by start and time; then by bytes, which is arbitrary but always the same."""
+    """Return the sort key of a record: start, time, then encoding, as an arbitrary but stable tie-breaker."""
     started = record.started if isinstance(record, StoredBackend) else 0.0
     made_at = record.refilled_at if isinstance(record, StoredAccount) else record.recorded_at
     return started, made_at, encode_record(record)
 
 
 def server_from_other_machine(record: StoredBackend, offset: float) -> StoredBackend:
-    """Return a server's record of another machine in the target's time, without its address there."""
+    """Return another machine's record of a backend in the target's time, without its address."""
     return record._replace(recorded_at=record.recorded_at + offset, address="")
 
 
 def account_from_other_machine(record: StoredAccount, offset: float) -> StoredAccount:
-    """Return an account of another machine in the target's time, without ledgers and open attempts."""
+    """Return another machine's account in the target's time, without ledgers and attempts in flight."""
     return record._replace(
         refilled_at=record.refilled_at + offset,
         last_request_at=record.last_request_at + offset,
@@ -64,7 +64,7 @@
 
 
 def accounts_of(snapshot: Snapshot) -> dict[int, StoredAccount]:
-    """Return all accounts that can be decoded, by customer."""
+    """Return all accounts by customer; malformed ones are left out."""
     accounts: dict[int, StoredAccount] = {}
     for customer, encoded in snapshot.encoded_accounts().items():
         try:
@@ -75,7 +75,7 @@
 
 
 def merge(target: Snapshot, others: Iterable[Snapshot]) -> Snapshot:
-    """Return the target with the records of the others that are newer than its own."""
+    """Return the target's snapshot with all records of the others that are newer than its own."""
     sources = list(others)
     heads = [target.head, *(other.head for other in sources)]
     merged = msgspec.structs.replace(
@@ -90,7 +90,7 @@
 
 
 def _merged_servers(heads: list[SnapshotHead]) -> tuple[StoredBackend, ...]:
-    """Return the newest record of each server; the first head is the target's."""
+    """Return the newest record of each backend; the first head is the target's."""
     target = heads[0]
     records = [(record.backend, record) for record in target.servers]
     for head in heads[1:]:
@@ -131,12 +131,12 @@
 
 
 def _encoded(accounts: dict[int, StoredAccount]) -> dict[int, msgspec.Raw]:
-    """Return one page of records, by customer, in the order given."""
+    """Return the accounts as one page, in the same order."""
     return {customer: msgspec.Raw(encode_record(record)) for customer, record in accounts.items()}
 
 
 def backdated(snapshot: Snapshot, seconds: float) -> Snapshot:
-    """Return the same snapshot as if it had been written that much earlier, to try out what age does."""
+    """Return the snapshot as if it had been written `seconds` earlier, to show the effect of age."""
     head = snapshot.head
     clock = head.clock._replace(wall=head.clock.wall - seconds, boot=head.clock.boot - seconds)
     work = tuple(
--- a/corkdeal/persistence/restore.py
+++ b/corkdeal/persistence/restore.py
@@ -1,7 +1,7 @@
-"""Gives a stored snapshot's records back to the decisions, expired to the moment at which each is asked for.
+"""Returns the records of a stored snapshot to the decisions, each expired by its age at the time of the call.
 
-Pure: the snapshot, its age and the decisions' clock are passed in. A record is given once. What no longer
-fits the settings or the endpoint list is dropped, and `counts` tells how often and why.
+Without I/O: the snapshot, its age and the decisions' time are passed in. Each record is returned once.
+Records that no longer match the settings or the endpoint list are dropped and counted by reason in `counts`.
 """
 
 from __future__ import annotations
@@ -20,16 +20,16 @@
 from .errors import MalformedRecordError
 from .expiry import interpolate
 
-# Rounds to skip; more than any gateway counts within expiry.LEDGER_HORIZON, so none is used twice.
+# Message rounds to skip, so that none is used twice: no gateway counts as many in expiry.LEDGER_HORIZON.
 ROUND_LEAP = 1 << 17
-MAX_ROUND = 1 << 31  # a new incarnation begins past that, long before 32 bits of rounds are used up
-UNKNOWN_PACE = 0.5  # as the decisions start without a snapshot
-FULL_RETRY_BUDGET = 10.0  # likewise
-START_TOLERANCE = 0.0015  # seconds; starts are given in whole milliseconds
+MAX_ROUND = 1 << 31  # a new incarnation is begun beyond it, well before 32 bits of rounds are used up
+UNKNOWN_PACE = 0.5  # with which the decisions start if they have no snapshot
+FULL_RETRY_BUDGET = 10.0  # attempts; likewise
+START_TOLERANCE = 0.0015  # seconds; the endpoint list gives starts in whole milliseconds
 
 
 class RestoredState:
-    """One snapshot as the decisions' `persisted_state.PersistedState`."""
+    """A snapshot as the `PersistedState` that the decisions restore."""
 
     is_exact = False
 
@@ -42,9 +42,9 @@
         address_of: Callable[[str], str],
         counts: Counter[str],
     ) -> None:
-        """`age` is the snapshot's in seconds, `now` the decisions' clock.
+        """`age` is the snapshot's age in seconds, `now` the decisions' time.
 
-        `address_of` returns a server's current address, empty where it is unknown.
+        `address_of` returns a backend's current address, empty where it is unknown.
         """
         self.head = snapshot.head
         self.age = age
@@ -62,7 +62,7 @@
             self.counts["knowledge_account_too_old"] += sum(map(len, snapshot.accounts))
 
     def age_of(self, time: float, now: float) -> float:
-        """Return the seconds since a time of the snapshot's boot clock."""
+        """Return how many seconds ago a time of the snapshot's boot clock was."""
         age_when_loaded = self.age + self.head.clock.boot - time
         return max(0.0, age_when_loaded + max(0.0, now - self.loaded_at))
 
@@ -73,7 +73,7 @@
         return not is_within_longest_horizon
 
     def may_resume(self) -> bool:
-        """Whether ledgers may be resumed: peers may still hold their side, and the place is the same."""
+        """Whether ledgers may be resumed: peers may still have their side, and the tier is unchanged."""
         fleet = self.head.fleet
         stored_place = (fleet.gateway_index, fleet.gateway_count)
         place = (self.settings.gateway_index, self.settings.gateway_count)
@@ -85,9 +85,9 @@
         )
 
     def fleet(self, now: float, default_latencies: dict[str, float]) -> StoredFleet:
-        """Return the fleet's record, each figure at its weight.
+        """Return the fleet's record, each value weighted by its age.
 
-        `default_latencies` is the latency in seconds of each class of which nothing is known.
+        `default_latencies` is the latency in seconds of each class without a usual one.
         """
         stored = self.head.fleet
         age = self.age_of(self.head.clock.boot, now)
@@ -104,7 +104,7 @@
         )
 
     def _usual_latencies(self, now: float, default_latencies: dict[str, float]) -> Iterator[StoredLatency]:
-        """Yield the usual latency of each class and size that the settings still name."""
+        """Yield the usual latencies of the classes that the settings still have."""
         for record in self.head.fleet.usual_latencies:
             if record.request_class not in default_latencies:
                 self.counts["knowledge_class_unknown"] += 1
@@ -115,9 +115,9 @@
                 yield StoredLatency(record.request_class, record.size, seconds)
 
     def server(self, endpoint: Endpoint, now: float) -> StoredBackend | None:
-        """Return the record of the process that this endpoint names; None for another under the same id.
+        """Return the record of an endpoint's backend process; None for another process of the same id.
 
-        A list may be older than the record: one that names an earlier start leaves the record in its place.
+        An endpoint with an earlier start comes from a list older than the record; the record is then kept.
         """
         name = str(endpoint.backend)
         record = self.servers.get(name)
@@ -136,7 +136,7 @@
         return expired
 
     def _with_known_classes(self, record: StoredBackend) -> StoredBackend:
-        """Drop shut-outs of classes that the settings no longer name."""
+        """Return a record without the rejections of classes that the settings no longer have."""
         known = tuple(
             shut_out for shut_out in record.rejections if shut_out.request_class in self.class_names
         )
@@ -148,9 +148,9 @@
     def account(
         self, customer: int, plan: Plan, first_gateway: int, member_count: int, now: float
     ) -> StoredAccount | None:
-        """Return the customer's account in the decisions' clock, its refill still to come.
+        """Return the customer's account in the decisions' time, not yet refilled up to now.
 
-        Another plan or another set of gateways makes it another account.
+        A record of another plan or another set of gateways is dropped.
         """
         encoded = self.encoded_accounts.pop(customer, None)
         if encoded is None:
@@ -174,7 +174,7 @@
         )
 
     def _decoded(self, encoded: msgspec.Raw) -> StoredAccount | None:
-        """Decode one account; None, and counted, for a malformed one."""
+        """Decode one account's record; counts a malformed one and returns None for it."""
         try:
             return decode_account(encoded)
         except MalformedRecordError:
@@ -182,7 +182,7 @@
             return None
 
     def _misfit(self, record: StoredAccount, plan: Plan, place: tuple[int, int], age: float) -> str:
-        """Return the count of why a record no longer fits its customer; empty where it does."""
+        """Return the counter of the reason why a record does not match its customer; empty if it does."""
         if record.plan != plan.name:
             if record.plan in self.plan_names:
                 return "knowledge_plan_changed"
@@ -194,7 +194,7 @@
         return ""
 
     def _unrecorded_spending(self, record: StoredAccount, plan: Plan) -> float:
-        """Return the units that may have been spent after the snapshot was written."""
+        """Return an estimate of the units spent after the snapshot was written."""
         if self.head.is_clean:
             return 0.0
         quota_share = 1.0
@@ -205,7 +205,7 @@
         return expiry.unrecorded_spending(record, plan.rate, quota_share, quiet, self.head.write_interval)
 
     def accounts(self, now: float) -> Iterator[tuple[int, int, StoredAccount]]:
-        """Yield all accounts that still count, each with its customer and its plan's number."""
+        """Yield the customer, the plan's number and the record of each account that has not expired."""
         plan_numbers = {plan.name: number for number, plan in enumerate(self.settings.plans)}
         for customer, encoded in list(self.encoded_accounts.items()):
             stored = self._decoded(encoded)
@@ -218,7 +218,7 @@
                 yield customer, plan_number, record
 
     def unlisted(self, now: float, boot: float) -> list[StoredBackend]:
-        """Return records of servers that no list has named yet, in this boot's time; none when too old."""
+        """Return unexpired records of backends that no list has named yet, in this boot's time."""
         age = self.age_of(self.head.clock.boot, now)
         if self.servers and age >= expiry.SERVER_SLOWNESS.horizon:
             self.counts["knowledge_server_gone"] += len(self.servers)
@@ -229,10 +229,10 @@
         ]
 
     def unclaimed(self, now: float, is_same_boot: bool, boot: float) -> dict[int, bytes]:
-        """Return accounts that nobody asked for, as entries of the next snapshot.
+        """Return the accounts that the decisions have not claimed yet, as page entries for the next snapshot.
 
-        Without them a second restart would lose them. Their times hold within one boot; after another boot
-        they are encoded anew, in this boot's time.
+        Without these entries a second restart would lose the accounts. Their times are valid within one boot;
+        after a reboot the records are encoded again with times of the current boot.
         """
         if now - self.loaded_at + self.age >= expiry.ACCOUNT_HORIZON:
             self.encoded_accounts.clear()
--- a/tests/persistence/test_capture.py
+++ b/tests/persistence/test_capture.py
@@ -1,4 +1,4 @@
-"""Capturing alone: how accounts are split into pages and steps, and which are encoded anew."""
+"""Unit tests of `capture`: how accounts are split into pages and steps, and which are carried over."""
 
 from collections import Counter
 
@@ -38,7 +38,7 @@
     for customer in range(3 * ACCOUNTS_PER_CHECK):
         decisions.account(customer, 0, 0, 3)
     capture = StateCapture(decisions, "n0", "test")
-    ticks = iter(range(10**6))  # a second passes between two looks
+    ticks = iter(range(10**6))  # one second passes between two readings
     assert exhaust(capture, lambda: next(ticks)) == 3 + 1
     assert len(capture.packed) == 3 * ACCOUNTS_PER_CHECK
     assert exhaust(capture) == 1
--- a/tests/persistence/test_expiry.py
+++ b/tests/persistence/test_expiry.py
@@ -1,4 +1,4 @@
-"""How far records count by their age."""
+"""Unit tests of `expiry`: the weights of records by their age."""
 
 import math
 
--- a/tests/persistence/test_merge.py
+++ b/tests/persistence/test_merge.py
@@ -1,4 +1,4 @@
-"""Merging and backdating alone."""
+"""Unit tests of `merge`: merging and backdating of snapshots."""
 
 import msgspec
 import pytest
@@ -11,7 +11,7 @@
 from . import samples
 from .strategies import DOCUMENTS
 
-ELSEWHERE = ClockReading(1_790_000_100.0, 9000.0, "boot-b")  # 100 s later, its boot clock 4000 s ahead
+ELSEWHERE = ClockReading(1_790_000_100.0, 9000.0, "boot-b")  # wall clock 100 s later, boot clock 4000 s ahead
 
 
 def test_times_of_another_machine_are_translated_by_its_wall_clock():
@@ -59,5 +59,5 @@
         == samples.plain(merge.merge(merge.merge(target, [one]), [other]))
     )
     assert once == samples.plain(merge.merge(merge.merge(target, [one, other]), [other, one]))
-    for key, account in once[1].items():  # ledgers are the target's own or none
+    for key, account in once[1].items():  # ledgers come from the target only
         assert not account.ledgers or account == merge.accounts_of(target)[key]
--- a/tests/persistence/test_restore.py
+++ b/tests/persistence/test_restore.py
@@ -1,4 +1,4 @@
-"""What the decisions get back: servers, accounts and ledgers, through the real form on disk."""
+"""Unit tests of `restore`: backends, accounts and ledgers, captured, encoded and given to new decisions."""
 
 import math
 from collections import Counter
@@ -32,7 +32,7 @@
 
 
 def captured(gateway, now, clean=False, every=1.0, restored=None, capture=None):
-    """A gateway's snapshot, read back from its bytes; the boot clock shows 3,000 s less than the module's."""
+    """Return a gateway's snapshot, encoded and decoded; its boot clock is 3,000 s behind the decisions'."""
     clock = ClockReading(now, now - 3000.0, "boot")
     capture = capture or StateCapture(gateway, "n0", "test", restored)
     for _ in capture.steps(lambda: now, lambda: clock, lambda: 0.0):
@@ -91,7 +91,7 @@
     assert 1.6 < new.latency_model.fleet_slowness < 2.0 and 3.0 < new.retries.budget < 5.0
     a = new.backends.records["a"]
     assert 4.6 < a.slowness < 5.0 and a.failures == 4 and a.ejection_time < 2.0
-    assert a.is_ejected and a.ejected_until == 8003.0  # due for a trial, no verdict
+    assert a.is_ejected and a.ejected_until == 8003.0  # ejected, but due for a trial at once
     assert a.rejecting_classes[1][1] == pytest.approx(8009.0)
     new.handle(8003.0, [helpers.request(99, units=2.0)])
     account = new.accounts[7]
@@ -140,7 +140,7 @@
             False,
             "knowledge_server_moved",
         ),
-        # at a known address
+        # another backend at the address of the record
         (Endpoint("new", EndpointState.READY, started=1000.0), "10.0.0.1:1", False, ""),
     ],
 )
@@ -161,7 +161,7 @@
     assert gateway.backends.records["a"].slowness == 1.0
     gateway.handle(9000.5, [listed("a", started=1000.0)])
     assert gateway.backends.records["a"].slowness > 4.0
-    gateway.handle(9001.0, [listed("a", started=9000.9)])  # and started again since
+    gateway.handle(9001.0, [listed("a", started=9000.9)])  # started again since the record was made
     assert gateway.backends.records["a"].slowness == 1.0 and not gateway.backends.records["a"].is_ejected
 
 
@@ -201,13 +201,13 @@
 
 
 def test_a_ledger_with_a_peer_that_started_again_begins_anew():
-    """Its rounds begin at one again, so a ledger that remembers higher ones would never hear it."""
+    """The peer's rounds start at 1 again; a ledger with a higher last round would ignore its messages."""
     gateway = restarted(samples.document(), 5.0, 9000.0, settings(0, 2))
     again = peer_messages.encode_exchange(9000_500, gateway.incarnation, 1, [])[
         0
-    ]  # it started after the record was made
+    ]  # the peer started after the record was made
     gateway.handle(9000.0, [listed("a"), PeerMessage(1, again)])
-    gateway.handle(9000.1, [helpers.request(1, spread=2)])  # the account is met only now
+    gateway.handle(9000.1, [helpers.request(1, spread=2)])  # the account is created only now
     assert gateway.accounts[7].ledgers[1].last_round == 0 == gateway.accounts[7].ledgers[1].received_share
     note = peer_messages.AccountUpdate(7, 0, 0, 2, 0.5, 1.0, 1.0, 0, 0.0)
     gateway.handle(
@@ -217,7 +217,7 @@
 
 
 def test_a_ledger_carried_through_two_restarts_is_still_with_its_peer():
-    """The second document names the peer's newer incarnation; the record in it is from before."""
+    """The second snapshot has the peer's new incarnation, but a ledger kept with the previous one."""
     head = samples.HEAD
     newer = msgspec.structs.replace(head, fleet=head.fleet._replace(peer_incarnations=((1, 99),)))
     gateway = restarted(samples.document(newer), 5.0, 9000.0, settings(0, 2))
@@ -226,7 +226,7 @@
 
 
 def test_a_wall_clock_set_back_does_not_make_peers_ignore_the_new_start():
-    # the module's clock shows 10 ms, the old start was at 77 ms
+    # the decisions' time is 10 ms, the previous incarnation began at 77 ms
     gateway = restarted(samples.document(), 40.0, 0.01)
     gateway.handle(0.01, [listed("a")])
     assert gateway.incarnation == 78
@@ -246,7 +246,7 @@
         restored = restored_state(first, 2.0, 9000.0)
         gateway = Gateway(settings(), seed=1)
         gateway.restore(restored)
-        gateway.handle(9000.0, [listed("a"), helpers.request(1, spread=2)])  # customer 7 only
+        gateway.handle(9000.0, [listed("a"), helpers.request(1, spread=2)])  # for customer 7 only
         capture = StateCapture(gateway, "n0", "test", restored)
         clock = ClockReading(0.0, 5002.0 + shift, boot_id)
         for _ in capture.steps(lambda: 9000.0, lambda c=clock: c, lambda: 0.0):
@@ -279,7 +279,8 @@
     gateway.handle(8000.0, [listed("a"), helpers.request(1, customer=7)])
     capture = StateCapture(gateway, "n0", "test")
     docs = []
-    for now, wall in ((8000.1, 8000.1), (8001.1, 8001.1 + step)):  # the second write is after the step
+    # the clock is stepped between the two snapshots
+    for now, wall in ((8000.1, 8000.1), (8001.1, 8001.1 + step)):
         clock = ClockReading(wall, now - 3000.0, "boot")
         for _ in capture.steps(lambda n=now: n, lambda c=clock: c, lambda: 0.0):
             pass
@@ -309,18 +310,18 @@
 
 
 def test_quota_shares_of_a_ring_add_up_to_one_through_kills_with_snapshots():
-    """Each member in turn is killed and comes back with what it wrote up to a second before."""
+    """Each member in turn is killed and restarted from a snapshot that is up to a second old."""
 
-    def asked(me):  # a little everywhere, for an account that nobody asks for stays in its bytes
+    def asked(me):  # never zero: without a request the account would not be decoded
         return 0.5 if me == 0 else 0.02
 
     ring = helpers.Ring(plan=Plan(rate=6.0, burst=30.0, name="small"))
     ring.run(6, ask=asked)
     docs, before = {}, ring.slices()
-    assert max(before.values()) > 0.45  # supply went where the demand is
+    assert max(before.values()) > 0.45  # supply has moved to the demand
     for me in (0, 1, 2, 0):
         docs[me] = captured(ring.gateways[me], ring.now)
-        ring.run(0.8, ask=asked)  # more trades, unseen by the document
+        ring.run(0.8, ask=asked)  # more exchanges, which the snapshot does not have
         del ring.gateways[me]
         ring.run(0.7)
         s = helpers.settings(me, 3, plans=(ring.plan,))
