--- a/corkdeal/persistence/host.py
+++ b/corkdeal/persistence/host.py
@@ -1,4 +1,4 @@
-"""What writing snapshots needs of the program around it, as Protocols."""
+"""Protocols of the objects that the snapshot writer is given: the reactor and the gateway."""
 
 from __future__ import annotations
 
@@ -11,17 +11,17 @@
 
 
 class DelayedCall(Protocol):
-    """A call that the reactor will make."""
+    """A call that the reactor makes later."""
 
     def active(self) -> bool:
-        """Whether it was neither made nor cancelled."""
+        """Whether the call is still to be made: neither made nor cancelled."""
 
     def cancel(self) -> None:
-        """Have it not made."""
+        """Cancel the call."""
 
 
 class Reactor(Protocol):
-    """The part of Twisted's reactor that is used."""
+    """The part of Twisted's reactor that is used here."""
 
     def callLater(self, delay: float, call: Callable[..., object], *args: object) -> DelayedCall:
         """Make a call after `delay` seconds."""
@@ -47,11 +47,11 @@
 
 
 class GatewayHost(Protocol):
-    """A gateway on its sockets."""
+    """The gateway process around the decisions."""
 
     @property
     def decisions(self) -> Gateway:
-        """Its decisions, whose state is captured and restored."""
+        """The decisions, whose state is captured and restored."""
 
     @property
     def settings(self) -> Settings:
@@ -59,18 +59,18 @@
 
     @property
     def config(self) -> NamedConfig:
-        """Its configuration."""
+        """The gateway's configuration as far as it is used here."""
 
     @property
     def pool(self) -> AddressPool:
-        """Its connections to backends."""
+        """The pool of connections to backends."""
 
     def now(self) -> float:
-        """The decisions' time in seconds."""
+        """Return the decisions' time in seconds."""
 
 
 def format_address(address: tuple[str, int] | None) -> str:
-    """Return an address as records state it, empty for none."""
+    """Return an address in the form of a stored record; empty for None."""
     if address is None:
         return ""
     host, port = address
--- a/corkdeal/persistence/snapshot_loader.py
+++ b/corkdeal/persistence/snapshot_loader.py
@@ -1,4 +1,4 @@
-"""Loads the newest snapshot before a gateway starts, and gives it to the decisions."""
+"""Loads the newest snapshot before a gateway starts and restores the decisions from it."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 from .store import LoadedSnapshot, SnapshotStore
 from .worker import WorkerThread
 
-MAX_LOGGED_AGE = 1e12  # seconds; a greater one is logged as endless
+MAX_LOGGED_AGE = 1e12  # seconds; a greater age is logged as `endless`
 
 
 def load_snapshot(
@@ -22,8 +22,8 @@
 ) -> LoadedSnapshot | None:
     """Open the store and load its newest snapshot, in the worker's thread.
 
-    Returns None if that takes longer than `timeout` seconds; a late answer is dropped. Raises what opening
-    raises.
+    Returns None if that takes longer than `timeout` seconds; a later result is dropped. Raises what
+    `SnapshotStore.open` raises.
     """
 
     def work() -> LoadedSnapshot:
@@ -49,7 +49,7 @@
 def restore_snapshot(
     loaded: LoadedSnapshot, snapshot: Snapshot, gateway: GatewayHost, counts: Counter[str]
 ) -> RestoredState | None:
-    """Give a snapshot to the decisions; None for another gateway's and for one that has expired."""
+    """Restore the decisions from a snapshot; returns None for another gateway's or an expired one."""
     if snapshot.head.name != gateway.config.name:
         counts["knowledge_foreign"] += 1
         logs.event("knowledge_foreign", file=loaded.file, name=snapshot.head.name)
@@ -85,5 +85,5 @@
 
 
 def format_age(age: float) -> str:
-    """Return an age in seconds as a log line states it."""
+    """Return an age in seconds in the form of a log line."""
     return f"{age:.3f}" if age < MAX_LOGGED_AGE else "endless"
--- a/corkdeal/persistence/snapshot_writer.py
+++ b/corkdeal/persistence/snapshot_writer.py
@@ -1,8 +1,8 @@
-"""Writes a gateway's snapshots beside its reactor: loads one before the start, then writes at intervals.
+"""Loads a gateway's newest snapshot before the start, then writes snapshots at intervals beside its reactor.
 
-All that may block (opening, reading, compressing, syncing) runs in one daemon thread, one job at a time. The
-reactor captures state in steps of a millisecond. A failure costs a count and, when it is the first, a log
-line; the gateway keeps serving.
+Everything that may block (opening, reading, compressing, syncing) runs in one daemon thread, one job at a
+time. The reactor's thread captures state in steps of about a millisecond. Failures are counted, and the first
+of a series is logged; the gateway keeps serving.
 """
 
 from __future__ import annotations
@@ -23,19 +23,19 @@
 from .worker import WorkerThread
 from .write_health import WriteHealth
 
-MAX_UNRECORDED_WRITE_TIME = 5.0  # seconds of one write that count as unrecorded
+MAX_UNRECORDED_WRITE_TIME = 5.0  # seconds; the most that the duration of a write adds to `write_interval`
 THREAD_NAME = "knowledge"
 
 
 class Written(NamedTuple):
-    """A generation that is durable, and how long that took."""
+    """A generation that is durable, and how long its write took."""
 
     generation: int
     duration: float  # seconds
 
 
 class SnapshotWriter:
-    """One gateway's snapshots: `load`, then `start`, `reload` at will, and one `stop`."""
+    """Writes one gateway's snapshots: call `load`, `start`, `reload` any number of times, then `stop`."""
 
     def __init__(
         self,
@@ -55,16 +55,16 @@
         self.worker = WorkerThread(THREAD_NAME)
         self.health = WriteHealth(folder, counts)
         self.capture = StateCapture(gateway.decisions, gateway.config.name, __version__)
-        self.is_busy = False  # a snapshot is being captured or written
+        self.is_busy = False  # while a snapshot is captured or written
         self.is_stopped = False
-        self._write_duration = 0.0  # seconds, the last write
+        self._write_duration = 0.0  # seconds, of the last write
         self._timer: DelayedCall | None = None
         self._stop_deadline: DelayedCall | None = None
         self._when_idle: Callable[[], None] | None = None
         self._when_ended: Callable[[], None] | None = None
 
     def load(self) -> None:
-        """Have the newest snapshot restored, before the reactor runs; given up after `read_wait`."""
+        """Restore the newest snapshot before the reactor runs; waits for it for at most `read_wait`."""
         try:
             loaded = snapshot_loader.load_snapshot(
                 self.worker, self.store, self.options.read_wait, self.counts
@@ -79,11 +79,11 @@
             self.capture.restored = restored
 
     def start(self) -> None:
-        """Write at intervals from now on."""
+        """Start to write at intervals."""
         self._schedule(self.options.every)
 
     def reload(self, options: KnowledgeOptions) -> None:
-        """Follow changed options; another path is another store, from the next write on."""
+        """Apply changed options; with another path the next write goes to a new store."""
         old_path = self.options.path
         self.options = options
         if old_path != options.path:
@@ -96,9 +96,9 @@
             self._schedule(options.every)
 
     def stop(self, done: Callable[[], None], is_clean: bool = True) -> None:
-        """Write a last snapshot, end the thread, then call `done`; at the latest after `stop_wait`.
+        """Write a last snapshot, end the thread, then call `done`, at the latest after `stop_wait`.
 
-        `is_clean` tells that nothing is spent after it. A second call only calls its `done`.
+        `is_clean` states that no units are spent afterwards. A second call only calls its `done`.
         """
         if self.is_stopped:
             done()
@@ -112,16 +112,16 @@
         else:
             self._write_last(is_clean)
 
-    # Capturing, a step a turn of the reactor
+    # Capturing, one step per reactor iteration
 
     def _schedule(self, delay: float) -> None:
-        """Have the next snapshot begun after `delay` seconds, in place of any other time."""
+        """Schedule the next snapshot in `delay` seconds, instead of the one scheduled before."""
         cancel(self._timer)
         if not self.is_stopped:
             self._timer = self.reactor.callLater(delay, self._begin)
 
     def _begin(self) -> None:
-        """Begin a snapshot; it is skipped if the last one is not written yet."""
+        """Begin a snapshot, or skip it if the last one is not written yet."""
         self._schedule(self.options.every)
         if self.is_busy:
             self.counts["knowledge_write_skipped"] += 1
@@ -131,7 +131,7 @@
         self._advance(self._captured(pages), pages)
 
     def _captured(self, pages: list[bytes]) -> Iterator[None]:
-        """Capture the accounts and append their pages; yields where the reactor may turn."""
+        """Capture the accounts and append their pages; yields between steps."""
         yield from self._capture_steps()
         yield
         for page in self.capture.pages():
@@ -139,7 +139,7 @@
             yield
 
     def _advance(self, captured: Iterator[None], pages: list[bytes]) -> None:
-        """Take one step; after the last one the snapshot is written."""
+        """Take one step of the capture; after the last one write the snapshot."""
         if self.is_stopped:
             self._become_idle()
             return
@@ -158,15 +158,15 @@
         return self.capture.steps(self.gateway.now, clock.read_clocks, time.perf_counter)
 
     def _head(self, is_clean: bool) -> SnapshotHead:
-        """Return all of the snapshot but the accounts; the time a write takes is unrecorded too."""
+        """Return all of the snapshot but the accounts; `write_interval` includes the duration of a write."""
         addresses = {name: format_address(address) for name, address in self.gateway.pool.addresses.items()}
         unrecorded = self.options.every + min(self._write_duration, MAX_UNRECORDED_WRITE_TIME)
         return self.capture.head(self.gateway.now(), clock.read_clocks(), unrecorded, is_clean, addresses)
 
-    # Writing, in the thread
+    # Writing, in the worker thread
 
     def _write(self, head: SnapshotHead, pages: list[bytes], done: Callable[[Future[Written]], None]) -> None:
-        """Compress, seal and write a snapshot in the thread, then call `done` in the reactor's."""
+        """Encode and write a snapshot in the worker thread, then call `done` in the reactor's thread."""
         began = time.monotonic()
 
         def work() -> Written:
@@ -177,7 +177,7 @@
         future.add_done_callback(lambda ended: self.reactor.callFromThread(done, ended))
 
     def _written(self, write: Future[Written]) -> None:
-        """Note how a write ended; a failed one is tried again later."""
+        """Record the result of a write; a failed one is retried later."""
         error = write.exception()
         if error is None:
             self.health.record_success()
@@ -189,7 +189,7 @@
         self._become_idle()
 
     def _become_idle(self) -> None:
-        """Nothing is being captured or written any more."""
+        """Mark the writer as idle, and continue a `stop` that waited for this."""
         self.is_busy = False
         then = self._when_idle
         self._when_idle = None
@@ -199,7 +199,7 @@
     # Stopping
 
     def _write_last(self, is_clean: bool) -> None:
-        """Capture the last snapshot in one turn and have it written."""
+        """Capture the last snapshot in one reactor iteration and write it."""
         try:
             for _ in self._capture_steps():
                 pass
@@ -220,12 +220,12 @@
         self._end()
 
     def _end_late(self) -> None:
-        """Give up the last snapshot: writing it takes longer than `stop_wait`."""
+        """End without the last snapshot, whose write takes longer than `stop_wait`."""
         self.counts["knowledge_stopped_late"] += 1
         self._end()
 
     def _end(self) -> None:
-        """Close the store, end the thread and report it, once."""
+        """Close the store, end the thread and call the `done` of `stop`, once."""
         done = self._when_ended
         if done is None:
             return
@@ -239,6 +239,6 @@
 
 
 def cancel(call: DelayedCall | None) -> None:
-    """Cancel a delayed call that is still to be made."""
+    """Cancel a delayed call, if there is one and it is still to be made."""
     if call is not None and call.active():
         call.cancel()
--- a/corkdeal/persistence/worker.py
+++ b/corkdeal/persistence/worker.py
@@ -1,4 +1,4 @@
-"""One daemon thread that runs jobs in turn."""
+"""A daemon thread that runs jobs one after another."""
 
 from __future__ import annotations
 
@@ -12,7 +12,9 @@
 
 
 class WorkerThread:
-    """Runs jobs one after another; as a daemon, a job that hangs does not keep the process from ending."""
+    """Runs jobs in the order of submission. It is a daemon thread, so a job that hangs does not keep the
+    process from ending.
+    """
 
     def __init__(self, name: str) -> None:
         self._jobs: queue.SimpleQueue[Callable[[], None] | None] = queue.SimpleQueue()
@@ -20,9 +22,9 @@
         self._thread.start()
 
     def submit(self, work: Callable[[], Result]) -> Future[Result]:
-        """Have `work` run in the thread; the future's callbacks run there as well.
+        """Run `work` in the thread, and the callbacks of the returned future too.
 
-        After `stop` it is dropped, and its future never done.
+        After `stop` the job is dropped, and its future is never done.
         """
         future: Future[Result] = Future()
 
@@ -38,11 +40,11 @@
         return future
 
     def stop(self) -> None:
-        """Let the thread end after the jobs that it has; returns at once and may be called again."""
+        """End the thread after the jobs submitted so far; returns at once and may be called again."""
         self._jobs.put(None)
 
     def join(self, timeout: float) -> bool:
-        """Wait for the thread's end, at most `timeout` seconds; returns whether it has ended."""
+        """Wait at most `timeout` seconds for the thread to end; returns whether it has."""
         self._thread.join(timeout)
         return not self._thread.is_alive()
 
--- a/tests/persistence/test_program.py
+++ b/tests/persistence/test_program.py
@@ -1,4 +1,4 @@
-"""The real program with snapshots on: killed at any moment, restarted, its folder taken, its file changed."""
+"""The real program with snapshots enabled: kills, restarts, a locked or removed folder, changed options."""
 
 import contextlib
 import json
@@ -37,7 +37,7 @@
         self.line("serving ")
 
     def spend(self, client, rid, customer=1, **more):
-        """One request of a customer with two units; the answer."""
+        """Send one request of a customer; customer 1 has a bucket of two units."""
         self.ask(client, customer=customer, rid=rid, **more)
 
     def files(self):
@@ -65,7 +65,7 @@
             self.world.next().conn.send(served())
             self.assertEqual(client.read(), [b"v"])
         for rid, how in enumerate((signal.SIGTERM, signal.SIGKILL), 10):
-            if how is signal.SIGKILL:  # only after something was written since the start
+            if how is signal.SIGKILL:  # kill only after a snapshot was written since the start
                 before = self.files()
                 self.until(lambda before=before: self.files() > before)
             self.process.send_signal(how)
--- a/tests/persistence/test_snapshot_writer.py
+++ b/tests/persistence/test_snapshot_writer.py
@@ -1,4 +1,4 @@
-"""The snapshot writer beside a fake reactor: stores that hang, fail, are locked or switched; short turns."""
+"""Tests of `snapshot_writer` with a fake reactor: stores that hang, fail, are locked or change."""
 
 import itertools
 import threading
@@ -17,11 +17,11 @@
 
 from .. import helpers
 
-WAIT = 20.0  # s; far more than anything takes
+WAIT = 20.0  # s; far more than any step takes
 
 
 class Reactor(Clock):
-    """A fake clock whose calls from threads wait until the test takes them."""
+    """A fake reactor whose calls from threads wait until the test makes them."""
 
     def __init__(self):
         super().__init__()
@@ -37,14 +37,14 @@
         call(*args)
 
     def turn(self, seconds=0.0):
-        """Let time pass, and whatever has to follow in further turns."""
+        """Advance the time, and make all calls that are then due."""
         self.advance(seconds)
         while [c for c in self.getDelayedCalls() if c.getTime() <= self.seconds()]:
             self.advance(0)
 
 
 class Faulty(StateFolder):
-    """A folder whose writes hang while `gate` is clear, or fail while `broken`."""
+    """A folder whose operations hang while `gate` is clear, and whose writes fail while `broken` is set."""
 
     gate, broken = threading.Event(), False
 
@@ -117,7 +117,8 @@
     writer.start()
     for _ in range(3):
         world.reactor.turn(1.0)
-    assert world.counts["knowledge_write_skipped"] == 2  # one waits in the thread, none piles up behind it
+    # one write waits in the thread, and no other is queued behind it
+    assert world.counts["knowledge_write_skipped"] == 2
     ended = []
     writer.stop(lambda: ended.append(1))
     world.reactor.turn(0.4)
@@ -189,7 +190,7 @@
     decisions = writer.gateway.decisions
     for customer in range(3000):
         decisions.account(customer, 0, 0, 3)
-    ticks = iter(i * 0.0004 for i in range(10**6))  # each look at the clock, 0.4 ms have passed
+    ticks = iter(i * 0.0004 for i in range(10**6))  # 0.4 ms pass between two readings of the clock
     turns = sum(
         1 for _ in writer.capture.steps(writer.gateway.now, lambda: helpers_clock(), lambda: next(ticks))
     )
@@ -229,14 +230,14 @@
     writer.start()
     ended = []
     writer.stop(lambda: ended.append("first"))
-    writer.stop(lambda: ended.append("second"))  # only calls back
+    writer.stop(lambda: ended.append("second"))  # a second call only calls back
     assert ended == ["second"]
     world.reactor.take()
     assert ended == ["second", "first"] and files(world) == ["1"]
     assert writer.worker.join(WAIT)
     assert not [call for call in world.reactor.getDelayedCalls() if call.active()]
     following = SnapshotStore(str(world.path / "n0"))
-    following.open()  # not locked any more
+    following.open()  # the folder is not locked any more
     following.close()
 
 
@@ -250,7 +251,7 @@
     ended = []
     writer.stop(lambda: ended.append(1))
     Faulty.gate.set()
-    world.reactor.take()  # the write that was under way
+    world.reactor.take()  # the write that was in progress
     assert not ended
     world.reactor.take()
     assert ended == [1] and files(world) == ["1", "2"] and writer.worker.join(WAIT)
@@ -267,9 +268,9 @@
     world.reactor.turn(0.6)
     assert ended == [1] and not writer.worker.join(0.01)
     Faulty.gate.set()
-    world.reactor.take()  # the write that hung ends after all
+    world.reactor.take()  # the write that hung ends now
     assert writer.worker.join(WAIT) and ended == [1]
-    assert writer.gateway.decisions.changed_customers is None  # nothing collects customers for it any more
+    assert writer.gateway.decisions.changed_customers is None  # no longer collected
     assert world.counts["knowledge_stopped_late"] == 1
 
 
--- a/tests/persistence/test_worker.py
+++ b/tests/persistence/test_worker.py
@@ -1,4 +1,4 @@
-"""The worker thread alone: order, errors, and its end."""
+"""Unit tests of `worker`: order of jobs, errors, and stopping."""
 
 import threading
 
@@ -6,7 +6,7 @@
 
 from corkdeal.persistence.worker import WorkerThread
 
-WAIT = 20.0  # s; far more than anything takes
+WAIT = 20.0  # s; far more than any step takes
 
 
 def test_jobs_run_in_turn_in_one_daemon_thread_and_their_callbacks_too():
