--- a/corkdeal/net/upgrade.py
+++ b/corkdeal/net/upgrade.py
@@ -1,9 +1,9 @@
-"""An upgrade: this process takes over from its predecessor, and later hands over to its successor.
+"""Upgrade without downtime: a process takes over from its predecessor and later hands over to its successor.
 
-Used only where the clients' listening socket is inherited, which is how the platform starts a new version
-beside the old one. Both share the temporary folder and nothing else. `docs/upgrade.md` describes who spends
-what at which moment; `persistence/quota_handover.py` divides the quotas, and
-`persistence/handover_files.py` keeps the files.
+Used only if the listening socket for clients is inherited, which is how the platform starts a new version
+beside the old one. The two processes share nothing but the folder for temporary files. `docs/upgrade.md`
+describes which process may spend which part of the quota at what time. `persistence/quota_handover.py`
+divides the quotas, and `persistence/handover_files.py` keeps the files.
 """
 
 from __future__ import annotations
@@ -24,14 +24,14 @@
 from .invariants import count, counts
 
 FOLDER_NAME = "corkdeal-lives"  # in the folder for temporary files
-POLL_INTERVAL = 0.02  # seconds between looks for what the predecessor gives
-POLL_TIMEOUT = 1.0  # seconds until this process starts without it
-CHECK_INTERVAL = 0.1  # seconds between looks for another process's start or end
+POLL_INTERVAL = 0.02  # seconds between checks for the predecessor's first snapshot
+POLL_TIMEOUT = 1.0  # seconds after which this process starts without that snapshot
+CHECK_INTERVAL = 0.1  # seconds between checks whether another process has started or ended
 MAX_LOGGED_ERROR = 200  # characters
 
 
 class Succession:
-    """This process's place between its predecessor and its successor."""
+    """The handover from this process's predecessor, and the one to its successor."""
 
     def __init__(self, reactor: Any, gateway: Any) -> None:
         self.reactor = reactor
@@ -39,30 +39,30 @@
         self.decisions = gateway.decisions
         folder = os.path.join(tempfile.gettempdir(), FOLDER_NAME)
         self.files = HandoverFiles(gateway_folder(folder, gateway.config.name))
-        self.predecessor: int | None = None  # the incarnation that still holds a fraction of the quota
-        self.given: PartialState | None = None  # what it gave at first
-        self.predecessor_fraction = 0.0  # of the quota, that it kept
-        self.successor: int | None = None  # the incarnation that holds a fraction given here
-        self.successor_fraction = 0.0  # of the quota, that it was given
-        self.takeover: Iterator[None] | None = None  # steps of taking over the rest, while that lasts
-        self.done = False  # all was handed over, or the folder can't be used
+        self.predecessor: int | None = None  # incarnation that still has a fraction of the quota
+        self.given: PartialState | None = None  # the first part, which it handed over
+        self.predecessor_fraction = 0.0  # of the quota, which the predecessor kept
+        self.successor: int | None = None  # incarnation that was given a fraction here
+        self.successor_fraction = 0.0  # of the quota, which the successor was given
+        self.takeover: Iterator[None] | None = None  # of the remainder, while in progress
+        self.done = False  # everything was handed over, or the folder can't be used
         self.polls = 0
 
     @property
     def waits(self) -> bool:
-        """Whether the predecessor still has the ledgers, and is known to give them."""
+        """Whether the predecessor still has the ledgers and is expected to hand them over."""
         return self.predecessor is not None and self.given is not None
 
     # As the successor of another process
 
     def begin(self, start: Callable[[], None]) -> None:
-        """Call `start`, with what the predecessor gives where there is one."""
+        """Take over the first part from the predecessor, if there is one, then call `start`."""
         self.predecessor = self.files.join()
         self.reactor.callLater(CHECK_INTERVAL, self._check)
         self._poll(start)
 
     def _poll(self, start: Callable[[], None]) -> None:
-        """Wait for the first snapshot, but not for long: the predecessor may be a version that gives none."""
+        """Wait up to `POLL_TIMEOUT` for the first snapshot: the predecessor's version may not write one."""
         if self.predecessor is None:
             start()
             return
@@ -70,8 +70,8 @@
         self.polls += 1
         try:
             if snapshot is None and not self.files.is_running(self.predecessor):
-                self.predecessor = self.files.predecessor()  # the one before it may still run
-        except OSError as error:  # the folder is gone: a start must not fail for that
+                self.predecessor = self.files.predecessor()  # an older one may still run
+        except OSError as error:  # the folder was removed: the start must not fail for that
             self._disable(error)
         if self.predecessor is None:
             start()
@@ -87,7 +87,7 @@
         start()
 
     def _take_first(self, snapshot: Snapshot) -> None:
-        """Take the fraction that the predecessor gave."""
+        """Restore the decisions from the first snapshot, with the quota fraction handed over."""
         whole = snapshot.head.fleet.quota_fraction
         self.predecessor_fraction = whole * (1 - SUCCESSOR_SHARE)
         self.given = PartialState(self._restored(snapshot), SUCCESSOR_SHARE)
@@ -102,14 +102,14 @@
         )
 
     def _follow(self, predecessor: int, given: PartialState) -> None:
-        """Take over the rest once the predecessor gave it, or its rate once it has ended.
+        """Take over the remainder once the predecessor has handed it over, or its rate once it has ended.
 
-        Until then the predecessor exchanges messages with the peers, so their silence here tells nothing.
+        Until then the predecessor exchanges messages with the peers, so their silence here has no meaning.
         """
         self.decisions.quota_exchange.peer_last_heard = dict.fromkeys(
             self.decisions.ring_neighbours, self.gateway.now()
         )
-        has_ended = not self.files.is_running(predecessor)  # first: it may write and end in between
+        has_ended = not self.files.is_running(predecessor)  # before the read: it may write, then end
         snapshot = self._read(predecessor, HandoverPart.FINAL)
         now = self.gateway.now()
         if snapshot is not None:
@@ -124,7 +124,7 @@
             self._finish_takeover(has_rest=False)
 
     def _continue_takeover(self) -> None:
-        """Take one step; other calls of the reactor come between two steps."""
+        """Take one step of the takeover per reactor iteration."""
         for _ in self.takeover or ():
             self.reactor.callLater(0, self._continue_takeover)
             return
@@ -132,7 +132,7 @@
         self._finish_takeover(has_rest=True)
 
     def _finish_takeover(self, has_rest: bool) -> None:
-        """All that the predecessor held is here, or lost."""
+        """Start receiving from peers: all that the predecessor had is taken over, or lost."""
         logs.event(
             "handover_done",
             life=self.files.incarnation,
@@ -144,7 +144,7 @@
         self.gateway.hear()
 
     def _read(self, predecessor: int, part: HandoverPart) -> Snapshot | None:
-        """Return a snapshot for this process; one that can't be read counts as none, and is logged."""
+        """Return a snapshot for this process, or None; one that can't be read is counted and logged."""
         try:
             return self.files.read(predecessor, part)
         except (OSError, ValueError) as error:
@@ -153,16 +153,16 @@
             return None
 
     def _restored(self, snapshot: Snapshot) -> RestoredState:
-        """Return the snapshot's records, expired to now."""
+        """Return the snapshot as persisted state, expired to now."""
         age, _ = clock.measure_age(snapshot.head.clock, clock.read_clocks())
         return RestoredState(
             snapshot, age, self.gateway.now(), self.gateway.settings, lambda name: "", counts
         )
 
-    # Both
+    # As successor and as predecessor
 
     def _check(self) -> None:
-        """Look at the predecessor and the successor, and again after a while."""
+        """Check the predecessor and the successor, at intervals until `done`."""
         if self.done:
             return
         self.reactor.callLater(CHECK_INTERVAL, self._check)
@@ -172,9 +172,9 @@
             self._disable(error)
 
     def _check_neighbours(self) -> None:
-        """Follow the predecessor, and give to the successor or take back from it."""
+        """Take over from the predecessor; hand over to the successor, or take back from one that ended."""
         if self.takeover is not None:
-            return  # what is handed over must be complete
+            return  # only a complete state may be handed over
         if self.predecessor is not None and self.given is not None and self.gateway.begun:
             self._follow(self.predecessor, self.given)
         if self.successor is not None and not self.files.is_running(self.successor):
@@ -187,9 +187,10 @@
                 self._give_first(successor)
 
     def _disable(self, error: OSError) -> None:
-        """Give up handing over: the folder can't be used any more.
+        """Stop all handovers, because the folder can't be used any more.
 
-        The predecessor's rate is taken: the whole rate too early is better than a fraction for good.
+        The predecessor's rate is taken over at once: the whole rate too early is better than a fraction of it
+        for ever.
         """
         count("handover_off")
         logs.event("handover_off", error=shortened(error))
@@ -205,7 +206,7 @@
     # As the predecessor of another process
 
     def _give_first(self, successor: int) -> None:
-        """Give a process that has started its fraction, and all records."""
+        """Hand over a quota fraction and all records to a process that has started."""
         if not self._write(successor, HandoverPart.PARTIAL):
             return
         self.successor = successor
@@ -219,7 +220,7 @@
         )
 
     def end(self) -> None:
-        """Give the rest to the successor, if it had its fraction; no new clients come here any more."""
+        """Hand over the remainder to a successor that has its fraction; no new clients connect any more."""
         if self.successor is None or self.done or not self.files.is_running(self.successor):
             return
         if self._write(self.successor, HandoverPart.FINAL):
@@ -231,11 +232,11 @@
     def _write(self, successor: int, part: HandoverPart) -> bool:
         """Write a snapshot of the whole state; returns whether it was written.
 
-        It is captured in one turn of the reactor, so that what is divided is what it states.
+        It is captured in one reactor iteration, so that the state divided afterwards is the one in it.
         """
         now = self.gateway.now()
         quota_handover.refill_accounts(self.decisions, now)
-        changed_customers = self.decisions.changed_customers  # for a snapshot writer, if there is one
+        changed_customers = self.decisions.changed_customers  # a snapshot writer may collect them
         try:
             head, pages = self._captured(now)
             self.files.write(successor, part, lambda number: encode_snapshot(number, head, pages))
@@ -257,5 +258,5 @@
 
 
 def shortened(error: Exception) -> str:
-    """Return an error's text as a log line states it."""
+    """Return an error's text, cut to `MAX_LOGGED_ERROR` characters."""
     return str(error)[:MAX_LOGGED_ERROR]
--- a/corkdeal/persistence/quota_handover.py
+++ b/corkdeal/persistence/quota_handover.py
@@ -1,9 +1,9 @@
-"""One gateway's quota between two processes, while a new version starts beside the old one; without I/O.
+"""Divides one gateway's quota between two processes while a new version starts beside the old one.
 
-The old process gives the new one a fraction of each bucket, of each rate and of its retry budget, and all
-records; later the rest. Each bucket's level and rate are divided, never copied, so both processes together
-admit what one gateway may. The old one goes on with the ledgers until the rest is given, then the new one
-does.
+The predecessor first hands over a fraction of each bucket, of each rate and of its retry budget, together
+with all records, and later its remaining share. The level and rate of a bucket are divided, never copied, so
+that both processes together admit no more than one gateway may. The predecessor keeps the ledgers up to date
+until it hands over the remainder; from then on the successor does. Without I/O.
 """
 
 from __future__ import annotations
@@ -19,20 +19,21 @@
     from ..decisions.accounts import Account
     from ..decisions.gateway import Gateway
 
-ACCOUNTS_PER_STEP = 100  # taken over in one turn of the reactor, about 4 ms
-# Given at first. Clients keep their connections, so most requests still come to the old process.
+ACCOUNTS_PER_STEP = 100  # taken over in one reactor iteration, about 4 ms
+# Fraction of the quota that is handed over first. It is the smaller part, because clients keep their
+# connections and most requests still go to the predecessor.
 SUCCESSOR_SHARE = 0.3
 
 
 def refill_accounts(decisions: Gateway, now: float) -> None:
-    """Refill all buckets up to now, so that their records can be made and divided in the same moment."""
+    """Refill all buckets up to `now`, so that they are exported and divided as of the same moment."""
     decisions.now = now
     for account in decisions.accounts.values():
         decisions.refill(account)
 
 
 def keep_fraction(decisions: Gateway, fraction: float) -> None:
-    """Keep that fraction of all that may be spent here; the rest was given."""
+    """Keep a fraction of the quota, of each bucket and of the retry budget; the rest was handed over."""
     decisions.quota_fraction *= fraction
     decisions.retries.budget *= fraction
     for account in decisions.accounts.values():
@@ -41,7 +42,7 @@
 
 
 def keep_nothing(decisions: Gateway) -> None:
-    """Give up all, the ledgers too: neighbours exchange with the successor, and nothing is backed here."""
+    """Give up all quota and ledgers, which the successor has from now on; borrow no silent peer's share."""
     keep_fraction(decisions, 0.0)
     decisions.ring_neighbours.clear()
     decisions.active_accounts.clear()
@@ -52,16 +53,16 @@
 
 
 def take_fraction(decisions: Gateway, now: float, fraction: float) -> None:
-    """Take the rate of a process that ended without handing over; what its buckets held is lost."""
+    """Add the quota fraction of a process that ended without handing over; its bucket levels are lost."""
     refill_accounts(decisions, now)
     decisions.quota_fraction += fraction
 
 
 class CompleteState(persisted_state.PersistedState, Protocol):
-    """Persisted state that can give all its accounts at once."""
+    """Persisted state whose accounts can be iterated."""
 
     def accounts(self, now: float) -> Iterable[tuple[int, int, persisted_state.StoredAccount]]:
-        """Yield customer, plan's number and record of each."""
+        """Yield the customer, the plan's number and the record of each account."""
 
 
 class Totals(NamedTuple):
@@ -72,32 +73,32 @@
 
 
 class PartialState:
-    """Persisted state of which only a fraction of what may be spent was given."""
+    """Persisted state in which everything that can be spent is reduced to a fraction."""
 
     is_exact = True
 
     def __init__(self, state: persisted_state.PersistedState, fraction: float) -> None:
         self.state = state
         self.fraction = fraction
-        self.totals: dict[int, Totals] = {}  # of each account as it came over
+        self.totals: dict[int, Totals] = {}  # of each account as it was handed over
 
     def fleet(self, now: float, default_latencies: dict[str, float]) -> persisted_state.StoredFleet:
-        """Return the fleet's record, with a fraction of the retry budget."""
+        """Return the fleet's record with the fraction of its retry budget."""
         record = self.state.fleet(now, default_latencies)
         return record._replace(retry_budget=record.retry_budget * self.fraction)
 
     def may_resume(self) -> bool:
-        """Whether shares are those of the ledgers; the old process goes on with them for now."""
+        """Whether quota shares follow from the ledgers, which the predecessor still keeps."""
         return self.state.may_resume()
 
     def server(self, endpoint: Endpoint, now: float) -> persisted_state.StoredBackend | None:
-        """Return a server's record, whole: nothing of it can be spent."""
+        """Return a backend's record, unchanged: nothing in it can be spent."""
         return self.state.server(endpoint, now)
 
     def account(
         self, customer: int, plan: Plan, first_gateway: int, member_count: int, now: float
     ) -> persisted_state.StoredAccount | None:
-        """Return an account with the fraction that was given."""
+        """Return an account's record with the fraction of its bucket levels, and remember its totals."""
         record = self.state.account(customer, plan, first_gateway, member_count, now)
         if record is None:
             return None
@@ -116,19 +117,20 @@
     rest: CompleteState,
     fraction: float,
 ) -> Iterator[None]:
-    """Take over what the old process kept: buckets, ledgers and its place among the peers, in steps.
+    """Take over the predecessor's remaining share in steps: buckets, ledgers and its identity towards peers.
 
-    The old process spends no more. All accounts come, those not met here too, so that a third process finds
-    them all. Until the last has come this process refills its buckets at its own fraction of the rate, which
-    is less than it may; then the whole rate, the old incarnation and the ledgers are in force at once. Yields
-    after every `ACCOUNTS_PER_STEP` accounts.
+    The predecessor admits nothing any more. All accounts are taken over, even those without a request here,
+    so that a later successor gets all of them. Until the last one is taken over, this process refills its
+    buckets at its first fraction of the rate, which is less than allowed; then the whole rate, the
+    predecessor's incarnation and the ledgers take effect together. Yields after every `ACCOUNTS_PER_STEP`
+    accounts.
     """
     fleet = rest.fleet(clock(), {})
     incarnations = dict(fleet.peer_incarnations)
     for taken, (customer, plan, record) in enumerate(rest.accounts(clock()), 1):
         decisions.now = clock()
         account = decisions.account(customer, plan, record.first_gateway, record.member_count)
-        decisions.refill(account)  # one that was not met has its first fraction now, under its bound
+        decisions.refill(account)  # a new account has its first fraction now, limited to its burst
         given = first.totals.get(customer, Totals(0.0, 0.0))
         _add_record(account, record, given, rest.may_resume(), incarnations)
         if account.ledgers:
@@ -140,7 +142,7 @@
     decisions.peers.incarnations.resume(fleet.incarnation, incarnations)
     decisions.peers.message_round = fleet.message_round
     decisions.quota_fraction += fraction
-    decisions.state_transfer.restored = rest  # for servers that no list has named yet
+    decisions.state_transfer.restored = rest  # for backends that no endpoint list has named yet
 
 
 def _add_record(
@@ -150,7 +152,7 @@
     resumes: bool,
     incarnations: dict[int, int],
 ) -> None:
-    """Put a record in an account's place, and add what the account holds and counted since it came over."""
+    """Restore an account from a record, and add what it held and counted here since the first part."""
     level = account.level
     hard_limit_level = account.hard_limit_level
     demand = account.demand
--- a/tests/persistence/test_quota_handover.py
+++ b/tests/persistence/test_quota_handover.py
@@ -1,4 +1,4 @@
-"""Two processes of one gateway: what both admit, what is handed over, each moment at which one may end."""
+"""Quota handover between two processes: what both admit, what is handed over, and ends at any moment."""
 
 import collections
 import dataclasses
@@ -46,7 +46,7 @@
 
 
 class Process:
-    """One process's decisions on a clock that the test moves."""
+    """The decisions of one process, on a clock that the test advances."""
 
     def __init__(self, settings=ONE, known=None, part=1.0, now=EPOCH):
         self.d, self.rid, self.now = Gateway(settings, seed=1), 0, now
@@ -56,7 +56,7 @@
         self.d.handle(now, [SERVER])
 
     def ask(self, now, customer=7, spread=1, units=1.0):
-        """Whether a request is sent on; it is answered at once."""
+        """Whether a request is sent to the backend, which replies at once."""
         self.now, self.rid = now, self.rid + 1
         out = self.d.handle(now, [Request(self.rid, customer, 0, 0, units, 0, spread, 3.0)])
         sent = any(isinstance(a, StartAttempt) for a in out)
@@ -65,7 +65,7 @@
         return sent
 
     def document(self, now):
-        """What it hands over, through its bytes."""
+        """Return the snapshot that it hands over, encoded and decoded."""
         quota_handover.refill_accounts(self.d, now)
         reading = lambda: clock.ClockReading(now, now, "boot")  # noqa: E731
         made = StateCapture(self.d, "n0", "test")
@@ -74,7 +74,7 @@
         return codec.decode_snapshot(b"".join(parts))[2]
 
     def restored(self, made, now):
-        """Its records, as the next process reads them."""
+        """Return a snapshot as the successor restores it."""
         return RestoredState(
             made, now - made.head.clock.boot, now, self.d.settings, lambda _: "", collections.Counter()
         )
@@ -150,7 +150,8 @@
     ring.spread = 2
     ring.run(3.0, lambda me: 0.2)
     quota_handover.keep_nothing(ring.gateways[0])
-    actions = ring.gateways[0].handle(ring.now + 2.0, [request(999, spread=2)])  # its peer is silent by then
+    # by now its peer is silent, so it could borrow the peer's share
+    actions = ring.gateways[0].handle(ring.now + 2.0, [request(999, spread=2)])
     assert pick(actions, Reject) and not pick(actions, StartAttempt)
 
 
@@ -158,7 +159,7 @@
     old = Process()
     assert old.ask(EPOCH, customer=7) and old.ask(EPOCH, customer=8)
     new, first, _ = give_first(old, EPOCH)
-    assert new.ask(EPOCH, customer=7)  # met by the new process; the other one's account comes over unasked
+    assert new.ask(EPOCH, customer=7)  # customer 8 has no request there, and is handed over all the same
     give_rest(old, new, first, EPOCH)
     levels = {c: a.level for c, a in new.d.accounts.items()}
     assert levels == {7: pytest.approx(PLAN.burst - 2), 8: pytest.approx(PLAN.burst - 1)}
@@ -180,7 +181,7 @@
             process.ask(now, 7, spread=2, units=0.2)
             for one, other in ((process, peer), (peer, process)):
                 out = one.d.handle(now, [TimerExpired(0)])
-                for _ in range(4):  # to and fro until nothing is left to say
+                for _ in range(4):  # in both directions until no message is left
                     messages = [
                         PeerMessage(one.d.settings.gateway_index, a.payload)
                         for a in out
@@ -201,7 +202,7 @@
     assert new.d.accounts[7].base_share() == pytest.approx(share) and new.d.incarnation == born
     known = peer.d.peer_incarnations[0]
     talk(2.0)
-    assert peer.d.peer_incarnations[0] == known == born  # no restart seen, and the ledger went on
+    assert peer.d.peer_incarnations[0] == known == born  # the peer saw no restart and kept the ledger
     assert total() == pytest.approx(1.0, abs=1e-3) and new.d.accounts[7].base_share() > 0.6
 
 
@@ -215,9 +216,9 @@
         new.read(old.incarnation, HandoverPart.PARTIAL) is not None
         and new.read(old.incarnation, HandoverPart.FINAL) is None
     )
-    new.close()  # it ends before it served
+    new.close()  # it ends before it serves
     assert not old.is_running(2) and old.successor() is None
-    assert third.join() == old.incarnation and third.incarnation == 3  # a number is never given twice
+    assert third.join() == old.incarnation and third.incarnation == 3  # no number is used twice
     assert third.read(old.incarnation, HandoverPart.PARTIAL) is None
     old.write(third.incarnation, HandoverPart.FINAL, made)
     name = next(p for p in tmp_path.iterdir() if p.name.endswith("-3.rest"))
@@ -230,7 +231,7 @@
 
 
 class Upgrade(Program):
-    """Real processes on one listening socket; customer 1 may have two units, and hardly any later."""
+    """Real processes on one listening socket; customer 1 has a burst of 2 units and 0.1 units per second."""
 
     build = ("-O",)
 
@@ -243,7 +244,7 @@
         self.rid = 0
 
     def next_process(self):
-        """Start it beside the one that serves; the old process and its log."""
+        """Start another process beside the one that serves; returns the old one."""
         old = self.process
         self.addCleanup(lambda: (old.kill(), old.wait(), old.stdout.close()))
         self.run_program()
@@ -256,20 +257,20 @@
         self.fail(f"ended without {text!r}")
 
     def spend(self, client):
-        """Whether a request of customer 1 is let in."""
+        """Whether a request of customer 1 is admitted."""
         self.rid += 1
         self.ask(client, customer=1, rid=self.rid)
         served_ = threading.Thread(target=self.serve, daemon=True)
         served_.start()
         answer = client.read()
-        self.world.asked.put(None)  # where it was refused nobody asks the backend
+        self.world.asked.put(None)  # ends `serve` if the request was rejected and never reached a backend
         served_.join(PATIENCE)
         while not self.world.asked.empty():
             self.world.asked.get()
         return answer == [b"v"]
 
     def serve(self):
-        """The backend's next request, if one comes."""
+        """Reply to the next request at the backend, if one comes."""
         if (asked := self.world.next()) is not None:
             asked.conn.send(served())
 
@@ -297,12 +298,12 @@
         self.assertEqual(self.admitted(self.client()), 2)
         old = self.next_process()
         self.line("serving ")
-        self.process.kill()  # the new one, before it did anything
+        self.process.kill()  # the new process, before it admitted anything
         self.process.wait()
         self.follow(old, "handover_taken_back")
         dead = self.process
         self.addCleanup(dead.stdout.close)
-        self.run_program()  # a third start, with what is made for it
+        self.run_program()  # a third process, which gets a snapshot of its own
         self.assertIn("life=3", self.line("handover_begun"))
         self.line("serving ")
         old.kill()
@@ -310,13 +311,13 @@
         self.assertEqual(self.admitted(self.client()), 0)
         client, began = self.client(), time.monotonic()
         while not self.admitted(client, 1) and time.monotonic() - began < 2 * PATIENCE:
-            time.sleep(0.1)  # it has the whole rate: 0.1 a second
+            time.sleep(0.1)  # it refills at the whole rate, 0.1 per second
         self.assertLess(time.monotonic() - began, 2 * PATIENCE)
 
     def test_a_folder_that_goes_away_while_it_serves_harms_nothing(self):
         self.begin()
         shutil.rmtree(f"{self.folder.name}/corkdeal-lives")
-        next_old = self.next_process()  # it finds no process before it, and both are whole
+        next_old = self.next_process()  # it finds no predecessor, so both have the whole quota
         self.line("serving ")
         next_old.send_signal(signal.SIGTERM)
         self.assertEqual(next_old.wait(PATIENCE), 0)
--- a/tests/persistence/test_upgrade.py
+++ b/tests/persistence/test_upgrade.py
@@ -1,4 +1,4 @@
-"""The succession of two processes on a fake clock: what each finds of the other, a folder that goes away."""
+"""Tests of `net.upgrade` on a fake clock: handover between two processes, early ends, a removed folder."""
 
 import shutil
 import tempfile
@@ -22,7 +22,7 @@
     logs.configure(lambda level, name, pairs: lines.append(name))
 
     def process():
-        """A process that has begun to start; it serves once `begun` is set."""
+        """Return a process that is starting; it serves once `begun` is set."""
         decisions = Gateway(helpers.settings(), seed=1)
         calls = []
         gateway = SimpleNamespace(
@@ -98,7 +98,7 @@
 
 def test_a_predecessor_that_gives_nothing_is_not_waited_for_long(world):
     _, old_gateway, _ = world.process()
-    old_gateway.begun = False  # it never gives
+    old_gateway.begun = False  # so it never hands over
     _, new_gateway, _ = world.process()
     world.turn(POLL_TIMEOUT / 2)
     assert not new_gateway.begun
