--- a/corkdeal/__init__.py
+++ b/corkdeal/__init__.py
@@ -1,4 +1,4 @@
-"""A rate-limiting gateway that exchanges quota shares with its peers; the decisions are in `decisions`."""
+"""A rate-limiting gateway that exchanges quota shares with its peers; `decisions` makes its decisions."""
 
 from .decisions.gateway import Gateway
 
--- a/corkdeal/__main__.py
+++ b/corkdeal/__main__.py
@@ -1,4 +1,4 @@
-"""`python -m corkdeal`: the command line."""
+"""Runs the command line as `python -m corkdeal`."""
 
 from .cli import main
 
--- a/corkdeal/errors.py
+++ b/corkdeal/errors.py
@@ -1,5 +1,5 @@
-"""The base class of all errors that corkdeal raises on purpose."""
+"""Base class of the exceptions that corkdeal defines."""
 
 
 class CorkdealError(Exception):
-    """An error with a reason, and where there is one the place, in its text."""
+    """An error whose text states the reason and, where there is one, the place in the input."""
--- a/corkdeal/net/manual_overrides.py
+++ b/corkdeal/net/manual_overrides.py
@@ -1,11 +1,11 @@
-"""Backends put out of service by hand: they override what discovery says, and outlast an upgrade.
-
-An operator's `maintenance/enter/ID` holds a backend out until `maintenance/exit/ID`, whatever discovery
-says; one call back ends any number of calls out. What is held out is written to a small file in the
-process's temporary folder at each change (written whole beside it, then renamed over it), so that the next
-process of the same name, which shares that folder during an upgrade, holds the same ones out from its start.
-While both live either may be called, so each looks whether the file is still the one that it knows.
-A backend that comes back is told to the decisions as just started, so it is eased in as a cold one.
+"""Backends held out by an operator: they override the endpoint list and persist through an upgrade.
+
+`maintenance/enter/ID` holds a backend out until `maintenance/exit/ID`, whatever the endpoint list says; one
+exit ends any number of enters. Each change is written to a small file in the folder for temporary files
+(under another name first, then renamed), so that the next process of the same name, which shares that folder
+during an upgrade, holds the same backends out from its start. While both processes run, an operator may call
+either, so each checks whether the other has replaced the file. A backend that comes back is reported to the
+decisions as one that has just started, so that it goes through slow start.
 """
 
 from __future__ import annotations
@@ -21,22 +21,22 @@
 from ..decisions.events import Endpoint, EndpointState
 from .invariants import count
 
-FORMAT = 1  # of the file; one of another form is not read, and the gateway holds nothing out
+FORMAT = 1  # of the file; one of another format is not read, and nothing is held out
 
 
 class ManualOverrides:
-    """The ids held out, when each came back, and the file that hands them on."""
+    """The backends held out, those that came back, and the file that persists both."""
 
     def __init__(self, name: str, folder: str | None = None) -> None:
         safe = "".join(c if c.isalnum() or c in "-_." else "_" for c in name) or "gateway"
         self.path = os.path.join(folder or tempfile.gettempdir(), f"corkdeal-{safe}.held-out.json")
         self.out: set[str] = set()
-        self.back: dict[str, float] = {}  # id: when it came back, on the decisions' clock
-        self.known: tuple[int, int] | None = None  # which file was read or written last: a new one each time
+        self.back: dict[str, float] = {}  # by id, in the decisions' time
+        self.known: tuple[int, int] | None = None  # inode and mtime of the file last read or written
 
     def load(self) -> None:
-        """What an earlier process of this name held out; a file that can't be read is counted and ignored."""
-        self.known = self.stamp()  # before it is read: what replaces it meanwhile is read again
+        """Read the file of an earlier process of this name; an unreadable one is counted and ignored."""
+        self.known = self.stamp()  # before the read: a file renamed over it meanwhile is read next time
         try:
             with open(self.path, "rb") as file:
                 raw = orjson.loads(file.read())
@@ -46,7 +46,7 @@
                 or not all(isinstance(x, str) for x in out)
                 or not all(isinstance(k, str) and type(v) is float for k, v in back.items())
             ):
-                raise ValueError("unknown form")
+                raise ValueError("unexpected format")
             self.out, self.back = set(out), back
         except FileNotFoundError:
             return
@@ -55,7 +55,7 @@
             logs.event("held_out_unreadable", file=self.path, error=f"{type(error).__name__}: {error}"[:200])
 
     def stamp(self) -> tuple[int, int] | None:
-        """Which file there is now; None while there is none."""
+        """Return the inode and mtime of the file that exists now; None if there is none."""
         try:
             seen = os.stat(self.path)
         except OSError:
@@ -63,7 +63,7 @@
         return seen.st_ino, seen.st_mtime_ns
 
     def follow(self) -> set[str]:
-        """What another life of this gateway was told; the ids that it changed something for."""
+        """Read the file if another process of this gateway replaced it; returns the ids that changed."""
         if self.stamp() in (self.known, None):
             return set()
         out, back = self.out, self.back
@@ -71,7 +71,7 @@
         return (out ^ self.out) | {k for k, v in self.back.items() if back.get(k) != v}
 
     def save(self) -> None:
-        """Hand the set on; a folder that can't be written costs the next process the set, not this one."""
+        """Write the file; if that fails, only the next process lacks what is held out."""
         part = f"{self.path}.{os.getpid()}"
         try:
             with open(part, "wb") as file:
@@ -83,14 +83,14 @@
             logs.event("held_out_not_saved", file=self.path, error=str(error)[:200])
 
     def enter(self, server: str) -> bool:
-        """Hold it out; whether that is news."""
+        """Hold a backend out; returns whether it was not held out before."""
         new = server not in self.out
         self.out.add(server)
         self.save()
         return new
 
     def exit(self, server: str, now: float) -> bool:
-        """Let it back, as a backend that has just started; whether it was held out."""
+        """Let a backend back in, as one that has just started; returns whether it was held out."""
         if server not in self.out:
             return False
         self.out.discard(server)
@@ -99,11 +99,11 @@
         return True
 
     def overlay(self, entries: Iterable[Endpoint]) -> tuple[Endpoint, ...]:
-        """The entries as the decisions should see them: held out ones drain, returned ones are new."""
+        """Return the endpoints as the decisions see them: draining if held out, new if they came back."""
         return tuple(self.entry(e) for e in entries)
 
     def entry(self, e: Endpoint) -> Endpoint:
-        """One entry under the operators' word."""
+        """Return one endpoint with the overrides applied."""
         if e.backend in self.out and e.state is EndpointState.READY:
             return dataclasses.replace(e, state=EndpointState.DRAINING)
         back = self.back.get(e.backend)
