--- a/corkdeal/persistence/codec.py
+++ b/corkdeal/persistence/codec.py
@@ -30,7 +30,7 @@
 CURRENT_FORMAT = 3
 MINIMUM_READER = 3
 COMPRESSION_LEVEL = 1  # of Zstandard; the bytes that higher levels save are not worth their processor time
-MAX_SERVERS = 100_000
+MAX_BACKENDS = 100_000
 MAX_ACCOUNTS = 1_000_000
 
 MSGPACK_MAP_OF_2 = b"\x82"
@@ -142,8 +142,8 @@
     """
     envelope = parse_envelope(data)
     if envelope.minimum_reader > CURRENT_FORMAT:
-        needed = f"needs a reader of format {envelope.minimum_reader}, not {CURRENT_FORMAT}"
-        raise UnsupportedFormatError(f"format {envelope.format} {needed}")
+        requirement = f"needs a reader of format {envelope.minimum_reader}, not {CURRENT_FORMAT}"
+        raise UnsupportedFormatError(f"format {envelope.format} {requirement}")
     try:
         snapshot = _snapshot_decoder.decode(_current_document(envelope))
     except (msgspec.MsgspecError, MigrationError) as error:
@@ -185,15 +185,15 @@
     """Check what decoding by type does not: sizes, and that all numbers of the head are finite."""
     head = snapshot.head
     account_count = sum(map(len, snapshot.accounts))
-    if len(head.servers) > MAX_SERVERS or account_count > MAX_ACCOUNTS:
+    if len(head.servers) > MAX_BACKENDS or account_count > MAX_ACCOUNTS:
         raise DamagedSnapshotError("body: more backends or accounts than a reader accepts")
-    figures = {
+    checked_values = {
         "clock": head.clock,
         "fleet": head.fleet,
         "servers": head.servers,
         "every": head.write_interval,
     }
-    for stored_name, value in figures.items():
+    for stored_name, value in checked_values.items():
         if not is_finite(value):
             raise DamagedSnapshotError(f"body: {stored_name}: a number is not finite")
     if head.write_interval < 0:
--- a/corkdeal/persistence/merge.py
+++ b/corkdeal/persistence/merge.py
@@ -41,11 +41,11 @@
 def precedence(record: Record) -> tuple[float, float, bytes]:
     """Return the sort key of a record: start, time, then encoding, as an arbitrary but stable tie-breaker."""
     started = record.started if isinstance(record, StoredBackend) else 0.0
-    made_at = record.refilled_at if isinstance(record, StoredAccount) else record.recorded_at
-    return started, made_at, encode_record(record)
+    recorded_at = record.refilled_at if isinstance(record, StoredAccount) else record.recorded_at
+    return started, recorded_at, encode_record(record)
 
 
-def server_from_other_machine(record: StoredBackend, offset: float) -> StoredBackend:
+def backend_from_other_machine(record: StoredBackend, offset: float) -> StoredBackend:
     """Return another machine's record of a backend in the target's time, without its address."""
     return record._replace(recorded_at=record.recorded_at + offset, address="")
 
@@ -81,21 +81,21 @@
     merged = msgspec.structs.replace(
         target.head,
         fleet=_merged_fleet(heads),
-        servers=_merged_servers(heads),
+        servers=_merged_backends(heads),
         is_clean=all(head.is_clean for head in heads),
         write_interval=max(head.write_interval for head in heads),
     )
     accounts = dict(sorted(_merged_accounts(target, sources).items()))
-    return Snapshot(merged, [_encoded(accounts)])
+    return Snapshot(merged, [_encoded_page(accounts)])
 
 
-def _merged_servers(heads: list[SnapshotHead]) -> tuple[StoredBackend, ...]:
+def _merged_backends(heads: list[SnapshotHead]) -> tuple[StoredBackend, ...]:
     """Return the newest record of each backend; the first head is the target's."""
     target = heads[0]
     records = [(record.backend, record) for record in target.servers]
     for head in heads[1:]:
         offset = clock_offset(head, target)
-        records += [(record.backend, server_from_other_machine(record, offset)) for record in head.servers]
+        records += [(record.backend, backend_from_other_machine(record, offset)) for record in head.servers]
     merged = newest_records(records)
     for record in target.servers:
         is_same_process = merged[record.backend].started == record.started
@@ -130,7 +130,7 @@
     return newest_records(records)
 
 
-def _encoded(accounts: dict[int, StoredAccount]) -> dict[int, msgspec.Raw]:
+def _encoded_page(accounts: dict[int, StoredAccount]) -> dict[int, msgspec.Raw]:
     """Return the accounts as one page, in the same order."""
     return {customer: msgspec.Raw(encode_record(record)) for customer, record in accounts.items()}
 
@@ -139,7 +139,7 @@
     """Return the snapshot as if it had been written `seconds` earlier, to show the effect of age."""
     head = snapshot.head
     clock = head.clock._replace(wall=head.clock.wall - seconds, boot=head.clock.boot - seconds)
-    work = tuple(
+    latencies = tuple(
         record._replace(recorded_at=record.recorded_at - seconds) for record in head.fleet.usual_latencies
     )
     servers = tuple(record._replace(recorded_at=record.recorded_at - seconds) for record in head.servers)
@@ -149,7 +149,7 @@
         )
         for customer, record in accounts_of(snapshot).items()
     }
-    earlier = msgspec.structs.replace(
-        head, clock=clock, fleet=head.fleet._replace(usual_latencies=work), servers=servers
+    backdated_head = msgspec.structs.replace(
+        head, clock=clock, fleet=head.fleet._replace(usual_latencies=latencies), servers=servers
     )
-    return Snapshot(earlier, [_encoded(accounts)])
+    return Snapshot(backdated_head, [_encoded_page(accounts)])
--- a/corkdeal/persistence/migrate.py
+++ b/corkdeal/persistence/migrate.py
@@ -54,13 +54,13 @@
 def format_1_to_2(old: Document) -> Document:
     """Convert wall times to those of a boot clock that was 0 at the write; the boot id is unknown."""
     wall = old["wall"]
-    work = [[entry["class"], entry["size"], entry["seconds"], 0.0] for entry in old["work"]]
+    latencies = [[entry["class"], entry["size"], entry["seconds"], 0.0] for entry in old["work"]]
     return {
         "name": old["name"],
         "clock": {"wall": wall, "boot": 0.0, "boot_id": ""},
         "interval": 1.0,
         "servers": [{**server, "at": server["at"] - wall, "shut": []} for server in old["servers"]],
-        "fleet": {"pace": old["pace"], "slow": old["slow"], "work": work},
+        "fleet": {"pace": old["pace"], "slow": old["slow"], "work": latencies},
         "accounts": {int(account["customer"]): _account_1_to_2(account, wall) for account in old["accounts"]},
     }
 
@@ -90,7 +90,7 @@
             "clean": False,
             "clock": [clock["wall"], clock["boot"], clock["boot_id"]],
             "fleet": _fleet_2_to_3(old["fleet"], clock["boot"]),
-            "servers": [_server_2_to_3(server) for server in old["servers"]],
+            "servers": [_backend_2_to_3(server) for server in old["servers"]],
         },
         "accounts": [accounts],
     }
@@ -98,11 +98,11 @@
 
 def _fleet_2_to_3(fleet: Document, boot: float) -> list[Any]:
     """Return the fleet's record, with gateway index and count, incarnation, round and peers unknown."""
-    work = [[*entry[:3], boot] for entry in fleet["work"]]
-    return [fleet["pace"], fleet["slow"], UNKNOWN_RETRIES, work, 0, 0, 0, 0, []]
+    latencies = [[*entry[:3], boot] for entry in fleet["work"]]
+    return [fleet["pace"], fleet["slow"], UNKNOWN_RETRIES, latencies, 0, 0, 0, 0, []]
 
 
-def _server_2_to_3(server: Document) -> list[Any]:
+def _backend_2_to_3(server: Document) -> list[Any]:
     names = ("id", "started", "at", "slow", "failures", "ejected", "out_for", "shut")
     unknown_address = ""
     return [*(server[name] for name in names), unknown_address]
