--- a/corkdeal/persistence/capture.py
+++ b/corkdeal/persistence/capture.py
@@ -56,14 +56,14 @@
         # Collected and written first: an account that is claimed during the capture occurs twice in the
         # snapshot, and a reader takes the later entry.
         self._unclaimed_entries = list(self._update_unclaimed(now(), clock()).values())
-        began = tick()
+        step_started_at = tick()
         customers = iter(self._take_changed_customers())
         offset = clock().boot - now()
         while batch := list(islice(customers, ACCOUNTS_PER_CHECK)):
             self._encode_accounts(batch, offset)
-            if tick() - began > MAX_STEP_TIME:
+            if tick() - step_started_at > MAX_STEP_TIME:
                 yield
-                began = tick()
+                step_started_at = tick()
                 offset = clock().boot - now()
         yield
         self._drop_forgotten_accounts()
@@ -82,17 +82,17 @@
         addresses: dict[str, str],
     ) -> SnapshotHead:
         """Return all of the snapshot but the accounts; `addresses` maps backends to `host:port`."""
-        servers = self._server_records(now, clock, addresses)
+        backends = self._backend_records(now, clock, addresses)
         fleet: StoredFleet = self.decisions.state_transfer.export_fleet(self.decisions.quota_fraction)
-        work = tuple([record._replace(recorded_at=clock.boot) for record in fleet.usual_latencies])
+        latencies = tuple([record._replace(recorded_at=clock.boot) for record in fleet.usual_latencies])
         return SnapshotHead(
             self.name,
             self.program,
             clock,
             write_interval,
             is_clean,
-            fleet._replace(usual_latencies=work),
-            tuple(servers),
+            fleet._replace(usual_latencies=latencies),
+            tuple(backends),
         )
 
     def _take_changed_customers(self) -> list[int]:
@@ -131,15 +131,15 @@
         if self._unclaimed is None:
             stored = restored.head.clock
             is_same_boot = bool(clock.boot_id) and clock.boot_id == stored.boot_id and restored.age < math.inf
-            self._unclaimed = restored.unclaimed(now, is_same_boot, clock.boot)
+            self._unclaimed = restored.unclaimed_entries(now, is_same_boot, clock.boot)
         else:
             for customer in self._unclaimed.keys() - restored.encoded_accounts.keys():
                 del self._unclaimed[customer]
-        if not restored.encoded_accounts and not restored.servers:
+        if not restored.encoded_accounts and not restored.backends:
             self.restored = None
         return self._unclaimed
 
-    def _server_records(
+    def _backend_records(
         self, now: float, clock: ClockReading, addresses: dict[str, str]
     ) -> list[StoredBackend]:
         """Return the records of all listed backends, and of restored ones not listed yet."""
@@ -150,7 +150,7 @@
             record = persisted_state.export_backend(backend, classes, now, offset)
             records.append(record._replace(address=addresses.get(record.backend, "")))
         if self.restored is not None:
-            records += self.restored.unlisted(now, clock.boot)
+            records += self.restored.unlisted_backends(now, clock.boot)
         return records
 
 
--- a/corkdeal/persistence/expiry.py
+++ b/corkdeal/persistence/expiry.py
@@ -58,7 +58,7 @@
     return min(high, max(low, between))
 
 
-def expire_server(record: StoredBackend, age: float) -> StoredBackend | None:
+def expire_backend(record: StoredBackend, age: float) -> StoredBackend | None:
     """Return a backend's record, weighted by age; None where nothing of it has weight.
 
     An ejected backend remains due for a trial, with its ejection time weighted; no record alone keeps it out.
@@ -68,11 +68,11 @@
     if not slowness_weight and not failure_weight:
         return None
     failures = record.failures * failure_weight
-    shut = [
-        shut_out._replace(
-            duration=shut_out.duration * failure_weight, remaining=max(0.0, shut_out.remaining - age)
+    rejections = [
+        rejection._replace(
+            duration=rejection.duration * failure_weight, remaining=max(0.0, rejection.remaining - age)
         )
-        for shut_out in record.rejections
+        for rejection in record.rejections
         if failure_weight
     ]
     return record._replace(
@@ -80,21 +80,21 @@
         failures=math.ceil(failures) if failures >= MIN_FAILURES else 0,
         is_ejected=record.is_ejected and failure_weight > 0,
         ejection_time=record.ejection_time * failure_weight,
-        rejections=tuple(shut),
+        rejections=tuple(rejections),
     )
 
 
 def unrecorded_spending(
-    record: StoredAccount, rate: float, share: float, quiet: float, unseen: float
+    record: StoredAccount, rate: float, share: float, idle_time: float, unrecorded_time: float
 ) -> float:
     """Return an estimate of the units spent between the last write and the end of the process.
 
-    The demand at the write is assumed to continue for `unseen` seconds, the longest time that the last
-    snapshot may not cover. The estimate is bounded by what the bucket held and gained in that time, `rate`
-    times `share` a second, so an account starts empty at worst, and in debt only if it was in debt before.
-    `quiet` is how many seconds before the write the record was made; no request came in between, or the
-    record would be newer.
+    The demand at the write is assumed to continue for `unrecorded_time` seconds, the longest time that the
+    last snapshot may not cover. The estimate is bounded by what the bucket held and gained in that time,
+    `rate` times `share` a second, so an account starts empty at worst, and in debt only if it was in debt
+    before. `idle_time` is how many seconds before the write the record was made; no request came in
+    between, or the record would be newer.
     """
-    demand = record.demand * math.exp(-max(0.0, quiet) / DEMAND_TIME_CONSTANT)
-    available = max(0.0, record.level) + rate * share * unseen
-    return min(available, max(0.0, demand) * unseen)
+    demand = record.demand * math.exp(-max(0.0, idle_time) / DEMAND_TIME_CONSTANT)
+    available = max(0.0, record.level) + rate * share * unrecorded_time
+    return min(available, max(0.0, demand) * unrecorded_time)
--- a/corkdeal/persistence/restore.py
+++ b/corkdeal/persistence/restore.py
@@ -54,7 +54,7 @@
         self.counts = counts
         self.class_names = {request_class.name for request_class in settings.classes}
         self.plan_names = {plan.name for plan in settings.plans}
-        self.servers = {record.backend: record for record in self.head.servers}
+        self.backends = {record.backend: record for record in self.head.servers}
         self.encoded_accounts: dict[int, msgspec.Raw] = {}
         if age < expiry.ACCOUNT_HORIZON:
             self.encoded_accounts = snapshot.encoded_accounts()
@@ -67,7 +67,7 @@
         return max(0.0, age_when_loaded + max(0.0, now - self.loaded_at))
 
     @property
-    def is_useless(self) -> bool:
+    def has_expired(self) -> bool:
         """Whether every record has expired."""
         is_within_longest_horizon = self.age < expiry.USUAL_LATENCY.horizon
         return not is_within_longest_horizon
@@ -75,13 +75,13 @@
     def may_resume(self) -> bool:
         """Whether ledgers may be resumed: peers may still have their side, and the tier is unchanged."""
         fleet = self.head.fleet
-        stored_place = (fleet.gateway_index, fleet.gateway_count)
-        place = (self.settings.gateway_index, self.settings.gateway_count)
+        stored_position = (fleet.gateway_index, fleet.gateway_count)
+        position = (self.settings.gateway_index, self.settings.gateway_count)
         return (
             self.age < expiry.LEDGER_HORIZON
             and fleet.incarnation > 0
             and fleet.message_round < MAX_ROUND
-            and stored_place == place
+            and stored_position == position
         )
 
     def fleet(self, now: float, default_latencies: dict[str, float]) -> StoredFleet:
@@ -94,11 +94,11 @@
         pace_weight = expiry.USUAL_LATENCY.weight(age)
         slowness_weight = expiry.FLEET_SLOWNESS.weight(age)
         retry_weight = expiry.RETRY_BUDGET.weight(age)
-        retries = min(stored.retry_budget, FULL_RETRY_BUDGET)
+        retry_budget = min(stored.retry_budget, FULL_RETRY_BUDGET)
         return stored._replace(
             pace=interpolate(stored.pace, UNKNOWN_PACE, pace_weight),
             slowness=interpolate(stored.slowness, 1.0, slowness_weight),
-            retry_budget=interpolate(retries, FULL_RETRY_BUDGET, retry_weight),
+            retry_budget=interpolate(retry_budget, FULL_RETRY_BUDGET, retry_weight),
             usual_latencies=tuple(self._usual_latencies(now, default_latencies)),
             message_round=stored.message_round + ROUND_LEAP,
         )
@@ -120,10 +120,10 @@
         An endpoint with an earlier start comes from a list older than the record; the record is then kept.
         """
         name = str(endpoint.backend)
-        record = self.servers.get(name)
+        record = self.backends.get(name)
         if record is None or endpoint.started < record.started - START_TOLERANCE:
             return None
-        del self.servers[name]
+        del self.backends[name]
         if endpoint.started > record.started + START_TOLERANCE:
             self.counts["knowledge_server_restarted"] += 1
             return None
@@ -131,14 +131,16 @@
         if record.address and address and address != record.address:
             self.counts["knowledge_server_moved"] += 1
             return None
-        expired = expiry.expire_server(self._with_known_classes(record), self.age_of(record.recorded_at, now))
+        expired = expiry.expire_backend(
+            self._with_known_classes(record), self.age_of(record.recorded_at, now)
+        )
         self.counts["knowledge_server_used" if expired else "knowledge_server_too_old"] += 1
         return expired
 
     def _with_known_classes(self, record: StoredBackend) -> StoredBackend:
         """Return a record without the rejections of classes that the settings no longer have."""
         known = tuple(
-            shut_out for shut_out in record.rejections if shut_out.request_class in self.class_names
+            rejection for rejection in record.rejections if rejection.request_class in self.class_names
         )
         dropped = len(record.rejections) - len(known)
         if dropped:
@@ -159,9 +161,9 @@
         if record is None:
             return None
         age = self.age_of(record.refilled_at, now)
-        misfit = self._misfit(record, plan, (first_gateway, member_count), age)
-        self.counts[misfit or "knowledge_account_used"] += 1
-        if misfit:
+        mismatch = self._mismatch_counter(record, plan, (first_gateway, member_count), age)
+        self.counts[mismatch or "knowledge_account_used"] += 1
+        if mismatch:
             return None
         shift = now - age - record.refilled_at
         level = record.level - self._unrecorded_spending(record, plan)
@@ -170,7 +172,9 @@
             last_request_at=min(now, record.last_request_at + shift),
             level=min(level, plan.burst),
             demand=max(0.0, record.demand),
-            ledgers=tuple(pair._replace(peer_state_at=pair.peer_state_at + shift) for pair in record.ledgers),
+            ledgers=tuple(
+                ledger._replace(peer_state_at=ledger.peer_state_at + shift) for ledger in record.ledgers
+            ),
         )
 
     def _decoded(self, encoded: msgspec.Raw) -> StoredAccount | None:
@@ -181,13 +185,15 @@
             self.counts["knowledge_account_malformed"] += 1
             return None
 
-    def _misfit(self, record: StoredAccount, plan: Plan, place: tuple[int, int], age: float) -> str:
+    def _mismatch_counter(
+        self, record: StoredAccount, plan: Plan, members: tuple[int, int], age: float
+    ) -> str:
         """Return the counter of the reason why a record does not match its customer; empty if it does."""
         if record.plan != plan.name:
             if record.plan in self.plan_names:
                 return "knowledge_plan_changed"
             return "knowledge_plan_unknown"
-        if (record.first_gateway, record.member_count) != place:
+        if (record.first_gateway, record.member_count) != members:
             return "knowledge_account_moved"
         if age >= expiry.ACCOUNT_HORIZON:
             return "knowledge_account_too_old"
@@ -199,10 +205,10 @@
             return 0.0
         quota_share = 1.0
         if not record.tree_edges:
-            traded = sum(pair.received_share for pair in record.ledgers) / SHARE_STEPS
-            quota_share = min(1.0, max(0.0, 1 / record.member_count + traded))
-        quiet = self.head.clock.boot - record.refilled_at
-        return expiry.unrecorded_spending(record, plan.rate, quota_share, quiet, self.head.write_interval)
+            received_share = sum(ledger.received_share for ledger in record.ledgers) / SHARE_STEPS
+            quota_share = min(1.0, max(0.0, 1 / record.member_count + received_share))
+        idle_time = self.head.clock.boot - record.refilled_at
+        return expiry.unrecorded_spending(record, plan.rate, quota_share, idle_time, self.head.write_interval)
 
     def accounts(self, now: float) -> Iterator[tuple[int, int, StoredAccount]]:
         """Yield the customer, the plan's number and the record of each account that has not expired."""
@@ -217,18 +223,18 @@
             if record is not None:
                 yield customer, plan_number, record
 
-    def unlisted(self, now: float, boot: float) -> list[StoredBackend]:
+    def unlisted_backends(self, now: float, boot: float) -> list[StoredBackend]:
         """Return unexpired records of backends that no list has named yet, in this boot's time."""
         age = self.age_of(self.head.clock.boot, now)
-        if self.servers and age >= expiry.SERVER_SLOWNESS.horizon:
-            self.counts["knowledge_server_gone"] += len(self.servers)
-            self.servers.clear()
+        if self.backends and age >= expiry.SERVER_SLOWNESS.horizon:
+            self.counts["knowledge_server_gone"] += len(self.backends)
+            self.backends.clear()
         return [
             record._replace(recorded_at=boot - self.age_of(record.recorded_at, now))
-            for record in self.servers.values()
+            for record in self.backends.values()
         ]
 
-    def unclaimed(self, now: float, is_same_boot: bool, boot: float) -> dict[int, bytes]:
+    def unclaimed_entries(self, now: float, is_same_boot: bool, boot: float) -> dict[int, bytes]:
         """Return the accounts that the decisions have not claimed yet, as page entries for the next snapshot.
 
         Without these entries a second restart would lose the accounts. Their times are valid within one boot;
@@ -243,7 +249,9 @@
                 continue
             record = self._decoded(encoded)
             if record is not None:
-                at = boot - self.age_of(record.refilled_at, now)
-                moved = record._replace(refilled_at=at, last_request_at=at, ledgers=(), tree_edges=())
-                entries[customer] = encode_page_entry(customer, encode_record(moved))
+                refilled_at = boot - self.age_of(record.refilled_at, now)
+                converted = record._replace(
+                    refilled_at=refilled_at, last_request_at=refilled_at, ledgers=(), tree_edges=()
+                )
+                entries[customer] = encode_page_entry(customer, encode_record(converted))
         return entries
--- a/corkdeal/persistence/snapshot_loader.py
+++ b/corkdeal/persistence/snapshot_loader.py
@@ -66,7 +66,7 @@
         counts,
     )
     odd = ",".join(anomalies)
-    if restored.is_useless:
+    if restored.has_expired:
         counts["knowledge_useless"] += 1
         logs.event("knowledge_useless", file=loaded.file, age=format_age(age), odd=odd)
         return None
@@ -76,7 +76,7 @@
         file=loaded.file,
         format=loaded.format,
         age=format_age(age),
-        servers=len(restored.servers),
+        servers=len(restored.backends),
         accounts=len(restored.encoded_accounts),
         resumes=restored.may_resume(),
         odd=odd,
--- a/tests/persistence/test_capture.py
+++ b/tests/persistence/test_capture.py
@@ -55,6 +55,6 @@
     exhaust(capture)
     assert sorted(accounts_of(capture)) == [8] and capture.restored is restored
     restored.encoded_accounts.pop(8)
-    restored.servers.clear()
+    restored.backends.clear()
     exhaust(capture)
     assert not accounts_of(capture) and capture.restored is None
--- a/tests/persistence/test_expiry.py
+++ b/tests/persistence/test_expiry.py
@@ -11,7 +11,7 @@
 from . import samples
 from .strategies import AGES, SERVERS
 
-KINDS = [
+RULES = [
     expiry.SERVER_SLOWNESS,
     expiry.SERVER_FAILURES,
     expiry.USUAL_LATENCY,
@@ -20,23 +20,24 @@
 ]
 
 
-@given(st.sampled_from(KINDS), AGES, AGES)
-def test_weights_never_grow_and_end_at_the_horizon(kind, one, other):
+@given(st.sampled_from(RULES), AGES, AGES)
+def test_weights_never_grow_and_end_at_the_horizon(rule, one, other):
     young, old = sorted((one, other))
-    assert 1 >= kind.weight(young) >= kind.weight(old) >= 0
-    assert kind.weight(kind.horizon) == 0 == kind.weight(math.inf) == kind.weight(math.nan)
-    assert kind.weight(kind.half_life) == pytest.approx(0.5)
+    assert 1 >= rule.weight(young) >= rule.weight(old) >= 0
+    assert rule.weight(rule.horizon) == 0 == rule.weight(math.inf) == rule.weight(math.nan)
+    assert rule.weight(rule.half_life) == pytest.approx(0.5)
 
 
 @given(SERVERS, AGES, AGES)
-def test_an_aged_server_lies_between_its_record_and_an_unknown_one(m, one, other):
-    young, old = (expiry.expire_server(m, a) for a in sorted((one, other)))
-    for made in (young, old):
-        if made is not None:
-            assert min(m.slowness, 1) <= made.slowness <= max(m.slowness, 1)
-            assert 0 <= made.failures <= m.failures and made.ejection_time <= m.ejection_time
-            assert made.is_ejected <= m.is_ejected and all(
-                s.remaining <= t.remaining for s, t in zip(made.rejections, m.rejections, strict=False)
+def test_an_aged_server_lies_between_its_record_and_an_unknown_one(record, one, other):
+    young, old = (expiry.expire_backend(record, a) for a in sorted((one, other)))
+    for expired in (young, old):
+        if expired is not None:
+            assert min(record.slowness, 1) <= expired.slowness <= max(record.slowness, 1)
+            assert 0 <= expired.failures <= record.failures and expired.ejection_time <= record.ejection_time
+            assert expired.is_ejected <= record.is_ejected and all(
+                s.remaining <= t.remaining
+                for s, t in zip(expired.rejections, record.rejections, strict=False)
             )
     if young is None:
         assert old is None
@@ -47,7 +48,10 @@
 @given(
     st.floats(0, 50), st.floats(0, 20), st.floats(0, 20), st.floats(0, 1), st.floats(0, 100), st.floats(0, 5)
 )
-def test_what_may_have_been_spent_unseen_makes_no_debt(level, demand, rate, share, quiet, unseen):
-    m = samples.ACCOUNT._replace(level=level, demand=demand)
-    spent = expiry.unrecorded_spending(m, rate, share, quiet, unseen)
-    assert 0 <= spent <= level + rate * share * unseen + 1e-9 and spent <= demand * unseen + 1e-9
+def test_unrecorded_spending_makes_no_debt(level, demand, rate, share, idle_time, unrecorded_time):
+    record = samples.ACCOUNT._replace(level=level, demand=demand)
+    spent = expiry.unrecorded_spending(record, rate, share, idle_time, unrecorded_time)
+    assert (
+        0 <= spent <= level + rate * share * unrecorded_time + 1e-9
+        and spent <= demand * unrecorded_time + 1e-9
+    )
--- a/tests/persistence/test_restore.py
+++ b/tests/persistence/test_restore.py
@@ -234,7 +234,7 @@
 
 def test_nothing_of_a_snapshot_of_unknown_age_counts():
     restored = restored_state(samples.document(), math.inf, 9000.0)
-    assert restored.is_useless and restored.server(listed("s-1", started=1000.0).entries[0], 9000.0) is None
+    assert restored.has_expired and restored.server(listed("s-1", started=1000.0).entries[0], 9000.0) is None
     assert restored.account(7, PLAN, 0, 2, 9000.0) is None
     fleet = restored.fleet(9000.0, {"look": 0.15})
     assert (fleet.usual_latencies, fleet.pace, fleet.slowness, fleet.retry_budget) == ((), 0.5, 1.0, 10.0)
