--- a/corkdeal/persistence/files.py
+++ b/corkdeal/persistence/files.py
@@ -16,7 +16,7 @@
 
 # O_NONBLOCK: opening a FIFO instead of a file must not block
 OPEN_FLAGS = os.O_CLOEXEC | os.O_NOFOLLOW | os.O_NONBLOCK
-WRITE_CHUNK_SIZE = 1 << 20  # bytes read or written by one system call, so that none takes long
+CHUNK_SIZE = 1 << 20  # bytes read or written by one system call, so that none takes long
 CLOSED = -1  # stands for a descriptor that is closed
 
 
@@ -61,7 +61,7 @@
             if status.st_size > max_size:
                 raise UnsafeFileError(f"{name}: {status.st_size} bytes, over the size limit")
             data = bytearray()
-            while chunk := file.read(min(WRITE_CHUNK_SIZE, max_size + 1 - len(data))):
+            while chunk := file.read(min(CHUNK_SIZE, max_size + 1 - len(data))):
                 data += chunk
             return bytes(data)
 
@@ -75,7 +75,7 @@
         for part in parts:
             view = memoryview(part)
             while view:
-                written = os.write(file, view[:WRITE_CHUNK_SIZE])
+                written = os.write(file, view[:CHUNK_SIZE])
                 view = view[written:]
 
     def sync(self, file: int) -> None:
--- a/corkdeal/persistence/handover_files.py
+++ b/corkdeal/persistence/handover_files.py
@@ -38,8 +38,8 @@
 class HandoverFiles:
     """One incarnation's access to the folder; each call makes a few short system calls."""
 
-    def __init__(self, folder: str, opener: Callable[[str], StateFolder] = StateFolder) -> None:
-        self.files = opener(folder)
+    def __init__(self, folder: str, folder_factory: Callable[[str], StateFolder] = StateFolder) -> None:
+        self.files = folder_factory(folder)
         self.lock = CLOSED
         self.incarnation = 0  # 0 until `join`
         self.ended: set[int] = set()  # incarnations known to have ended; an ended one never runs again
@@ -47,15 +47,15 @@
     def join(self) -> int | None:
         """Take the next incarnation number; return the predecessor, if one runs."""
         while True:
-            known = self.incarnations()
-            self.incarnation = max(known, default=0) + 1
+            existing = self.incarnations()
+            self.incarnation = max(existing, default=0) + 1
             name = incarnation_name(self.incarnation)
             try:
                 self.files.close_file(self.files.create(name))
             except FileExistsError:
                 continue  # another process took the number
             self.lock = self.files.lock(name)
-            self._remove_ended([number for number in known if self.is_running(number)])
+            self._remove_ended([number for number in existing if self.is_running(number)])
             return self.predecessor()
 
     def incarnations(self) -> list[int]:
@@ -96,8 +96,8 @@
 
         Raises `OSError` where it can't be written; the successor then finds no snapshot.
         """
-        pair = f"{self.incarnation:016d}-{successor}"
-        temporary = f"{pair}.tmp"
+        prefix = f"{self.incarnation:016d}-{successor}"
+        temporary = f"{prefix}.tmp"
         with contextlib.suppress(FileNotFoundError):
             self.files.unlink(temporary)
         file = self.files.create(temporary)
@@ -105,7 +105,7 @@
             self.files.write(file, encode(self.incarnation))
         finally:
             self.files.close_file(file)
-        self.files.rename(temporary, f"{pair}.{part.value}")
+        self.files.rename(temporary, f"{prefix}.{part.value}")
 
     def read(self, predecessor: int, part: HandoverPart) -> Snapshot | None:
         """Return the snapshot that an incarnation handed over to this one; None while there is none.
--- a/corkdeal/persistence/store.py
+++ b/corkdeal/persistence/store.py
@@ -45,10 +45,10 @@
 def gateway_folder(path: str, name: str) -> str:
     """Return a gateway's folder: its name, with all but letters, digits, `_` and `-` encoded as %XX."""
 
-    def escaped(match: re.Match[str]) -> str:
+    def percent_encoded(match: re.Match[str]) -> str:
         return "".join(f"%{byte:02X}" for byte in match[0].encode())
 
-    return os.path.join(path, UNSAFE_CHARACTER.sub(escaped, name) or "%")
+    return os.path.join(path, UNSAFE_CHARACTER.sub(percent_encoded, name) or "%")
 
 
 def snapshot_name(generation: int) -> str:
@@ -65,17 +65,17 @@
     """The snapshots in one gateway's folder. All methods may block: call them in a worker thread."""
 
     def __init__(
-        self, folder: str, retained: int = 2, opener: Callable[[str], StateFolder] = StateFolder
+        self, folder: str, retained: int = 2, folder_factory: Callable[[str], StateFolder] = StateFolder
     ) -> None:
         self.folder = folder
         self.retained = retained
-        self.opener = opener
+        self.folder_factory = folder_factory
         self.files: StateFolder | None = None
         self.lock: int | None = None
         self.newest_generation = 0  # the highest number in a file's name
         self.generations: list[int] = []  # that may be loaded, oldest first
-        self.newer_formats: set[int] = set()  # generations of a newer format; they are never removed
-        self.replaceable: set[int] = set()  # generations known to have a format that may be removed
+        self.newer_format_generations: set[int] = set()  # never removed
+        self.removable: set[int] = set()  # generations known to have a format that may be removed
 
     def open(self) -> None:
         """Open and lock the folder; opens it again if it was removed or replaced since.
@@ -86,7 +86,7 @@
             self.close()
         if self.files is not None:
             return
-        files = self.opener(self.folder)
+        files = self.folder_factory(self.folder)
         try:
             self.lock = files.lock(LOCK_NAME)
         except BaseException:
@@ -114,7 +114,7 @@
                 format_number, snapshot = self._read(generation)
                 return LoadedSnapshot(name, format_number, snapshot, rejected)
             except UnsupportedFormatError as error:
-                self.newer_formats.add(generation)
+                self.newer_format_generations.add(generation)
                 reason = str(error)
             except (DamagedSnapshotError, OSError) as error:
                 reason = str(error)
@@ -133,21 +133,21 @@
             self._write_file(generation, parts)
         except BaseException:
             with contextlib.suppress(OSError):
-                self._opened().unlink(temporary_name(generation))
+                self._open_files().unlink(temporary_name(generation))
             self._rescan()
             raise
         self.generations.append(generation)
-        self.replaceable.add(generation)
+        self.removable.add(generation)
         self._remove_old_generations()
         return generation
 
-    def _opened(self) -> StateFolder:
+    def _open_files(self) -> StateFolder:
         assert self.files is not None
         return self.files
 
     def _scan(self) -> None:
         """List the generations in the folder, and remove temporary files that a crash left behind."""
-        files = self._opened()
+        files = self._open_files()
         names = files.list_names()
         for name in filter(match_temporary_name, names):
             with contextlib.suppress(OSError):
@@ -163,19 +163,23 @@
         except OSError:
             self.close()
             return
-        self.generations = [number for number in self.generations if number not in self.newer_formats]
+        self.generations = [
+            number for number in self.generations if number not in self.newer_format_generations
+        ]
 
     def _read(self, generation: int) -> tuple[int, Snapshot]:
         """Return a generation's format and snapshot."""
-        data = self._opened().read(snapshot_name(generation), MAX_FILE_SIZE)
-        stated, format_number, snapshot = decode_snapshot(data)
-        if stated != generation:
-            raise DamagedSnapshotError(f"byte 16: generation {stated} in the file of generation {generation}")
+        data = self._open_files().read(snapshot_name(generation), MAX_FILE_SIZE)
+        stored_generation, format_number, snapshot = decode_snapshot(data)
+        if stored_generation != generation:
+            raise DamagedSnapshotError(
+                f"byte 16: generation {stored_generation} in the file of generation {generation}"
+            )
         return format_number, snapshot
 
     def _write_file(self, generation: int, parts: list[bytes]) -> None:
         """Write a generation's file; it is durable on return."""
-        files = self._opened()
+        files = self._open_files()
         temporary = temporary_name(generation)
         file = files.create(temporary)
         try:
@@ -203,18 +207,18 @@
     def _remove(self, generation: int) -> None:
         """Remove a generation's file, unless it has a newer format."""
         if self._may_remove(generation):
-            self._opened().unlink(snapshot_name(generation))
-            self.replaceable.discard(generation)
+            self._open_files().unlink(snapshot_name(generation))
+            self.removable.discard(generation)
 
     def _may_remove(self, generation: int) -> bool:
         """Whether a generation's file may be removed: not if it has a newer format; reads it if unknown."""
-        if generation in self.replaceable:
+        if generation in self.removable:
             return True
-        data = self._opened().read(snapshot_name(generation), MAX_FILE_SIZE)
+        data = self._open_files().read(snapshot_name(generation), MAX_FILE_SIZE)
         try:
             is_newer = parse_envelope(data).minimum_reader > CURRENT_FORMAT
         except DamagedSnapshotError:
             return True
         if is_newer:
-            self.newer_formats.add(generation)
+            self.newer_format_generations.add(generation)
         return not is_newer
--- a/tests/persistence/crash_states.py
+++ b/tests/persistence/crash_states.py
@@ -7,10 +7,10 @@
 from corkdeal.persistence.files import StateFolder
 
 
-def recording(log):
+def recording_folder(log):
     """Return a subclass of `StateFolder` that appends its operations to `log`."""
 
-    class Recording(StateFolder):
+    class RecordingFolder(StateFolder):
         """Performs each operation as `StateFolder` does and records it."""
 
         def create(self, name):
@@ -45,7 +45,7 @@
             super().unlink(name)
             log.append(("unlink", name))
 
-    return Recording
+    return RecordingFolder
 
 
 class NameChange(NamedTuple):
--- a/tests/persistence/test_files.py
+++ b/tests/persistence/test_files.py
@@ -5,7 +5,7 @@
 import pytest
 
 from corkdeal.persistence.errors import FolderLockedError, UnsafeFileError
-from corkdeal.persistence.files import WRITE_CHUNK_SIZE, StateFolder
+from corkdeal.persistence.files import CHUNK_SIZE, StateFolder
 
 
 @pytest.fixture
@@ -30,7 +30,7 @@
 
 
 def test_a_file_larger_than_one_chunk_is_written_whole_and_read_back(folder):
-    data = os.urandom(WRITE_CHUNK_SIZE + 7)
+    data = os.urandom(CHUNK_SIZE + 7)
     write(folder, "a", [data[:5], b"", data[5:]])
     assert folder.read("a", len(data)) == data
     with pytest.raises(UnsafeFileError, match="over the size limit"):
--- a/tests/persistence/test_snapshot_writer.py
+++ b/tests/persistence/test_snapshot_writer.py
@@ -78,7 +78,9 @@
 
     def writer(**more):
         options = KnowledgeOptions(path=str(tmp_path), **more)
-        return SnapshotWriter(reactor, gateway, options, counts, lambda *a: SnapshotStore(*a, opener=Faulty))
+        return SnapshotWriter(
+            reactor, gateway, options, counts, lambda *a: SnapshotStore(*a, folder_factory=Faulty)
+        )
 
     yield SimpleNamespace(writer=writer, reactor=reactor, counts=counts, lines=lines, path=tmp_path)
     Faulty.gate.set()
