--- a/corkdeal/persistence/snapshot_loader.py
+++ b/corkdeal/persistence/snapshot_loader.py
@@ -26,16 +26,16 @@
     `SnapshotStore.open` raises.
     """
 
-    def work() -> LoadedSnapshot:
+    def open_and_load() -> LoadedSnapshot:
         store.open()
         return store.load()
 
-    began = time.monotonic()
-    future = worker.submit(work)
+    started_at = time.monotonic()
+    future = worker.submit(open_and_load)
     concurrent.futures.wait([future], timeout)
     if not future.done():
         counts["knowledge_late"] += 1
-        logs.event("knowledge_late", waited=round(time.monotonic() - began, 3))
+        logs.event("knowledge_late", waited=round(time.monotonic() - started_at, 3))
         return None
     loaded = future.result()
     for rejected in loaded.rejected:
@@ -65,10 +65,10 @@
         lambda name: format_address(pool.addresses.get(name)),
         counts,
     )
-    odd = ",".join(anomalies)
+    anomaly_names = ",".join(anomalies)
     if restored.has_expired:
         counts["knowledge_useless"] += 1
-        logs.event("knowledge_useless", file=loaded.file, age=format_age(age), odd=odd)
+        logs.event("knowledge_useless", file=loaded.file, age=format_age(age), odd=anomaly_names)
         return None
     gateway.decisions.restore(restored)
     logs.event(
@@ -79,7 +79,7 @@
         servers=len(restored.backends),
         accounts=len(restored.encoded_accounts),
         resumes=restored.may_resume(),
-        odd=odd,
+        odd=anomaly_names,
     )
     return restored
 
--- a/corkdeal/persistence/snapshot_writer.py
+++ b/corkdeal/persistence/snapshot_writer.py
@@ -27,7 +27,7 @@
 THREAD_NAME = "knowledge"
 
 
-class Written(NamedTuple):
+class WriteResult(NamedTuple):
     """A generation that is durable, and how long its write took."""
 
     generation: int
@@ -43,15 +43,15 @@
         gateway: GatewayHost,
         options: KnowledgeOptions,
         counts: Counter[str],
-        opener: Callable[..., SnapshotStore] = SnapshotStore,
+        store_factory: Callable[..., SnapshotStore] = SnapshotStore,
     ) -> None:
         self.reactor = reactor
         self.gateway = gateway
         self.options = options
         self.counts = counts
-        self.opener = opener
+        self.store_factory = store_factory
         folder = gateway_folder(options.path, gateway.config.name)
-        self.store = opener(folder, options.generations)
+        self.store = store_factory(folder, options.generations)
         self.worker = WorkerThread(THREAD_NAME)
         self.health = WriteHealth(folder, counts)
         self.capture = StateCapture(gateway.decisions, gateway.config.name, __version__)
@@ -60,8 +60,8 @@
         self._write_duration = 0.0  # seconds, of the last write
         self._timer: DelayedCall | None = None
         self._stop_deadline: DelayedCall | None = None
-        self._when_idle: Callable[[], None] | None = None
-        self._when_ended: Callable[[], None] | None = None
+        self._on_idle: Callable[[], None] | None = None
+        self._on_stopped: Callable[[], None] | None = None
 
     def load(self) -> None:
         """Restore the newest snapshot before the reactor runs; waits for it for at most `read_wait`."""
@@ -89,7 +89,7 @@
         if old_path != options.path:
             self.worker.submit(self.store.close)
             folder = gateway_folder(options.path, self.gateway.config.name)
-            self.store = self.opener(folder, options.generations)
+            self.store = self.store_factory(folder, options.generations)
             self.health.use_folder(folder)
         self.store.retained = options.generations
         if not self.is_busy:
@@ -105,10 +105,10 @@
             return
         self.is_stopped = True
         cancel(self._timer)
-        self._when_ended = done
-        self._stop_deadline = self.reactor.callLater(self.options.stop_wait, self._end_late)
+        self._on_stopped = done
+        self._stop_deadline = self.reactor.callLater(self.options.stop_wait, self._stop_timed_out)
         if self.is_busy:
-            self._when_idle = lambda: self._write_last(is_clean)
+            self._on_idle = lambda: self._write_last(is_clean)
         else:
             self._write_last(is_clean)
 
@@ -118,9 +118,9 @@
         """Schedule the next snapshot in `delay` seconds, instead of the one scheduled before."""
         cancel(self._timer)
         if not self.is_stopped:
-            self._timer = self.reactor.callLater(delay, self._begin)
+            self._timer = self.reactor.callLater(delay, self._begin_snapshot)
 
-    def _begin(self) -> None:
+    def _begin_snapshot(self) -> None:
         """Begin a snapshot, or skip it if the last one is not written yet."""
         self._schedule(self.options.every)
         if self.is_busy:
@@ -128,9 +128,9 @@
             return
         self.is_busy = True
         pages: list[bytes] = []
-        self._advance(self._captured(pages), pages)
+        self._continue_capture(self._capture_pages(pages), pages)
 
-    def _captured(self, pages: list[bytes]) -> Iterator[None]:
+    def _capture_pages(self, pages: list[bytes]) -> Iterator[None]:
         """Capture the accounts and append their pages; yields between steps."""
         yield from self._capture_steps()
         yield
@@ -138,21 +138,21 @@
             pages.append(page)
             yield
 
-    def _advance(self, captured: Iterator[None], pages: list[bytes]) -> None:
+    def _continue_capture(self, steps: Iterator[None], pages: list[bytes]) -> None:
         """Take one step of the capture; after the last one write the snapshot."""
         if self.is_stopped:
             self._become_idle()
             return
         try:
-            for _ in captured:
-                self.reactor.callLater(0, self._advance, captured, pages)
+            for _ in steps:
+                self.reactor.callLater(0, self._continue_capture, steps, pages)
                 return
             head = self._head(is_clean=False)
         except Exception:
             self.health.record_capture_failure()
             self._become_idle()
             return
-        self._write(head, pages, self._written)
+        self._write(head, pages, self._write_done)
 
     def _capture_steps(self) -> Iterator[None]:
         return self.capture.steps(self.gateway.now, clock.read_clocks, time.perf_counter)
@@ -160,23 +160,25 @@
     def _head(self, is_clean: bool) -> SnapshotHead:
         """Return all of the snapshot but the accounts; `write_interval` includes the duration of a write."""
         addresses = {name: format_address(address) for name, address in self.gateway.pool.addresses.items()}
-        unrecorded = self.options.every + min(self._write_duration, MAX_UNRECORDED_WRITE_TIME)
-        return self.capture.head(self.gateway.now(), clock.read_clocks(), unrecorded, is_clean, addresses)
+        write_interval = self.options.every + min(self._write_duration, MAX_UNRECORDED_WRITE_TIME)
+        return self.capture.head(self.gateway.now(), clock.read_clocks(), write_interval, is_clean, addresses)
 
     # Writing, in the worker thread
 
-    def _write(self, head: SnapshotHead, pages: list[bytes], done: Callable[[Future[Written]], None]) -> None:
+    def _write(
+        self, head: SnapshotHead, pages: list[bytes], done: Callable[[Future[WriteResult]], None]
+    ) -> None:
         """Encode and write a snapshot in the worker thread, then call `done` in the reactor's thread."""
-        began = time.monotonic()
+        started_at = time.monotonic()
 
-        def work() -> Written:
+        def write_snapshot() -> WriteResult:
             generation = self.store.write(lambda number: encode_snapshot(number, head, pages))
-            return Written(generation, time.monotonic() - began)
+            return WriteResult(generation, time.monotonic() - started_at)
 
-        future = self.worker.submit(work)
-        future.add_done_callback(lambda ended: self.reactor.callFromThread(done, ended))
+        future = self.worker.submit(write_snapshot)
+        future.add_done_callback(lambda finished: self.reactor.callFromThread(done, finished))
 
-    def _written(self, write: Future[Written]) -> None:
+    def _write_done(self, write: Future[WriteResult]) -> None:
         """Record the result of a write; a failed one is retried later."""
         error = write.exception()
         if error is None:
@@ -191,10 +193,10 @@
     def _become_idle(self) -> None:
         """Mark the writer as idle, and continue a `stop` that waited for this."""
         self.is_busy = False
-        then = self._when_idle
-        self._when_idle = None
-        if then is not None:
-            then()
+        callback = self._on_idle
+        self._on_idle = None
+        if callback is not None:
+            callback()
 
     # Stopping
 
@@ -207,30 +209,30 @@
             pages = list(self.capture.pages())
         except Exception:
             self.health.record_capture_failure()
-            self._end()
+            self._finish_stop()
             return
-        self._write(head, pages, self._last_written)
+        self._write(head, pages, self._last_write_done)
 
-    def _last_written(self, write: Future[Written]) -> None:
+    def _last_write_done(self, write: Future[WriteResult]) -> None:
         error = write.exception()
         if error is None:
             self.counts["knowledge_written"] += 1
         else:
             self.health.record_failure(error)
-        self._end()
+        self._finish_stop()
 
-    def _end_late(self) -> None:
+    def _stop_timed_out(self) -> None:
         """End without the last snapshot, whose write takes longer than `stop_wait`."""
         self.counts["knowledge_stopped_late"] += 1
-        self._end()
+        self._finish_stop()
 
-    def _end(self) -> None:
+    def _finish_stop(self) -> None:
         """Close the store, end the thread and call the `done` of `stop`, once."""
-        done = self._when_ended
+        done = self._on_stopped
         if done is None:
             return
-        self._when_ended = None
-        self._when_idle = None
+        self._on_stopped = None
+        self._on_idle = None
         cancel(self._stop_deadline)
         self.gateway.decisions.changed_customers = None
         self.worker.submit(self.store.close)
