--- a/corkdeal/net/upgrade.py
+++ b/corkdeal/net/upgrade.py
@@ -18,7 +18,7 @@
 from ..persistence.capture import StateCapture
 from ..persistence.codec import Snapshot, SnapshotHead, encode_snapshot
 from ..persistence.handover_files import HandoverFiles, HandoverPart
-from ..persistence.quota_handover import SUCCESSOR_SHARE, PartialState
+from ..persistence.quota_handover import SUCCESSOR_FRACTION, PartialState
 from ..persistence.restore import RestoredState
 from ..persistence.store import gateway_folder
 from .invariants import count, counts
@@ -46,7 +46,7 @@
         self.successor_fraction = 0.0  # of the quota, which the successor was given
         self.takeover: Iterator[None] | None = None  # of the remainder, while in progress
         self.done = False  # everything was handed over, or the folder can't be used
-        self.polls = 0
+        self.poll_count = 0
 
     @property
     def waits(self) -> bool:
@@ -59,15 +59,15 @@
         """Take over the first part from the predecessor, if there is one, then call `start`."""
         self.predecessor = self.files.join()
         self.reactor.callLater(CHECK_INTERVAL, self._check)
-        self._poll(start)
+        self._poll_partial_state(start)
 
-    def _poll(self, start: Callable[[], None]) -> None:
+    def _poll_partial_state(self, start: Callable[[], None]) -> None:
         """Wait up to `POLL_TIMEOUT` for the first snapshot: the predecessor's version may not write one."""
         if self.predecessor is None:
             start()
             return
         snapshot = self._read(self.predecessor, HandoverPart.PARTIAL)
-        self.polls += 1
+        self.poll_count += 1
         try:
             if snapshot is None and not self.files.is_running(self.predecessor):
                 self.predecessor = self.files.predecessor()  # an older one may still run
@@ -76,23 +76,23 @@
         if self.predecessor is None:
             start()
             return
-        if snapshot is None and self.polls * POLL_INTERVAL < POLL_TIMEOUT:
-            self.reactor.callLater(POLL_INTERVAL, self._poll, start)
+        if snapshot is None and self.poll_count * POLL_INTERVAL < POLL_TIMEOUT:
+            self.reactor.callLater(POLL_INTERVAL, self._poll_partial_state, start)
             return
         if snapshot is None:
             count("handover_none")
             logs.event("handover_none", life=self.files.incarnation, before=self.predecessor)
         else:
-            self._take_first(snapshot)
+            self._apply_partial_state(snapshot)
         start()
 
-    def _take_first(self, snapshot: Snapshot) -> None:
+    def _apply_partial_state(self, snapshot: Snapshot) -> None:
         """Restore the decisions from the first snapshot, with the quota fraction handed over."""
-        whole = snapshot.head.fleet.quota_fraction
-        self.predecessor_fraction = whole * (1 - SUCCESSOR_SHARE)
-        self.given = PartialState(self._restored(snapshot), SUCCESSOR_SHARE)
+        total_fraction = snapshot.head.fleet.quota_fraction
+        self.predecessor_fraction = total_fraction * (1 - SUCCESSOR_FRACTION)
+        self.given = PartialState(self._restored_state(snapshot), SUCCESSOR_FRACTION)
         self.decisions.restore(self.given)
-        self.decisions.quota_fraction = whole * SUCCESSOR_SHARE
+        self.decisions.quota_fraction = total_fraction * SUCCESSOR_FRACTION
         logs.event(
             "handover_begun",
             life=self.files.incarnation,
@@ -101,7 +101,7 @@
             part=round(self.decisions.quota_fraction, 3),
         )
 
-    def _follow(self, predecessor: int, given: PartialState) -> None:
+    def _follow_predecessor(self, predecessor: int, given: PartialState) -> None:
         """Take over the remainder once the predecessor has handed it over, or its rate once it has ended.
 
         Until then the predecessor exchanges messages with the peers, so their silence here has no meaning.
@@ -115,13 +115,13 @@
         if snapshot is not None:
             fraction = snapshot.head.fleet.quota_fraction
             self.takeover = quota_handover.take_rest(
-                self.decisions, self.gateway.now, given, self._restored(snapshot), fraction
+                self.decisions, self.gateway.now, given, self._restored_state(snapshot), fraction
             )
             self._continue_takeover()
         elif has_ended:
             count("handover_cut_short")
-            quota_handover.take_fraction(self.decisions, now, self.predecessor_fraction)
-            self._finish_takeover(has_rest=False)
+            quota_handover.add_fraction(self.decisions, now, self.predecessor_fraction)
+            self._finish_takeover(has_remainder=False)
 
     def _continue_takeover(self) -> None:
         """Take one step of the takeover per reactor iteration."""
@@ -129,15 +129,15 @@
             self.reactor.callLater(0, self._continue_takeover)
             return
         self.takeover = None
-        self._finish_takeover(has_rest=True)
+        self._finish_takeover(has_remainder=True)
 
-    def _finish_takeover(self, has_rest: bool) -> None:
+    def _finish_takeover(self, has_remainder: bool) -> None:
         """Start receiving from peers: all that the predecessor had is taken over, or lost."""
         logs.event(
             "handover_done",
             life=self.files.incarnation,
             before=self.predecessor,
-            rest=has_rest,
+            rest=has_remainder,
             part=round(self.decisions.quota_fraction, 3),
         )
         self.predecessor = None
@@ -149,10 +149,12 @@
             return self.files.read(predecessor, part)
         except (OSError, ValueError) as error:
             count("handover_unreadable")
-            logs.event("handover_unreadable", what=part.value, before=predecessor, error=shortened(error))
+            logs.event(
+                "handover_unreadable", what=part.value, before=predecessor, error=truncated_text(error)
+            )
             return None
 
-    def _restored(self, snapshot: Snapshot) -> RestoredState:
+    def _restored_state(self, snapshot: Snapshot) -> RestoredState:
         """Return the snapshot as persisted state, expired to now."""
         age, _ = clock.measure_age(snapshot.head.clock, clock.read_clocks())
         return RestoredState(
@@ -167,24 +169,24 @@
             return
         self.reactor.callLater(CHECK_INTERVAL, self._check)
         try:
-            self._check_neighbours()
+            self._check_processes()
         except OSError as error:
             self._disable(error)
 
-    def _check_neighbours(self) -> None:
+    def _check_processes(self) -> None:
         """Take over from the predecessor; hand over to the successor, or take back from one that ended."""
         if self.takeover is not None:
             return  # only a complete state may be handed over
         if self.predecessor is not None and self.given is not None and self.gateway.begun:
-            self._follow(self.predecessor, self.given)
+            self._follow_predecessor(self.predecessor, self.given)
         if self.successor is not None and not self.files.is_running(self.successor):
             logs.event("handover_taken_back", life=self.files.incarnation, after=self.successor)
-            quota_handover.take_fraction(self.decisions, self.gateway.now(), self.successor_fraction)
+            quota_handover.add_fraction(self.decisions, self.gateway.now(), self.successor_fraction)
             self.successor = None
         if self.successor is None:
             successor = self.files.successor()
             if successor is not None and self.gateway.begun:
-                self._give_first(successor)
+                self._hand_over_partial_state(successor)
 
     def _disable(self, error: OSError) -> None:
         """Stop all handovers, because the folder can't be used any more.
@@ -193,25 +195,25 @@
         for ever.
         """
         count("handover_off")
-        logs.event("handover_off", error=shortened(error))
+        logs.event("handover_off", error=truncated_text(error))
         self.done = True
         if self.takeover is not None:
             return
-        waited = self.waits
+        was_waiting = self.waits
         self.predecessor = None
-        if waited:
-            quota_handover.take_fraction(self.decisions, self.gateway.now(), self.predecessor_fraction)
+        if was_waiting:
+            quota_handover.add_fraction(self.decisions, self.gateway.now(), self.predecessor_fraction)
             self.gateway.hear()
 
     # As the predecessor of another process
 
-    def _give_first(self, successor: int) -> None:
+    def _hand_over_partial_state(self, successor: int) -> None:
         """Hand over a quota fraction and all records to a process that has started."""
         if not self._write(successor, HandoverPart.PARTIAL):
             return
         self.successor = successor
-        self.successor_fraction = self.decisions.quota_fraction * SUCCESSOR_SHARE
-        quota_handover.keep_fraction(self.decisions, 1 - SUCCESSOR_SHARE)
+        self.successor_fraction = self.decisions.quota_fraction * SUCCESSOR_FRACTION
+        quota_handover.reduce_to_fraction(self.decisions, 1 - SUCCESSOR_FRACTION)
         logs.event(
             "handover_given",
             life=self.files.incarnation,
@@ -225,7 +227,7 @@
             return
         if self._write(self.successor, HandoverPart.FINAL):
             self.done = True
-            quota_handover.keep_nothing(self.decisions)
+            quota_handover.release_all(self.decisions)
             self.gateway.be_silent()
             logs.event("handover_rest", life=self.files.incarnation, after=self.successor)
 
@@ -238,17 +240,17 @@
         quota_handover.refill_accounts(self.decisions, now)
         changed_customers = self.decisions.changed_customers  # a snapshot writer may collect them
         try:
-            head, pages = self._captured(now)
+            head, pages = self._capture_state(now)
             self.files.write(successor, part, lambda number: encode_snapshot(number, head, pages))
         except (OSError, ValueError) as error:
             count("handover_not_written")
-            logs.event("handover_not_written", what=part.value, after=successor, error=shortened(error))
+            logs.event("handover_not_written", what=part.value, after=successor, error=truncated_text(error))
             return False
         finally:
             self.decisions.changed_customers = changed_customers
         return True
 
-    def _captured(self, now: float) -> tuple[SnapshotHead, list[bytes]]:
+    def _capture_state(self, now: float) -> tuple[SnapshotHead, list[bytes]]:
         """Return the head and the pages of a snapshot of the whole state."""
         capture = StateCapture(self.decisions, self.gateway.config.name, __version__)
         for _ in capture.steps(self.gateway.now, clock.read_clocks, lambda: 0.0):
@@ -257,6 +259,6 @@
         return head, list(capture.pages())
 
 
-def shortened(error: Exception) -> str:
+def truncated_text(error: Exception) -> str:
     """Return an error's text, cut to `MAX_LOGGED_ERROR` characters."""
     return str(error)[:MAX_LOGGED_ERROR]
--- a/corkdeal/persistence/quota_handover.py
+++ b/corkdeal/persistence/quota_handover.py
@@ -22,7 +22,7 @@
 ACCOUNTS_PER_STEP = 100  # taken over in one reactor iteration, about 4 ms
 # Fraction of the quota that is handed over first. It is the smaller part, because clients keep their
 # connections and most requests still go to the predecessor.
-SUCCESSOR_SHARE = 0.3
+SUCCESSOR_FRACTION = 0.3
 
 
 def refill_accounts(decisions: Gateway, now: float) -> None:
@@ -32,7 +32,7 @@
         decisions.refill(account)
 
 
-def keep_fraction(decisions: Gateway, fraction: float) -> None:
+def reduce_to_fraction(decisions: Gateway, fraction: float) -> None:
     """Keep a fraction of the quota, of each bucket and of the retry budget; the rest was handed over."""
     decisions.quota_fraction *= fraction
     decisions.retries.budget *= fraction
@@ -41,9 +41,9 @@
         account.hard_limit_level *= fraction
 
 
-def keep_nothing(decisions: Gateway) -> None:
+def release_all(decisions: Gateway) -> None:
     """Give up all quota and ledgers, which the successor has from now on; borrow no silent peer's share."""
-    keep_fraction(decisions, 0.0)
+    reduce_to_fraction(decisions, 0.0)
     decisions.ring_neighbours.clear()
     decisions.active_accounts.clear()
     for account in decisions.accounts.values():
@@ -52,7 +52,7 @@
         account.predecessor = None
 
 
-def take_fraction(decisions: Gateway, now: float, fraction: float) -> None:
+def add_fraction(decisions: Gateway, now: float, fraction: float) -> None:
     """Add the quota fraction of a process that ended without handing over; its bucket levels are lost."""
     refill_accounts(decisions, now)
     decisions.quota_fraction += fraction
@@ -113,8 +113,8 @@
 def take_rest(
     decisions: Gateway,
     clock: Callable[[], float],
-    first: PartialState,
-    rest: CompleteState,
+    partial: PartialState,
+    remainder: CompleteState,
     fraction: float,
 ) -> Iterator[None]:
     """Take over the predecessor's remaining share in steps: buckets, ledgers and its identity towards peers.
@@ -125,41 +125,41 @@
     predecessor's incarnation and the ledgers take effect together. Yields after every `ACCOUNTS_PER_STEP`
     accounts.
     """
-    fleet = rest.fleet(clock(), {})
+    fleet = remainder.fleet(clock(), {})
     incarnations = dict(fleet.peer_incarnations)
-    for taken, (customer, plan, record) in enumerate(rest.accounts(clock()), 1):
+    for taken_count, (customer, plan, record) in enumerate(remainder.accounts(clock()), 1):
         decisions.now = clock()
         account = decisions.account(customer, plan, record.first_gateway, record.member_count)
         decisions.refill(account)  # a new account has its first fraction now, limited to its burst
-        given = first.totals.get(customer, Totals(0.0, 0.0))
-        _add_record(account, record, given, rest.may_resume(), incarnations)
+        initial_totals = partial.totals.get(customer, Totals(0.0, 0.0))
+        _add_record(account, record, initial_totals, remainder.may_resume(), incarnations)
         if account.ledgers:
             decisions.active_accounts[customer] = account
-        if taken % ACCOUNTS_PER_STEP == 0:
+        if taken_count % ACCOUNTS_PER_STEP == 0:
             yield
     decisions.now = clock()
     decisions.retries.budget += fleet.retry_budget
     decisions.peers.incarnations.resume(fleet.incarnation, incarnations)
     decisions.peers.message_round = fleet.message_round
     decisions.quota_fraction += fraction
-    decisions.state_transfer.restored = rest  # for backends that no endpoint list has named yet
+    decisions.state_transfer.restored = remainder  # for backends that no endpoint list has named yet
 
 
 def _add_record(
     account: Account,
     record: persisted_state.StoredAccount,
-    given: Totals,
-    resumes: bool,
+    initial_totals: Totals,
+    may_resume: bool,
     incarnations: dict[int, int],
 ) -> None:
     """Restore an account from a record, and add what it held and counted here since the first part."""
     level = account.level
     hard_limit_level = account.hard_limit_level
     demand = account.demand
-    asked = account.total_asked - given.asked
-    spent = account.total_spent - given.spent
+    asked = account.total_asked - initial_totals.asked
+    spent = account.total_spent - initial_totals.spent
     last_request_at = account.last_request_at
-    persisted_state.restore_account(account, record, resumes, incarnations)
+    persisted_state.restore_account(account, record, may_resume, incarnations)
     account.level += level
     account.hard_limit_level += hard_limit_level
     account.demand += demand
--- a/tests/persistence/test_quota_handover.py
+++ b/tests/persistence/test_quota_handover.py
@@ -48,54 +48,66 @@
 class Process:
     """The decisions of one process, on a clock that the test advances."""
 
-    def __init__(self, settings=ONE, known=None, part=1.0, now=EPOCH):
-        self.d, self.rid, self.now = Gateway(settings, seed=1), 0, now
-        if known is not None:
-            self.d.restore(known)
-        self.d.quota_fraction = part
-        self.d.handle(now, [SERVER])
+    def __init__(self, settings=ONE, state=None, fraction=1.0, now=EPOCH):
+        self.decisions, self.rid, self.now = Gateway(settings, seed=1), 0, now
+        if state is not None:
+            self.decisions.restore(state)
+        self.decisions.quota_fraction = fraction
+        self.decisions.handle(now, [SERVER])
 
     def ask(self, now, customer=7, spread=1, units=1.0):
         """Whether a request is sent to the backend, which replies at once."""
         self.now, self.rid = now, self.rid + 1
-        out = self.d.handle(now, [Request(self.rid, customer, 0, 0, units, 0, spread, 3.0)])
+        out = self.decisions.handle(now, [Request(self.rid, customer, 0, 0, units, 0, spread, 3.0)])
         sent = any(isinstance(a, StartAttempt) for a in out)
         if sent:
-            self.d.handle(now, [AttemptEnded(self.rid, 0, "a", Status.OK, 0.1, True)])
+            self.decisions.handle(now, [AttemptEnded(self.rid, 0, "a", Status.OK, 0.1, True)])
         return sent
 
-    def document(self, now):
+    def snapshot(self, now):
         """Return the snapshot that it hands over, encoded and decoded."""
-        quota_handover.refill_accounts(self.d, now)
-        reading = lambda: clock.ClockReading(now, now, "boot")  # noqa: E731
-        made = StateCapture(self.d, "n0", "test")
-        list(made.steps(lambda: now, reading, lambda: 0.0))
-        parts = codec.encode_snapshot(1, made.head(now, reading(), 0.0, True, {}), list(made.pages()))
+        quota_handover.refill_accounts(self.decisions, now)
+        clock_reading = lambda: clock.ClockReading(now, now, "boot")  # noqa: E731
+        capture = StateCapture(self.decisions, "n0", "test")
+        list(capture.steps(lambda: now, clock_reading, lambda: 0.0))
+        parts = codec.encode_snapshot(
+            1, capture.head(now, clock_reading(), 0.0, True, {}), list(capture.pages())
+        )
         return codec.decode_snapshot(b"".join(parts))[2]
 
-    def restored(self, made, now):
+    def restored(self, snapshot, now):
         """Return a snapshot as the successor restores it."""
         return RestoredState(
-            made, now - made.head.clock.boot, now, self.d.settings, lambda _: "", collections.Counter()
+            snapshot,
+            now - snapshot.head.clock.boot,
+            now,
+            self.decisions.settings,
+            lambda _: "",
+            collections.Counter(),
         )
 
 
-def give_first(old, now):
-    made = old.document(now)
-    quota_handover.keep_fraction(old.d, 1 - quota_handover.SUCCESSOR_SHARE)
-    first = quota_handover.PartialState(old.restored(made, now), quota_handover.SUCCESSOR_SHARE)
+def hand_over_partial_state(old, now):
+    snapshot = old.snapshot(now)
+    quota_handover.reduce_to_fraction(old.decisions, 1 - quota_handover.SUCCESSOR_FRACTION)
+    partial = quota_handover.PartialState(old.restored(snapshot, now), quota_handover.SUCCESSOR_FRACTION)
     return (
-        Process(old.d.settings, first, made.head.fleet.quota_fraction * quota_handover.SUCCESSOR_SHARE, now),
-        first,
-        made.head.fleet.quota_fraction,
+        Process(
+            old.decisions.settings,
+            partial,
+            snapshot.head.fleet.quota_fraction * quota_handover.SUCCESSOR_FRACTION,
+            now,
+        ),
+        partial,
+        snapshot.head.fleet.quota_fraction,
     )
 
 
-def give_rest(old, new, first, now, between=lambda: None):
-    made = old.document(now)
-    quota_handover.keep_nothing(old.d)
+def hand_over_remainder(old, new, partial, now, between=lambda: None):
+    snapshot = old.snapshot(now)
+    quota_handover.release_all(old.decisions)
     steps = quota_handover.take_rest(
-        new.d, lambda: now, first, new.restored(made, now), made.head.fleet.quota_fraction
+        new.decisions, lambda: now, partial, new.restored(snapshot, now), snapshot.head.fleet.quota_fraction
     )
     for _ in steps:
         between()
@@ -117,8 +129,8 @@
 @given(STEPS, st.integers(1, 3))
 def test_both_processes_together_admit_no_more_than_one_may(steps, customers):
     old, now, sent = Process(), EPOCH, dict.fromkeys(range(customers), 0)
-    new = first = None
-    part_there = 0.0
+    new = partial = None
+    predecessor_fraction = 0.0
 
     def ask_all():
         for customer in sent:
@@ -129,16 +141,16 @@
         if what == "wait":
             now += n
         elif what == "give" and new is None:
-            new, first, whole = give_first(old, now)
-            part_there = whole * (1 - quota_handover.SUCCESSOR_SHARE)
+            new, partial, total_fraction = hand_over_partial_state(old, now)
+            predecessor_fraction = total_fraction * (1 - quota_handover.SUCCESSOR_FRACTION)
         elif what in ("rest", "kill") and new is not None and old is not None:
             if what == "rest":
-                give_rest(old, new, first, now, ask_all)
+                hand_over_remainder(old, new, partial, now, ask_all)
                 assert not any(old.ask(now, c) for c in range(customers))
             else:
-                quota_handover.take_fraction(new.d, now, part_there)
+                quota_handover.add_fraction(new.decisions, now, predecessor_fraction)
             old = None
-            assert new.d.quota_fraction == pytest.approx(1.0)
+            assert new.decisions.quota_fraction == pytest.approx(1.0)
         elif what in ("old", "new") and (process := old if what == "old" else new) is not None:
             sent[customer] += process.ask(now, customer)
         for units in sent.values():
@@ -149,7 +161,7 @@
     ring = Ring(2)
     ring.spread = 2
     ring.run(3.0, lambda me: 0.2)
-    quota_handover.keep_nothing(ring.gateways[0])
+    quota_handover.release_all(ring.gateways[0])
     # by now its peer is silent, so it could borrow the peer's share
     actions = ring.gateways[0].handle(ring.now + 2.0, [request(999, spread=2)])
     assert pick(actions, Reject) and not pick(actions, StartAttempt)
@@ -158,14 +170,14 @@
 def test_what_the_old_process_held_is_the_new_ones_at_the_end():
     old = Process()
     assert old.ask(EPOCH, customer=7) and old.ask(EPOCH, customer=8)
-    new, first, _ = give_first(old, EPOCH)
+    new, partial, _ = hand_over_partial_state(old, EPOCH)
     assert new.ask(EPOCH, customer=7)  # customer 8 has no request there, and is handed over all the same
-    give_rest(old, new, first, EPOCH)
-    levels = {c: a.level for c, a in new.d.accounts.items()}
+    hand_over_remainder(old, new, partial, EPOCH)
+    levels = {c: a.level for c, a in new.decisions.accounts.items()}
     assert levels == {7: pytest.approx(PLAN.burst - 2), 8: pytest.approx(PLAN.burst - 1)}
-    third, _, whole = give_first(new, EPOCH)
-    assert whole == pytest.approx(1.0) and third.d.quota_fraction == pytest.approx(
-        quota_handover.SUCCESSOR_SHARE
+    third, _, total_fraction = hand_over_partial_state(new, EPOCH)
+    assert total_fraction == pytest.approx(1.0) and third.decisions.quota_fraction == pytest.approx(
+        quota_handover.SUCCESSOR_FRACTION
     )
 
 
@@ -180,36 +192,44 @@
             process = processes[-1]
             process.ask(now, 7, spread=2, units=0.2)
             for one, other in ((process, peer), (peer, process)):
-                out = one.d.handle(now, [TimerExpired(0)])
+                out = one.decisions.handle(now, [TimerExpired(0)])
                 for _ in range(4):  # in both directions until no message is left
                     messages = [
-                        PeerMessage(one.d.settings.gateway_index, a.payload)
+                        PeerMessage(one.decisions.settings.gateway_index, a.payload)
                         for a in out
                         if isinstance(a, SendToPeer)
                     ]
                     one, other = other, one
-                    out = one.d.handle(now, messages) if messages else []
+                    out = one.decisions.handle(now, messages) if messages else []
 
     def total():
-        return sum(process.d.accounts[7].base_share() for process in (processes[-1], peer))
+        return sum(process.decisions.accounts[7].base_share() for process in (processes[-1], peer))
 
     talk(4.0)
-    share, born = processes[0].d.accounts[7].base_share(), processes[0].d.incarnation
+    share, incarnation_before = (
+        processes[0].decisions.accounts[7].base_share(),
+        processes[0].decisions.incarnation,
+    )
     assert share > 0.7 and total() == pytest.approx(1.0, abs=1e-3)
-    new, first, _ = give_first(processes[0], now)
-    give_rest(processes[0], new, first, now)
+    new, partial, _ = hand_over_partial_state(processes[0], now)
+    hand_over_remainder(processes[0], new, partial, now)
     processes.append(new)
-    assert new.d.accounts[7].base_share() == pytest.approx(share) and new.d.incarnation == born
-    known = peer.d.peer_incarnations[0]
+    assert (
+        new.decisions.accounts[7].base_share() == pytest.approx(share)
+        and new.decisions.incarnation == incarnation_before
+    )
+    seen_incarnation = peer.decisions.peer_incarnations[0]
     talk(2.0)
-    assert peer.d.peer_incarnations[0] == known == born  # the peer saw no restart and kept the ledger
-    assert total() == pytest.approx(1.0, abs=1e-3) and new.d.accounts[7].base_share() > 0.6
+    assert (
+        peer.decisions.peer_incarnations[0] == seen_incarnation == incarnation_before
+    )  # the peer saw no restart and kept the ledger
+    assert total() == pytest.approx(1.0, abs=1e-3) and new.decisions.accounts[7].base_share() > 0.6
 
 
 def test_a_snapshot_reaches_only_the_process_that_it_was_made_for(tmp_path):
     processes = [HandoverFiles(str(tmp_path)) for _ in range(3)]
     old, new, third = processes
-    made = lambda process: codec.encode_snapshot(process, Process().document(EPOCH).head, [])  # noqa: E731
+    made = lambda process: codec.encode_snapshot(process, Process().snapshot(EPOCH).head, [])  # noqa: E731
     assert old.join() is None and new.join() == old.incarnation == old.successor() - 1
     old.write(new.incarnation, HandoverPart.PARTIAL, made)
     assert (
--- a/tests/persistence/test_upgrade.py
+++ b/tests/persistence/test_upgrade.py
@@ -10,7 +10,7 @@
 from corkdeal import logs
 from corkdeal.decisions.gateway import Gateway
 from corkdeal.net.upgrade import CHECK_INTERVAL, POLL_INTERVAL, POLL_TIMEOUT, Succession
-from corkdeal.persistence.quota_handover import SUCCESSOR_SHARE
+from corkdeal.persistence.quota_handover import SUCCESSOR_FRACTION
 
 from .. import helpers
 
@@ -64,8 +64,8 @@
     assert not new_gateway.begun
     world.turn(2 * CHECK_INTERVAL)
     assert new_gateway.begun and new.waits
-    assert new_gateway.decisions.quota_fraction == pytest.approx(SUCCESSOR_SHARE)
-    assert old_gateway.decisions.quota_fraction == pytest.approx(1 - SUCCESSOR_SHARE)
+    assert new_gateway.decisions.quota_fraction == pytest.approx(SUCCESSOR_FRACTION)
+    assert old_gateway.decisions.quota_fraction == pytest.approx(1 - SUCCESSOR_FRACTION)
     old.end()
     assert old.done and old_calls == ["be_silent"] and old_gateway.decisions.quota_fraction == 0.0
     world.turn(2 * CHECK_INTERVAL)
