--- a/corkdeal/net/manual_overrides.py
+++ b/corkdeal/net/manual_overrides.py
@@ -28,21 +28,21 @@
     """The backends held out, those that came back, and the file that persists both."""
 
     def __init__(self, name: str, folder: str | None = None) -> None:
-        safe = "".join(c if c.isalnum() or c in "-_." else "_" for c in name) or "gateway"
-        self.path = os.path.join(folder or tempfile.gettempdir(), f"corkdeal-{safe}.held-out.json")
+        safe_name = "".join(c if c.isalnum() or c in "-_." else "_" for c in name) or "gateway"
+        self.path = os.path.join(folder or tempfile.gettempdir(), f"corkdeal-{safe_name}.held-out.json")
         self.out: set[str] = set()
         self.back: dict[str, float] = {}  # by id, in the decisions' time
-        self.known: tuple[int, int] | None = None  # inode and mtime of the file last read or written
+        self.known_file_id: tuple[int, int] | None = None  # inode and mtime of the file last read or written
 
     def load(self) -> None:
         """Read the file of an earlier process of this name; an unreadable one is counted and ignored."""
-        self.known = self.stamp()  # before the read: a file renamed over it meanwhile is read next time
+        self.known_file_id = self.file_id()  # taken before the read, so that a later file is noticed
         try:
             with open(self.path, "rb") as file:
-                raw = orjson.loads(file.read())
-            out, back = raw["out"], raw["back"]
+                document = orjson.loads(file.read())
+            out, back = document["out"], document["back"]
             if (
-                raw.get("format") != FORMAT
+                document.get("format") != FORMAT
                 or not all(isinstance(x, str) for x in out)
                 or not all(isinstance(k, str) and type(v) is float for k, v in back.items())
             ):
@@ -54,17 +54,17 @@
             count("held_out_unreadable")
             logs.event("held_out_unreadable", file=self.path, error=f"{type(error).__name__}: {error}"[:200])
 
-    def stamp(self) -> tuple[int, int] | None:
+    def file_id(self) -> tuple[int, int] | None:
         """Return the inode and mtime of the file that exists now; None if there is none."""
         try:
-            seen = os.stat(self.path)
+            status = os.stat(self.path)
         except OSError:
             return None
-        return seen.st_ino, seen.st_mtime_ns
+        return status.st_ino, status.st_mtime_ns
 
     def follow(self) -> set[str]:
         """Read the file if another process of this gateway replaced it; returns the ids that changed."""
-        if self.stamp() in (self.known, None):
+        if self.file_id() in (self.known_file_id, None):
             return set()
         out, back = self.out, self.back
         self.load()
@@ -72,41 +72,41 @@
 
     def save(self) -> None:
         """Write the file; if that fails, only the next process lacks what is held out."""
-        part = f"{self.path}.{os.getpid()}"
+        temporary_path = f"{self.path}.{os.getpid()}"
         try:
-            with open(part, "wb") as file:
+            with open(temporary_path, "wb") as file:
                 file.write(orjson.dumps({"format": FORMAT, "out": sorted(self.out), "back": self.back}))
-            os.replace(part, self.path)
-            self.known = self.stamp()
+            os.replace(temporary_path, self.path)
+            self.known_file_id = self.file_id()
         except OSError as error:
             count("held_out_not_saved")
             logs.event("held_out_not_saved", file=self.path, error=str(error)[:200])
 
-    def enter(self, server: str) -> bool:
+    def enter(self, backend: str) -> bool:
         """Hold a backend out; returns whether it was not held out before."""
-        new = server not in self.out
-        self.out.add(server)
+        is_new = backend not in self.out
+        self.out.add(backend)
         self.save()
-        return new
+        return is_new
 
-    def exit(self, server: str, now: float) -> bool:
+    def exit(self, backend: str, now: float) -> bool:
         """Let a backend back in, as one that has just started; returns whether it was held out."""
-        if server not in self.out:
+        if backend not in self.out:
             return False
-        self.out.discard(server)
-        self.back[server] = now
+        self.out.discard(backend)
+        self.back[backend] = now
         self.save()
         return True
 
-    def overlay(self, entries: Iterable[Endpoint]) -> tuple[Endpoint, ...]:
+    def overlay(self, endpoints: Iterable[Endpoint]) -> tuple[Endpoint, ...]:
         """Return the endpoints as the decisions see them: draining if held out, new if they came back."""
-        return tuple(self.entry(e) for e in entries)
+        return tuple(self.entry(endpoint) for endpoint in endpoints)
 
-    def entry(self, e: Endpoint) -> Endpoint:
+    def entry(self, endpoint: Endpoint) -> Endpoint:
         """Return one endpoint with the overrides applied."""
-        if e.backend in self.out and e.state is EndpointState.READY:
-            return dataclasses.replace(e, state=EndpointState.DRAINING)
-        back = self.back.get(e.backend)
-        if back is not None and e.started < back:
-            return dataclasses.replace(e, started=back)
-        return e
+        if endpoint.backend in self.out and endpoint.state is EndpointState.READY:
+            return dataclasses.replace(endpoint, state=EndpointState.DRAINING)
+        back = self.back.get(endpoint.backend)
+        if back is not None and endpoint.started < back:
+            return dataclasses.replace(endpoint, started=back)
+        return endpoint
