--- a/corkdeal/net/upgrade.py
+++ b/corkdeal/net/upgrade.py
@@ -191,8 +191,8 @@
     def _disable(self, error: OSError) -> None:
         """Stop all handovers, because the folder can't be used any more.
 
-        The predecessor's rate is taken over at once: the whole rate too early is better than a fraction of it
-        for ever.
+        The predecessor's rate is taken over at once: to have the whole rate too early is better than to be
+        limited to a fraction of it permanently.
         """
         count("handover_off")
         logs.event("handover_off", error=truncated_text(error))
--- a/corkdeal/persistence/migrate.py
+++ b/corkdeal/persistence/migrate.py
@@ -97,7 +97,7 @@
 
 
 def _fleet_2_to_3(fleet: Document, boot: float) -> list[Any]:
-    """Return the fleet's record, with gateway index and count, incarnation, round and peers unknown."""
+    """Return the fleet's record; gateway index and count, incarnation, round and peers are unknown."""
     latencies = [[*entry[:3], boot] for entry in fleet["work"]]
     return [fleet["pace"], fleet["slow"], UNKNOWN_RETRIES, latencies, 0, 0, 0, 0, []]
 
@@ -109,7 +109,7 @@
 
 
 def _account_2_to_3(account: Document) -> list[Any]:
-    """Return an account's record, with `at` as the time of its last request and all that is unknown empty."""
+    """Return an account's record; the time of its last request is assumed, unknown fields are 0 or empty."""
     at = account["at"]
     identity = [account["plan"], account["first"], account["spread"]]
     bucket = [at, at, account["level"], 0.0, account["demand"], account["open"]]
--- a/tests/persistence/test_program.py
+++ b/tests/persistence/test_program.py
@@ -48,7 +48,7 @@
             if condition():
                 return
             time.sleep(0.01)
-        self.fail("it never came true")
+        self.fail("the condition was not met in time")
 
     def newest(self):
         store = SnapshotStore(str(self.state / "n0"))
--- a/tests/persistence/test_quota_handover.py
+++ b/tests/persistence/test_quota_handover.py
@@ -220,9 +220,8 @@
     )
     seen_incarnation = peer.decisions.peer_incarnations[0]
     talk(2.0)
-    assert (
-        peer.decisions.peer_incarnations[0] == seen_incarnation == incarnation_before
-    )  # the peer saw no restart and kept the ledger
+    # the peer saw no restart and kept the ledger
+    assert peer.decisions.peer_incarnations[0] == seen_incarnation == incarnation_before
     assert total() == pytest.approx(1.0, abs=1e-3) and new.decisions.accounts[7].base_share() > 0.6
 
 
--- a/tests/persistence/test_snapshot_writer.py
+++ b/tests/persistence/test_snapshot_writer.py
@@ -105,7 +105,7 @@
     world.reactor.run_thread_call()
     assert ended == [1] and files(world) == ["3", "4"]
     following = world.writer()
-    while "knowledge_loaded" not in world.lines:  # the first may still be letting go of the folder
+    while "knowledge_loaded" not in world.lines:  # the first writer may not have closed the folder yet
         following.load()
     assert following.capture.restored.head.is_clean
     following.stop(lambda: None)
@@ -220,7 +220,7 @@
     other = world.writer()
     other.gateway.config.name = "n1"
     other = world.writer()
-    while world.lines[-1] != "knowledge_foreign":  # the first may still be letting go of the folder
+    while world.lines[-1] != "knowledge_foreign":  # the first writer may not have closed the folder yet
         other.load()
     assert other.capture.restored is None and world.counts["knowledge_foreign"]
     other.stop(lambda: None)
--- a/tests/persistence/test_upgrade.py
+++ b/tests/persistence/test_upgrade.py
@@ -111,6 +111,6 @@
     old_gateway.begun = False
     new, new_gateway, _ = world.process()
     shutil.rmtree(world.path / "corkdeal-lives")
-    new._disable(OSError("as the check finds it between two polls"))
+    new._disable(OSError("folder removed between two polls"))
     world.advance_in_polls(POLL_INTERVAL)
     assert new_gateway.begun and new.done and new_gateway.decisions.quota_fraction == 1.0
