--- a/corkdeal/persistence/migrate.py
+++ b/corkdeal/persistence/migrate.py
@@ -18,7 +18,7 @@
 
 UNCOMPRESSED_FORMAT = 1
 # More than the greatest retry budget of the decisions: an unknown budget is reduced to that one.
-UNKNOWN_RETRIES = 1e6
+UNKNOWN_RETRY_BUDGET = 1e6
 
 Document = dict[str, Any]
 
@@ -28,10 +28,10 @@
 
     Raises `MigrationError` for a body that does not have that format.
     """
-    if format_number not in READERS:
+    if format_number not in DECODERS:
         raise MigrationError(f"unknown format {format_number}")
     try:
-        document = READERS[format_number](body)
+        document = DECODERS[format_number](body)
         while format_number in STEPS:
             document = STEPS[format_number](document)
             format_number += 1
@@ -99,7 +99,7 @@
 def _fleet_2_to_3(fleet: Document, boot: float) -> list[Any]:
     """Return the fleet's record; gateway index and count, incarnation, round and peers are unknown."""
     latencies = [[*entry[:3], boot] for entry in fleet["work"]]
-    return [fleet["pace"], fleet["slow"], UNKNOWN_RETRIES, latencies, 0, 0, 0, 0, []]
+    return [fleet["pace"], fleet["slow"], UNKNOWN_RETRY_BUDGET, latencies, 0, 0, 0, 0, []]
 
 
 def _backend_2_to_3(server: Document) -> list[Any]:
@@ -117,5 +117,5 @@
     return [*identity, *bucket, *totals, [], []]
 
 
-READERS: dict[int, Callable[[bytes], Document]] = {1: _read_json, 2: _read_msgpack}
+DECODERS: dict[int, Callable[[bytes], Document]] = {1: _read_json, 2: _read_msgpack}
 STEPS: dict[int, Callable[[Document], Document]] = {1: format_1_to_2, 2: format_2_to_3}
--- a/tests/persistence/samples.py
+++ b/tests/persistence/samples.py
@@ -27,7 +27,7 @@
 
 DATA = pathlib.Path(__file__).parent / "data"
 CLOCK = ClockReading(1_790_000_000.0, 5000.0, "boot-a")
-SERVER = StoredBackend(
+BACKEND = StoredBackend(
     "s-1", 1000.0, 4990.0, 4.0, 3, True, 2.0, (StoredRejection("note", 2.0, 1.5),), "10.1.0.1:6379"
 )
 ACCOUNT = StoredAccount(
@@ -43,7 +43,7 @@
     ledgers=(StoredLedger(1, 1500, 0.5, 9, 0.45, 1.0, 4994.0, True, 55),),
 )
 FLEET = StoredFleet(0.6, 1.5, 4.0, (StoredLatency("look", 1, 0.3, 5000.0),), 0, 2, 77, 12, ((1, 55),))
-HEAD = SnapshotHead("n0", "test", CLOCK, 1.0, False, FLEET, (SERVER,))
+HEAD = SnapshotHead("n0", "test", CLOCK, 1.0, False, FLEET, (BACKEND,))
 
 
 def snapshot_of(head=HEAD, accounts=None):
--- a/tests/persistence/test_codec.py
+++ b/tests/persistence/test_codec.py
@@ -103,7 +103,7 @@
         (
             samples.data(
                 head=msgspec.structs.replace(
-                    samples.HEAD, servers=(samples.SERVER._replace(slowness=math.inf),)
+                    samples.HEAD, servers=(samples.BACKEND._replace(slowness=math.inf),)
                 )
             ),
             "servers: a number is not finite",
--- a/tests/persistence/test_merge.py
+++ b/tests/persistence/test_merge.py
@@ -23,7 +23,7 @@
 
 
 def test_newer_records_of_another_machine_count_without_its_address_and_ledgers():
-    server = samples.SERVER._replace(recorded_at=9000.0, slowness=9.0, address="10.9.9.9:1")
+    server = samples.BACKEND._replace(recorded_at=9000.0, slowness=9.0, address="10.9.9.9:1")
     account = samples.ACCOUNT._replace(refilled_at=8990.0, last_request_at=8990.0, level=0.25)
     fleet = samples.FLEET._replace(usual_latencies=(StoredLatency("look", 1, 0.9, 9000.0),), pace=0.1)
     head = msgspec.structs.replace(
@@ -37,7 +37,7 @@
     other = samples.snapshot_of(head, {7: account, 9: account})
     merged = merge.merge(samples.snapshot_of(), [other])
     (found,) = merged.head.servers
-    assert (found.slowness, found.recorded_at, found.address) == (9.0, 5100.0, samples.SERVER.address)
+    assert (found.slowness, found.recorded_at, found.address) == (9.0, 5100.0, samples.BACKEND.address)
     assert merged.head.fleet == samples.FLEET._replace(
         usual_latencies=(StoredLatency("look", 1, 0.9, 5100.0),)
     )
@@ -52,7 +52,7 @@
     snapshot = samples.snapshot_of(accounts={9: samples.ACCOUNT, 7: samples.ACCOUNT})
     earlier = merge.backdated(snapshot, 60.0)
     assert earlier.head.clock == ClockReading(samples.CLOCK.wall - 60.0, samples.CLOCK.boot - 60.0, "boot-a")
-    assert earlier.head.servers == (samples.SERVER._replace(recorded_at=samples.SERVER.recorded_at - 60.0),)
+    assert earlier.head.servers == (samples.BACKEND._replace(recorded_at=samples.BACKEND.recorded_at - 60.0),)
     assert list(earlier.encoded_accounts()) == [9, 7]
     assert merge.backdated(earlier, -60.0) == snapshot
 
--- a/tests/persistence/test_migrate.py
+++ b/tests/persistence/test_migrate.py
@@ -25,7 +25,7 @@
     assert made["head"]["fleet"] == [
         0.7,
         1.2,
-        migrate.UNKNOWN_RETRIES,
+        migrate.UNKNOWN_RETRY_BUDGET,
         [["look", 1, 0.25, 5000.0]],
         0,
         0,
--- a/tests/persistence/test_quota_handover.py
+++ b/tests/persistence/test_quota_handover.py
@@ -41,7 +41,7 @@
     classes=(RequestClass(latency_objective=1.0, deadline=3.0, name="c"),),
     plans=(PLAN,),
 )
-SERVER = EndpointUpdate(UpdateKind.COMPLETE, (Endpoint("a", EndpointState.READY),))
+ENDPOINT_UPDATE = EndpointUpdate(UpdateKind.COMPLETE, (Endpoint("a", EndpointState.READY),))
 EPOCH = 1000.0
 
 
@@ -53,7 +53,7 @@
         if state is not None:
             self.decisions.restore(state)
         self.decisions.quota_fraction = fraction
-        self.decisions.handle(now, [SERVER])
+        self.decisions.handle(now, [ENDPOINT_UPDATE])
 
     def ask(self, now, customer=7, spread=1, units=1.0):
         """Whether a request is sent to the backend, which replies at once."""
@@ -121,9 +121,9 @@
 
 @pytest.fixture(autouse=True, scope="module")
 def each_account_is_a_step():
-    usual, quota_handover.ACCOUNTS_PER_STEP = quota_handover.ACCOUNTS_PER_STEP, 1
+    original, quota_handover.ACCOUNTS_PER_STEP = quota_handover.ACCOUNTS_PER_STEP, 1
     yield
-    quota_handover.ACCOUNTS_PER_STEP = usual
+    quota_handover.ACCOUNTS_PER_STEP = original
 
 
 @given(STEPS, st.integers(1, 3))
@@ -182,10 +182,14 @@
 
 
 def test_peers_continue_with_the_new_process_where_they_were_with_the_old():
-    two = dataclasses.replace(ONE, gateway_count=2, may_message_peers=True, peer_message_rate=60)
-    peer, now, processes = Process(dataclasses.replace(two, gateway_index=1)), EPOCH, [Process(two)]
+    tier_settings = dataclasses.replace(ONE, gateway_count=2, may_message_peers=True, peer_message_rate=60)
+    peer, now, processes = (
+        Process(dataclasses.replace(tier_settings, gateway_index=1)),
+        EPOCH,
+        [Process(tier_settings)],
+    )
 
-    def talk(seconds):
+    def exchange_messages(seconds):
         nonlocal now
         for _ in range(int(seconds / 0.05)):
             now += 0.05
@@ -205,7 +209,7 @@
     def total():
         return sum(process.decisions.accounts[7].base_share() for process in (processes[-1], peer))
 
-    talk(4.0)
+    exchange_messages(4.0)
     share, incarnation_before = (
         processes[0].decisions.accounts[7].base_share(),
         processes[0].decisions.incarnation,
@@ -219,7 +223,7 @@
         and new.decisions.incarnation == incarnation_before
     )
     seen_incarnation = peer.decisions.peer_incarnations[0]
-    talk(2.0)
+    exchange_messages(2.0)
     # the peer saw no restart and kept the ledger
     assert peer.decisions.peer_incarnations[0] == seen_incarnation == incarnation_before
     assert total() == pytest.approx(1.0, abs=1e-3) and new.decisions.accounts[7].base_share() > 0.6
@@ -228,9 +232,9 @@
 def test_a_snapshot_reaches_only_the_process_that_it_was_made_for(tmp_path):
     processes = [HandoverFiles(str(tmp_path)) for _ in range(3)]
     old, new, third = processes
-    made = lambda process: codec.encode_snapshot(process, Process().snapshot(EPOCH).head, [])  # noqa: E731
+    encode = lambda process: codec.encode_snapshot(process, Process().snapshot(EPOCH).head, [])  # noqa: E731
     assert old.join() is None and new.join() == old.incarnation == old.successor() - 1
-    old.write(new.incarnation, HandoverPart.PARTIAL, made)
+    old.write(new.incarnation, HandoverPart.PARTIAL, encode)
     assert (
         new.read(old.incarnation, HandoverPart.PARTIAL) is not None
         and new.read(old.incarnation, HandoverPart.FINAL) is None
@@ -239,7 +243,7 @@
     assert not old.is_running(2) and old.successor() is None
     assert third.join() == old.incarnation and third.incarnation == 3  # no number is used twice
     assert third.read(old.incarnation, HandoverPart.PARTIAL) is None
-    old.write(third.incarnation, HandoverPart.FINAL, made)
+    old.write(third.incarnation, HandoverPart.FINAL, encode)
     name = next(p for p in tmp_path.iterdir() if p.name.endswith("-3.rest"))
     name.write_bytes(name.read_bytes()[:-1])
     with pytest.raises(ValueError, match="byte"):
@@ -269,13 +273,13 @@
         self.run_program()
         return old
 
-    def follow(self, process, text):
+    def wait_for_line(self, process, text):
         for line in process.stdout:
             if text in line:
                 return line
         self.fail(f"ended without {text!r}")
 
-    def spend(self, client):
+    def is_admitted(self, client):
         """Whether a request of customer 1 is admitted."""
         self.rid += 1
         self.ask(client, customer=1, rid=self.rid)
@@ -293,8 +297,8 @@
         if (asked := self.world.next()) is not None:
             asked.conn.send(served())
 
-    def admitted(self, client, tries=4):
-        return sum(self.spend(client) for _ in range(tries))
+    def admitted(self, client, attempts=4):
+        return sum(self.is_admitted(client) for _ in range(attempts))
 
     def test_the_new_process_continues_from_the_old_ones_buckets(self):
         self.begin()
@@ -305,7 +309,7 @@
         self.line("serving ")
         self.assertEqual(self.admitted(client), 0)
         old.send_signal(signal.SIGTERM)
-        self.follow(old, "handover_rest")
+        self.wait_for_line(old, "handover_rest")
         self.assertIn("part=1.0", self.line("handover_done"))
         self.assertEqual(old.wait(PATIENCE), 0)
         self.assertEqual(self.admitted(self.client()), 0)
@@ -319,7 +323,7 @@
         self.line("serving ")
         self.process.kill()  # the new process, before it admitted anything
         self.process.wait()
-        self.follow(old, "handover_taken_back")
+        self.wait_for_line(old, "handover_taken_back")
         dead = self.process
         self.addCleanup(dead.stdout.close)
         self.run_program()  # a third process, which gets a snapshot of its own
--- a/tests/persistence/test_restore.py
+++ b/tests/persistence/test_restore.py
@@ -113,7 +113,7 @@
     assert levels[True] - levels[False] == pytest.approx(demand * 1.0, rel=0.02) and levels[False] >= 0
 
 
-SERVER = StoredBackend(
+BACKEND = StoredBackend(
     "a", 1000.0, BOOT, 5.0, 4, True, 2.0, (StoredRejection("gone", 1.0, 1.0),), "10.0.0.1:1"
 )
 
@@ -145,7 +145,7 @@
     ],
 )
 def test_a_record_is_only_for_the_process_it_was_made_of(entry, at, found, counted):
-    snapshot = samples.snapshot_of(msgspec.structs.replace(samples.HEAD, servers=(SERVER,)), {})
+    snapshot = samples.snapshot_of(msgspec.structs.replace(samples.HEAD, servers=(BACKEND,)), {})
     restored = restored_state(snapshot, 1.0, 9000.0, addresses={entry.backend: at})
     made = restored.server(entry, 9000.0)
     assert (made is not None) is found and (not counted or restored.counts[counted] == 1)
@@ -155,7 +155,7 @@
 
 
 def test_a_list_older_than_the_record_leaves_it_for_the_newer_one():
-    snapshot = samples.snapshot_of(msgspec.structs.replace(samples.HEAD, servers=(SERVER,)), {})
+    snapshot = samples.snapshot_of(msgspec.structs.replace(samples.HEAD, servers=(BACKEND,)), {})
     gateway = restarted(snapshot, 1.0, 9000.0)
     gateway.handle(9000.0, [listed_update("a", started=500.0, kind=UpdateKind.CACHED)])
     assert gateway.backends.records["a"].slowness == 1.0
@@ -264,14 +264,14 @@
 
 
 def test_backends_that_no_list_names_are_kept_for_a_while_and_then_counted_as_gone():
-    snapshot = samples.snapshot_of(msgspec.structs.replace(samples.HEAD, servers=(SERVER,)), {})
+    snapshot = samples.snapshot_of(msgspec.structs.replace(samples.HEAD, servers=(BACKEND,)), {})
     restored = restored_state(snapshot, 2.0, 9000.0)
     gateway = Gateway(settings(), seed=1)
     gateway.restore(restored)
     gateway.handle(9000.0, [listed_update("other")])
     again = captured(gateway, 9010.0, restored=restored).head
     (found,) = (s for s in again.servers if s.backend == "a")
-    assert again.clock.boot - found.recorded_at == pytest.approx(12.0) and found.slowness == SERVER.slowness
+    assert again.clock.boot - found.recorded_at == pytest.approx(12.0) and found.slowness == BACKEND.slowness
     assert [s.backend for s in captured(gateway, 9200.0, restored=restored).head.servers] == ["other"]
     assert restored.counts["knowledge_server_gone"] == 1
 
--- a/tests/persistence/test_store.py
+++ b/tests/persistence/test_store.py
@@ -19,7 +19,7 @@
 
 def numbered_parts(generation):
     """Return the parts of a snapshot that contains its generation, as the slowness of its backends."""
-    servers = tuple(samples.SERVER._replace(backend=f"s-{i}", slowness=float(generation)) for i in range(40))
+    servers = tuple(samples.BACKEND._replace(backend=f"s-{i}", slowness=float(generation)) for i in range(40))
     return samples.parts(generation, head=msgspec.structs.replace(samples.HEAD, servers=servers))
 
 
