--- a/corkdeal/persistence/migrate.py
+++ b/corkdeal/persistence/migrate.py
@@ -1,9 +1,10 @@
-"""Brings older formats forward one step at a time, on plain dictionaries.
+"""Migrates documents of older formats to the current one, format by format, as plain dictionaries.
 
-Format 1: JSON, not compressed. Wall clock only, no shut-outs, no ledgers; times are wall times.
-Format 2: msgpack in a Zstandard frame. Both clocks, shut-outs, ledgers without the rounds and incarnations
-that are needed to resume them; times are of the boot clock. Accounts are one map of named fields.
-Format 3: see `codec`. Records are arrays, accounts lie in pages, and ledgers can be resumed.
+Format 1: JSON, not compressed. It has no boot clock, class rejections or ledgers; times are wall times.
+Format 2: msgpack in a Zstandard frame. It has both clocks and class rejections; times are of the boot clock.
+Its ledgers lack the rounds and incarnations that are needed to resume them. The accounts are one map from
+customer to a record of named fields.
+Format 3: see `codec`. Records are arrays, accounts are stored in pages, and ledgers can be resumed.
 """
 
 from __future__ import annotations
@@ -16,27 +17,27 @@
 from .errors import MigrationError
 
 UNCOMPRESSED_FORMAT = 1
-# The decisions bound saved-up retries by fewer than this, so an unknown number becomes their own bound.
-UNKNOWN_RETRIES = 1e6
+# More than the greatest retry budget of the decisions: an unknown budget is reduced to that one.
+UNKNOWN_RETRY_BUDGET = 1e6
 
 Document = dict[str, Any]
 
 
 def migrate_to_current(format_number: int, body: bytes) -> Document:
-    """Return an older format's body in the plain form of format 3.
+    """Return the body of an older format as a plain document of format 3.
 
-    Raises `MigrationError` for a body that is not of that format.
+    Raises `MigrationError` for a body that does not have that format.
     """
-    if format_number not in READERS:
-        raise MigrationError(f"there is no format {format_number}")
+    if format_number not in DECODERS:
+        raise MigrationError(f"unknown format {format_number}")
     try:
-        document = READERS[format_number](body)
+        document = DECODERS[format_number](body)
         while format_number in STEPS:
             document = STEPS[format_number](document)
             format_number += 1
     except (KeyError, TypeError, AttributeError, IndexError, ValueError, msgspec.MsgspecError) as error:
         reason = f"{type(error).__name__}: {error}"
-        raise MigrationError(f"not of format {format_number}: {reason}") from error
+        raise MigrationError(f"malformed document of format {format_number}: {reason}") from error
     return document
 
 
@@ -51,15 +52,15 @@
 
 
 def format_1_to_2(old: Document) -> Document:
-    """Turn wall times into those of a boot clock that was 0 at the writing; its boot id is unknown."""
+    """Convert wall times to those of a boot clock that was 0 at the write; the boot id is unknown."""
     wall = old["wall"]
-    work = [[entry["class"], entry["size"], entry["seconds"], 0.0] for entry in old["work"]]
+    latencies = [[entry["class"], entry["size"], entry["seconds"], 0.0] for entry in old["work"]]
     return {
         "name": old["name"],
         "clock": {"wall": wall, "boot": 0.0, "boot_id": ""},
         "interval": 1.0,
         "servers": [{**server, "at": server["at"] - wall, "shut": []} for server in old["servers"]],
-        "fleet": {"pace": old["pace"], "slow": old["slow"], "work": work},
+        "fleet": {"pace": old["pace"], "slow": old["slow"], "work": latencies},
         "accounts": {int(account["customer"]): _account_1_to_2(account, wall) for account in old["accounts"]},
     }
 
@@ -78,7 +79,7 @@
 
 
 def format_2_to_3(old: Document) -> Document:
-    """Turn records into arrays; drop ledgers, for no incarnation tells whether they may be resumed."""
+    """Convert records to arrays; drop ledgers, which can't be resumed without an incarnation."""
     clock = old["clock"]
     accounts = {customer: _account_2_to_3(account) for customer, account in old["accounts"].items()}
     return {
@@ -89,26 +90,26 @@
             "clean": False,
             "clock": [clock["wall"], clock["boot"], clock["boot_id"]],
             "fleet": _fleet_2_to_3(old["fleet"], clock["boot"]),
-            "servers": [_server_2_to_3(server) for server in old["servers"]],
+            "servers": [_backend_2_to_3(server) for server in old["servers"]],
         },
         "accounts": [accounts],
     }
 
 
 def _fleet_2_to_3(fleet: Document, boot: float) -> list[Any]:
-    """The last five fields are place, tier, incarnation, round and peers, all unknown."""
-    work = [[*entry[:3], boot] for entry in fleet["work"]]
-    return [fleet["pace"], fleet["slow"], UNKNOWN_RETRIES, work, 0, 0, 0, 0, []]
+    """Return the fleet's record; gateway index and count, incarnation, round and peers are unknown."""
+    latencies = [[*entry[:3], boot] for entry in fleet["work"]]
+    return [fleet["pace"], fleet["slow"], UNKNOWN_RETRY_BUDGET, latencies, 0, 0, 0, 0, []]
 
 
-def _server_2_to_3(server: Document) -> list[Any]:
+def _backend_2_to_3(server: Document) -> list[Any]:
     names = ("id", "started", "at", "slow", "failures", "ejected", "out_for", "shut")
     unknown_address = ""
     return [*(server[name] for name in names), unknown_address]
 
 
 def _account_2_to_3(account: Document) -> list[Any]:
-    """The account was last asked for `at` its time; ceiling and totals start at 0, ledgers empty."""
+    """Return an account's record; the time of its last request is assumed, unknown fields are 0 or empty."""
     at = account["at"]
     identity = [account["plan"], account["first"], account["spread"]]
     bucket = [at, at, account["level"], 0.0, account["demand"], account["open"]]
@@ -116,5 +117,5 @@
     return [*identity, *bucket, *totals, [], []]
 
 
-READERS: dict[int, Callable[[bytes], Document]] = {1: _read_json, 2: _read_msgpack}
+DECODERS: dict[int, Callable[[bytes], Document]] = {1: _read_json, 2: _read_msgpack}
 STEPS: dict[int, Callable[[Document], Document]] = {1: format_1_to_2, 2: format_2_to_3}
--- a/corkdeal/persistence/snapshot_loader.py
+++ b/corkdeal/persistence/snapshot_loader.py
@@ -1,4 +1,4 @@
-"""Loads the newest snapshot before a gateway starts, and gives it to the decisions."""
+"""Loads the newest snapshot before a gateway starts and restores the decisions from it."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 from .store import LoadedSnapshot, SnapshotStore
 from .worker import WorkerThread
 
-MAX_LOGGED_AGE = 1e12  # seconds; a greater one is logged as endless
+MAX_LOGGED_AGE = 1e12  # seconds; a greater age is logged as `endless`
 
 
 def load_snapshot(
@@ -22,20 +22,20 @@
 ) -> LoadedSnapshot | None:
     """Open the store and load its newest snapshot, in the worker's thread.
 
-    Returns None if that takes longer than `timeout` seconds; a late answer is dropped. Raises what opening
-    raises.
+    Returns None if that takes longer than `timeout` seconds; a later result is dropped. Raises what
+    `SnapshotStore.open` raises.
     """
 
-    def work() -> LoadedSnapshot:
+    def open_and_load() -> LoadedSnapshot:
         store.open()
         return store.load()
 
-    began = time.monotonic()
-    future = worker.submit(work)
+    started_at = time.monotonic()
+    future = worker.submit(open_and_load)
     concurrent.futures.wait([future], timeout)
     if not future.done():
         counts["knowledge_late"] += 1
-        logs.event("knowledge_late", waited=round(time.monotonic() - began, 3))
+        logs.event("knowledge_late", waited=round(time.monotonic() - started_at, 3))
         return None
     loaded = future.result()
     for rejected in loaded.rejected:
@@ -49,7 +49,7 @@
 def restore_snapshot(
     loaded: LoadedSnapshot, snapshot: Snapshot, gateway: GatewayHost, counts: Counter[str]
 ) -> RestoredState | None:
-    """Give a snapshot to the decisions; None for another gateway's and for one that has expired."""
+    """Restore the decisions from a snapshot; returns None for another gateway's or an expired one."""
     if snapshot.head.name != gateway.config.name:
         counts["knowledge_foreign"] += 1
         logs.event("knowledge_foreign", file=loaded.file, name=snapshot.head.name)
@@ -65,10 +65,10 @@
         lambda name: format_address(pool.addresses.get(name)),
         counts,
     )
-    odd = ",".join(anomalies)
-    if restored.is_useless:
+    anomaly_names = ",".join(anomalies)
+    if restored.has_expired:
         counts["knowledge_useless"] += 1
-        logs.event("knowledge_useless", file=loaded.file, age=format_age(age), odd=odd)
+        logs.event("knowledge_useless", file=loaded.file, age=format_age(age), odd=anomaly_names)
         return None
     gateway.decisions.restore(restored)
     logs.event(
@@ -76,14 +76,14 @@
         file=loaded.file,
         format=loaded.format,
         age=format_age(age),
-        servers=len(restored.servers),
+        servers=len(restored.backends),
         accounts=len(restored.encoded_accounts),
         resumes=restored.may_resume(),
-        odd=odd,
+        odd=anomaly_names,
     )
     return restored
 
 
 def format_age(age: float) -> str:
-    """Return an age in seconds as a log line states it."""
+    """Return an age in seconds in the form of a log line."""
     return f"{age:.3f}" if age < MAX_LOGGED_AGE else "endless"
--- a/corkdeal/persistence/snapshot_writer.py
+++ b/corkdeal/persistence/snapshot_writer.py
@@ -1,8 +1,8 @@
-"""Writes a gateway's snapshots beside its reactor: loads one before the start, then writes at intervals.
+"""Loads a gateway's newest snapshot before the start, then writes snapshots at intervals beside its reactor.
 
-All that may block (opening, reading, compressing, syncing) runs in one daemon thread, one job at a time. The
-reactor captures state in steps of a millisecond. A failure costs a count and, when it is the first, a log
-line; the gateway keeps serving.
+Everything that may block (opening, reading, compressing, syncing) runs in one daemon thread, one job at a
+time. The reactor's thread captures state in steps of about a millisecond. Failures are counted, and the first
+of a series is logged; the gateway keeps serving.
 """
 
 from __future__ import annotations
@@ -23,19 +23,19 @@
 from .worker import WorkerThread
 from .write_health import WriteHealth
 
-MAX_UNRECORDED_WRITE_TIME = 5.0  # seconds of one write that count as unrecorded
+MAX_UNRECORDED_WRITE_TIME = 5.0  # seconds; the most that the duration of a write adds to `write_interval`
 THREAD_NAME = "knowledge"
 
 
-class Written(NamedTuple):
-    """A generation that is durable, and how long that took."""
+class WriteResult(NamedTuple):
+    """A generation that is durable, and how long its write took."""
 
     generation: int
     duration: float  # seconds
 
 
 class SnapshotWriter:
-    """One gateway's snapshots: `load`, then `start`, `reload` at will, and one `stop`."""
+    """Writes one gateway's snapshots: call `load`, `start`, `reload` any number of times, then `stop`."""
 
     def __init__(
         self,
@@ -43,28 +43,28 @@
         gateway: GatewayHost,
         options: KnowledgeOptions,
         counts: Counter[str],
-        opener: Callable[..., SnapshotStore] = SnapshotStore,
+        store_factory: Callable[..., SnapshotStore] = SnapshotStore,
     ) -> None:
         self.reactor = reactor
         self.gateway = gateway
         self.options = options
         self.counts = counts
-        self.opener = opener
+        self.store_factory = store_factory
         folder = gateway_folder(options.path, gateway.config.name)
-        self.store = opener(folder, options.generations)
+        self.store = store_factory(folder, options.generations)
         self.worker = WorkerThread(THREAD_NAME)
         self.health = WriteHealth(folder, counts)
         self.capture = StateCapture(gateway.decisions, gateway.config.name, __version__)
-        self.is_busy = False  # a snapshot is being captured or written
+        self.is_busy = False  # while a snapshot is captured or written
         self.is_stopped = False
-        self._write_duration = 0.0  # seconds, the last write
+        self._write_duration = 0.0  # seconds, of the last write
         self._timer: DelayedCall | None = None
         self._stop_deadline: DelayedCall | None = None
-        self._when_idle: Callable[[], None] | None = None
-        self._when_ended: Callable[[], None] | None = None
+        self._on_idle: Callable[[], None] | None = None
+        self._on_stopped: Callable[[], None] | None = None
 
     def load(self) -> None:
-        """Have the newest snapshot restored, before the reactor runs; given up after `read_wait`."""
+        """Restore the newest snapshot before the reactor runs; waits for it for at most `read_wait`."""
         try:
             loaded = snapshot_loader.load_snapshot(
                 self.worker, self.store, self.options.read_wait, self.counts
@@ -79,105 +79,107 @@
             self.capture.restored = restored
 
     def start(self) -> None:
-        """Write at intervals from now on."""
+        """Start to write at intervals."""
         self._schedule(self.options.every)
 
     def reload(self, options: KnowledgeOptions) -> None:
-        """Follow changed options; another path is another store, from the next write on."""
+        """Apply changed options; with another path the next write goes to a new store."""
         old_path = self.options.path
         self.options = options
         if old_path != options.path:
             self.worker.submit(self.store.close)
             folder = gateway_folder(options.path, self.gateway.config.name)
-            self.store = self.opener(folder, options.generations)
+            self.store = self.store_factory(folder, options.generations)
             self.health.use_folder(folder)
         self.store.retained = options.generations
         if not self.is_busy:
             self._schedule(options.every)
 
     def stop(self, done: Callable[[], None], is_clean: bool = True) -> None:
-        """Write a last snapshot, end the thread, then call `done`; at the latest after `stop_wait`.
+        """Write a last snapshot, end the thread, then call `done`, at the latest after `stop_wait`.
 
-        `is_clean` tells that nothing is spent after it. A second call only calls its `done`.
+        `is_clean` states that no units are spent afterwards. A second call only calls its `done`.
         """
         if self.is_stopped:
             done()
             return
         self.is_stopped = True
         cancel(self._timer)
-        self._when_ended = done
-        self._stop_deadline = self.reactor.callLater(self.options.stop_wait, self._end_late)
+        self._on_stopped = done
+        self._stop_deadline = self.reactor.callLater(self.options.stop_wait, self._stop_timed_out)
         if self.is_busy:
-            self._when_idle = lambda: self._write_last(is_clean)
+            self._on_idle = lambda: self._write_last(is_clean)
         else:
             self._write_last(is_clean)
 
-    # Capturing, a step a turn of the reactor
+    # Capturing, one step per reactor iteration
 
     def _schedule(self, delay: float) -> None:
-        """Have the next snapshot begun after `delay` seconds, in place of any other time."""
+        """Schedule the next snapshot in `delay` seconds, instead of the one scheduled before."""
         cancel(self._timer)
         if not self.is_stopped:
-            self._timer = self.reactor.callLater(delay, self._begin)
+            self._timer = self.reactor.callLater(delay, self._begin_snapshot)
 
-    def _begin(self) -> None:
-        """Begin a snapshot; it is skipped if the last one is not written yet."""
+    def _begin_snapshot(self) -> None:
+        """Begin a snapshot, or skip it if the last one is not written yet."""
         self._schedule(self.options.every)
         if self.is_busy:
             self.counts["knowledge_write_skipped"] += 1
             return
         self.is_busy = True
         pages: list[bytes] = []
-        self._advance(self._captured(pages), pages)
+        self._continue_capture(self._capture_pages(pages), pages)
 
-    def _captured(self, pages: list[bytes]) -> Iterator[None]:
-        """Capture the accounts and append their pages; yields where the reactor may turn."""
+    def _capture_pages(self, pages: list[bytes]) -> Iterator[None]:
+        """Capture the accounts and append their pages; yields between steps."""
         yield from self._capture_steps()
         yield
         for page in self.capture.pages():
             pages.append(page)
             yield
 
-    def _advance(self, captured: Iterator[None], pages: list[bytes]) -> None:
-        """Take one step; after the last one the snapshot is written."""
+    def _continue_capture(self, steps: Iterator[None], pages: list[bytes]) -> None:
+        """Take one step of the capture; after the last one write the snapshot."""
         if self.is_stopped:
             self._become_idle()
             return
         try:
-            for _ in captured:
-                self.reactor.callLater(0, self._advance, captured, pages)
+            for _ in steps:
+                self.reactor.callLater(0, self._continue_capture, steps, pages)
                 return
             head = self._head(is_clean=False)
         except Exception:
             self.health.record_capture_failure()
             self._become_idle()
             return
-        self._write(head, pages, self._written)
+        self._write(head, pages, self._write_done)
 
     def _capture_steps(self) -> Iterator[None]:
         return self.capture.steps(self.gateway.now, clock.read_clocks, time.perf_counter)
 
     def _head(self, is_clean: bool) -> SnapshotHead:
-        """Return all of the snapshot but the accounts; the time a write takes is unrecorded too."""
+        """Return all of the snapshot but the accounts; `write_interval` includes the duration of a write."""
         addresses = {name: format_address(address) for name, address in self.gateway.pool.addresses.items()}
-        unrecorded = self.options.every + min(self._write_duration, MAX_UNRECORDED_WRITE_TIME)
-        return self.capture.head(self.gateway.now(), clock.read_clocks(), unrecorded, is_clean, addresses)
+        write_interval = self.options.every + min(self._write_duration, MAX_UNRECORDED_WRITE_TIME)
+        return self.capture.head(self.gateway.now(), clock.read_clocks(), write_interval, is_clean, addresses)
 
-    # Writing, in the thread
+    # Writing, in the worker thread
 
-    def _write(self, head: SnapshotHead, pages: list[bytes], done: Callable[[Future[Written]], None]) -> None:
-        """Compress, seal and write a snapshot in the thread, then call `done` in the reactor's."""
-        began = time.monotonic()
+    def _write(
+        self, head: SnapshotHead, pages: list[bytes], done: Callable[[Future[WriteResult]], None]
+    ) -> None:
+        """Encode and write a snapshot in the worker thread, then call `done` in the reactor's thread."""
+        started_at = time.monotonic()
 
-        def work() -> Written:
+        def write_snapshot() -> WriteResult:
             generation = self.store.write(lambda number: encode_snapshot(number, head, pages))
-            return Written(generation, time.monotonic() - began)
+            return WriteResult(generation, time.monotonic() - started_at)
 
-        future = self.worker.submit(work)
-        future.add_done_callback(lambda ended: self.reactor.callFromThread(done, ended))
+        future = self.worker.submit(write_snapshot)
+        future.add_done_callback(lambda finished: self.reactor.callFromThread(done, finished))
 
-    def _written(self, write: Future[Written]) -> None:
-        """Note how a write ended; a failed one is tried again later."""
+    def _write_done(self, write: Future[WriteResult]) -> None:
+        """Record the result of a write; a failed one is retried later."""
         error = write.exception()
         if error is None:
             self.health.record_success()
@@ -189,17 +191,17 @@
         self._become_idle()
 
     def _become_idle(self) -> None:
-        """Nothing is being captured or written any more."""
+        """Mark the writer as idle, and continue a `stop` that waited for this."""
         self.is_busy = False
-        then = self._when_idle
-        self._when_idle = None
-        if then is not None:
-            then()
+        callback = self._on_idle
+        self._on_idle = None
+        if callback is not None:
+            callback()
 
     # Stopping
 
     def _write_last(self, is_clean: bool) -> None:
-        """Capture the last snapshot in one turn and have it written."""
+        """Capture the last snapshot in one reactor iteration and write it."""
         try:
             for _ in self._capture_steps():
                 pass
@@ -207,30 +209,30 @@
             pages = list(self.capture.pages())
         except Exception:
             self.health.record_capture_failure()
-            self._end()
+            self._finish_stop()
             return
-        self._write(head, pages, self._last_written)
+        self._write(head, pages, self._last_write_done)
 
-    def _last_written(self, write: Future[Written]) -> None:
+    def _last_write_done(self, write: Future[WriteResult]) -> None:
         error = write.exception()
         if error is None:
             self.counts["knowledge_written"] += 1
         else:
             self.health.record_failure(error)
-        self._end()
+        self._finish_stop()
 
-    def _end_late(self) -> None:
-        """Give up the last snapshot: writing it takes longer than `stop_wait`."""
+    def _stop_timed_out(self) -> None:
+        """End without the last snapshot, whose write takes longer than `stop_wait`."""
         self.counts["knowledge_stopped_late"] += 1
-        self._end()
+        self._finish_stop()
 
-    def _end(self) -> None:
-        """Close the store, end the thread and report it, once."""
-        done = self._when_ended
+    def _finish_stop(self) -> None:
+        """Close the store, end the thread and call the `done` of `stop`, once."""
+        done = self._on_stopped
         if done is None:
             return
-        self._when_ended = None
-        self._when_idle = None
+        self._on_stopped = None
+        self._on_idle = None
         cancel(self._stop_deadline)
         self.gateway.decisions.changed_customers = None
         self.worker.submit(self.store.close)
@@ -239,6 +241,6 @@
 
 
 def cancel(call: DelayedCall | None) -> None:
-    """Cancel a delayed call that is still to be made."""
+    """Cancel a delayed call, if there is one and it is still to be made."""
     if call is not None and call.active():
         call.cancel()
--- a/tests/persistence/test_capture.py
+++ b/tests/persistence/test_capture.py
@@ -1,4 +1,4 @@
-"""Capturing alone: how accounts are split into pages and steps, and which are encoded anew."""
+"""Unit tests of `capture`: how accounts are split into pages and steps, and which are carried over."""
 
 from collections import Counter
 
@@ -38,7 +38,7 @@
     for customer in range(3 * ACCOUNTS_PER_CHECK):
         decisions.account(customer, 0, 0, 3)
     capture = StateCapture(decisions, "n0", "test")
-    ticks = iter(range(10**6))  # a second passes between two looks
+    ticks = iter(range(10**6))  # one second passes between two readings
     assert exhaust(capture, lambda: next(ticks)) == 3 + 1
     assert len(capture.packed) == 3 * ACCOUNTS_PER_CHECK
     assert exhaust(capture) == 1
@@ -46,7 +46,7 @@
 
 def test_restored_accounts_are_carried_on_until_they_are_claimed_or_all_are_gone():
     decisions = Gateway(helpers.settings(), seed=1)
-    stored = samples.document(accounts={7: samples.ACCOUNT, 8: samples.ACCOUNT})
+    stored = samples.snapshot_of(accounts={7: samples.ACCOUNT, 8: samples.ACCOUNT})
     restored = RestoredState(stored, 2.0, 9000.0, decisions.settings, lambda name: "", Counter())
     capture = StateCapture(decisions, "n0", "test", restored)
     exhaust(capture)
@@ -55,6 +55,6 @@
     exhaust(capture)
     assert sorted(accounts_of(capture)) == [8] and capture.restored is restored
     restored.encoded_accounts.pop(8)
-    restored.servers.clear()
+    restored.backends.clear()
     exhaust(capture)
     assert not accounts_of(capture) and capture.restored is None
--- a/tests/persistence/test_quota_handover.py
+++ b/tests/persistence/test_quota_handover.py
@@ -1,4 +1,4 @@
-"""Two processes of one gateway: what both admit, what is handed over, each moment at which one may end."""
+"""Quota handover between two processes: what both admit, what is handed over, and ends at any moment."""
 
 import collections
 import dataclasses
@@ -41,61 +41,73 @@
     classes=(RequestClass(latency_objective=1.0, deadline=3.0, name="c"),),
     plans=(PLAN,),
 )
-SERVER = EndpointUpdate(UpdateKind.COMPLETE, (Endpoint("a", EndpointState.READY),))
+ENDPOINT_UPDATE = EndpointUpdate(UpdateKind.COMPLETE, (Endpoint("a", EndpointState.READY),))
 EPOCH = 1000.0
 
 
 class Process:
-    """One process's decisions on a clock that the test moves."""
+    """The decisions of one process, on a clock that the test advances."""
 
-    def __init__(self, settings=ONE, known=None, part=1.0, now=EPOCH):
-        self.d, self.rid, self.now = Gateway(settings, seed=1), 0, now
-        if known is not None:
-            self.d.restore(known)
-        self.d.quota_fraction = part
-        self.d.handle(now, [SERVER])
+    def __init__(self, settings=ONE, state=None, fraction=1.0, now=EPOCH):
+        self.decisions, self.rid, self.now = Gateway(settings, seed=1), 0, now
+        if state is not None:
+            self.decisions.restore(state)
+        self.decisions.quota_fraction = fraction
+        self.decisions.handle(now, [ENDPOINT_UPDATE])
 
     def ask(self, now, customer=7, spread=1, units=1.0):
-        """Whether a request is sent on; it is answered at once."""
+        """Whether a request is sent to the backend, which replies at once."""
         self.now, self.rid = now, self.rid + 1
-        out = self.d.handle(now, [Request(self.rid, customer, 0, 0, units, 0, spread, 3.0)])
+        out = self.decisions.handle(now, [Request(self.rid, customer, 0, 0, units, 0, spread, 3.0)])
         sent = any(isinstance(a, StartAttempt) for a in out)
         if sent:
-            self.d.handle(now, [AttemptEnded(self.rid, 0, "a", Status.OK, 0.1, True)])
+            self.decisions.handle(now, [AttemptEnded(self.rid, 0, "a", Status.OK, 0.1, True)])
         return sent
 
-    def document(self, now):
-        """What it hands over, through its bytes."""
-        quota_handover.refill_accounts(self.d, now)
-        reading = lambda: clock.ClockReading(now, now, "boot")  # noqa: E731
-        made = StateCapture(self.d, "n0", "test")
-        list(made.steps(lambda: now, reading, lambda: 0.0))
-        parts = codec.encode_snapshot(1, made.head(now, reading(), 0.0, True, {}), list(made.pages()))
+    def snapshot(self, now):
+        """Return the snapshot that it hands over, encoded and decoded."""
+        quota_handover.refill_accounts(self.decisions, now)
+        clock_reading = lambda: clock.ClockReading(now, now, "boot")  # noqa: E731
+        capture = StateCapture(self.decisions, "n0", "test")
+        list(capture.steps(lambda: now, clock_reading, lambda: 0.0))
+        parts = codec.encode_snapshot(
+            1, capture.head(now, clock_reading(), 0.0, True, {}), list(capture.pages())
+        )
         return codec.decode_snapshot(b"".join(parts))[2]
 
-    def restored(self, made, now):
-        """Its records, as the next process reads them."""
+    def restored(self, snapshot, now):
+        """Return a snapshot as the successor restores it."""
         return RestoredState(
-            made, now - made.head.clock.boot, now, self.d.settings, lambda _: "", collections.Counter()
+            snapshot,
+            now - snapshot.head.clock.boot,
+            now,
+            self.decisions.settings,
+            lambda _: "",
+            collections.Counter(),
         )
 
 
-def give_first(old, now):
-    made = old.document(now)
-    quota_handover.keep_fraction(old.d, 1 - quota_handover.SUCCESSOR_SHARE)
-    first = quota_handover.PartialState(old.restored(made, now), quota_handover.SUCCESSOR_SHARE)
+def hand_over_partial_state(old, now):
+    snapshot = old.snapshot(now)
+    quota_handover.reduce_to_fraction(old.decisions, 1 - quota_handover.SUCCESSOR_FRACTION)
+    partial = quota_handover.PartialState(old.restored(snapshot, now), quota_handover.SUCCESSOR_FRACTION)
     return (
-        Process(old.d.settings, first, made.head.fleet.quota_fraction * quota_handover.SUCCESSOR_SHARE, now),
-        first,
-        made.head.fleet.quota_fraction,
+        Process(
+            old.decisions.settings,
+            partial,
+            snapshot.head.fleet.quota_fraction * quota_handover.SUCCESSOR_FRACTION,
+            now,
+        ),
+        partial,
+        snapshot.head.fleet.quota_fraction,
     )
 
 
-def give_rest(old, new, first, now, between=lambda: None):
-    made = old.document(now)
-    quota_handover.keep_nothing(old.d)
+def hand_over_remainder(old, new, partial, now, between=lambda: None):
+    snapshot = old.snapshot(now)
+    quota_handover.release_all(old.decisions)
     steps = quota_handover.take_rest(
-        new.d, lambda: now, first, new.restored(made, now), made.head.fleet.quota_fraction
+        new.decisions, lambda: now, partial, new.restored(snapshot, now), snapshot.head.fleet.quota_fraction
     )
     for _ in steps:
         between()
@@ -109,16 +121,16 @@
 
 @pytest.fixture(autouse=True, scope="module")
 def each_account_is_a_step():
-    usual, quota_handover.ACCOUNTS_PER_STEP = quota_handover.ACCOUNTS_PER_STEP, 1
+    original, quota_handover.ACCOUNTS_PER_STEP = quota_handover.ACCOUNTS_PER_STEP, 1
     yield
-    quota_handover.ACCOUNTS_PER_STEP = usual
+    quota_handover.ACCOUNTS_PER_STEP = original
 
 
 @given(STEPS, st.integers(1, 3))
 def test_both_processes_together_admit_no_more_than_one_may(steps, customers):
     old, now, sent = Process(), EPOCH, dict.fromkeys(range(customers), 0)
-    new = first = None
-    part_there = 0.0
+    new = partial = None
+    predecessor_fraction = 0.0
 
     def ask_all():
         for customer in sent:
@@ -129,16 +141,16 @@
         if what == "wait":
             now += n
         elif what == "give" and new is None:
-            new, first, whole = give_first(old, now)
-            part_there = whole * (1 - quota_handover.SUCCESSOR_SHARE)
+            new, partial, total_fraction = hand_over_partial_state(old, now)
+            predecessor_fraction = total_fraction * (1 - quota_handover.SUCCESSOR_FRACTION)
         elif what in ("rest", "kill") and new is not None and old is not None:
             if what == "rest":
-                give_rest(old, new, first, now, ask_all)
+                hand_over_remainder(old, new, partial, now, ask_all)
                 assert not any(old.ask(now, c) for c in range(customers))
             else:
-                quota_handover.take_fraction(new.d, now, part_there)
+                quota_handover.add_fraction(new.decisions, now, predecessor_fraction)
             old = None
-            assert new.d.quota_fraction == pytest.approx(1.0)
+            assert new.decisions.quota_fraction == pytest.approx(1.0)
         elif what in ("old", "new") and (process := old if what == "old" else new) is not None:
             sent[customer] += process.ask(now, customer)
         for units in sent.values():
@@ -149,77 +161,89 @@
     ring = Ring(2)
     ring.spread = 2
     ring.run(3.0, lambda me: 0.2)
-    quota_handover.keep_nothing(ring.gateways[0])
-    actions = ring.gateways[0].handle(ring.now + 2.0, [request(999, spread=2)])  # its peer is silent by then
+    quota_handover.release_all(ring.gateways[0])
+    # by now its peer is silent, so it could borrow the peer's share
+    actions = ring.gateways[0].handle(ring.now + 2.0, [request(999, spread=2)])
     assert pick(actions, Reject) and not pick(actions, StartAttempt)
 
 
 def test_what_the_old_process_held_is_the_new_ones_at_the_end():
     old = Process()
     assert old.ask(EPOCH, customer=7) and old.ask(EPOCH, customer=8)
-    new, first, _ = give_first(old, EPOCH)
-    assert new.ask(EPOCH, customer=7)  # met by the new process; the other one's account comes over unasked
-    give_rest(old, new, first, EPOCH)
-    levels = {c: a.level for c, a in new.d.accounts.items()}
+    new, partial, _ = hand_over_partial_state(old, EPOCH)
+    assert new.ask(EPOCH, customer=7)  # customer 8 has no request there, and is handed over all the same
+    hand_over_remainder(old, new, partial, EPOCH)
+    levels = {c: a.level for c, a in new.decisions.accounts.items()}
     assert levels == {7: pytest.approx(PLAN.burst - 2), 8: pytest.approx(PLAN.burst - 1)}
-    third, _, whole = give_first(new, EPOCH)
-    assert whole == pytest.approx(1.0) and third.d.quota_fraction == pytest.approx(
-        quota_handover.SUCCESSOR_SHARE
+    third, _, total_fraction = hand_over_partial_state(new, EPOCH)
+    assert total_fraction == pytest.approx(1.0) and third.decisions.quota_fraction == pytest.approx(
+        quota_handover.SUCCESSOR_FRACTION
     )
 
 
 def test_peers_continue_with_the_new_process_where_they_were_with_the_old():
-    two = dataclasses.replace(ONE, gateway_count=2, may_message_peers=True, peer_message_rate=60)
-    peer, now, processes = Process(dataclasses.replace(two, gateway_index=1)), EPOCH, [Process(two)]
+    tier_settings = dataclasses.replace(ONE, gateway_count=2, may_message_peers=True, peer_message_rate=60)
+    peer, now, processes = (
+        Process(dataclasses.replace(tier_settings, gateway_index=1)),
+        EPOCH,
+        [Process(tier_settings)],
+    )
 
-    def talk(seconds):
+    def exchange_messages(seconds):
         nonlocal now
         for _ in range(int(seconds / 0.05)):
             now += 0.05
             process = processes[-1]
             process.ask(now, 7, spread=2, units=0.2)
             for one, other in ((process, peer), (peer, process)):
-                out = one.d.handle(now, [TimerExpired(0)])
-                for _ in range(4):  # to and fro until nothing is left to say
+                out = one.decisions.handle(now, [TimerExpired(0)])
+                for _ in range(4):  # in both directions until no message is left
                     messages = [
-                        PeerMessage(one.d.settings.gateway_index, a.payload)
+                        PeerMessage(one.decisions.settings.gateway_index, a.payload)
                         for a in out
                         if isinstance(a, SendToPeer)
                     ]
                     one, other = other, one
-                    out = one.d.handle(now, messages) if messages else []
+                    out = one.decisions.handle(now, messages) if messages else []
 
     def total():
-        return sum(process.d.accounts[7].base_share() for process in (processes[-1], peer))
+        return sum(process.decisions.accounts[7].base_share() for process in (processes[-1], peer))
 
-    talk(4.0)
-    share, born = processes[0].d.accounts[7].base_share(), processes[0].d.incarnation
+    exchange_messages(4.0)
+    share, incarnation_before = (
+        processes[0].decisions.accounts[7].base_share(),
+        processes[0].decisions.incarnation,
+    )
     assert share > 0.7 and total() == pytest.approx(1.0, abs=1e-3)
-    new, first, _ = give_first(processes[0], now)
-    give_rest(processes[0], new, first, now)
+    new, partial, _ = hand_over_partial_state(processes[0], now)
+    hand_over_remainder(processes[0], new, partial, now)
     processes.append(new)
-    assert new.d.accounts[7].base_share() == pytest.approx(share) and new.d.incarnation == born
-    known = peer.d.peer_incarnations[0]
-    talk(2.0)
-    assert peer.d.peer_incarnations[0] == known == born  # no restart seen, and the ledger went on
-    assert total() == pytest.approx(1.0, abs=1e-3) and new.d.accounts[7].base_share() > 0.6
+    assert (
+        new.decisions.accounts[7].base_share() == pytest.approx(share)
+        and new.decisions.incarnation == incarnation_before
+    )
+    seen_incarnation = peer.decisions.peer_incarnations[0]
+    exchange_messages(2.0)
+    # the peer saw no restart and kept the ledger
+    assert peer.decisions.peer_incarnations[0] == seen_incarnation == incarnation_before
+    assert total() == pytest.approx(1.0, abs=1e-3) and new.decisions.accounts[7].base_share() > 0.6
 
 
 def test_a_snapshot_reaches_only_the_process_that_it_was_made_for(tmp_path):
     processes = [HandoverFiles(str(tmp_path)) for _ in range(3)]
     old, new, third = processes
-    made = lambda process: codec.encode_snapshot(process, Process().document(EPOCH).head, [])  # noqa: E731
+    encode = lambda process: codec.encode_snapshot(process, Process().snapshot(EPOCH).head, [])  # noqa: E731
     assert old.join() is None and new.join() == old.incarnation == old.successor() - 1
-    old.write(new.incarnation, HandoverPart.PARTIAL, made)
+    old.write(new.incarnation, HandoverPart.PARTIAL, encode)
     assert (
         new.read(old.incarnation, HandoverPart.PARTIAL) is not None
         and new.read(old.incarnation, HandoverPart.FINAL) is None
     )
-    new.close()  # it ends before it served
+    new.close()  # it ends before it serves
     assert not old.is_running(2) and old.successor() is None
-    assert third.join() == old.incarnation and third.incarnation == 3  # a number is never given twice
+    assert third.join() == old.incarnation and third.incarnation == 3  # no number is used twice
     assert third.read(old.incarnation, HandoverPart.PARTIAL) is None
-    old.write(third.incarnation, HandoverPart.FINAL, made)
+    old.write(third.incarnation, HandoverPart.FINAL, encode)
     name = next(p for p in tmp_path.iterdir() if p.name.endswith("-3.rest"))
     name.write_bytes(name.read_bytes()[:-1])
     with pytest.raises(ValueError, match="byte"):
@@ -230,7 +254,7 @@
 
 
 class Upgrade(Program):
-    """Real processes on one listening socket; customer 1 may have two units, and hardly any later."""
+    """Real processes on one listening socket; customer 1 has a burst of 2 units and 0.1 units per second."""
 
     build = ("-O",)
 
@@ -243,38 +267,38 @@
         self.rid = 0
 
     def next_process(self):
-        """Start it beside the one that serves; the old process and its log."""
+        """Start another process beside the one that serves; returns the old one."""
         old = self.process
         self.addCleanup(lambda: (old.kill(), old.wait(), old.stdout.close()))
         self.run_program()
         return old
 
-    def follow(self, process, text):
+    def wait_for_line(self, process, text):
         for line in process.stdout:
             if text in line:
                 return line
         self.fail(f"ended without {text!r}")
 
-    def spend(self, client):
-        """Whether a request of customer 1 is let in."""
+    def is_admitted(self, client):
+        """Whether a request of customer 1 is admitted."""
         self.rid += 1
         self.ask(client, customer=1, rid=self.rid)
         served_ = threading.Thread(target=self.serve, daemon=True)
         served_.start()
         answer = client.read()
-        self.world.asked.put(None)  # where it was refused nobody asks the backend
+        self.world.asked.put(None)  # ends `serve` if the request was rejected and never reached a backend
         served_.join(PATIENCE)
         while not self.world.asked.empty():
             self.world.asked.get()
         return answer == [b"v"]
 
     def serve(self):
-        """The backend's next request, if one comes."""
+        """Reply to the next request at the backend, if one comes."""
         if (asked := self.world.next()) is not None:
             asked.conn.send(served())
 
-    def admitted(self, client, tries=4):
-        return sum(self.spend(client) for _ in range(tries))
+    def admitted(self, client, attempts=4):
+        return sum(self.is_admitted(client) for _ in range(attempts))
 
     def test_the_new_process_continues_from_the_old_ones_buckets(self):
         self.begin()
@@ -285,7 +309,7 @@
         self.line("serving ")
         self.assertEqual(self.admitted(client), 0)
         old.send_signal(signal.SIGTERM)
-        self.follow(old, "handover_rest")
+        self.wait_for_line(old, "handover_rest")
         self.assertIn("part=1.0", self.line("handover_done"))
         self.assertEqual(old.wait(PATIENCE), 0)
         self.assertEqual(self.admitted(self.client()), 0)
@@ -297,12 +321,12 @@
         self.assertEqual(self.admitted(self.client()), 2)
         old = self.next_process()
         self.line("serving ")
-        self.process.kill()  # the new one, before it did anything
+        self.process.kill()  # the new process, before it admitted anything
         self.process.wait()
-        self.follow(old, "handover_taken_back")
+        self.wait_for_line(old, "handover_taken_back")
         dead = self.process
         self.addCleanup(dead.stdout.close)
-        self.run_program()  # a third start, with what is made for it
+        self.run_program()  # a third process, which gets a snapshot of its own
         self.assertIn("life=3", self.line("handover_begun"))
         self.line("serving ")
         old.kill()
@@ -310,13 +334,13 @@
         self.assertEqual(self.admitted(self.client()), 0)
         client, began = self.client(), time.monotonic()
         while not self.admitted(client, 1) and time.monotonic() - began < 2 * PATIENCE:
-            time.sleep(0.1)  # it has the whole rate: 0.1 a second
+            time.sleep(0.1)  # it refills at the whole rate, 0.1 per second
         self.assertLess(time.monotonic() - began, 2 * PATIENCE)
 
     def test_a_folder_that_goes_away_while_it_serves_harms_nothing(self):
         self.begin()
         shutil.rmtree(f"{self.folder.name}/corkdeal-lives")
-        next_old = self.next_process()  # it finds no process before it, and both are whole
+        next_old = self.next_process()  # it finds no predecessor, so both have the whole quota
         self.line("serving ")
         next_old.send_signal(signal.SIGTERM)
         self.assertEqual(next_old.wait(PATIENCE), 0)
--- a/tests/persistence/test_upgrade.py
+++ b/tests/persistence/test_upgrade.py
@@ -1,4 +1,4 @@
-"""The succession of two processes on a fake clock: what each finds of the other, a folder that goes away."""
+"""Tests of `net.upgrade` on a fake clock: handover between two processes, early ends, a removed folder."""
 
 import shutil
 import tempfile
@@ -10,7 +10,7 @@
 from corkdeal import logs
 from corkdeal.decisions.gateway import Gateway
 from corkdeal.net.upgrade import CHECK_INTERVAL, POLL_INTERVAL, POLL_TIMEOUT, Succession
-from corkdeal.persistence.quota_handover import SUCCESSOR_SHARE
+from corkdeal.persistence.quota_handover import SUCCESSOR_FRACTION
 
 from .. import helpers
 
@@ -22,7 +22,7 @@
     logs.configure(lambda level, name, pairs: lines.append(name))
 
     def process():
-        """A process that has begun to start; it serves once `begun` is set."""
+        """Return a process that is starting; it serves once `begun` is set."""
         decisions = Gateway(helpers.settings(), seed=1)
         calls = []
         gateway = SimpleNamespace(
@@ -34,23 +34,23 @@
             hear=lambda: calls.append("hear"),
             be_silent=lambda: calls.append("be_silent"),
         )
-        made = Succession(clock, gateway)
-        processes.append(made)
+        succession = Succession(clock, gateway)
+        processes.append(succession)
 
         def start():
             gateway.begun = True
 
-        made.begin(start)
-        return made, gateway, calls
+        succession.begin(start)
+        return succession, gateway, calls
 
-    def turn(seconds):
+    def advance_in_polls(seconds):
         for _ in range(round(seconds / POLL_INTERVAL)):
             clock.advance(POLL_INTERVAL)
 
-    yield SimpleNamespace(process=process, turn=turn, lines=lines, path=tmp_path)
+    yield SimpleNamespace(process=process, advance_in_polls=advance_in_polls, lines=lines, path=tmp_path)
     logs.configure(None)
-    for made in processes:
-        made.files.close()
+    for succession in processes:
+        succession.files.close()
 
 
 def test_a_first_process_starts_at_once_with_the_whole_quota(world):
@@ -62,13 +62,13 @@
     old, old_gateway, old_calls = world.process()
     new, new_gateway, new_calls = world.process()
     assert not new_gateway.begun
-    world.turn(2 * CHECK_INTERVAL)
+    world.advance_in_polls(2 * CHECK_INTERVAL)
     assert new_gateway.begun and new.waits
-    assert new_gateway.decisions.quota_fraction == pytest.approx(SUCCESSOR_SHARE)
-    assert old_gateway.decisions.quota_fraction == pytest.approx(1 - SUCCESSOR_SHARE)
+    assert new_gateway.decisions.quota_fraction == pytest.approx(SUCCESSOR_FRACTION)
+    assert old_gateway.decisions.quota_fraction == pytest.approx(1 - SUCCESSOR_FRACTION)
     old.end()
     assert old.done and old_calls == ["be_silent"] and old_gateway.decisions.quota_fraction == 0.0
-    world.turn(2 * CHECK_INTERVAL)
+    world.advance_in_polls(2 * CHECK_INTERVAL)
     assert new_gateway.decisions.quota_fraction == pytest.approx(1.0)
     assert not new.waits and new_calls == ["hear"]
     assert world.lines == ["handover_given", "handover_begun", "handover_rest", "handover_done"]
@@ -77,10 +77,10 @@
 def test_a_predecessor_that_ends_before_it_gave_the_rest_leaves_its_rate(world):
     old, _, _ = world.process()
     new, new_gateway, _ = world.process()
-    world.turn(2 * CHECK_INTERVAL)
+    world.advance_in_polls(2 * CHECK_INTERVAL)
     old.done = True
     old.files.close()
-    world.turn(2 * CHECK_INTERVAL)
+    world.advance_in_polls(2 * CHECK_INTERVAL)
     assert new_gateway.decisions.quota_fraction == pytest.approx(1.0) and not new.waits
     assert world.lines[-1] == "handover_done"
 
@@ -88,21 +88,21 @@
 def test_what_a_successor_held_is_taken_back_when_it_ends(world):
     old, old_gateway, _ = world.process()
     new, _, _ = world.process()
-    world.turn(2 * CHECK_INTERVAL)
+    world.advance_in_polls(2 * CHECK_INTERVAL)
     new.done = True
     new.files.close()
-    world.turn(2 * CHECK_INTERVAL)
+    world.advance_in_polls(2 * CHECK_INTERVAL)
     assert old_gateway.decisions.quota_fraction == pytest.approx(1.0) and old.successor is None
     assert world.lines[-1] == "handover_taken_back"
 
 
 def test_a_predecessor_that_gives_nothing_is_not_waited_for_long(world):
     _, old_gateway, _ = world.process()
-    old_gateway.begun = False  # it never gives
+    old_gateway.begun = False  # so it never hands over
     _, new_gateway, _ = world.process()
-    world.turn(POLL_TIMEOUT / 2)
+    world.advance_in_polls(POLL_TIMEOUT / 2)
     assert not new_gateway.begun
-    world.turn(POLL_TIMEOUT)
+    world.advance_in_polls(POLL_TIMEOUT)
     assert new_gateway.begun and world.lines == ["handover_none"]
 
 
@@ -111,6 +111,6 @@
     old_gateway.begun = False
     new, new_gateway, _ = world.process()
     shutil.rmtree(world.path / "corkdeal-lives")
-    new._disable(OSError("as the check finds it between two polls"))
-    world.turn(POLL_INTERVAL)
+    new._disable(OSError("folder removed between two polls"))
+    world.advance_in_polls(POLL_INTERVAL)
     assert new_gateway.begun and new.done and new_gateway.decisions.quota_fraction == 1.0
