--- a/corkdeal/decisions/accounts.py
+++ b/corkdeal/decisions/accounts.py
@@ -1,7 +1,8 @@
-"""A customer's account at one gateway: its token bucket, its hard limit, its demand and its neighbours.
+"""Per-customer accounts of one gateway: token bucket, hard limit, demand and neighbours.
 
-A small set of gateways divides a customer's quota into shares, and each gateway's bucket is that of its
-share. In a larger set the account is aggregated: its bucket and its demand are those of all members together.
+In a small set of gateways each member holds a share of the customer's quota, and its token bucket covers
+that share only. In a larger set the account is aggregated: every member keeps one bucket and one demand
+estimate for the whole set.
 """
 
 from __future__ import annotations
@@ -13,42 +14,43 @@
 from .settings import Plan, Settings
 from .tree_routes import tree_routes
 
-MAX_EXCHANGE_MEMBERS = 8  # of a ring; exchange evens one out in about (members / 2)^2 rounds, here 4 s
-DEMAND_TIME_CONSTANT = 2.0  # s that demand is averaged over
-AGGREGATED_DEMAND_TIME_CONSTANT = 2.5  # s, the same in an aggregated account: a few times the age of totals
+MAX_EXCHANGE_MEMBERS = 8  # ring size limit; the exchange converges in about (members / 2)^2 rounds, here 4 s
+DEMAND_TIME_CONSTANT = 2.0  # s, of the moving average of demand
+AGGREGATED_DEMAND_TIME_CONSTANT = 2.5  # s, for aggregated accounts; a few times the age of totals
 IDLE_TIMEOUT = 15.0  # s without requests at either end
-AGGREGATED_IDLE_TIMEOUT = 60.0  # s without requests and totals
+AGGREGATED_IDLE_TIMEOUT = 60.0  # s without requests or totals
 
 
 @dataclass(slots=True)
 class PeerLedger:
-    """What a gateway and one ring neighbour exchanged of one account."""
+    """The running totals of what a gateway exchanged with one ring neighbour for one account."""
 
-    received_share: int = 0  # net, in steps of the quota
+    received_share: int = 0  # net, in units of 1 / SHARE_STEPS of the quota
     received_units: float = 0.0  # net
-    last_round: int = 0  # of the neighbour's messages
-    peer_share: float | None = None  # of the quota, as last told
-    peer_level: float = 0.0  # units, or free places, as last told
-    peer_state_at: float = float("-inf")  # when it was told, s
+    last_round: int = 0  # highest round number received from the neighbour
+    peer_share: float | None = None  # of the quota, as last reported
+    peer_level: float = 0.0  # units, or free concurrency slots, as last reported
+    peer_state_at: float = float("-inf")  # s, time of that report
     last_sent_at: float = float("-inf")  # s
     is_update_due: bool = False
-    has_peer_totals: bool = False  # whether the neighbour last told of any exchange
+    has_peer_totals: bool = False  # whether the neighbour's last update had nonzero totals
 
 
 @dataclass(slots=True)
 class TreeEdge:
-    """What two neighbours in an aggregation tree told each other of one account, in running totals."""
+    """Running totals that two neighbours in an aggregation tree sent each other for one account."""
 
-    remote_asked: float = 0.0  # units on the other side, as far as told
+    remote_asked: float = 0.0  # units requested on the far side of the edge, as reported
     remote_spent: float = 0.0
-    last_totals: tuple[float, float] | None = None  # asked and spent as last told
-    sent_asked: float = 0.0  # units on this side, as last sent
+    last_totals: tuple[float, float] | None = None  # units requested and spent, as last received
+    sent_asked: float = 0.0  # units requested on the near side, as last sent
     last_sent_at: float = float("-inf")  # s
 
     def receive(self, asked: float, spent: float, older: bool) -> tuple[float, float]:
-        """Take the other side's totals; returns what is new, 0 if they were overtaken on their way.
+        """Apply the far side's totals and return the increments, which are 0 for reordered messages.
 
-        At first all of a total is new, unless it is an `older` gateway's, which has what was spent before.
+        The first totals count in full, unless the sender started earlier (`older`): its totals include units
+        that were spent before this gateway started.
         """
         last = self.last_totals or ((asked, spent) if older else (0.0, 0.0))
         new_asked = (asked - last[0]) % TOTALS_WRAP
@@ -63,7 +65,7 @@
 
 @dataclass(slots=True)
 class Account:
-    """One customer at one gateway."""
+    """One customer's state at one gateway."""
 
     plan: Plan
     plan_index: int
@@ -72,29 +74,29 @@
     refilled_at: float  # s
     last_request_at: float  # s
     ledgers: dict[int, PeerLedger] = field(default_factory=dict)  # by ring neighbour
-    is_member: bool = False  # whether this gateway is in the customer's set
-    predecessor: int | None = None  # in the ring
-    second_predecessor: int | None = None  # that one's, where it is a third gateway
+    is_member: bool = False  # whether this gateway belongs to the customer's set
+    predecessor: int | None = None  # ring neighbour before this gateway
+    second_predecessor: int | None = None  # the predecessor of the predecessor; None in a ring of two
     level: float = 0.0  # units in the bucket
     hard_limit_level: float = 0.0  # units
     in_flight: int = 0  # attempts
-    demand: float = 0.0  # units a second
+    demand: float = 0.0  # units/s
     last_peer_update_at: float = float("-inf")  # s
-    has_peer_level: bool = False  # whether a neighbour's level was taken over since a start
+    has_peer_level: bool = False  # whether a neighbour's level was adopted since the start
     is_aggregated: bool = False
-    parent: int | None = None  # in the aggregation tree, the neighbour towards the root
+    parent: int | None = None  # neighbour towards the root of the aggregation tree
     tree_edges: dict[int, TreeEdge] = field(default_factory=dict)  # by tree neighbour
-    has_parent_update: bool = False  # whether the parent's totals are to be passed on
-    total_asked: float = 0.0  # units, here and as told along all edges
+    has_parent_update: bool = False  # whether totals from the parent await forwarding
+    total_asked: float = 0.0  # units requested here and, as reported, beyond all edges
     total_spent: float = 0.0
 
     def base_share(self) -> float:
-        """The quota share without loans: the even one and what the ledgers moved, never below 0."""
+        """Return the quota share without loans: the even share plus the net of all ledgers, at least 0."""
         moved = sum(ledger.received_share for ledger in self.ledgers.values())
         return max(0.0, 1 / self.member_count + moved / SHARE_STEPS)
 
     def refill(self, now: float, share: float, may_shrink: bool) -> None:
-        """Bring bucket, hard limit and demand up to now; a smaller share lowers the level if it may."""
+        """Advance bucket, hard limit and demand to `now`; `may_shrink` permits a lower level."""
         elapsed = now - self.refilled_at
         self.refilled_at = now
         if self.is_aggregated and not elapsed:
@@ -110,14 +112,14 @@
         )
 
     def spend(self, units: float) -> None:
-        """Take units from the bucket; an aggregated one has no debt."""
+        """Take units from the bucket; the level of an aggregated account does not go below 0."""
         self.total_spent += units
         self.level -= units
         if self.is_aggregated:
             self.level = max(0.0, self.level)
 
     def add_demand(self, units: float) -> None:
-        """Count units that were asked, here or, where the account is aggregated, elsewhere."""
+        """Count requested units; for an aggregated account these include requests at other gateways."""
         if self.is_aggregated:
             self.demand += units / AGGREGATED_DEMAND_TIME_CONSTANT
             self.total_asked += units
@@ -125,7 +127,7 @@
             self.demand += units / DEMAND_TIME_CONSTANT
 
     def is_idle(self, now: float) -> bool:
-        """Whether nothing is lost by making the account anew when it is needed."""
+        """Whether the account can be dropped and recreated on demand without losing state."""
         if self.is_aggregated:
             timeout = AGGREGATED_IDLE_TIMEOUT
         else:
@@ -135,18 +137,18 @@
 
 
 class AccountTable:
-    """All accounts of one gateway, and its neighbours by them."""
+    """All accounts of one gateway, and the ring neighbours that they lead to."""
 
     def __init__(self, settings: Settings) -> None:
         self.settings = settings
         self.by_customer: dict[int, Account] = {}
-        self.active: dict[int, Account] = {}  # accounts with ring neighbours that may need an exchange
+        self.active: dict[int, Account] = {}  # accounts with ring neighbours that take part in the exchange
         self.ring_neighbours: set[int] = set()
 
     def create(
         self, customer: int, plan_index: int, first_gateway: int, member_count: int, now: float
     ) -> Account:
-        """Make an account with an even share of the quota."""
+        """Create an account with an even share of the quota."""
         member_count = max(1, min(member_count, self.settings.gateway_count))
         plan = self.settings.plans[plan_index]
         account = Account(plan, plan_index, first_gateway, member_count, now, now)
@@ -164,12 +166,12 @@
         return account
 
     def mark_active(self, customer: int, account: Account) -> None:
-        """Let an account with ring neighbours take part in the exchange."""
+        """Include an account in the exchange, if it has ring neighbours."""
         if account.ledgers:
             self.active[customer] = account
 
     def forget_idle(self, now: float) -> None:
-        """Drop accounts that are idle."""
+        """Drop idle accounts."""
         idle = [customer for customer, account in self.by_customer.items() if account.is_idle(now)]
         for customer in idle:
             del self.by_customer[customer]
@@ -187,7 +189,7 @@
         account.tree_edges = {peer: TreeEdge() for peer in routes.peers}
 
     def _join_ring(self, account: Account) -> None:
-        """Neighbours are the two members next to this gateway, in the order of their numbers."""
+        """Create ledgers with the two members adjacent to this gateway in the order of indices."""
         members = range(account.first_gateway, account.first_gateway + account.member_count)
         ring = sorted(member % self.settings.gateway_count for member in members)
         position = ring.index(self.settings.gateway_index)
--- a/corkdeal/decisions/admission.py
+++ b/corkdeal/decisions/admission.py
@@ -1,12 +1,12 @@
-"""Admission: whether a request is within its customer's quota, and why one is rejected if it is not.
+"""Admission control: whether a request is within its customer's quota, and the reason if it is rejected.
 
-In a ring, a gateway admits what its bucket has units for, and what its neighbours' buckets have as far as
-they told lately: until the exchange has moved the share, that credit stands in for it. What it can cost is
-bounded by what two gateways take from one level.
+In a ring, a gateway admits requests against its own bucket and, as credit, against the levels that its
+neighbours reported recently. The credit bridges the time until the exchange has moved the share. The
+overrun is bounded, since at most two gateways spend the same level.
 
-An aggregated account has one level for all members, so each of them sees the same level. A gateway admits at
-random there, and the lower the level the less: as much as is asked in all, at the rate of the plan when the
-level is AMPLE_LEVEL of the burst.
+The members of an aggregated account all see one level. There a gateway admits each request with a
+probability that falls with the level: at AMPLE_LEVEL of the burst, the members together admit the rate of
+the plan out of the total demand.
 """
 
 from __future__ import annotations
@@ -18,26 +18,26 @@
 from .accounts import Account
 from .aggregation_tree import AggregationScheduler
 
-PEER_STATE_LIFETIME = 2.5  # s that a neighbour's level counts after it was told
-AMPLE_LEVEL = 0.25  # of the burst, at which an aggregated account admits its rate
-MAX_OVER_RATE = 1.6  # times its rate that an aggregated account admits at most
-IN_FLIGHT_UTILIZATION = 0.3  # of a limit on attempts; a higher mean passes the limit too often
-MIN_RATE = 1e-6  # units a second, added where a wait is divided by a rate
+PEER_STATE_LIFETIME = 2.5  # s for which a reported level of a neighbour is used as credit
+AMPLE_LEVEL = 0.25  # fraction of the burst at which an aggregated account admits exactly its rate
+MAX_OVER_RATE = 1.6  # times its rate; the most that an aggregated account admits
+IN_FLIGHT_UTILIZATION = 0.3  # mean use of a concurrency limit; a higher mean exceeds the limit too often
+MIN_RATE = 1e-6  # units/s, added to divisors
 
 
 class RejectionReason(enum.StrEnum):
-    """Why a request was not served; the values are names of metrics."""
+    """Why a request was not served; the values are parts of metric names."""
 
-    QUOTA = "quota"  # beyond the quota, and worth less there than it costs
-    NO_ROOM = "opening"  # beyond the plan's hard limit, or that of the first seconds after a start
-    NO_BACKEND = "no_server"  # that may be used
-    LATE = "late"  # expected too late, so rejected early
-    ATTEMPTS_FAILED = "tried"  # and no retry is permitted
+    QUOTA = "quota"  # beyond the quota, where its value is less than its cost
+    NO_ROOM = "opening"  # beyond the plan's hard limit or the admission ramp after a start
+    NO_BACKEND = "no_server"  # no usable backend
+    LATE = "late"  # expected to miss its latency objective, so rejected early
+    ATTEMPTS_FAILED = "tried"  # all attempts failed, and no further retry is permitted
     DEADLINE = "deadline"
 
 
 class Admission:
-    """Decides on requests of one gateway by their accounts."""
+    """Admission control of one gateway."""
 
     def __init__(
         self,
@@ -46,19 +46,19 @@
         is_silent: Callable[[int, float], bool],
         attempt_time: Callable[[], float],
     ) -> None:
-        """`is_silent` is asked of ring neighbours; `attempt_time` is what an attempt usually takes, s."""
+        """`is_silent(peer, now)` is for ring neighbours; `attempt_time()` is the usual latency, s."""
         self.random = chance
         self.scheduler = scheduler
         self.is_silent = is_silent
         self.attempt_time = attempt_time
 
     def rate(self, account: Account) -> float:
-        """Units a second of the account's plan; of one that limits attempts alone, attempts a second."""
+        """Return the plan's rate in units/s; for a plan that limits only concurrency, in attempts/s."""
         plan = account.plan
         return plan.rate or IN_FLIGHT_UTILIZATION * plan.max_in_flight / self.attempt_time()
 
     def record_demand(self, customer: int, account: Account, units: float, is_retry: bool) -> None:
-        """Count what a client asks; in a ring a rejected client's retry is no new demand."""
+        """Count a request as demand; in a ring, the retry of a rejected request is not counted again."""
         if account.is_aggregated:
             account.add_demand(units)
             self.scheduler.mark_pending(customer, account)
@@ -66,7 +66,7 @@
             account.add_demand(units)
 
     def is_within_quota(self, account: Account, units: float, share: float, now: float) -> bool:
-        """Whether the quota has room for the units, as far as this gateway knows."""
+        """Whether the units fit into the quota, as far as this gateway knows."""
         if account.is_aggregated:
             return self._is_within_aggregated_quota(account, units)
         plan = account.plan
@@ -76,12 +76,12 @@
         if not plan.max_in_flight:
             return True
         free = plan.max_in_flight * share - account.in_flight + (0 if plan.rate else credit)
-        return free >= (1.0 if account.in_flight else 0.5)  # whole places would starve small shares
+        return free >= (1.0 if account.in_flight else 0.5)  # a whole slot would starve small shares
 
     def rejection_reason(
         self, account: Account, units: float, is_inside_quota: bool
     ) -> RejectionReason | None:
-        """Why the account's plan rules a request out, or None."""
+        """Return why the account's plan excludes a request, or None if it does not."""
         if not is_inside_quota and not may_exceed_quota(account):
             return RejectionReason.QUOTA
         if account.plan.hard_limit_rate and account.hard_limit_level < units:
@@ -89,11 +89,11 @@
         return None
 
     def retry_after(self, account: Account, units: float, share: float) -> float:
-        """Seconds until the bucket has the units."""
+        """Return the time in seconds until the bucket holds the units."""
         return (units - account.level) / (self.rate(account) * share + MIN_RATE)
 
     def _credit(self, account: Account, now: float) -> float:
-        """Units, or free places, of ring neighbours that told of them lately."""
+        """Return the units, or free concurrency slots, that ring neighbours reported recently."""
         return sum(
             max(0.0, ledger.peer_level)
             for peer, ledger in account.ledgers.items()
@@ -113,5 +113,5 @@
 
 
 def may_exceed_quota(account: Account) -> bool:
-    """Whether requests beyond the quota are worth more than they cost."""
+    """Whether the value of requests beyond the quota exceeds their cost."""
     return account.plan.over_quota_weight > account.plan.over_quota_cost
--- a/tests/decisions/test_accounts.py
+++ b/tests/decisions/test_accounts.py
@@ -1,4 +1,4 @@
-"""A customer's account alone: bucket, hard limit, demand, and where its neighbours are."""
+"""Unit tests of accounts: token bucket, hard limit, demand, and ring or tree neighbours."""
 
 import math
 
--- a/tests/decisions/test_admission.py
+++ b/tests/decisions/test_admission.py
@@ -1,4 +1,4 @@
-"""Admission alone: within the quota or not, by bucket, credit and places, and why one is rejected."""
+"""Unit tests of admission: bucket, credit and concurrency slots, and the reasons for rejections."""
 
 import random
 
