--- a/corkdeal/decisions/aggregation_tree.py
+++ b/corkdeal/decisions/aggregation_tree.py
@@ -1,14 +1,15 @@
-"""Aggregation: when the gateways of a large set tell each other what was asked and spent of one quota.
-
-Totals go by the customer's tree, which `tree_routes` lays. Members report to the aggregator of their block
-at once, aggregators report to the root, and the root pushes the sums down by the aggregators when the quota
-is near its end. Only aggregators and roots wait, each for a stated time after its last message; what waited
-goes out in one message for all customers that share the route. So a total is old by about one wait of an
-aggregator, one of the root and the delay of four messages, however many the members are.
-
-The waits follow from the rate at which a gateway may receive messages: PUSH_FRACTION of it comes from the
-ROOTS roots, and a root gets REPORT_FRACTION of it from aggregators. What an aggregator gets from its block
-is as much as is asked there.
+"""Aggregation: schedules the totals by which a large set of gateways shares the use of one quota.
+
+Totals travel along the customer's tree (`tree_routes`). Members report to the aggregator of their block at
+once, aggregators report to the root, and the root pushes the sums back down through the aggregators when
+the quota is nearly used up. Only aggregators and roots delay messages, each for a fixed interval after its
+last one; everything deferred is then sent in one message for all customers on that route. The age of a total
+is therefore about one report interval, one push interval and four message delays, whatever the number of
+members.
+
+The intervals follow from the message rate that a gateway may receive: PUSH_FRACTION of it comes from the
+ROOTS roots, and a root receives REPORT_FRACTION of it from aggregators. The rate at which an aggregator
+receives reports from its block is the rate of requests there.
 """
 
 from __future__ import annotations
@@ -21,49 +22,49 @@
 from .peer_messages import TreeTotals
 from .tree_routes import ROOTS, aggregator_count
 
-PUSH_FRACTION = 0.2  # of the messages that a gateway receives, from roots
-REPORT_FRACTION = 0.35  # of the messages that a root receives, from aggregators
-DEFAULT_MESSAGE_RATE = 60.0  # messages a second, where the settings have none
-PUSH_STEP = 0.4  # of the burst, asked since the last push
-PUSH_DEMAND = 0.8  # of the rate, demand from which on totals are pushed
-PUSH_LEVEL = 0.4  # of the burst, level below which totals are pushed
+PUSH_FRACTION = 0.2  # of a gateway's message rate, for pushes from roots
+REPORT_FRACTION = 0.35  # of a root's message rate, for reports from aggregators
+DEFAULT_MESSAGE_RATE = 60.0  # messages/s, if the settings give none
+PUSH_STEP = 0.4  # of the burst; units requested since the last push that make a push due
+PUSH_DEMAND = 0.8  # of the rate; totals are pushed while demand is above this
+PUSH_LEVEL = 0.4  # of the burst; totals are pushed while the level is below this
 
 
 class QuotaRates(Protocol):
-    """What the scheduler needs to know of an account's quota."""
+    """What the scheduler reads of an account's quota."""
 
     def refill(self, account: Account, /) -> float:
-        """Bring the account up to the present time."""
+        """Advance the account to the present time."""
 
     def rate(self, account: Account, /) -> float:
-        """Units a second that the account may spend."""
+        """Return the rate at which the account may spend, in units/s."""
 
 
 class AggregationScheduler:
-    """When a gateway passes on what was asked of itself and what it was told, and to whom."""
+    """Schedules when a gateway sends its own and received totals, and to which tree neighbours."""
 
     def __init__(self, gateway_count: int, message_rate: float) -> None:
-        """`message_rate` is what a gateway may receive, in messages a second; 0 for the default."""
+        """`message_rate` is what a gateway may receive, in messages/s; 0 for DEFAULT_MESSAGE_RATE."""
         received = message_rate or DEFAULT_MESSAGE_RATE
         self.push_interval = ROOTS / (PUSH_FRACTION * received)  # s
         self.report_interval = aggregator_count(gateway_count) / (REPORT_FRACTION * received)  # s
         self.reported_at: dict[int, float] = {}  # by root
         self.pushed_at = -math.inf
-        self.pending: dict[int, Account] = {}  # by customer, accounts with something new
+        self.pending: dict[int, Account] = {}  # by customer, accounts with unsent totals
         self.deferred_until: dict[int, float] = {}  # by customer
-        self.next_deferred_at = math.inf  # no deferred update is due before
+        self.next_deferred_at = math.inf  # time of the earliest deferred update
 
     def mark_pending(self, customer: int, account: Account) -> None:
-        """Something new was asked of the account, here or elsewhere."""
+        """Queue an account whose totals changed."""
         self.pending[customer] = account
 
     def defer(self, customer: int, until: float) -> None:
-        """Let a customer's update wait until then."""
+        """Defer a customer's update until the given time."""
         self.deferred_until[customer] = until
         self.next_deferred_at = min(self.next_deferred_at, until)
 
     def resume_deferred(self, now: float, accounts: Mapping[int, Account]) -> None:
-        """Make updates pending again whose wait is over; those of forgotten accounts are dropped."""
+        """Requeue deferred updates that are due; those of dropped accounts are discarded."""
         ready = [customer for customer, until in self.deferred_until.items() if until <= now]
         for customer in ready:
             del self.deferred_until[customer]
@@ -72,7 +73,7 @@
         self.next_deferred_at = min(self.deferred_until.values(), default=math.inf)
 
     def due(self, now: float, quotas: QuotaRates) -> dict[int, list[TreeTotals]]:
-        """Take the pending updates: totals to be sent now, by peer. The others are deferred."""
+        """Drain the pending updates; returns the totals to send now, by peer, and defers the rest."""
         pending = self.pending
         self.pending = {}
         due: dict[int, list[TreeTotals]] = {}
@@ -100,14 +101,14 @@
     def _earliest(
         self, now: float, quotas: QuotaRates, account: Account, peer: int, edge: TreeEdge
     ) -> float | None:
-        """From when on totals may go to a peer; None while there is nothing for it."""
+        """Return the earliest time at which totals may go to a peer; None if there is nothing to send."""
         unsent = account.total_asked - edge.remote_asked - edge.sent_asked
         if unsent <= 0:
             return None
         if peer == account.parent:
             is_aggregator = len(account.tree_edges) > 1
             return self.reported_at.get(peer, -math.inf) + self.report_interval if is_aggregator else now
-        if account.parent is not None:  # an aggregator passes a push on
+        if account.parent is not None:  # an aggregator forwards a push
             return now if account.has_parent_update else None
         rate = quotas.rate(account)
         is_near_end = account.demand > PUSH_DEMAND * rate or account.level < PUSH_LEVEL * account.plan.burst
@@ -116,7 +117,7 @@
 
 
 def _send_totals(now: float, customer: int, account: Account, edge: TreeEdge) -> TreeTotals:
-    """An account's running totals on this side of an edge, booked as sent."""
+    """Return an account's running totals on the near side of an edge, and record them as sent."""
     edge.sent_asked = account.total_asked - edge.remote_asked
     edge.last_sent_at = now
     return TreeTotals(
--- a/corkdeal/decisions/tree_routes.py
+++ b/corkdeal/decisions/tree_routes.py
@@ -1,8 +1,8 @@
-"""The routes of one customer's totals: a tree of two levels over a set of gateways.
+"""The routes of a customer's totals: a tree of two levels over a set of gateways.
 
-Members are divided into blocks, each with an aggregator, and the aggregators have one root. The tree lies
-over the customer's set of gateways, or over the whole tier where the set is most of it. There are ROOTS ways
-to lay it, and customers take turns among them, so that no gateway has to pass on all totals.
+Members are divided into blocks, each with an aggregator, and all aggregators share one root. The tree spans
+the customer's set of gateways, or the whole tier if the set is most of it. There are ROOTS layouts, assigned
+to customers by their number, so that no single gateway forwards all totals.
 """
 
 from __future__ import annotations
@@ -13,26 +13,26 @@
 
 from .peer_messages import uses_tier_tree
 
-ROOTS = 8  # fewer put more customers into one message, and more spread the load of roots
-AGGREGATOR_FACTOR = 0.5  # aggregators are the root of this times the gateways: 10 of 200, 20 members each
+ROOTS = 8  # fewer roots put more customers into a message; more roots spread their load
+AGGREGATOR_FACTOR = 0.5  # aggregator count = sqrt(this x gateways): 10 of 200, 20 members each
 
 
 class TreeRoutes(NamedTuple):
     """A gateway's neighbours in a customer's tree."""
 
-    parent: int | None  # the one towards the root; None at the root, and outside the tree
-    peers: list[int]  # all of them
+    parent: int | None  # neighbour towards the root; None at the root and outside the tree
+    peers: list[int]  # all neighbours, including the parent
 
 
 @dataclass(slots=True, frozen=True)
 class _TreeLayout:
-    """Positions in one customer's tree: 0 is the root, then blocks that begin with their aggregators."""
+    """Positions in one customer's tree: 0 is the root, then blocks that start with their aggregators."""
 
     first_gateway: int
     size: int
     gateway_count: int
     block_length: int
-    rotation: int  # position 0 is so many gateways after the first
+    rotation: int  # offset of position 0 from the first gateway
 
     def position(self, gateway: int) -> int:
         return ((gateway - self.first_gateway) % self.gateway_count - self.rotation) % self.size
@@ -42,16 +42,16 @@
 
 
 def aggregator_count(gateway_count: int) -> int:
-    """How many aggregators a tree over so many gateways has."""
+    """Return the number of aggregators in a tree over `gateway_count` gateways."""
     return max(1, round(math.sqrt(AGGREGATOR_FACTOR * gateway_count)))
 
 
 def tree_routes(
     gateway_index: int, customer: int, first_gateway: int, member_count: int, gateway_count: int
 ) -> TreeRoutes:
-    """A gateway's routes for a customer's totals.
+    """Return a gateway's routes for a customer's totals.
 
-    One that is neither a member of the customer's set nor an aggregator of the tier's tree has none.
+    A gateway that is neither in the customer's set nor root or aggregator of the tier's tree has no routes.
     """
     layout = _layout(customer, first_gateway, member_count, gateway_count)
     if (gateway_index - layout.first_gateway) % gateway_count >= layout.size:
@@ -75,7 +75,10 @@
 
 
 def _layout(customer: int, first_gateway: int, member_count: int, gateway_count: int) -> _TreeLayout:
-    """The rotations are such that, with blocks long enough, none is root or aggregator in two of them."""
+    """Choose the layout of a customer's tree.
+
+    The rotations are such that, with blocks long enough, no gateway is root or aggregator in two layouts.
+    """
     if uses_tier_tree(member_count, gateway_count):
         start, size = 0, gateway_count
     else:
--- a/tests/decisions/test_aggregation_tree.py
+++ b/tests/decisions/test_aggregation_tree.py
@@ -1,4 +1,4 @@
-"""Wide rings: totals over doubling distances, admission on the ring's level, servers for many gateways."""
+"""Aggregated accounts of large sets of gateways: tree routes, totals, admission, and backend subsets."""
 
 import itertools
 import math
@@ -21,7 +21,7 @@
 
 
 class WideRing:
-    """All members of one customer's set; messages arrive 20 ms later unless lost, and may come twice."""
+    """All members of one customer's set; messages are delayed by 20 ms, and may be lost or duplicated."""
 
     def __init__(self, spread, gateways, first=0, plan=PLAN, lose=0, repeat=1):
         self.set = (first, spread)
@@ -63,7 +63,7 @@
         return bool(pick(actions, StartAttempt))
 
     def drive(self, seconds, per_second):
-        """Ask at members in turn; returns how many units were let in."""
+        """Send requests to members in turn; returns the units admitted."""
         members, let_in = list(self.gateways), 0
         for i in range(round(seconds * per_second)):
             let_in += 2 * self.ask(members[(i * 7919) % len(members)])
@@ -80,15 +80,15 @@
 def test_every_member_is_reached_in_two_steps_from_one_root(spread, gateways, first, customer):
     routes = {me: tree_routes(me, customer, first, spread, gateways) for me in range(gateways)}
     edges = {me: set(ends) for me, (_, ends) in routes.items() if ends}
-    assert all(m in edges[n] for m in edges for n in edges[m])  # both ends know of it
+    assert all(m in edges[n] for m in edges for n in edges[m])  # the edge exists at both ends
     top = [me for me in edges if routes[me][0] is None]
     assert len(top) == 1
-    assert all(routes[m][0] == n or routes[n][0] == m for m in edges for n in edges[m])  # up at one of them
+    assert all(routes[m][0] == n or routes[n][0] == m for m in edges for n in edges[m])  # parent and child
     heads = edges[top[0]]
     reached = {*top, *heads}.union(*(edges[m] for m in heads))
     members = {(first + i) % gateways for i in range(spread)}
     assert members <= reached == set(edges)
-    assert sum(map(len, edges.values())) == 2 * (len(edges) - 1)  # a tree: nothing is counted twice
+    assert sum(map(len, edges.values())) == 2 * (len(edges) - 1)  # a tree, so no total is counted twice
     assert max(map(len, edges.values())) <= 3 * gateways**0.5
     assert peer_messages.uses_tier_tree(spread, gateways) or set(edges) == members
 
@@ -103,11 +103,11 @@
         if up is None or len(ends) > 1
     ]
     assert max(parts.count(me) for me in parts) <= 2
-    assert len(set(parts)) >= 0.9 * len(parts)  # hardly any gateway is aggregator or root of two trees
+    assert len(set(parts)) >= 0.9 * len(parts)  # few gateways are aggregator or root of two trees
 
 
 class Seen(Gateway):
-    """A gateway whose notes to others are kept: (time, peer)."""
+    """A gateway that records the totals it sends, as (time, peer)."""
 
     def __init__(self, *args, **more):
         super().__init__(*args, **more)
@@ -124,7 +124,7 @@
     made = Seen(settings(0, 200, plans=(PLAN,), classes=(SAFE,)), seed=1)
     made.handle(50.0, [servers("a")])
     head = tree_routes(0, 0, 0, 200, 200)[1][0]
-    for i in range(40):  # two customers of one tree ask far more than their quotas
+    for i in range(40):  # demand of two customers with one tree is far beyond their quotas
         news = [peer_messages.TreeTotals(c, 0, 0, 200, 8 * (i + 1), 2 * (i + 1)) for c in (0, ROOTS)]
         made.handle(50.0 + i / 20, [PeerMessage(head, peer_messages.encode_totals(9, news)[0])])
     other = tree_routes(0, 0, 0, 200, 200)[1][1]
@@ -139,7 +139,10 @@
 
 
 def test_a_fleet_keeps_near_its_quotas():
-    """120 gateways, customers that ask far too much for seconds; by doubling distances 0.29 was paid."""
+    """120 gateways, customers far beyond their quotas for seconds.
+
+    Exchanging totals over doubling distances instead of the tree gave an over-quota cost of 0.29.
+    """
     plans = (Plan(rate=1.3, burst=6.0, over_quota_cost=1.0), Plan(rate=20.0, burst=40.0, over_quota_cost=1.0))
     seen = quotas.World(quotas.Fleet(plans, (100, 16), gateways=120, seconds=10.0), seed=1).run()
     assert seen["over_quota"] < 0.12
@@ -150,7 +153,7 @@
 @pytest.mark.parametrize("spread, lose, repeat", [(130, 0, 1), (130, 0.07, 1), (130, 0, 2), (400, 0, 1)])
 def test_use_over_the_quota_is_held_near_it(spread, lose, repeat):
     ring = WideRing(spread, spread, lose=lose, repeat=repeat)
-    ring.drive(15, per_second=8)  # 16 units a second, four times the rate, until all have heard of it
+    ring.drive(15, per_second=8)  # 16 units/s, four times the rate, until all members have the totals
     assert 0.5 * 25 * PLAN.rate < ring.drive(25, per_second=8) < 1.6 * 25 * PLAN.rate
 
 
@@ -163,9 +166,9 @@
     edge = WideRing(9, 9).gateways[0].account(7, 0, 0, 9).tree_edges
     edge = next(iter(edge.values()))
     assert edge.receive(8190.0, 0.0, True) == (0.0, 0.0)
-    assert edge.receive(3.0, 2.0, True) == (5.0, 2.0)  # wrapped
-    assert edge.receive(3.0, 2.0, True) == (0.0, 0.0)  # came twice
-    assert edge.receive(8191.0, 1.0, True) == (0.0, 0.0)  # overtaken
+    assert edge.receive(3.0, 2.0, True) == (5.0, 2.0)  # wrapped around
+    assert edge.receive(3.0, 2.0, True) == (0.0, 0.0)  # duplicate
+    assert edge.receive(8191.0, 1.0, True) == (0.0, 0.0)  # reordered
     assert (edge.remote_asked, edge.remote_spent) == (5.0, 2.0)
 
 
@@ -256,7 +259,7 @@
 
 
 class FixedRate:
-    """Quotas that don't change with time."""
+    """Quotas that do not change with time."""
 
     def refill(self, account):
         return 1.0
@@ -266,7 +269,7 @@
 
 
 def scheduled(gateway_index, asked):
-    """A scheduler alone, and an account of 200 gateways at one of them, after so many units were asked."""
+    """A scheduler, and an account of 200 gateways at one of them, with so many units requested."""
     routes = tree_routes(gateway_index, 0, 0, 200, 200)
     account = Account(PLAN, 0, 0, 200, 0.0, 0.0, parent=routes.parent, level=PLAN.burst)
     account.tree_edges = {peer: TreeEdge() for peer in routes.peers}
