--- a/corkdeal/decisions/backend_selection.py
+++ b/corkdeal/decisions/backend_selection.py
@@ -1,8 +1,8 @@
-"""Which backend an attempt goes to: the one with the least expected latency among those that may be used.
+"""Backend selection: each attempt goes to the usable backend with the lowest expected latency.
 
-All candidates are compared, not two drawn ones ("power of two choices"): most of a backend's load as this
-gateway sees it is its own requests in flight, so gateways do not follow each other to the same backend.
-Times are in seconds, `now` is the clock of the gateway.
+All candidates are compared, not a random two ("power of two choices"): the load that a gateway sees is
+mostly its own requests in flight, so gateways do not herd onto the same backend. Times are in seconds, `now`
+is the clock of the gateway.
 """
 
 from __future__ import annotations
@@ -16,12 +16,12 @@
 from .settings import DeduplicationScope, Effect, Settings
 from .slow_start import SlowStartBudget
 
-SAME_ZONE_COST = 0.95  # times the cost of a backend in another zone
-COST_JITTER = 0.1  # of the cost, at most, added by chance
+SAME_ZONE_COST = 0.95  # factor on the cost of a backend in the same zone
+COST_JITTER = 0.1  # maximum random fraction added to the cost
 
 
 class BackendSelection:
-    """Compares the backends of one gateway by what its other parts know of them."""
+    """Selects among the backends of one gateway."""
 
     def __init__(
         self,
@@ -41,9 +41,9 @@
         self.has_idempotent_class = any(c.effect is Effect.IDEMPOTENT for c in settings.classes)
 
     def choose(self, request: PendingRequest, now: float, quota_fraction: float) -> BackendRecord | None:
-        """The backend for the next attempt, None while there is none.
+        """Return the backend for the next attempt, or None if none is usable.
 
-        `quota_fraction` is the part of this gateway's quota that this process has.
+        `quota_fraction` is the fraction of this gateway's quota that belongs to this process.
         """
         usable = [
             backend
@@ -65,13 +65,13 @@
             usable.remove(best)
 
     def warm_backends(self, now: float) -> list[BackendRecord]:
-        """All backends, preferred or not, that have warmed up."""
+        """Return all warmed-up backends, preferred or not."""
         return [b for b in self.backends.records.values() if self.slow_start.warmth(b, now) >= 1.0]
 
     def has_slow_start_credit(
         self, backend: BackendRecord, request: PendingRequest, now: float, quota_fraction: float
     ) -> bool:
-        """Whether a backend that warms up may get one more request of this gateway's."""
+        """Whether this gateway may send one more request to a backend in slow start."""
         sharers = (
             self.settings.gateway_count
             * len(self.backends.preferred)
@@ -83,7 +83,7 @@
     def candidates(
         self, request: PendingRequest, usable: list[BackendRecord], now: float
     ) -> list[BackendRecord]:
-        """The best kind of backends there is: due for a trial, untried and not ejected, not ejected, any."""
+        """Return the first nonempty group: due for a trial, untried and not ejected, not ejected, any."""
         usable = self.deduplicating(request, usable, now)
         request_class = request.request.request_class
         untried = [b for b in usable if b not in request.tried_backends] or usable
@@ -100,7 +100,7 @@
     def deduplicating(
         self, request: PendingRequest, usable: list[BackendRecord], now: float
     ) -> list[BackendRecord]:
-        """Those that would drop a repeat, where a request with an idempotency key may have run already."""
+        """Return the backends that would deduplicate a request with an idempotency key that may have run."""
         ran_at, ran_on = request.may_have_run_at, request.may_have_run_on
         if ran_at is None or ran_on is None or request.request_class.effect is not Effect.IDEMPOTENCY_KEY:
             return usable
@@ -115,7 +115,10 @@
                 return [b for b in usable if b.endpoint.cell == ran_on.endpoint.cell]
 
     def cost(self, backend: BackendRecord, now: float) -> float:
-        """Expected latency of one more request, relative to an idle backend's; zone and chance break ties."""
+        """Return the expected latency of one more request, relative to an idle backend.
+
+        Zone and a random jitter break ties.
+        """
         zone_factor = SAME_ZONE_COST if backend.endpoint.zone == self.settings.zone else 1.0
         tie_break = zone_factor * (1 + COST_JITTER * self.rng.random())
         freshness = backend.freshness(now)
@@ -124,7 +127,7 @@
         return slowness * (warmth + backend.load(now)) * (1 + backend.failures * freshness) * tie_break
 
     def expected_latency(self, backend: BackendRecord, request: PendingRequest, now: float) -> float:
-        """Expected latency of one more request at this backend, in s."""
+        """Return the expected latency of one more request at this backend, in s."""
         slowness = 1 + (backend.slowness - 1) * backend.freshness(now)
         slowness /= self.slow_start.warmth(backend, now)
         return self.latency_model.expected_latency(request, backend.load(now), slowness)
--- a/corkdeal/decisions/backends.py
+++ b/corkdeal/decisions/backends.py
@@ -1,8 +1,8 @@
-"""The endpoint list as this gateway holds it: one record a ready backend, and the subset that it prefers.
+"""This gateway's view of the endpoint list: a record of each ready backend, and the preferred subset.
 
-Where many gateways share many backends, each prefers a deterministic subset, so that a backend is reached
-often enough by each of a few gateways for these to learn its state. Times are in seconds, `now` is the clock
-of the gateway.
+In a large tier each gateway prefers a deterministic subset of the backends. Each backend then receives
+requests from a few gateways only, but often enough for these to learn its state. Times are in seconds,
+`now` is the clock of the gateway.
 """
 
 from __future__ import annotations
@@ -14,68 +14,71 @@
 
 from .events import Endpoint, EndpointState, EndpointUpdate, UpdateKind
 
-SUBSET_SIZE = 10  # backends that one of many gateways prefers
-RECORD_FADE_TIME = 5.0  # s without an attempt in which the weight of a record falls to 1 / e
-LOAD_REPORT_LIFETIME = 2.0  # s in which the weight of a load report falls to nothing
+SUBSET_SIZE = 10  # backends that each gateway of a large tier prefers
+RECORD_FADE_TIME = 5.0  # s without an attempt until the weight of a record decays to 1 / e
+LOAD_REPORT_LIFETIME = 2.0  # s until the weight of a load report reaches 0
 
 
 @dataclass(slots=True, eq=False)
 class BackendRecord:
-    """What a gateway knows of one backend, from the endpoint list and from its own attempts."""
+    """State of one backend, from the endpoint list and from this gateway's own attempts."""
 
     endpoint: Endpoint
-    first_seen_at: float = math.inf  # the clock of `endpoint.started` is another's and may be ahead
+    first_seen_at: float = math.inf  # `endpoint.started` is on another clock, which may be ahead
     in_flight: dict[int, tuple[float, float]] = field(default_factory=dict)  # request -> (sent at, load met)
-    streaming: dict[int, tuple[float, float]] = field(default_factory=dict)  # the same, once answered in part
+    streaming: dict[int, tuple[float, float]] = field(default_factory=dict)  # the same, while answers stream
     slowness: float = 1.0  # its latency relative to the fleet's at the same load
-    failures: int = 0  # failed attempts less successful ones, at least 0
+    failures: int = 0  # failed attempts minus successful ones, at least 0
     last_answer_at: float = 0.0
     last_attempt_at: float = float("-inf")
     ejected_until: float = 0.0
-    is_ejected: bool = False  # until a trial, and then until successes have made up for its failures
-    ejection_time: float = 0.0  # s, of the last ejection
-    peer_load: float = 0.0  # requests in flight of other gateways, by its last load report
+    is_ejected: bool = False  # until successes after its trial offset its failures
+    ejection_time: float = 0.0  # s, duration of the last ejection
+    peer_load: float = 0.0  # other gateways' requests in flight, by the last load report
     peer_load_at: float = float("-inf")
-    slow_start_credit: float = 0.0  # work that it may still be sent while it warms up
+    slow_start_credit: float = 0.0  # work that may be sent during slow start
     slow_start_credit_at: float | None = None
     rejecting_classes: dict[int, tuple[float, float]] = field(default_factory=dict)  # class -> (s, until)
 
     def load(self, now: float) -> float:
-        """Requests in flight there: this gateway's own, and others' by a load report while that is fresh."""
+        """Return the requests in flight: this gateway's, and others' by the load report, weighted by age."""
         return len(self.in_flight) + self.peer_load * max(
             0.0, 1 - (now - self.peer_load_at) / LOAD_REPORT_LIFETIME
         )
 
     def start_attempt(self, request_id: int, now: float) -> None:
-        """Book an attempt and the load it meets; what has faded of the record is gone from here on."""
+        """Record an attempt and the load it meets; the decay of the slowness up to now becomes permanent."""
         self.slowness = 1 + (self.slowness - 1) * self.freshness(now)
         self.in_flight[request_id] = (now, self.load(now))
         self.last_attempt_at = now
 
     def start_streaming(self, request_id: int) -> None:
-        """Count an attempt no longer as load: its answer has begun."""
+        """Stop counting an attempt as load, since its answer has begun."""
         if request_id in self.in_flight:
             self.streaming[request_id] = self.in_flight.pop(request_id)
 
     def end_attempt(self, request_id: int, now: float) -> float:
-        """Take an attempt off the record; the load it met, 0 where that is not known."""
+        """Remove an attempt; returns the load it met, or 0 if unknown."""
         attempt = self.in_flight.pop(request_id, None)
         if attempt is None:
             attempt = self.streaming.pop(request_id, (now, 0.0))
         return attempt[1]
 
     def set_reported_load(self, requests: float, now: float) -> None:
-        """Take a load report: what of its requests are not this gateway's are others'."""
+        """Apply a load report; requests beyond this gateway's own belong to other gateways."""
         self.peer_load = max(0.0, requests - len(self.in_flight))
         self.peer_load_at = now
 
     def freshness(self, now: float) -> float:
-        """Weight of the record: it fades without attempts, so a bad spell does not shut a backend out."""
+        """Return the weight of the record, which decays without attempts.
+
+        The decay ensures that a backend with a bad record is tried again.
+        """
         return math.exp((self.last_attempt_at - now) / RECORD_FADE_TIME)
 
 
 class Backends:
-    """Records of all ready backends by their id, and the list of preferred ones."""
+    """Records of all ready backends by id, and the preferred subset."""
 
     def __init__(self, gateway_index: int, is_large_tier: bool) -> None:
         self.gateway_index = gateway_index
@@ -84,7 +87,7 @@
         self.preferred: list[BackendRecord] = []
 
     def apply(self, update: EndpointUpdate, new_record: Callable[[Endpoint], BackendRecord]) -> None:
-        """Follow the endpoint list; a backend that has started again gets a new record."""
+        """Apply an endpoint update; a backend that restarted gets a new record."""
         if update.kind in (UpdateKind.COMPLETE, UpdateKind.CACHED):
             listed = {endpoint.backend for endpoint in update.entries}
             self.records = {key: record for key, record in self.records.items() if key in listed}
@@ -99,7 +102,7 @@
         self.preferred = self.select_subset()
 
     def select_subset(self) -> list[BackendRecord]:
-        """All records, or this gateway's turn of the backends in the order of their hashes."""
+        """Return all records or, in a large tier, this gateway's subset of them in hash order."""
         records = list(self.records.values())
         if not self.is_large_tier or len(records) <= SUBSET_SIZE:
             return records
@@ -108,5 +111,5 @@
         return [records[(first + i) % len(records)] for i in range(SUBSET_SIZE)]
 
     def has_others(self) -> bool:
-        """Whether there are backends beside the preferred ones."""
+        """Whether there are backends outside the preferred subset."""
         return len(self.preferred) < len(self.records)
--- a/tests/decisions/test_backend_selection.py
+++ b/tests/decisions/test_backend_selection.py
@@ -1,4 +1,4 @@
-"""The choice of a backend alone, over records that are set by hand."""
+"""Unit tests of backend selection, over backend records that the tests fill in."""
 
 import random
 
@@ -18,7 +18,7 @@
 
 
 class World:
-    """The parts that one gateway's selection looks at."""
+    """One gateway's backend selection with the components that it reads."""
 
     def __init__(self, names, zones=None, is_large_tier=False, **more):
         given = settings(0, 300 if is_large_tier else 1, **more)
@@ -125,7 +125,7 @@
     pending.tried_backends.append(world["first"])
     pending.may_have_run_at, pending.may_have_run_on = NOW, world["first"]
     assert world.choose(pending, NOW + 1.0) == found
-    assert world.choose(pending, NOW + 2.0) is None  # the repeat would run
+    assert world.choose(pending, NOW + 2.0) is None  # the retry would run again
 
 
 def test_beyond_its_subset_a_gateway_goes_only_where_all_of_that_failed():
--- a/tests/decisions/test_backends.py
+++ b/tests/decisions/test_backends.py
@@ -1,4 +1,4 @@
-"""The endpoint list alone: which records it leads to, and which of them one of many gateways prefers."""
+"""Unit tests of backend records: endpoint updates, preferred subsets, load and decay."""
 
 import math
 from collections import Counter
--- a/tests/decisions/test_latency_model.py
+++ b/tests/decisions/test_latency_model.py
@@ -1,4 +1,4 @@
-"""The latency model alone: what it expects before an answer, and what each answer moves."""
+"""Unit tests of the latency model: initial predictions, and what it learns from answers."""
 
 import pytest
 
--- a/tests/decisions/test_outlier_detection.py
+++ b/tests/decisions/test_outlier_detection.py
@@ -1,4 +1,4 @@
-"""Outlier detection alone: what ejects a backend, for how long, and what brings it back."""
+"""Unit tests of outlier detection: causes and durations of ejections, and how they end."""
 
 import pytest
 
@@ -104,7 +104,7 @@
     late = 100.0 + HANG_MIN_SILENCE + 0.1
     assert not detection.is_hanging(silent, 100.0, 0.01, 100.0 + HANG_MIN_SILENCE / 2)
     assert detection.is_hanging(silent, 100.0, 0.01, late)
-    assert not detection.is_hanging(silent, 100.0, 1.0, late)  # its requests take that long
+    assert not detection.is_hanging(silent, 100.0, 1.0, late)  # the usual latency is that long
     silent.last_answer_at = late - 0.1
     assert not detection.is_hanging(silent, 100.0, 0.01, late)
 
--- a/tests/decisions/test_slow_start.py
+++ b/tests/decisions/test_slow_start.py
@@ -1,4 +1,4 @@
-"""The budget of cold servers over a whole fleet of gateways, each of which knows only its own requests."""
+"""Slow start over a fleet of gateways, each of which knows only its own requests."""
 
 import math
 import random
@@ -14,12 +14,12 @@
 from corkdeal.experiment.slow_start import Play, draw
 from tests.helpers import outcome, pick, request, servers, settings
 
-WORK, RATE, CAPACITY = 0.2, 8.0, 11.0  # s a request; requests a second that a warm server gets, and could
+WORK, RATE, CAPACITY = 0.2, 8.0, 11.0  # s per request; requests/s that a warm backend gets and can serve
 
 
 @pytest.mark.parametrize("gateways, skew", [(4, 0.0), (40, 0.0), (40, 1.2), (150, 0.7)])
 def test_a_fleet_uses_a_cold_server_and_does_not_push_it_over(gateways, skew):
-    """Of 30 servers each gateway prefers 10; all would like to send the cold one everything."""
+    """Each gateway prefers 10 of 30 backends, and would send all its requests to the cold one."""
     rng = random.Random(gateways)
     s = settings(gateways=gateways, initial_capacity=0.25, warm_up_time=16.0, overload_multiple=4.0)
     budgets = [SlowStartBudget(s, random.Random(i), WORK) for i in range(gateways)]
@@ -27,7 +27,7 @@
     weights = [1 / (1 + g) ** skew for g in range(gateways)]
     cold = [BackendRecord(Endpoint("new", EndpointState.READY, started=20.0)) for _ in range(gateways)]
     preferred = 30 if gateways < 10 else 10
-    borne = sum(weights[g] for g in sharing) / sum(weights) * RATE * 30 / preferred  # by a warm one of theirs
+    borne = sum(weights[g] for g in sharing) / sum(weights) * RATE * 30 / preferred  # at a warm backend
     sent, now = [], 0.0
     while now < 36.0:
         now += rng.expovariate(RATE * 30)
@@ -41,7 +41,7 @@
     for at in sent:
         warmth = 0.25 + 0.75 * (at - 20.0) / 16.0
         assert sum(at - 1.0 < x <= at for x in sent) <= 4.0 * warmth * max(borne, CAPACITY)
-    due = sum(RATE * (0.25 + 0.75 * k / 16) for k in range(16))  # at the load that warm ones bear
+    due = sum(RATE * (0.25 + 0.75 * k / 16) for k in range(16))  # at the load of warm backends
     assert len(sent) > 0.8 * due
 
 
@@ -53,7 +53,7 @@
     for k in range(160):
         if budget.has_credit(cold, 1.0 + k / 10, WORK, 40.0) and budget.spend_credit(cold, WORK):
             sent += 1
-    assert 1 <= sent <= 24  # two cores over all gateways: 2 x 4 x 0.4 x warmth x 16 s / 0.2 s / 40
+    assert 1 <= sent <= 24  # two cores assumed over all gateways: 2 x 4 x 0.4 x warmth x 16 s / 0.2 s / 40
 
 
 @pytest.mark.parametrize("seconds", [3, 8, 60])
@@ -65,7 +65,7 @@
 
 
 def test_work_counts_the_same_while_servers_are_slow():
-    """The budget is work; a latency that doubles under load must not halve it."""
+    """Credit is counted as work, so a latency that doubles under load must not halve the requests sent."""
     heavy, light = (
         RequestClass(latency_objective=1.0, deadline=9.0),
         RequestClass(latency_objective=1.0, deadline=9.0),
@@ -86,7 +86,7 @@
 
 @pytest.mark.parametrize("gateways", [5, 30, 200, 1100])
 def test_no_drawn_cold_start_is_pushed_over_and_the_server_is_used(gateways):
-    """The short form of benchmarks/slow_start.py."""
+    """The short version of benchmarks/slow_start.py."""
     verdicts = [Play(draw(gateways, random.Random(f"{gateways} {n}")), n).run() for n in range(60)]
     assert not [n for n, v in enumerate(verdicts) if v.broken]
     stood = [v.done / v.able for v in verdicts if not v.fell]
@@ -94,7 +94,7 @@
 
 
 def budgets_of(gateways, works, load, seed):
-    """Gateways that have served for 10 s what one server of that load (work a second) stands for."""
+    """Budgets of gateways whose served rate for 10 s matched one backend of that load (work per second)."""
     s = settings(
         gateways=gateways, initial_capacity=0.25, warm_up_time=1e9, overload_multiple=4.0, overload_window=1.0
     )
@@ -112,9 +112,9 @@
 @pytest.mark.parametrize("gateways", [2, 8, 30, 300])
 @pytest.mark.parametrize("works", [(0.2,), (0.1, 0.3)])
 def test_a_rush_after_a_lull_stays_under_what_makes_a_server_fall(gateways, works):
-    """Each gateway first looks after a lull and would like to send ten requests in a window.
+    """After a pause, each gateway tries to send ten requests within one window.
 
-    Few sharers begin with a drawn credit at that look, so full buckets of all of them are not forced here.
+    With few sharers, budgets start with random credit, so full buckets at all of them are not covered here.
     """
     chance = random.Random(1)
     for seed in range(0, 20_000, 1000):
@@ -154,7 +154,7 @@
     assert draws == [("new", g.latency_model.initial_latency)]
     g.backends.records[
         "warm"
-    ].in_flight.clear()  # a draw stakes what is saved, so there is none where another server is better
+    ].in_flight.clear()  # a draw uses up credit, so none is made if another backend is better
     g.backends.records["new"].in_flight.update({-k: (100.0, 0.0) for k in range(1, 3)})
     assert pick(g.handle(100.2, [request(2, spread=200)]), StartAttempt)[0].backend == "warm"
     assert len(draws) == 1
