--- a/corkdeal/decisions/settings_parser.py
+++ b/corkdeal/decisions/settings_parser.py
@@ -1,8 +1,8 @@
-"""The settings' parser: values by path, as text, to a checked `Settings`.
+"""Parser of settings: turns text values by path into a validated `Settings`.
 
-The paths and units are those that the operators write and that the simulator sends. The tables below are
-the one place that maps them to the fields of `corkdeal.decisions.settings`; a path that no table has is
-skipped. Times come in microseconds and leave in seconds.
+Paths and units are those that operators write and that the simulator sends. The tables below are the only
+place that maps them to the fields of `corkdeal.decisions.settings`; unknown paths are ignored. Times are
+given in microseconds and converted to seconds.
 """
 
 from __future__ import annotations
@@ -16,15 +16,15 @@
 from .settings import DeduplicationScope, Effect, Plan, RequestClass, Settings
 
 MICROSECONDS_PER_SECOND = 1_000_000
-MAX_QUOTED_CHARACTERS = 40  # of a wrong value in an error's text
+MAX_QUOTED_CHARACTERS = 40  # of an invalid value, in an error message
 
 
 class SettingsError(CorkdealError):
-    """A setting that is missing or can't be used; the text names its path."""
+    """A setting is missing or invalid; the message names its path."""
 
 
 def parse_number(raw: str | None, path: str, default: float | None, least: float) -> float:
-    """A finite number of at least `least`; without a default the setting has to be there."""
+    """Parse a finite number of at least `least`; a setting without a default is required."""
     if raw is None:
         if default is None:
             raise SettingsError(f"setting {path} is missing")
@@ -34,104 +34,104 @@
     except ValueError as error:
         raise SettingsError(f"setting {path} is not a number: {raw[:MAX_QUOTED_CHARACTERS]!r}") from error
     if not math.isfinite(value) or value < least:
-        raise SettingsError(f"setting {path} makes no sense: {raw[:MAX_QUOTED_CHARACTERS]!r}")
+        raise SettingsError(f"setting {path} is invalid: {raw[:MAX_QUOTED_CHARACTERS]!r}")
     return value
 
 
 @dataclass(frozen=True)
 class Setting:
-    """One row of a table: where a setting stands and which field it fills; each kind is a subclass."""
+    """One row of a table: the path of a setting and the field that it fills; each type is a subclass."""
 
     path: str
     field_name: str
 
     def parse(self, raw: str | None, path: str) -> object:
-        """The field's value; `raw` is None where the setting is absent, `path` goes into errors."""
+        """Return the field's value; `raw` is None if the setting is absent, `path` is for error messages."""
         raise NotImplementedError
 
 
 @dataclass(frozen=True)
 class Number(Setting):
-    """A finite number; required where it has no default."""
+    """A finite number; required if it has no default."""
 
     default: float | None = None
     least: float = 0.0
 
     def parse(self, raw: str | None, path: str) -> float:
-        """The number as it stands."""
+        """Return the number."""
         return parse_number(raw, path, self.default, self.least)
 
 
 @dataclass(frozen=True)
 class WholeNumber(Number):
-    """A number of things; a fraction is cut off."""
+    """An integer; a fraction is truncated."""
 
     def parse(self, raw: str | None, path: str) -> int:
-        """The number without its fraction."""
+        """Return the truncated number."""
         return int(parse_number(raw, path, self.default, self.least))
 
 
 @dataclass(frozen=True)
 class Microseconds(Number):
-    """A time in microseconds, as are its default and its least value."""
+    """A time; the value, the default and `least` are in microseconds."""
 
     def parse(self, raw: str | None, path: str) -> float:
-        """The time in seconds."""
+        """Return the time in seconds."""
         return parse_number(raw, path, self.default, self.least) / MICROSECONDS_PER_SECOND
 
 
 @dataclass(frozen=True)
 class Flag(Setting):
-    """True for `true`; false for all else and where absent."""
+    """True for the word `true`; false for anything else or if absent."""
 
     def parse(self, raw: str | None, path: str) -> bool:
-        """Whether the flag is set."""
+        """Return whether the flag is set."""
         return raw == "true"
 
 
 @dataclass(frozen=True)
 class FlagUnless(Setting):
-    """False for one word; true for all else and where absent."""
+    """False for one given word; true for anything else or if absent."""
 
     word: str
 
     def parse(self, raw: str | None, path: str) -> bool:
-        """Whether the setting is another word."""
+        """Return whether the value differs from the given word."""
         return raw != self.word
 
 
 @dataclass(frozen=True)
 class Choice(Setting):
-    """One of a few words; an empty value is the default."""
+    """One of a set of words; an empty value is the default."""
 
     choices: Mapping[str, object]
     default: str
 
     def parse(self, raw: str | None, path: str) -> object:
-        """What the word stands for."""
+        """Return the value of the word."""
         word = raw or self.default
         if word not in self.choices:
-            raise SettingsError(f"setting {path} makes no sense: {word[:MAX_QUOTED_CHARACTERS]!r}")
+            raise SettingsError(f"setting {path} is invalid: {word[:MAX_QUOTED_CHARACTERS]!r}")
         return self.choices[word]
 
 
 @dataclass(frozen=True)
 class Text(Setting):
-    """Any text; empty where absent."""
+    """Any text; empty if absent."""
 
     def parse(self, raw: str | None, path: str) -> str:
-        """The text as it stands."""
+        """Return the text unchanged."""
         return raw or ""
 
 
 @dataclass(frozen=True)
 class Words(Setting):
-    """Words between commas, each replaced by its name in `names` where it has one."""
+    """A comma-separated list of words, with those in `names` replaced."""
 
     names: Mapping[str, str] = field(default_factory=dict)
 
     def parse(self, raw: str | None, path: str) -> tuple[str, ...]:
-        """The words in their order."""
+        """Return the nonempty words in order."""
         words = (raw or "").split(",")
         return tuple(self.names.get(word, word) for word in words if word)
 
@@ -154,8 +154,8 @@
 CLASSES_PATH = "classes"
 PLANS_PATH = "tiers_of_service"
 
-# One row a setting: its path, the field it fills, its default and its least value, both in the path's unit.
-# The order of the rows is the order in which they are checked.
+# One row per setting: its path, the field it fills, its default and its least value, in the unit of the path.
+# Settings are checked in the order of the rows.
 GATEWAY_SETTINGS: tuple[Setting, ...] = (
     WholeNumber("balancers", "gateway_count", least=1),
     WholeNumber("me", "gateway_index"),
@@ -217,7 +217,7 @@
 
 
 def parse_fields(values: Mapping[str, str], settings: Iterable[Setting], prefix: str = "") -> dict[str, Any]:
-    """The fields that a table fills; `prefix` stands before each of its paths."""
+    """Return the fields that a table fills; `prefix` is prepended to each of its paths."""
     fields = {}
     for setting in settings:
         path = prefix + setting.path
@@ -226,13 +226,13 @@
 
 
 def parse_count(values: Mapping[str, str], path: str) -> int:
-    """How many numbered records stand below a path; at least one."""
+    """Return the number of numbered records below a path; at least one."""
     count_path = f"{path}.count"
     return int(parse_number(values.get(count_path), count_path, default=None, least=1))
 
 
 def parse_settings(values: Mapping[str, str]) -> Settings:
-    """Check values by path and give the rest its defaults; `SettingsError` names the first wrong path."""
+    """Parse settings from values by path; raises `SettingsError` for the first invalid path."""
     class_count = parse_count(values, CLASSES_PATH)
     plan_count = parse_count(values, PLANS_PATH)
     gateway_fields = parse_fields(values, GATEWAY_SETTINGS)
@@ -248,7 +248,7 @@
 
 
 def parse_settings_text(text: str) -> Settings:
-    """Settings from lines of `path=value`; a line without an equals sign is skipped."""
+    """Parse settings from lines of `path=value`; lines without an equals sign are skipped."""
     values = {}
     for line in text.splitlines():
         path, separator, value = line.partition("=")
--- a/tests/decisions/test_settings_parser.py
+++ b/tests/decisions/test_settings_parser.py
@@ -1,4 +1,4 @@
-"""The settings' parser alone: each kind, each default, and the text of each error."""
+"""Unit tests of the settings parser: each setting type, the defaults and the error messages."""
 
 import dataclasses
 
@@ -20,13 +20,13 @@
 
 
 def parsed(changes=None):
-    """Settings from the least values with changes; None leaves a path out."""
+    """Parse the required settings with changes; a value of None removes a path."""
     changed = LEAST | (changes or {})
     return parse_settings({path: value for path, value in changed.items() if value is not None})
 
 
 def fault(changes):
-    """The text of the error that these values get."""
+    """Return the error message for these changes."""
     with pytest.raises(SettingsError) as caught:
         parsed(changes)
     return str(caught.value)
@@ -136,7 +136,7 @@
     ],
 )
 def test_a_value_out_of_range_is_named_and_quoted(path, value):
-    assert fault({path: value}) == f"setting {path} makes no sense: {value!r}"
+    assert fault({path: value}) == f"setting {path} is invalid: {value!r}"
 
 
 def test_what_is_no_number_is_quoted_up_to_40_characters():
