--- a/corkdeal/decisions/incarnations.py
+++ b/corkdeal/decisions/incarnations.py
@@ -1,28 +1,28 @@
-"""Incarnations: which start of each peer is followed, and which start this gateway goes by.
+"""Incarnations: the current incarnation of this gateway and the latest known one of each peer.
 
-Every process that runs as a gateway has an incarnation: the wall clock at its start, in milliseconds, as 32
-bits that begin anew every 49.7 days. Every message has its sender's, and most have the receiver's as well.
-They are ordered by serial number arithmetic (RFC 1982):
+Every gateway process has an incarnation: the wall clock at its start in milliseconds, as a 32-bit number that
+wraps around every 49.7 days. Every message carries the sender's incarnation, and most carry the receiver's as
+well. Incarnations are ordered by serial number arithmetic (RFC 1982):
 
-- of a peer the latest incarnation that was heard is followed; what an earlier one sent is dropped;
-- a peer that sends as an earlier one is corrected, at most once in CORRECTION_INTERVAL: either
-  its clock was set back, or the message was long on its way;
-- a gateway that is told of a later incarnation of itself takes one after all that it has heard of, so that
-  its peers follow it again.
+- Only messages of a peer's latest known incarnation are accepted; those of an earlier one are dropped.
+- A peer that sends with an earlier incarnation is corrected, at most once per CORRECTION_INTERVAL: either its
+  clock was set back or the message was delayed.
+- A gateway that receives a later incarnation of itself chooses one after all that it knows, so that its peers
+  accept its messages again.
 """
 
 from __future__ import annotations
 
 import enum
 
-INCARNATION_RANGE = 1 << 32  # ms, at which incarnations begin anew
-UNKNOWN = 0  # stands for no incarnation
-CORRECTION_INTERVAL = 0.25  # s between corrections of one peer
-OLDER_MARGIN = 3000  # ms; a peer that started earlier by more saw what was spent before this gateway's start
+INCARNATION_RANGE = 1 << 32  # ms, at which incarnations wrap around
+UNKNOWN = 0  # placeholder for an unknown incarnation
+CORRECTION_INTERVAL = 0.25  # s, minimum time between corrections of one peer
+OLDER_MARGIN = 3000  # ms; a peer that started earlier by more than this saw what was spent before
 
 
 class Greeting(enum.Enum):
-    """How the incarnation that a peer gives relates to the one that is followed."""
+    """How the incarnation in a peer's message compares with the latest known one."""
 
     CURRENT = enum.auto()
     NEW = enum.auto()
@@ -30,41 +30,41 @@
 
 
 def is_later(first: int, second: int) -> bool:
-    """Whether the first incarnation is after the second."""
+    """Whether the first incarnation is later than the second."""
     return 0 < (first - second) % INCARNATION_RANGE < INCARNATION_RANGE // 2
 
 
 def following(incarnation: int, milliseconds: int) -> int:
-    """The incarnation that much after another; never UNKNOWN."""
+    """Return the incarnation `milliseconds` after the given one; never UNKNOWN."""
     return (incarnation + milliseconds) % INCARNATION_RANGE or 1
 
 
 class Incarnations:
-    """The incarnations of one gateway and of its peers."""
+    """The incarnation of one gateway and those of its peers."""
 
     def __init__(self) -> None:
         self.own = UNKNOWN
-        self.peers: dict[int, int] = {}  # by peer, the one that is followed
-        self.corrected_at: dict[int, float] = {}  # by peer, s
+        self.peers: dict[int, int] = {}  # latest known incarnation by peer
+        self.corrected_at: dict[int, float] = {}  # s, time of the last correction by peer
 
     def start(self, now: float) -> None:
-        """Begin an incarnation of this gateway at that time, unless a later one is known."""
+        """Start an incarnation of this gateway at `now`, unless a later one is already set."""
         started = following(int(now * 1000), 0)
         if self.own == UNKNOWN or is_later(started, self.own):
             self.own = started
 
     def resume(self, own: int, peers: dict[int, int]) -> None:
-        """Go on as an earlier process did."""
+        """Continue the incarnation of an earlier process."""
         self.own = own
         self.peers = peers
 
     def succeed(self, own: int) -> None:
-        """Begin after an incarnation that is over; the wall clock may have been set back since."""
+        """Choose an incarnation after one that has ended, since the wall clock may have been set back."""
         if own != UNKNOWN:
             self.own = following(own, 1)
 
     def greet(self, peer: int, incarnation: int) -> Greeting:
-        """Follow a peer's incarnation if it is the latest."""
+        """Record a peer's incarnation if it is the latest; returns how it compares."""
         known = self.peers.get(peer)
         if known == incarnation:
             return Greeting.CURRENT
@@ -74,17 +74,17 @@
         return Greeting.NEW
 
     def may_correct(self, peer: int, now: float) -> bool:
-        """Whether a peer that sent as an earlier incarnation may be corrected; if so it is counted."""
+        """Whether a peer that sent an earlier incarnation may be corrected now; if so, records the time."""
         if now - self.corrected_at.get(peer, -CORRECTION_INTERVAL) < CORRECTION_INTERVAL:
             return False
         self.corrected_at[peer] = now
         return True
 
     def outlive(self, own: int) -> bool:
-        """Take an incarnation after all known ones if a peer follows a later one of this gateway.
+        """Choose an incarnation after all known ones if a peer knows a later one of this gateway.
 
-        Returns whether it did. The new one is so much later that peers count as older, and are asked
-        for what they hold.
+        Returns whether it did. The new incarnation is more than OLDER_MARGIN later, so that all peers count
+        as older and their totals are adopted.
         """
         if own == UNKNOWN or not is_later(own, self.own):
             return False
@@ -96,5 +96,5 @@
         return True
 
     def is_older(self, incarnation: int) -> bool:
-        """Whether a peer of that incarnation saw what was spent before this gateway's start."""
+        """Whether a peer of that incarnation ran before this gateway started and saw what was spent then."""
         return is_later(self.own, incarnation + OLDER_MARGIN)
--- a/corkdeal/decisions/peer_messages.py
+++ b/corkdeal/decisions/peer_messages.py
@@ -1,8 +1,8 @@
-"""Codec of the datagrams that gateways exchange about customers' accounts.
+"""Codec of the datagrams in which gateways exchange the state of customers' accounts.
 
-There are two kinds of message, told apart by their first byte. An exchange message goes between two
-ring neighbours; a totals message goes along an edge of a customer's aggregation tree. Each is a
-header and as many rows, one for each customer, as fit into a datagram. All numbers are little-endian.
+There are two kinds of message, distinguished by their first byte: exchange messages between ring neighbours,
+and totals messages along the edges of a customer's aggregation tree. Each has a header and as many rows, one
+per customer, as fit into a datagram. All numbers are little-endian.
 """
 
 from __future__ import annotations
@@ -14,23 +14,23 @@
 
 from .settings import Settings
 
-MESSAGE_BYTES = 256  # largest datagram
+MESSAGE_BYTES = 256  # maximum datagram size
 EXCHANGE_VERSION = 3
-TOTALS_VERSION = 5  # up to version 4 totals took other routes
+TOTALS_VERSION = 5  # up to version 4, totals used other routes
 
-EXCHANGE_HEADER = struct.Struct("<BIII")  # version, both incarnations, round
+EXCHANGE_HEADER = struct.Struct("<BIII")  # version, sender and receiver incarnation, round
 EXCHANGE_ROW = struct.Struct("<IBBHHeeehf")
-EXCHANGE_ROWS = (MESSAGE_BYTES - EXCHANGE_HEADER.size) // EXCHANGE_ROW.size  # in one datagram
-TOTALS_HEADER = struct.Struct("<BI")  # version, incarnation
+EXCHANGE_ROWS = (MESSAGE_BYTES - EXCHANGE_HEADER.size) // EXCHANGE_ROW.size  # per datagram
+TOTALS_HEADER = struct.Struct("<BI")  # version, sender incarnation
 TOTALS_ROW = struct.Struct("<IBBHHHH")
-TOTALS_ROWS = (MESSAGE_BYTES - TOTALS_HEADER.size) // TOTALS_ROW.size  # in one datagram
+TOTALS_ROWS = (MESSAGE_BYTES - TOTALS_HEADER.size) // TOTALS_ROW.size  # per datagram
 
-SHARE_STEPS = 30000  # steps of a whole quota, in which shares are exchanged
-SHARE_STEPS_LIMIT = 32000  # largest count of them that a row takes
-HALF_FLOAT_LIMIT = 60000.0  # largest demand and level that a row takes, below the greatest binary16 number
-TOTALS_STEPS = 8  # steps of a unit, in running totals
-TOTALS_WRAP = 65536 / TOTALS_STEPS  # units, at which running totals begin anew
-TIER_TREE_FRACTION = 0.5  # of the tier; a larger set of gateways uses the whole tier's aggregation trees
+SHARE_STEPS = 30000  # steps per whole quota; shares are exchanged in these
+SHARE_STEPS_LIMIT = 32000  # largest number of steps in a row, below the maximum of int16
+HALF_FLOAT_LIMIT = 60000.0  # largest demand and level in a row, below the maximum of binary16
+TOTALS_STEPS = 8  # steps per unit; running totals are sent in these
+TOTALS_WRAP = 65536 / TOTALS_STEPS  # units, at which running totals wrap around
+TIER_TREE_FRACTION = 0.5  # of the tier; a larger set of gateways uses the aggregation trees of the whole tier
 
 CUSTOMER_LOW_MASK = 0xFFFFFFFF
 CUSTOMER_HIGH_MASK = 0xFF
@@ -40,17 +40,17 @@
 
 @dataclass(slots=True, frozen=True)
 class AccountUpdate:
-    """One customer's account at the sender, and what the sender's ledger with the receiver has booked."""
+    """One customer's account at the sender, with the totals of the sender's ledger with the receiver."""
 
     customer: int
     plan_index: int
     first_gateway: int
     member_count: int
     share: float  # of the quota
-    demand: float  # units a second
-    level: float  # units in the bucket, or free places
-    received_share: int  # net steps of the quota that the sender got from the receiver
-    received_units: float  # net units that the sender got from the receiver
+    demand: float  # units/s
+    level: float  # units in the bucket, or free concurrency slots
+    received_share: int  # net SHARE_STEPS that the sender received from the receiver
+    received_units: float  # net units that the sender received from the receiver
 
 
 @dataclass(slots=True, frozen=True)
@@ -58,7 +58,7 @@
     """A message between two ring neighbours."""
 
     sender_incarnation: int
-    receiver_incarnation: int  # as the sender follows it; 0 for none
+    receiver_incarnation: int  # the latest that the sender knows; 0 for none
     round_number: int
     updates: list[AccountUpdate]
 
@@ -84,14 +84,14 @@
 
 
 def uses_tier_tree(member_count: int, gateway_count: int) -> bool:
-    """Whether a set of gateways is so large that others than its members pass its totals on."""
+    """Whether a set of gateways is so large that non-members forward its totals too."""
     return member_count > TIER_TREE_FRACTION * gateway_count
 
 
 def encode_exchange(
     sender_incarnation: int, receiver_incarnation: int, round_number: int, updates: list[AccountUpdate]
 ) -> list[bytes]:
-    """Datagrams with all updates; one with a header alone where there are none."""
+    """Return datagrams with all updates, or one with only a header if there are none."""
     header = EXCHANGE_HEADER.pack(EXCHANGE_VERSION, sender_incarnation, receiver_incarnation, round_number)
     rows = [_exchange_row(update) for update in updates]
     starts = range(0, max(1, len(rows)), EXCHANGE_ROWS)
@@ -99,7 +99,7 @@
 
 
 def encode_totals(sender_incarnation: int, totals: list[TreeTotals]) -> list[bytes]:
-    """Datagrams with all totals; none where there are none."""
+    """Return datagrams with all totals, or no datagram if there are none."""
     header = TOTALS_HEADER.pack(TOTALS_VERSION, sender_incarnation)
     rows = [_totals_row(entry) for entry in totals]
     starts = range(0, len(rows), TOTALS_ROWS)
@@ -107,9 +107,9 @@
 
 
 def decode_exchange(payload: bytes, peer: int, settings: Settings) -> ExchangeMessage | None:
-    """The message, or None for what does not follow the layout.
+    """Return the message, or None if the payload is malformed or the peer is not a member of the tier.
 
-    Rows that the settings rule out are left out; a row with a number that is not finite rules out the whole.
+    Rows that do not fit the settings are skipped; a number that is not finite invalidates the whole message.
     """
     if not _has_layout(payload, EXCHANGE_VERSION, EXCHANGE_HEADER, EXCHANGE_ROW) or not _is_peer(
         peer, settings
@@ -124,9 +124,9 @@
 
 
 def decode_totals(payload: bytes, peer: int, settings: Settings) -> TotalsMessage | None:
-    """The message, or None for what does not follow the layout.
+    """Return the message, or None if the payload is malformed or the peer is not a member of the tier.
 
-    Rows that the settings rule out are left out.
+    Rows that do not fit the settings are skipped.
     """
     if not _has_layout(payload, TOTALS_VERSION, TOTALS_HEADER, TOTALS_ROW) or not _is_peer(peer, settings):
         return None
@@ -182,7 +182,7 @@
 
 
 def _has_layout(payload: bytes, version: int, header: struct.Struct, row: struct.Struct) -> bool:
-    """Whether a datagram is of that version and has whole rows."""
+    """Whether a datagram has that version, a complete header and only complete rows."""
     rows_size = len(payload) - header.size
     return rows_size >= 0 and rows_size % row.size == 0 and payload[0] == version
 
@@ -198,7 +198,7 @@
 
 
 def _has_valid_account(row: AccountUpdate | TreeTotals, settings: Settings) -> bool:
-    """Whether the settings have the row's plan and its set of gateways."""
+    """Whether the row's plan and set of gateways exist in the settings."""
     return (
         row.plan_index < len(settings.plans)
         and row.first_gateway < settings.gateway_count
@@ -207,7 +207,7 @@
 
 
 def _is_between_members(row: AccountUpdate | TreeTotals, peer: int, settings: Settings) -> bool:
-    """Whether the row is of an account that both ends are members of."""
+    """Whether both ends are members of the set of the row's account."""
     return _has_valid_account(row, settings) and all(
         (gateway - row.first_gateway) % settings.gateway_count < row.member_count
         for gateway in (peer, settings.gateway_index)
@@ -215,7 +215,7 @@
 
 
 def _is_on_tier_tree(totals: TreeTotals, settings: Settings) -> bool:
-    """Whether the totals are of an account that all gateways of the tier may pass on."""
+    """Whether the totals belong to an account whose tree spans the whole tier."""
     return _has_valid_account(totals, settings) and uses_tier_tree(
         totals.member_count, settings.gateway_count
     )
--- a/corkdeal/decisions/peer_protocol.py
+++ b/corkdeal/decisions/peer_protocol.py
@@ -1,8 +1,8 @@
-"""What a gateway and its peers send each other: incarnations, quota updates, tree totals and corrections.
+"""The messages between a gateway and its peers: incarnations, quota updates, tree totals and corrections.
 
-Each message names its sender's incarnation. One from an earlier start of a peer is dropped and the peer is
-corrected (`incarnations`). Updates of ring neighbours go to the quota exchange, whose replies are sent at
-once; totals of aggregation trees are booked along the edge that they came by.
+Each message carries its sender's incarnation. A message from an earlier incarnation of a peer is dropped and
+the peer is corrected (`incarnations`). Updates from ring neighbours go to the quota exchange, and its replies
+are sent at once; totals of aggregation trees are recorded on the tree edge to their sender.
 """
 
 from __future__ import annotations
@@ -21,22 +21,22 @@
 
 
 class PeerHost(Protocol):
-    """What the exchange of messages needs of the gateway that it belongs to."""
+    """What the peer protocol needs of its gateway."""
 
     now: float  # s
-    actions: list[Action]  # of the present events
+    actions: list[Action]  # in response to the events being handled
     membership: MembershipView | None
     quota_restore: QuotaRestoreView | None
 
     def account(self, customer: int, plan: int, first_gateway: int, member_count: int, /) -> Account:
-        """The customer's account, which is made if there is none."""
+        """Return the customer's account, created if missing."""
 
     def refill(self, account: Account, /) -> float:
-        """Bring an account's token bucket up to now; returns its quota share."""
+        """Advance an account's token bucket to the present time; returns its quota share."""
 
 
 class PeerProtocol:
-    """One gateway's side of all conversations with its peers."""
+    """One gateway's side of the protocol with all its peers."""
 
     def __init__(
         self,
@@ -52,10 +52,10 @@
         self.quota_exchange = quota_exchange
         self.aggregation_scheduler = aggregation_scheduler
         self.incarnations = Incarnations()
-        self.message_round = 0  # of the last message with updates
+        self.message_round = 0  # round number of the last updates sent
 
     def receive(self, event: PeerMessage) -> None:
-        """Handle a peer's message; one that is malformed, foreign or stale is dropped."""
+        """Handle a message; drop it if malformed, from a non-peer or from an earlier incarnation."""
         totals = peer_messages.decode_totals(event.payload, event.peer, self.settings)
         if totals is not None:
             self._receive_totals(event.peer, totals)
@@ -70,7 +70,11 @@
             self._receive_exchange(event.peer, message)
 
     def accept(self, peer: int, incarnation: int, own_incarnation: int) -> bool:
-        """Follow a message's sender, which knows of `own_incarnation`; False if it is an earlier start."""
+        """Process the incarnations in the header of a message.
+
+        `own_incarnation` is the incarnation of this gateway that the sender knows. Returns False for messages
+        from an earlier incarnation of the sender.
+        """
         known = self.incarnations.peers.get(peer, 0)
         if not self._follow(peer, incarnation):
             self._correct(peer)
@@ -82,13 +86,13 @@
         return True
 
     def exchange_quotas(self) -> None:
-        """Send updates to all ring neighbours; an empty message shows that this gateway runs."""
+        """Send updates to all ring neighbours; an empty message shows that this gateway is running."""
         for peer, updates in self.quota_exchange.due(self.host.now, self._may_send_updates).items():
             if updates or not self._sends_heartbeats(peer):
                 self.send_updates(peer, updates)
 
     def send_updates(self, peer: int, updates: list[peer_messages.AccountUpdate]) -> None:
-        """Send updates of the next round, in as many messages as they need, but one at least."""
+        """Send updates as the next round, in as many messages as needed but at least one."""
         self.message_round += 1
         if not self.settings.may_message_peers:
             return
@@ -106,7 +110,7 @@
             self.host.actions += [SendToPeer(peer, payload) for payload in payloads]
 
     def _receive_totals(self, peer: int, message: peer_messages.TotalsMessage) -> None:
-        """Take totals of aggregation trees, unless an earlier start of the peer sent them."""
+        """Apply totals of aggregation trees, unless an earlier incarnation of the peer sent them."""
         if not self._follow(peer, message.sender_incarnation):
             self._correct(peer)
             return
@@ -115,7 +119,7 @@
             self._apply_totals(peer, totals, is_older_peer)
 
     def _apply_totals(self, peer: int, totals: peer_messages.TreeTotals, is_older_peer: bool) -> None:
-        """Count what was asked and spent on the other side of a tree edge."""
+        """Apply the units requested and spent on the far side of a tree edge."""
         account = self.host.account(
             totals.customer, totals.plan_index, totals.first_gateway, totals.member_count
         )
@@ -132,7 +136,7 @@
             account.has_parent_update = True
 
     def _receive_exchange(self, peer: int, message: peer_messages.ExchangeMessage) -> None:
-        """Take a ring neighbour's updates and reply, if it knows of this gateway's present start."""
+        """Apply a ring neighbour's updates and reply, if it knows this gateway's present incarnation."""
         if message.receiver_incarnation != self.incarnations.own:
             return
         quota_restore = self.host.quota_restore
@@ -151,7 +155,7 @@
     def receive_update(
         self, peer: int, round_number: int, update: peer_messages.AccountUpdate
     ) -> peer_messages.AccountUpdate | None:
-        """Take a ring neighbour's update; returns the reply, if there is one."""
+        """Apply a ring neighbour's update; returns the reply, if any."""
         account = self.host.account(
             update.customer, update.plan_index, update.first_gateway, update.member_count
         )
@@ -159,14 +163,14 @@
         return self.quota_exchange.receive(account, peer, round_number, update, is_older_peer, self.host.now)
 
     def _follow(self, peer: int, incarnation: int) -> bool:
-        """Follow a peer's latest incarnation, with ledgers begun anew; False for an earlier one."""
+        """Record a peer's incarnation, resetting its ledgers if it is new; False for an earlier one."""
         greeting = self.incarnations.greet(peer, incarnation)
         if greeting is Greeting.NEW:
             self._restart_ledgers(peer)
         return greeting is not Greeting.STALE
 
     def _restart_ledgers(self, peer: int) -> None:
-        """Begin anew what was booked with a peer's earlier incarnation."""
+        """Reset ledgers and tree edges kept with a peer's earlier incarnation."""
         for account in self.accounts.by_customer.values():
             if peer in account.ledgers:
                 account.ledgers[peer] = self._ledger_after_restart(account.ledgers[peer])
@@ -174,13 +178,13 @@
                 account.tree_edges[peer].last_totals = None
 
     def _ledger_after_restart(self, ledger: PeerLedger) -> PeerLedger:
-        """What is left of a ledger whose other end started again."""
+        """Return what remains of a ledger after the peer restarted."""
         if self.host.quota_restore is None:
             return PeerLedger()
         return self.host.quota_restore.ledger_after_peer_restart(ledger)
 
     def _report_totals(self, peer: int) -> None:
-        """Send a peer that started again what its earlier incarnation exchanged."""
+        """Send a restarted peer the totals that its earlier incarnation exchanged."""
         updates = []
         if self.host.quota_restore is not None:
             for customer, account in self.host.quota_restore.accounts_to_report(peer):
@@ -188,25 +192,25 @@
         self.send_updates(peer, updates)
 
     def _correct(self, peer: int) -> None:
-        """Send a peer that goes by an earlier incarnation the one that is followed."""
+        """Send a peer that uses an earlier incarnation the latest known one."""
         if self.incarnations.may_correct(peer, self.host.now):
             self.send_updates(peer, [])
 
     def _outlive(self, own_incarnation: int) -> None:
-        """Go on as a later incarnation if a peer knows a later one of this gateway."""
+        """Switch to a later incarnation if a peer knows a later one of this gateway."""
         if self.incarnations.outlive(own_incarnation):
             self.host.actions.append(
                 Log(
-                    "peers know a later start of this gateway, so its wall clock went back; "
-                    f"it goes on as start {self.incarnations.own}"
+                    "peers know a later start of this gateway, so its wall clock was set back; "
+                    f"continuing as incarnation {self.incarnations.own}"
                 )
             )
 
     def _sends_heartbeats(self, peer: int) -> bool:
-        """Whether heartbeats of the membership come from a peer, so that it needs no empty message."""
+        """Whether a peer exchanges membership heartbeats, so that empty messages to it are not needed."""
         membership = self.host.membership
         return membership is not None and membership.sends_heartbeats(peer)
 
     def _may_send_updates(self, peer: int) -> bool:
-        """Whether a neighbour sent what it holds of an earlier incarnation, so that updates may go to it."""
+        """Whether updates may be sent to a neighbour without overwriting the totals that it holds."""
         return self.host.quota_restore is None or self.host.quota_restore.may_send_updates(peer)
--- a/tests/decisions/test_incarnations.py
+++ b/tests/decisions/test_incarnations.py
@@ -1,4 +1,4 @@
-"""Incarnations: their order, which one of a peer is followed, and how a gateway outlives its own."""
+"""Unit tests of incarnations: their order, those of peers, corrections, and a clock that was set back."""
 
 import pytest
 
--- a/tests/decisions/test_peer_messages.py
+++ b/tests/decisions/test_peer_messages.py
@@ -1,4 +1,4 @@
-"""The codec of peer messages: stable bytes, typed results, and what is rejected."""
+"""Unit tests of the peer message codec: exact bytes, decoded values, and rejected input."""
 
 import math
 import struct
@@ -81,7 +81,7 @@
     (payload,) = peer_messages.encode_totals(1, [TreeTotals(8, 0, 0, 2, 1.0, 1.0)])
     assert peer_messages.decode_totals(payload, 1, settings(7, 8)).totals == []
     (payload,) = peer_messages.encode_totals(1, [TreeTotals(8, 0, 0, 7, 1.0, 1.0)])
-    assert len(peer_messages.decode_totals(payload, 1, settings(7, 8)).totals) == 1  # by the tier's tree
+    assert len(peer_messages.decode_totals(payload, 1, settings(7, 8)).totals) == 1  # whole tier's tree
 
 
 @pytest.mark.parametrize("peer", [-1, 0, 3])
--- a/tests/decisions/test_peer_protocol.py
+++ b/tests/decisions/test_peer_protocol.py
@@ -1,4 +1,4 @@
-"""Messages with peers by themselves, with a host that holds accounts and keeps what is sent."""
+"""Unit tests of the peer protocol, with a fake host that holds accounts and records actions."""
 
 import pytest
 
@@ -53,7 +53,7 @@
 
 
 def sent(host):
-    """The messages sent since the last call, decoded as their receiver does: (peer, message)."""
+    """Return the messages sent since the last call, as (peer, payload)."""
     actions, host.actions = host.actions, []
     return [(action.peer, action.payload) for action in actions if isinstance(action, SendToPeer)]
 
@@ -75,7 +75,7 @@
     peers.receive(exchange_message([update()]))
     assert len(sent(host)) == replies
     ledger = host.table.by_customer[CUSTOMER].ledgers[PEER]
-    moved = ledger.received_share / SHARE_STEPS  # by the end that replies, towards the peer's demand
+    moved = ledger.received_share / SHARE_STEPS  # moved by the replying end, towards the peer's demand
     assert (moved < 0) is bool(replies) and ledger.peer_share == pytest.approx(1 / 3 - moved, abs=1e-3)
 
 
@@ -83,7 +83,7 @@
     peers, host = make()
     peers.receive(exchange_message([update()], own=OWN_START - 1))
     assert CUSTOMER not in host.table.by_customer
-    assert peers.quota_exchange.peer_last_heard[PEER] == host.now  # but the peer was heard
+    assert peers.quota_exchange.peer_last_heard[PEER] == host.now  # but the peer does not count as silent
 
 
 def test_a_peer_is_greeted_once_for_each_of_its_starts():
