--- a/corkdeal/decisions/quota_exchange.py
+++ b/corkdeal/decisions/quota_exchange.py
@@ -1,15 +1,15 @@
-"""Quota exchange: ring neighbours even out their shares of a customer's quota by supply and demand.
+"""Quota exchange: ring neighbours balance their shares of a customer's quota by supply and demand.
 
-The members of a customer's set form a ring, and each exchanges with its two neighbours. A pair's end with the
-lower number tells its share, its demand and the level of its bucket; the other end closes EXCHANGE_STEP of
-the gap between what the two have and what they would have in proportion to their demand, and replies. The
-level is evened out in the same way, within what the buckets hold.
+The members of a customer's set form a ring, and each exchanges with its two neighbours. Of each pair, the end
+with the lower index sends its share, its demand and the level of its bucket. The other end closes
+EXCHANGE_STEP of the gap between the present shares and shares in proportion to demand, and replies. Levels
+are balanced in the same way, within the capacity of the buckets.
 
-What was moved is kept in running totals on both ends, each the negative of the other, and a message has
-totals, not differences. So the sum of a customer's shares is conserved whatever messages are lost, repeated
-or overtaken, and an end that made its account anew takes the totals over from the other.
+Both ends keep running totals of what was moved, each the negative of the other, and messages carry totals,
+not differences. The sum of a customer's shares is therefore conserved when messages are lost, duplicated or
+reordered, and an end that recreated its account adopts the totals of the other end.
 
-A gateway whose ring predecessor is silent spends the predecessor's share on loan.
+A gateway whose ring predecessor is silent borrows the predecessor's share.
 """
 
 from __future__ import annotations
@@ -22,32 +22,32 @@
 from .peer_messages import SHARE_STEPS, AccountUpdate
 from .settings import Settings
 
-EXCHANGE_INTERVAL = 0.25  # s; demand shifts within seconds, a message takes hundredths
-EXCHANGE_STEP = 0.5  # of the gap closed by one exchange; a ring of three still converges at this
-LEVEL_STEPS = 16  # steps of a unit, in which levels are moved
-DEMAND_FLOOR = 0.1  # of the even share's rate; an idle gateway keeps something to start from
-LOW_LEVEL = 0.6  # of the bucket, below which an end needs an exchange
-IDLE_INTERVAL = 2.0  # s between updates where neither end needs an exchange
-QUIET_TIME = 8.0  # s without requests, after which such updates end
-SILENCE_TIMEOUT = 1.0  # s: three exchanges and a late message
+EXCHANGE_INTERVAL = 0.25  # s; demand shifts within seconds, a message takes hundredths of a second
+EXCHANGE_STEP = 0.5  # fraction of the gap closed by one exchange; a ring of three still converges
+LEVEL_STEPS = 16  # steps per unit; levels are moved in these
+DEMAND_FLOOR = 0.1  # of the even share's rate; leaves an idle gateway some quota for its first requests
+LOW_LEVEL = 0.6  # of the bucket; below this an end needs an exchange
+IDLE_INTERVAL = 2.0  # s between updates if neither end needs an exchange
+QUIET_TIME = 8.0  # s without requests after which such updates stop
+SILENCE_TIMEOUT = 1.0  # s; three exchange intervals and one for a late message
 
 
 class ExchangeState(NamedTuple):
-    """An account as its ring neighbours are told of it."""
+    """The state of an account that is sent to ring neighbours."""
 
     share: float  # of the quota
-    demand: float  # units a second
-    level: float  # units in the bucket, or free places
+    demand: float  # units/s
+    level: float  # units in the bucket, or free concurrency slots
 
 
 class Quotas(Protocol):
-    """What the exchange needs to know of accounts at the present time."""
+    """What the exchange needs of the gateway's accounts."""
 
     def quota_share(self, account: Account, /) -> float:
-        """What may be spent of the quota, loans included."""
+        """Return the fraction of the quota that may be spent here, including borrowed shares."""
 
     def refill(self, account: Account, /) -> float:
-        """Bring the account up to the present time; returns the share that fills it."""
+        """Advance the account to the present time; returns the share that refills it."""
 
 
 class QuotaExchange:
@@ -61,11 +61,14 @@
         self.peer_last_heard: dict[int, float] = {}  # s
 
     def is_silent(self, peer: int, now: float) -> bool:
-        """Whether a peer missed several exchanges; one never heard has as long from the first question."""
+        """Whether nothing was received from a peer for SILENCE_TIMEOUT.
+
+        For a peer that never sent anything, the time counts from the first call.
+        """
         return now - self.peer_last_heard.setdefault(peer, now) > SILENCE_TIMEOUT
 
     def share_with_loan(self, account: Account, now: float) -> float:
-        """The account's share, and on loan that of a silent ring predecessor."""
+        """Return the account's share plus that of a silent ring predecessor, which is borrowed."""
         share = account.base_share()
         predecessor = account.predecessor
         if predecessor is not None and self._may_borrow(predecessor, now):
@@ -74,7 +77,7 @@
         return min(1.0, share)
 
     def state(self, account: Account) -> ExchangeState:
-        """The account by now."""
+        """Advance the account to now and return its state for neighbours."""
         share = self.quotas.refill(account)
         plan = account.plan
         full = plan.rate or plan.max_in_flight or 1.0
@@ -83,7 +86,7 @@
         return ExchangeState(account.base_share(), demand, level)
 
     def update_for(self, customer: int, account: Account, peer: int, now: float) -> AccountUpdate:
-        """The account and its running totals for one neighbour, booked as sent."""
+        """Return the account's state and running totals for one neighbour, and record them as sent."""
         ledger = account.ledgers[peer]
         ledger.last_sent_at = now
         ledger.is_update_due = False
@@ -101,7 +104,7 @@
         )
 
     def due(self, now: float, may_update: Callable[[int], bool]) -> dict[int, list[AccountUpdate]]:
-        """Updates for each ring neighbour, none where there is no need; idle accounts are forgotten."""
+        """Return the updates due, by ring neighbour (possibly none); drops idle accounts."""
         self.last_exchange_at = now
         due: dict[int, list[AccountUpdate]] = {peer: [] for peer in sorted(self.accounts.ring_neighbours)}
         self.accounts.forget_idle(now)
@@ -115,7 +118,7 @@
                 interval = _update_interval(needs_exchange, is_active)
                 if now - ledger.last_sent_at >= interval and may_update(peer):
                     due[peer].append(self.update_for(customer, account, peer, now))
-            if not is_active:  # else both ends would keep each other's account for ever
+            if not is_active:  # otherwise both ends would keep each other's account alive for ever
                 del self.accounts.active[customer]
         return due
 
@@ -128,9 +131,9 @@
         is_older_peer: bool,
         now: float,
     ) -> AccountUpdate | None:
-        """Take a neighbour's update; the higher-numbered end makes the exchange and replies.
+        """Apply a neighbour's update; the end with the higher index makes the exchange and replies.
 
-        `is_older_peer` says whether the peer saw what was spent before this gateway's start.
+        `is_older_peer` says whether the peer ran before this gateway started and saw what was spent then.
         """
         ledger = account.ledgers.get(peer)
         if ledger is None or round_number <= ledger.last_round:
@@ -156,7 +159,7 @@
         return self.update_for(update.customer, account, peer, now) if makes_exchange else None
 
     def _may_borrow(self, predecessor: int, now: float) -> bool:
-        """Whether a predecessor is silent, and this gateway is not itself cut off from all."""
+        """Whether the predecessor is silent and this gateway is not itself cut off from all peers."""
         if not self.settings.may_message_peers or not self.is_silent(predecessor, now):
             return False
         return self.settings.gateway_count == 2 or any(
@@ -164,7 +167,7 @@
         )
 
     def _match_totals(self, ledger: PeerLedger, peer: int, update: AccountUpdate) -> None:
-        """Take running totals over where one end's account was made anew."""
+        """Reconcile running totals after one end recreated its account."""
         has_totals = bool(update.received_share or update.received_units)
         is_first = not ledger.last_round
         if is_first and (self.settings.gateway_index > peer or ledger.last_sent_at < 0):
@@ -177,13 +180,13 @@
 
 
 def _is_low(account: Account, share: float, level: float) -> bool:
-    """Whether an end has so little left that it needs an exchange."""
+    """Whether an end's level is so low that it needs an exchange."""
     plan = account.plan
     return level < LOW_LEVEL * share * (plan.burst if plan.rate else plan.max_in_flight)
 
 
 def _is_peer_low(account: Account, ledger: PeerLedger, now: float) -> bool:
-    """The same of a neighbour; its bucket fills while it tells nothing new."""
+    """Whether a neighbour's level is low, extrapolating its refill since its last update."""
     share, plan = ledger.peer_share, account.plan
     if share is None or not plan.rate:
         return _is_low(account, share or 0.0, ledger.peer_level)
@@ -192,21 +195,21 @@
 
 
 def _update_interval(needs_exchange: bool, is_active: bool) -> float:
-    """Seconds between updates of one account to one neighbour."""
+    """Return the interval between updates of one account to one neighbour, in s."""
     if needs_exchange:
         return EXCHANGE_INTERVAL / 2
     return IDLE_INTERVAL if is_active else math.inf
 
 
 def _take_fill(account: Account, own: ExchangeState, update: AccountUpdate) -> None:
-    """After a start, fill the bucket no further than that of a neighbour that kept running."""
+    """After a start, limit the bucket to the fill ratio of a neighbour that kept running."""
     if account.plan.rate and update.share > 0:
         fill = max(0.0, min(1.0, update.level / (update.share * account.plan.burst)))
         account.level = min(account.level, fill * account.plan.burst * own.share)
 
 
 def _accept_exchange(account: Account, ledger: PeerLedger, update: AccountUpdate) -> None:
-    """Follow the totals of the end that makes the exchange."""
+    """Adopt the totals of the end that makes the exchange."""
     account.level += -update.received_units - ledger.received_units
     ledger.received_share = -update.received_share
     ledger.received_units = -update.received_units
@@ -216,9 +219,9 @@
 def _exchange(
     account: Account, ledger: PeerLedger, own: ExchangeState, update: AccountUpdate
 ) -> tuple[float, float]:
-    """Move share and level towards the proportion of demand; returns the neighbour's afterwards."""
+    """Move share and level towards the proportion of demand; returns the neighbour's new share and level."""
     total_demand = update.demand + own.demand
-    # What the neighbour has not heard of yet is on its way to it.
+    # Moves that the neighbour has not received yet are added to what it reported.
     level = update.level - (ledger.received_units + update.received_units)
     share = update.share - (ledger.received_share + update.received_share) / SHARE_STEPS
     gap = EXCHANGE_STEP * (update.demand * own.share - own.demand * share) / total_demand
@@ -228,7 +231,7 @@
     if account.plan.rate:
         burst = account.plan.burst
         gap = EXCHANGE_STEP * (update.demand * own.level - own.demand * level) / total_demand
-        gap = min(gap, max(0.0, share * burst - level))  # neither bucket may run over
+        gap = min(gap, max(0.0, share * burst - level))  # neither bucket may overflow
         gap = max(gap, -max(0.0, account.base_share() * burst - own.level))
         units = round(LEVEL_STEPS * gap) / LEVEL_STEPS
         ledger.received_units -= units
--- a/tests/decisions/test_quota_exchange.py
+++ b/tests/decisions/test_quota_exchange.py
@@ -1,4 +1,4 @@
-"""Slices move by fill-ratio gap and their sum stays the quota, whatever messages do."""
+"""Quota exchange: shares follow demand, and their sum stays the quota even with lost or repeated messages."""
 
 import random
 
@@ -32,7 +32,7 @@
         a = g.account(7, 0, 2, 2)
         assert a.base_share() == pytest.approx(1 / 2)
         assert a.level == pytest.approx(PLAN.burst / 2)
-    assert sorted(ring.gateways[0].accounts[7].ledgers) == [2]  # the set 2, 0 wraps past the last gateway
+    assert sorted(ring.gateways[0].accounts[7].ledgers) == [2]  # the set (2, 0) wraps around
     assert not ring.gateways[1].accounts[7].is_member
 
 
@@ -82,7 +82,7 @@
         ring.start(me)
     ring.run(2, busy_at(0))
     ring.run(2)
-    ring.start(0)  # counts from 0 again, yet it is the later start
+    ring.start(0)  # wrapped around, yet the later incarnation
     assert ring.gateways[0].incarnation < ring.gateways[1].incarnation
     ring.run(2, busy_at(0))
     assert ring.gateways[1].peer_incarnations[0] == ring.gateways[0].incarnation
@@ -182,11 +182,11 @@
     ring.run(1, lambda me: 0.0 if asked else asked.append(me) or 1.0)
     ring.run(9)
     assert all(7 in g.accounts for g in ring.gateways.values())
-    ring.delay = 100.0  # keeps what is sent in sight; each end's notes kept the other's account alive
+    ring.delay = 100.0  # holds messages in flight; updates of each end used to keep the other's account alive
     ring.run(0.5)
     assert {len(payload) for *_, payload in ring.flight} == {
         peer_messages.EXCHANGE_HEADER.size
-    }  # greetings alone
+    }  # empty messages only
     ring.delay = 0.02
     ring.run(15)
     assert not any(g.accounts or g.active_accounts for g in ring.gateways.values())
@@ -196,13 +196,13 @@
 @pytest.mark.parametrize("who, asks", [(who, asks) for who in range(3) for asks in range(3)])
 def test_an_account_started_anew_at_one_end_keeps_the_sum_and_its_units(busy, who, asks):
     ring = Ring()
-    ring.run(8, busy_at(busy))  # slices and many units have moved
+    ring.run(8, busy_at(busy))  # shares and many units have moved
     ring.run(7)
     ring.gateways[who].accounts.clear()
     ring.gateways[who].active_accounts.clear()
     for _ in range(10):
         ring.run(0.3, lambda me: 0.05 if me == asks else 0.0)
-        for g in ring.gateways.values():  # what was moved before must not be taken from a bucket once more
+        for g in ring.gateways.values():  # units moved before must not be taken from a bucket again
             assert (
                 7 not in g.accounts
                 or g.quota_exchange.state(g.accounts[7]).level
@@ -217,13 +217,13 @@
     g = ring.gateways[1]
     note = peer_messages.AccountUpdate(
         7, 0, 0, 3, 0.6, 1.0, 18.0, 8000, 12.0
-    )  # its bucket is full, by 12 units from here
+    )  # its bucket is full with 12 units received from this gateway
     message = PeerMessage(0, *peer_messages.encode_exchange(5, g.incarnation, 1, [note]))
     tell = pick(g.handle(ring.now, [message]), SendToPeer)[-1]
     (reply,) = peer_messages.decode_exchange(tell.payload, 1, ring.gateways[0].settings).updates
     assert (
         reply.received_units <= -11.0 and reply.received_share < -4000
-    )  # from 0, the other end would lose them
+    )  # if totals restarted from 0, the other end would lose them
 
 
 def test_overtaken_message_changes_nothing():
@@ -251,7 +251,7 @@
 
 
 class Alone:
-    """An exchange without a gateway: accounts are up to date, and nothing is lent."""
+    """A quota exchange without a gateway: accounts need no refill, and nothing is borrowed."""
 
     def __init__(self, gateway_index, plan=PLAN, gateway_count=2):
         self.table = AccountTable(settings(gateway_index, gateway_count, plans=(plan,)))
@@ -274,7 +274,7 @@
     for number in range(1, 20):
         update = low.exchange.update_for(7, low.account, 1, 100.0)
         reply = high.receive(0, number, update)
-        assert low.receive(1, number, reply) is None  # the lower-numbered end follows
+        assert low.receive(1, number, reply) is None  # the end with the lower index adopts the totals
         shares = low.account.base_share(), high.account.base_share()
         assert sum(shares) == pytest.approx(1.0, abs=1e-9)
         assert low.account.level + high.account.level == PLAN.burst
@@ -290,7 +290,7 @@
         update = low.exchange.update_for(7, low.account, 1, 100.0)
         if chance.random() < 0.7:
             reply = high.receive(0, number, update)
-            assert high.receive(0, number, update) is None  # came twice
+            assert high.receive(0, number, update) is None  # duplicate
             if chance.random() < 0.7:
                 low.receive(1, number, reply)
     update = low.exchange.update_for(7, low.account, 1, 100.0)
@@ -320,6 +320,6 @@
     one.exchange.peer_last_heard = {1: 100.0, 2: 100.0}
     own = one.account.base_share()
     assert one.exchange.share_with_loan(one.account, 100.0 + SILENCE_TIMEOUT) == own
-    assert one.exchange.share_with_loan(one.account, 100.1 + SILENCE_TIMEOUT) == own  # cut off from all
+    assert one.exchange.share_with_loan(one.account, 100.1 + SILENCE_TIMEOUT) == own  # cut off from all peers
     one.exchange.peer_last_heard[1] = 101.0
     assert one.exchange.share_with_loan(one.account, 100.1 + SILENCE_TIMEOUT) == own + 0.2
--- a/tests/test_quotas.py
+++ b/tests/test_quotas.py
@@ -1,4 +1,4 @@
-"""The judge of a fleet's quotas: it must see what the decisions do, whoever makes them."""
+"""The quota judge of the experiments: it must detect wrong decisions, independently of the implementation."""
 
 import pytest
 
@@ -16,11 +16,11 @@
 @pytest.mark.parametrize(
     "plan, sent, inside, beyond",
     [
-        (RATE, [(0, 2), (0, 2), (0, 2)], 6, 0),  # the store holds six
-        (RATE, [(0, 4), (0, 4), (0, 2)], 6, 4),  # what is beyond takes nothing from it
-        (RATE, [(0, 6), (1, 2), (1, 1)], 8, 1),  # it fills by two a second
-        (RATE, [(0, 6), (9, 6), (9, 1)], 12, 1),  # and never holds more than at the start
-        (OPEN, [(0, 1), (0, 1), (0, 1)], 2, 1),  # two out at the most
+        (RATE, [(0, 2), (0, 2), (0, 2)], 6, 0),  # the bucket holds six units
+        (RATE, [(0, 4), (0, 4), (0, 2)], 6, 4),  # units beyond the quota take nothing from the bucket
+        (RATE, [(0, 6), (1, 2), (1, 1)], 8, 1),  # it refills by two units/s
+        (RATE, [(0, 6), (9, 6), (9, 1)], 12, 1),  # and never exceeds the burst
+        (OPEN, [(0, 1), (0, 1), (0, 1)], 2, 1),  # at most two in flight
     ],
 )
 def test_what_is_inside_and_beyond_a_quota(plan, sent, inside, beyond):
@@ -40,14 +40,14 @@
 
 def test_the_price_is_that_of_the_worth_offered():
     judge, c = quotas.Judge((RATE,)), customer(store=6.0, ideal=6.0)
-    for _ in range(4):  # one gateway that sees all lets in three of these
+    for _ in range(4):  # an ideal gateway admits three of these
         judge.offer(c, 0.0, 2)
         judge.sent(c, 0.0, 2)
     assert judge.table() == {"inside": 1.0, "over_quota": round(2 * 0.5 / 6, 4), "beyond": [round(2 / 6, 3)]}
 
 
 class LetsAllIn(quotas.Gateway):
-    """Decisions that know no quota."""
+    """Decisions that ignore quotas."""
 
     def __init__(self, *args, **more):
         super().__init__(*args, **more)
@@ -55,7 +55,7 @@
 
 
 class LetsNoneIn(quotas.Gateway):
-    """Decisions that reject all."""
+    """Decisions that reject every request."""
 
     def __init__(self, *args, **more):
         super().__init__(*args, **more)
@@ -81,7 +81,7 @@
 def test_messages_over_a_receivers_intake_are_not_taken():
     free, full = (quotas.World(fleet(loss=0.0, intake=intake), 1) for intake in (1000.0, 2.0))
     assert free.run()["not_taken"] == 0.0 < full.run()["not_taken"]
-    assert max(full.got.values()) > 2.0 * (6 + 1)  # more came to one than it takes in
+    assert max(full.got.values()) > 2.0 * (6 + 1)  # one received more than its intake limit
 
 
 def test_a_gateway_that_is_killed_is_asked_nothing_until_it_is_back():
