--- a/corkdeal/decisions/__init__.py
+++ b/corkdeal/decisions/__init__.py
@@ -1,1 +1,1 @@
-"""The decisions of a gateway: no I/O, no clock, no global state. Events with their time in, actions out."""
+"""The decisions of a gateway: timed events in, actions out, without I/O, clock or global state."""
--- a/corkdeal/decisions/extensions.py
+++ b/corkdeal/decisions/extensions.py
@@ -1,4 +1,4 @@
-"""What the decisions ask of optional subsystems, as Protocols; the subsystems are made by the host."""
+"""Protocols of the optional subsystems that the host may attach to the decisions."""
 
 from __future__ import annotations
 
@@ -8,70 +8,71 @@
 from .accounts import Account, PeerLedger
 from .peer_messages import AccountUpdate
 
-if TYPE_CHECKING:  # at run time only a gateway that restores stored state imports it
+if TYPE_CHECKING:  # at run time it is imported only by a gateway that restores state
     from .persisted_state import StoredAccount
 
 
 class AdmissionRamp(Protocol):
-    """A limit on first attempts in the first seconds after a start or a stall."""
+    """A limit on first attempts during the first seconds after a start or a stall."""
 
     def try_admit(self, now: float, in_flight: int) -> bool:
-        """Whether one more attempt may start while so many are in flight; if so it is counted."""
+        """Whether one more attempt may start beside `in_flight` others; if so it is counted."""
 
     def record_outcome(self, is_success: bool) -> None:
-        """An attempt ended."""
+        """Record the outcome of an attempt."""
 
 
 class QuotaRestoreView(Protocol):
-    """Takes quota shares up from ring neighbours after a start."""
+    """Restores quota shares from ring neighbours after a start."""
 
     def apply_stored(self, account: Account, stored: StoredAccount, has_current_ledgers: bool) -> None:
-        """Take ledgers from a stored record, until a neighbour sends newer ones."""
+        """Adopt the ledgers of a stored record until a neighbour sends newer ones."""
 
     def account_created(self, account: Account) -> None:
-        """An account was just made."""
+        """Notify that an account was created."""
 
     def may_send_updates(self, peer: int) -> bool:
-        """Whether updates may go to a neighbour without wiping out what it holds."""
+        """Whether updates may be sent to a neighbour without overwriting the totals that it holds."""
 
     def record_reply(self, peer: int) -> None:
-        """A neighbour sent a message to this incarnation."""
+        """Record that a neighbour sent a message to this incarnation."""
 
     def apply_update(self, peer: int, update: AccountUpdate) -> None:
-        """Take what a neighbour's update shows of the time before this start."""
+        """Initialize an account's demand from a neighbour's update after a start."""
 
     def ledger_after_peer_restart(self, ledger: PeerLedger) -> PeerLedger:
-        """What is left of a ledger whose other end started anew."""
+        """Return what remains of a ledger after the peer restarted."""
 
     def accounts_to_report(self, peer: int) -> list[tuple[int, Account]]:
-        """The accounts, by customer, whose totals go to a neighbour that started anew."""
+        """Return the (customer, account) pairs whose totals go to a neighbour that restarted."""
 
 
 class MembershipView(Protocol):
-    """Which members of the tier are alive, and how much of an account may be spent here."""
+    """Liveness of the members of the tier, and the quota shares that follow from it."""
 
     def quota_share(self, account: Account) -> float:
-        """The part of an account that may be spent here."""
+        """Return the fraction of an account's quota that may be spent here."""
 
     def is_share_exclusive(self, account: Account) -> bool:
-        """Whether nobody else spends any of this gateway's share of an account."""
+        """Whether no other member may spend this gateway's share of an account."""
 
     def sends_heartbeats(self, member: int) -> bool:
-        """Whether heartbeats come from a member."""
+        """Whether a member sends heartbeats."""
 
     def receive_payload(
         self, payload: bytes, peer: int, is_accepted: Callable[[int, int, int], bool]
     ) -> bool:
-        """Apply a payload if it is a heartbeat that is accepted; False for another kind of message.
+        """Process a heartbeat and apply it if accepted; returns False for other kinds of message.
 
-        `is_accepted` gets the peer, its incarnation and the one of this gateway that it knows, else 0.
+        `is_accepted` receives the peer, the peer's incarnation and the incarnation of this gateway that the
+        peer knows, or 0 if it knows none.
         """
 
     def step(self) -> None:
-        """Do what the time has come for."""
+        """Run periodic work that is due."""
 
     def resume(self, stall_time: float) -> None:
-        """The process was stalled for so many seconds."""
+        """Notify that the process was stalled for `stall_time` seconds."""
 
     def metrics(self) -> dict[str, int]:
-        """Metrics by the names on the log line `figures`."""
+        """Return metrics by their names in the log event `figures`."""
--- a/corkdeal/decisions/gateway.py
+++ b/corkdeal/decisions/gateway.py
@@ -1,8 +1,8 @@
-"""One gateway's decisions: events with their time in, actions out.
+"""The decisions of one gateway: timed events in, actions out.
 
-`Gateway` makes the parts and hands each event to the one that is concerned. A request goes through
-`request_lifecycle`, a peer's message through `peer_protocol`, the endpoint list to `backends`. What follows
-from time alone is done in a scan, for which the gateway keeps one timer.
+`Gateway` creates the components and dispatches each event to one of them: requests to `request_lifecycle`,
+messages of peers to `peer_protocol`, endpoint updates to `backends`. Work that depends on time alone is done
+in a periodic scan, for which the gateway keeps one timer.
 """
 
 from __future__ import annotations
@@ -42,31 +42,31 @@
     from .extensions import AdmissionRamp, MembershipView, QuotaRestoreView
     from .persisted_state import PersistedState
 
-SCAN_TOKEN = 0  # of the scan's timer
+SCAN_TOKEN = 0  # timer token of the scan
 SCAN_INTERVAL = 0.05  # s, with ring neighbours
-LONG_SCAN_INTERVAL = 0.2  # s, without
+LONG_SCAN_INTERVAL = 0.2  # s, without ring neighbours
 
 
 class Gateway:
-    """One gateway's decisions; the host brings the clock and carries out the actions.
+    """The decisions of one gateway; the host supplies the clock and carries out the actions.
 
-    The host may set `quota_restore`, `membership` and `admission_ramp`, which are off as None.
+    The host may set the optional subsystems `quota_restore`, `membership` and `admission_ramp`; None is off.
     """
 
     def __init__(self, settings: Settings, seed: int) -> None:
         self.settings = settings
         self.random = random.Random(seed)
-        self.now = 0.0  # s, of the present events
+        self.now = 0.0  # s, time of the events being handled
         self.actions: list[Action] = []
-        self.last_poll_at = 0.0  # s, when the watch of the endpoint list was last renewed
+        self.last_poll_at = 0.0  # s, when the endpoint list watch was last renewed
         self.is_scan_scheduled = False
         self.has_started = False
-        self.changed_customers: set[int] | None = None  # since the last capture of state, where that is on
+        self.changed_customers: set[int] | None = None  # since the last state capture; None if capture is off
         self.quota_restore: QuotaRestoreView | None = None
         self.membership: MembershipView | None = None
         self.admission_ramp: AdmissionRamp | None = None
-        self.is_endpoint_list_stale = False  # then no attempt starts
-        self.quota_fraction = 1.0  # of this gateway's quota; the rest is another process's of an upgrade
+        self.is_endpoint_list_stale = False  # no attempt starts while set
+        self.quota_fraction = 1.0  # of this gateway's quota; during an upgrade the other process has the rest
         self._make_backend_parts()
         self._make_quota_parts()
         self.requests = RequestLifecycle(
@@ -116,7 +116,7 @@
         )
 
     def handle(self, now: float, events: list[Event]) -> list[Action]:
-        """Take what happened at `now`, in seconds, and return what to do about it."""
+        """Handle the events that occurred at `now`, in seconds, and return the resulting actions."""
         self.now = now
         self.actions = []
         if not self.has_started:
@@ -132,23 +132,23 @@
         return self.actions
 
     def restore(self, state: PersistedState) -> None:
-        """Begin with what an earlier process learned."""
+        """Restore the persisted state of an earlier process."""
         self.state_transfer.restore_fleet(state, self.now, self.quota_restore)
 
     def early_rejection(self, now: float, request: Request) -> float | None:
-        """Seconds after which to come again, where a request can be rejected on its head alone; else None."""
+        """Return a Retry-After in seconds if a request can be rejected by its head alone, else None."""
         self.now = now
         return self.requests.early_rejection(request)
 
     def _start(self) -> None:
-        """Begin an incarnation, unless an earlier one is resumed, and scan for the first time."""
+        """Start an incarnation, unless an earlier one is resumed, and run the first scan."""
         self.has_started = True
         if not self.incarnation or not self.has_resumed():
             self.peers.incarnations.start(self.now)
         self.scan()
 
     def _handle_event(self, event: Event) -> None:
-        """Hand an event to its part; results of actions that are never taken need no handling."""
+        """Dispatch an event; results of actions that the decisions never return are ignored."""
         match event:
             case Request():
                 self.requests.handle_request(event)
@@ -166,7 +166,7 @@
                 self.requests.forget(event.id)
 
     def _handle_timer_expired(self, event: TimerExpired) -> None:
-        """Scan, or answer a request whose deadline has come."""
+        """Run the scan, or finish a request whose deadline timer expired."""
         if event.token != SCAN_TOKEN:
             self.requests.expire(event.token)
             return
@@ -177,7 +177,7 @@
             self.membership.step()
 
     def scan(self) -> None:
-        """Do what is due at intervals: endpoint list, waiting requests, attempts, quota exchange."""
+        """Do the periodic work: endpoint list, waiting requests, attempts, quota exchange."""
         self._poll_endpoint_list()
         self.requests.dispatch_waiting()
         self.requests.check_attempts()
@@ -186,7 +186,7 @@
             self.peers.exchange_quotas()
 
     def _poll_endpoint_list(self) -> None:
-        """Renew the watch where the list is not pushed, which also heals one that is broken."""
+        """Renew the watch if the endpoint list is not pushed, which also replaces a broken watch."""
         if self.settings.is_endpoint_list_pushed:
             return
         if self.now - self.last_poll_at >= self.settings.poll_interval / 4:
@@ -194,7 +194,7 @@
             self.actions.append(WatchEndpoints(True))
 
     def _schedule_scan(self) -> None:
-        """Set the scan's timer, if there is a cause to scan and none is set."""
+        """Set the scan timer if a scan is needed and the timer is not set."""
         if self.is_scan_scheduled:
             return
         delay = self._next_scan_delay()
@@ -203,7 +203,10 @@
             self.actions.append(SetTimer(delay, SCAN_TOKEN))
 
     def _next_scan_delay(self) -> float | None:
-        """Delay of the next scan in s; None without a cause, since of hundreds of gateways most are idle."""
+        """Return the delay of the next scan in s, or None if no scan is needed.
+
+        An idle gateway sets no timer, because in a tier of hundreds of gateways most are idle.
+        """
         if self.ring_neighbours:
             return SCAN_INTERVAL
         if (
@@ -219,15 +222,15 @@
         return None
 
     def _new_backend(self, endpoint: Endpoint) -> BackendRecord:
-        """The record of a backend that is new in the endpoint list, with what was restored of it."""
+        """Return a record for a newly listed backend, with any restored state applied."""
         record = BackendRecord(endpoint, first_seen_at=self.now)
         self.state_transfer.restore_backend(record, self.now)
         return record
 
-    # What the parts and the optional subsystems ask
+    # Used by the components and the optional subsystems.
 
     def account(self, customer: int, plan: int, first_gateway: int, member_count: int) -> Account:
-        """The customer's account; a new one has an even share or what was restored of it."""
+        """Return the customer's account, created if missing with an even share or its restored state."""
         accounts = self.account_table.by_customer
         if customer not in accounts:
             account = self.account_table.create(customer, plan, first_gateway, member_count, self.now)
@@ -239,13 +242,13 @@
         return accounts[customer]
 
     def quota_share(self, account: Account) -> float:
-        """The part of the quota that may be spent here, with a silent predecessor's on loan."""
+        """Return the fraction of the quota that may be spent here, including borrowed shares."""
         if self.membership is not None:
             return self.membership.quota_share(account)
         return self.quota_exchange.share_with_loan(account, self.now)
 
     def refill(self, account: Account) -> float:
-        """Bring bucket, hard limit and demand up to now; returns the quota share."""
+        """Advance bucket, hard limit and demand to the present time; returns the quota share."""
         quota_share = 1.0 if account.is_aggregated else self.quota_share(account)
         share = self.quota_fraction * quota_share
         may_shrink = self.membership is None or self.membership.is_share_exclusive(account)
@@ -253,28 +256,28 @@
         return share
 
     def rate(self, account: Account) -> float:
-        """Units a second that the account may spend."""
+        """Return the rate at which the account may spend, in units/s."""
         return self.admission.rate(account)
 
     def may_start_first_attempt(self) -> bool:
-        """Whether the admission ramp, if there is one, has room; a first attempt is then counted."""
+        """Whether the admission ramp, if any, admits a first attempt, which is then counted."""
         ramp = self.admission_ramp
         return ramp is None or ramp.try_admit(self.now, len(self.requests.attempts_in_flight))
 
     def has_resumed(self) -> bool:
-        """Whether this gateway goes on as an earlier incarnation, with that one's ledgers."""
+        """Whether this gateway resumes an earlier incarnation together with its ledgers."""
         return self.state_transfer.has_resumed(self.quota_restore)
 
     def is_silent(self, peer: int) -> bool:
-        """Whether a peer missed several exchanges."""
+        """Whether nothing was received from a peer for several exchange intervals."""
         return self.quota_exchange.is_silent(peer, self.now)
 
     def is_older(self, incarnation: int) -> bool:
-        """Whether a peer of that incarnation saw what was spent before this gateway's start."""
+        """Whether a peer of that incarnation ran before this gateway started and saw what was spent then."""
         return self.peers.incarnations.is_older(incarnation)
 
     def send_updates(self, peer: int, updates: list[AccountUpdate]) -> None:
-        """Send account updates, or a message without any, to a peer."""
+        """Send account updates to a peer, or an empty message if there are none."""
         self.peers.send_updates(peer, updates)
 
     @property
@@ -284,22 +287,22 @@
 
     @property
     def active_accounts(self) -> dict[int, Account]:
-        """Accounts with ring neighbours that may need an exchange, by customer."""
+        """Accounts that take part in the quota exchange, by customer."""
         return self.account_table.active
 
     @property
     def ring_neighbours(self) -> set[int]:
-        """Neighbours in the rings of all accounts."""
+        """Ring neighbours of all accounts."""
         return self.account_table.ring_neighbours
 
     @property
     def peer_last_heard(self) -> dict[int, float]:
-        """When each peer was last heard, in seconds."""
+        """Time at which the last message of each peer was received, in seconds."""
         return self.quota_exchange.peer_last_heard
 
     @property
     def last_exchange_at(self) -> float:
-        """When ring neighbours were last sent updates, in seconds."""
+        """Time of the last exchange with ring neighbours, in seconds."""
         return self.quota_exchange.last_exchange_at
 
     @last_exchange_at.setter
@@ -313,5 +316,5 @@
 
     @property
     def peer_incarnations(self) -> dict[int, int]:
-        """The incarnation of each peer that is followed, in ms."""
+        """Latest known incarnation of each peer, in ms."""
         return self.peers.incarnations.peers
--- a/corkdeal/decisions/persisted_state.py
+++ b/corkdeal/decisions/persisted_state.py
@@ -1,8 +1,8 @@
-"""What the decisions export for a later start and take back from an earlier one, as plain records.
+"""Plain records of the state that the decisions export and that a later start restores.
 
-Nothing is decided and nothing expires here: `corkdeal.persistence` weighs each record by its age before it
-comes back. Times in a record are seconds of whatever clock the caller uses; in the decisions they are the
-module's. Records are stored as arrays, so the order of their fields is part of the stored form.
+Nothing expires here: `corkdeal.persistence` weighs each record by its age before it is restored. Times in a
+record are in seconds of the caller's clock; inside the decisions that is the clock of the decisions. Records
+are stored as arrays, so the order of their fields is part of the storage format.
 """
 
 from __future__ import annotations
@@ -19,26 +19,26 @@
     """A request class that a backend rejected."""
 
     request_class: str
-    duration: float  # seconds for which no request of the class was sent
-    remaining: float  # seconds of it left when the backend's record was made
+    duration: float  # seconds for which the class avoids the backend
+    remaining: float  # seconds of it left at `StoredBackend.recorded_at`
 
 
 class StoredBackend(NamedTuple):
-    """One backend's record."""
+    """The record of one backend."""
 
     backend: str
-    started: float  # wall time in seconds, 0 for long ago; another start is another backend
+    started: float  # wall time in seconds, 0 for long ago; a restarted backend is a different one
     recorded_at: float
-    slowness: float  # its latency as a multiple of what the fleet takes at like load
-    failures: int  # in a row
+    slowness: float  # its latency as a multiple of the fleet's at the same load
+    failures: int  # failed attempts minus successful ones, at least 0
     is_ejected: bool
-    ejection_time: float  # seconds, of the last ejection
+    ejection_time: float  # seconds, duration of the last ejection
     rejections: tuple[StoredRejection, ...] = ()
-    address: str = ""  # host:port as this gateway reached it; empty where it is unknown
+    address: str = ""  # host:port at which this gateway reached it; empty if unknown
 
 
 class StoredLatency(NamedTuple):
-    """Usual latency of one request class and size."""
+    """The usual latency of one request class and size."""
 
     request_class: str
     size: int
@@ -47,17 +47,17 @@
 
 
 class StoredLedger(NamedTuple):
-    """The ledger between this gateway and one adjacent member of a customer's ring."""
+    """The ledger between this gateway and one ring neighbour."""
 
     peer: int
-    received_share: int  # parts of 1 / peer_messages.SHARE_STEPS, received net
+    received_share: int  # net, in units of 1 / peer_messages.SHARE_STEPS
     received_units: float
     last_round: int
     peer_share: float | None
     peer_level: float
     peer_state_at: float
     has_peer_totals: bool
-    peer_incarnation: int = 0  # with which this ledger was kept
+    peer_incarnation: int = 0  # the peer's incarnation with which the ledger was kept
 
 
 class StoredTreeEdge(NamedTuple):
@@ -68,7 +68,7 @@
     remote_spent: float
     last_totals: tuple[float, float] | None
     sent_asked: float
-    peer_incarnation: int = 0  # from which the last totals came
+    peer_incarnation: int = 0  # the peer's incarnation that sent the last totals
 
 
 class StoredAccount(NamedTuple):
@@ -77,11 +77,11 @@
     plan: str
     first_gateway: int
     member_count: int
-    refilled_at: float  # the time of level, hard limit level and demand
+    refilled_at: float  # time to which level, hard limit level and demand apply
     last_request_at: float
     level: float  # units
     hard_limit_level: float  # units
-    demand: float  # units a second
+    demand: float  # units/s
     in_flight: int  # attempts
     total_asked: float = 0.0  # running totals of an aggregated account
     total_spent: float = 0.0
@@ -90,50 +90,50 @@
 
 
 class StoredFleet(NamedTuple):
-    """What is known of all backends together, and this gateway's place in its tier."""
+    """State common to all backends, and this gateway's identity in its tier."""
 
-    pace: float  # fraction of a class's latency that each request in flight adds
-    slowness: float  # latency of the fleet now as a multiple of its usual one
-    retry_budget: float  # attempts
+    pace: float  # queueing factor: fraction of the usual latency that each request in flight adds
+    slowness: float  # latency of the fleet as a multiple of the usual one
+    retry_budget: float  # tokens
     usual_latencies: tuple[StoredLatency, ...] = ()
     gateway_index: int = 0
     gateway_count: int = 1
-    incarnation: int = 0  # this gateway's start in ms modulo 2**32; 0 for unknown
+    incarnation: int = 0  # ms, modulo 2**32; 0 if unknown
     message_round: int = 0
     peer_incarnations: tuple[tuple[int, int], ...] = ()  # peer and incarnation
-    quota_fraction: float = 1.0  # of this gateway's quota; the rest was another process's
+    quota_fraction: float = 1.0  # of this gateway's quota; the rest belonged to another process
 
 
 class PersistedState(Protocol):
-    """The state of an earlier process, expired to now; each record is given once, in the decisions' clock."""
+    """The state of an earlier process, aged to now; each record is returned once, in the decisions' clock."""
 
-    # whether it comes from that process itself, and not from a store that may hold an older copy
+    # whether it comes directly from that process, not from a snapshot that may be older
     is_exact: bool
 
     def fleet(self, now: float, default_latencies: dict[str, float]) -> StoredFleet:
         """Return the fleet's record.
 
-        `default_latencies` is the latency in seconds of each class of which nothing is known.
+        `default_latencies` gives the latency in seconds of each class without a record.
         """
 
     def may_resume(self) -> bool:
         """Whether the ledgers with peers may be resumed."""
 
     def server(self, endpoint: Endpoint, now: float) -> StoredBackend | None:
-        """Return the record of the backend that this endpoint names."""
+        """Return the record of this endpoint's backend, if there is one."""
 
     def account(
         self, customer: int, plan: Plan, first_gateway: int, member_count: int, now: float
     ) -> StoredAccount | None:
-        """Return the customer's account, with what may have been spent unrecorded taken off its level."""
+        """Return the customer's account, its level reduced by what may have been spent unrecorded."""
 
 
 def export_backend(
     backend: BackendRecord, classes: tuple[RequestClass, ...], now: float, offset: float
 ) -> StoredBackend:
-    """Return a backend's record; `offset` is the caller's clock less the decisions', in seconds."""
+    """Return a backend's record; `offset` is the caller's clock minus the decisions', in seconds."""
     recorded_at = now
-    if backend.last_attempt_at > 0:  # the record loses weight from the last attempt on
+    if backend.last_attempt_at > 0:  # the record's weight decays from the last attempt on
         recorded_at = min(now, backend.last_attempt_at)
     rejections = tuple(
         [
@@ -157,11 +157,11 @@
 def restore_backend(
     backend: BackendRecord, record: StoredBackend, classes: tuple[RequestClass, ...], now: float
 ) -> None:
-    """Give a newly listed backend its record; one that was ejected is due for a trial."""
+    """Apply a stored record to a newly listed backend; if it was ejected, a trial is due."""
     numbers = {request_class.name: number for number, request_class in enumerate(classes)}
     backend.slowness = record.slowness
     backend.failures = record.failures
-    backend.last_attempt_at = now  # the age up to now is in the record's weight
+    backend.last_attempt_at = now  # the record is already weighted by its age
     backend.is_ejected = record.is_ejected
     backend.ejected_until = now
     backend.ejection_time = record.ejection_time
@@ -173,7 +173,7 @@
 
 
 def export_account(account: Account, offset: float, incarnations: dict[int, int]) -> StoredAccount:
-    """Return an account's record, its level that of `refilled_at`; `incarnations` are the peers'."""
+    """Return an account's record, its level as of `refilled_at`; `incarnations` are the peers'."""
     ledgers = [
         _export_ledger(peer, ledger, offset, incarnations.get(peer, 0))
         for peer, ledger in account.ledgers.items()
@@ -221,17 +221,17 @@
 def restore_account(
     account: Account, record: StoredAccount, may_resume: bool, incarnations: dict[int, int]
 ) -> None:
-    """Give a newly met account its record; ledgers only where both ends resume them.
+    """Apply a stored record to a new account, with its ledgers only if `may_resume`.
 
-    A peer whose incarnation is not the one in `incarnations` started again, so the ledger begins anew too.
-    Attempts in flight ended with their process, so there are none.
+    A peer whose incarnation differs from the one in `incarnations` has restarted, so the ledger with it
+    starts empty. Attempts in flight ended with their process and are not restored.
     """
     account.refilled_at = record.refilled_at
     account.last_request_at = record.last_request_at
     account.level = record.level
     account.hard_limit_level = record.hard_limit_level
     account.demand = record.demand
-    account.has_peer_level = True  # the level is its own; no neighbour has to send it
+    account.has_peer_level = True  # the level is restored, not adopted from a neighbour
     if not may_resume:
         return
     for ledger in record.ledgers:
--- a/corkdeal/decisions/state_transfer.py
+++ b/corkdeal/decisions/state_transfer.py
@@ -1,6 +1,6 @@
-"""State that is handed from an earlier process to this gateway, and from this gateway to a later one.
+"""Transfer of state from an earlier process to this gateway, and from this gateway to a later process.
 
-`persisted_state` has the records. It is imported only where a gateway restores or exports state.
+`persisted_state` defines the records; it is imported only if a gateway restores or exports state.
 """
 
 from __future__ import annotations
@@ -20,7 +20,7 @@
 
 
 class StateTransfer:
-    """Restores and exports what one gateway's decisions learned."""
+    """Restores and exports the state of one gateway's decisions."""
 
     def __init__(
         self, settings: Settings, latency_model: LatencyModel, retries: Retries, peers: PeerProtocol
@@ -29,12 +29,12 @@
         self.latency_model = latency_model
         self.retries = retries
         self.peers = peers
-        self.restored: PersistedState | None = None  # of an earlier process
+        self.restored: PersistedState | None = None  # state of an earlier process
 
     def restore_fleet(
         self, state: PersistedState, now: float, quota_restore: QuotaRestoreView | None
     ) -> None:
-        """Begin with an earlier process's state; backends and accounts get their records when first seen."""
+        """Restore an earlier process's state; backends and accounts get their records when first seen."""
         self.restored = state
         fleet = state.fleet(now, {c.name: initial_latency(c) for c in self.settings.classes})
         class_indices = {c.name: index for index, c in enumerate(self.settings.classes)}
@@ -48,16 +48,17 @@
         self.retries.budget = max(0.0, min(MAX_RETRY_BUDGET, fleet.retry_budget))
 
     def has_resumed(self, quota_restore: QuotaRestoreView | None) -> bool:
-        """Whether this gateway goes on as an earlier incarnation, with that one's ledgers.
+        """Whether this gateway resumes an earlier incarnation together with its ledgers.
 
-        A snapshot may be out of date, so where neighbours are asked for totals it is not resumed from one.
+        A snapshot may be outdated, so no incarnation is resumed from one if `quota_restore` gets the totals
+        from the neighbours.
         """
         if self.restored is None or not self.restored.may_resume():
             return False
         return quota_restore is None or self.restored.is_exact
 
     def restore_backend(self, record: BackendRecord, now: float) -> None:
-        """Give a new backend's record what the earlier process knew of it."""
+        """Apply the earlier process's record of a backend, if any, to a new record."""
         if self.restored is None:
             return
         stored = self.restored.server(record.endpoint, now)
@@ -69,7 +70,7 @@
     def restore_account(
         self, customer: int, account: Account, now: float, quota_restore: QuotaRestoreView | None
     ) -> None:
-        """Give a new account what the earlier process knew of it."""
+        """Apply the earlier process's record of an account, if any, to a new account."""
         if self.restored is None:
             return
         stored = self.restored.account(
@@ -85,7 +86,7 @@
             quota_restore.apply_stored(account, stored, self.restored.may_resume())
 
     def export_fleet(self, quota_fraction: float) -> StoredFleet:
-        """What is known of the fleet and of the peers' incarnations, for a later process."""
+        """Return the state of the fleet and of the peers' incarnations for a later process."""
         from . import persisted_state
 
         latencies = [
@@ -106,7 +107,7 @@
         )
 
     def _restore_incarnation(self, fleet: StoredFleet, quota_restore: QuotaRestoreView | None) -> None:
-        """Resume the earlier incarnation or, where it is over, begin a later one."""
+        """Resume the earlier incarnation or, if it has ended, choose a later one."""
         incarnations = self.peers.incarnations
         if self.has_resumed(quota_restore):
             self.peers.message_round = fleet.message_round
--- a/tests/decisions/test_defences.py
+++ b/tests/decisions/test_defences.py
@@ -1,4 +1,4 @@
-"""One small test for each kind of symptom the module answers."""
+"""How the decisions handle failing, slow and overloaded backends and exhausted quotas, one test per case."""
 
 import pytest
 
@@ -28,7 +28,10 @@
 
 
 def drive(g, count, behave, now=101.0, step=0.05, cls=0):
-    """Ask again and again; `behave(server)` gives status or None for no answer. Returns sends by server."""
+    """Send `count` requests; `behave(backend)` is the status of an attempt or None for no answer.
+
+    Returns the number of attempts by backend, and the time after the last one.
+    """
     seen = {}
     for _ in range(count):
         now += step
@@ -80,7 +83,7 @@
     cls = RequestClass(latency_objective=1.5, deadline=4.0, effect=effect, deduplication_window=10.0)
     g = started("a", classes=(cls,))
     g.handle(101.0, [request(1, timeout=4.0)])
-    for i in range(20):  # the server answers others all the while
+    for i in range(20):  # meanwhile the backend answers other requests
         g.handle(101.0 + i * 0.05, [request(10 + i, timeout=4.0)])
         g.handle(101.02 + i * 0.05, [outcome(10 + i, 0, "a", elapsed=0.02)])
     actions = g.handle(102.2, [TimerExpired(0)])
@@ -207,7 +210,7 @@
     g = started("a", may_message_peers=False, gateways=2)
     assert not pick(g.handle(101.0, [request(1, spread=2), TimerExpired(0)]), SendToPeer)
     g.handle(105.0, [TimerExpired(0)])
-    assert g.quota_share(g.accounts[7]) == pytest.approx(1 / 2)  # silence means nothing here: no loan
+    assert g.quota_share(g.accounts[7]) == pytest.approx(1 / 2)  # no messages, so silence is no failure
 
 
 def test_capped_plan_advises_about_a_service_time():
@@ -219,7 +222,7 @@
 
 @pytest.mark.parametrize("turn", [1, -1])
 def test_the_order_of_the_classes_changes_no_guess(turn):
-    """What is taken for usual before anything is known: the settings may name classes in any order."""
+    """The latency assumed before any answer must not depend on the order of classes in the settings."""
     quick, slow = (
         RequestClass(latency_objective=0.8, deadline=1.6),
         RequestClass(latency_objective=3.5, deadline=9.0),
@@ -230,7 +233,7 @@
 
 
 def test_pressed_servers_are_left_to_those_inside_their_quota_first():
-    """Between idle and overloaded, what is beyond a quota is refused though it would be worth something."""
+    """At medium load, requests beyond the quota are rejected although they have some value."""
     plan = Plan(rate=100.0, burst=100.0, over_quota_weight=0.3)
     sent = {}
     for elapsed in (0.1, 0.3, 0.6):
--- a/tests/decisions/test_gateway.py
+++ b/tests/decisions/test_gateway.py
@@ -1,4 +1,4 @@
-"""The five rules, one guard each."""
+"""Guards of the rules: final replies, no unsafe repeats, attempts, drained and cold backends, hard limits."""
 
 import pytest
 
@@ -128,7 +128,7 @@
         for send in pick(g.handle(now, [request(i), TimerExpired(0)]), StartAttempt):
             sent += 1
             g.handle(now, [outcome(send.id, 0, send.backend, elapsed=usual)])
-    budget = 2.0 * (0.2 + 0.8 * 0.2) * 2.0 / 3  # multiple x share of one core by then x span / gateways
+    budget = 2.0 * (0.2 + 0.8 * 0.2) * 2.0 / 3  # multiple x warmth of one core at 2 s x 2 s / gateways
     assert 0 < sent * usual <= budget + usual
 
 
--- a/tests/decisions/test_state_transfer.py
+++ b/tests/decisions/test_state_transfer.py
@@ -1,4 +1,4 @@
-"""State handed from one process to the next, by itself."""
+"""Unit tests of the transfer of state from one process to the next."""
 
 from types import SimpleNamespace
 
@@ -29,7 +29,7 @@
 
 
 class FakeState:
-    """The state of an earlier process, with one backend."""
+    """Persisted state of an earlier process, with one backend."""
 
     def __init__(self, fleet=FLEET, may_resume=True, is_exact=True):
         self.stored_fleet = fleet
@@ -65,7 +65,7 @@
     [
         (True, True, True, True),
         (True, False, False, True),
-        (True, False, True, False),  # a snapshot may be out of date, and neighbours have the totals
+        (True, False, True, False),  # a snapshot may be outdated, and the neighbours have the totals
         (False, True, False, False),
     ],
 )
