--- a/corkdeal/simulator/__init__.py
+++ b/corkdeal/simulator/__init__.py
@@ -1,1 +1,1 @@
-"""The simulator's protocol and the adapter that hosts the decisions on standard input and output."""
+"""The simulator's protocol, and the adapter that runs the decisions over standard input and output."""
--- a/corkdeal/simulator/__main__.py
+++ b/corkdeal/simulator/__main__.py
@@ -1,4 +1,4 @@
-"""`python -m corkdeal.simulator` runs the adapter on standard input and output."""
+"""Runs the adapter on standard input and output: `python -m corkdeal.simulator`."""
 
 import sys
 
--- a/corkdeal/simulator/adapter.py
+++ b/corkdeal/simulator/adapter.py
@@ -1,4 +1,4 @@
-"""Hosts gateways of the simulator: batches on standard input, replies on standard output."""
+"""Hosts the simulator's gateways: reads batches from standard input, writes replies to standard output."""
 
 from __future__ import annotations
 
@@ -17,14 +17,14 @@
 
 
 class GatewayHost:
-    """The gateways of this process, by number; they share nothing."""
+    """The gateways of this process by number; they share no state."""
 
     def __init__(self) -> None:
         self._gateways: dict[int, Gateway] = {}
         self._report_fields: dict[int, ReportFields] = {}
 
     def reply(self, frame: bytes) -> bytes:
-        """Answer one batch, given without its length; the reply has its own before it."""
+        """Process one batch, given without its length prefix; the reply includes one."""
         batch = decode_batch(frame, self._report_fields)
         records: list[bytes] = []
         for number, events in self._events_by_gateway(batch).items():
@@ -32,7 +32,7 @@
         return encode_reply(records)
 
     def _events_by_gateway(self, batch: Batch) -> dict[int, list[Event]]:
-        """Start and kill gateways, and sort the other events by gateway."""
+        """Start and kill gateways, and group the other events by gateway."""
         pending: dict[int, list[Event]] = {}
         for entry in batch.events:
             number, event = entry.gateway, entry.event
@@ -43,17 +43,17 @@
                 self._gateways.pop(number, None)
                 pending.pop(number, None)
             elif number not in self._gateways:
-                raise ProtocolError(f"event for gateway {number}, which never started")
+                raise ProtocolError(f"event for gateway {number}, which was never started")
             else:
                 pending.setdefault(number, []).append(event)
         return pending
 
     def _handle(self, number: int, time: float, events: list[Event]) -> list[bytes]:
-        """Records of a gateway's actions, or the one that reports an exception."""
+        """Return the records of a gateway's actions, or a single record that reports an exception."""
         try:
             actions = self._gateways[number].handle(time, events)
             return [encode_action(action, number) for action in actions]
-        except Exception as error:  # the simulator reports the text; the other gateways go on
+        except Exception as error:  # reported to the simulator; the other gateways continue
             return [encode_decision_error(number, f"{type(error).__name__}: {error}")]
 
 
@@ -70,23 +70,23 @@
 
 
 def read_frame(source: BinaryIO) -> bytes | None:
-    """Read the next frame without its length; None at the end of the input."""
+    """Read the next frame without its length prefix; None at the end of the input."""
     length = read_exactly(source, U32.size)
     if not length:
         return None
     if len(length) < U32.size:
-        raise ProtocolError(f"frame length cut short after {len(length)} bytes")
+        raise ProtocolError(f"frame length truncated after {len(length)} bytes")
     (size,) = U32.unpack(length)
     if size > MAX_FRAME_BYTES:
-        raise ProtocolError(f"frame length {size} is beyond {MAX_FRAME_BYTES}")
+        raise ProtocolError(f"frame length {size} exceeds the maximum of {MAX_FRAME_BYTES}")
     frame = read_exactly(source, size)
     if len(frame) < size:
-        raise ProtocolError(f"frame cut short: {len(frame)} of {size} bytes")
+        raise ProtocolError(f"frame truncated: got {len(frame)} of {size} bytes")
     return frame
 
 
 def serve(source: BinaryIO, sink: BinaryIO) -> None:
-    """Answer batches until the input ends."""
+    """Process batches until the input ends."""
     host = GatewayHost()
     frame = read_frame(source)
     while frame is not None:
@@ -96,7 +96,7 @@
 
 
 def main() -> int:
-    """Run until the input ends and return the exit code; malformed input ends the run with one line."""
+    """Run until the input ends and return the exit code; malformed input is reported in one line."""
     try:
         serve(sys.stdin.buffer, sys.stdout.buffer)
     except (ProtocolError, SettingsError) as error:
--- a/corkdeal/simulator/decoding.py
+++ b/corkdeal/simulator/decoding.py
@@ -1,4 +1,4 @@
-"""Decodes the simulator's batches into typed events."""
+"""Decoder of the simulator's batches into typed events."""
 
 from __future__ import annotations
 
@@ -28,12 +28,12 @@
 from .protocol import MICROSECONDS_PER_SECOND, EventCode, ProtocolError
 
 Value = TypeVar("Value")
-ReportFields = tuple[str, ...]  # names of a load report's columns, in order
+ReportFields = tuple[str, ...]  # column names of load reports, in order
 
 
 @dataclass(slots=True, frozen=True)
 class GatewayStarted:
-    """A gateway started, with its settings and the seed of its random numbers."""
+    """A gateway started, with its settings and its random seed."""
 
     settings: Settings
     seed: int
@@ -41,7 +41,7 @@
 
 @dataclass(slots=True, frozen=True)
 class GatewayKilled:
-    """A gateway was killed; nothing of it is left."""
+    """A gateway was killed and lost its state."""
 
 
 SimulatorEvent = Event | GatewayStarted | GatewayKilled
@@ -49,7 +49,7 @@
 
 @dataclass(slots=True, frozen=True)
 class GatewayEvent:
-    """One event and the number of the gateway to which it happened."""
+    """An event and the number of its gateway."""
 
     gateway: int
     event: SimulatorEvent
@@ -57,22 +57,22 @@
 
 @dataclass(slots=True, frozen=True)
 class Batch:
-    """The events of one moment, in order; `time` is the simulator's clock in seconds."""
+    """The events at one time, in order; `time` is the simulator's clock in seconds."""
 
     time: float
     events: tuple[GatewayEvent, ...]
 
 
 def decode_batch(frame: bytes, report_fields: MutableMapping[int, ReportFields]) -> Batch:
-    """Decode a frame's body.
+    """Decode the body of a frame.
 
-    `report_fields` has the load report's columns of each gateway; the start of a gateway sets its own.
+    `report_fields` holds the load report columns of each gateway; a gateway's start event sets its entry.
     """
     reader = FrameReader(frame)
     clock, count = reader.unpack(protocol.BATCH_HEADER, "batch header")
     events = tuple(_decode_record(reader, report_fields) for _ in range(count))
     if reader.remaining:
-        raise ProtocolError(f"{reader.remaining} bytes left over at byte {reader.position}")
+        raise ProtocolError(f"{reader.remaining} trailing bytes at byte {reader.position}")
     return Batch(clock / MICROSECONDS_PER_SECOND, events)
 
 
@@ -99,7 +99,7 @@
 
 def _decode_load_report(reader: FrameReader, count: int, fields: ReportFields) -> dict[str, float]:
     values = reader.unpack(struct.Struct(f"<{count}f"), "load report")
-    # A gateway that never started has no names, and a column that the backend leaves out is not finite.
+    # A gateway that was never started has no column names; a column that the backend omits is not finite.
     return {name: value for name, value in zip(fields, values, strict=False) if math.isfinite(value)}
 
 
@@ -109,7 +109,7 @@
     try:
         text = raw.decode()
     except UnicodeDecodeError as error:
-        raise ProtocolError(f"profile_data is not text before byte {reader.position}") from error
+        raise ProtocolError(f"profile_data is not UTF-8 before byte {reader.position}") from error
     return GatewayStarted(parse_settings_text(text), seed)
 
 
@@ -133,7 +133,7 @@
     fields = reader.unpack(protocol.REQUEST, "JobIn")
     request_id, units, first_gateway, member_count, flags, plan, request_class, timeout, customer = fields
     if not all(math.isfinite(value) and value >= 0 for value in (units, first_gateway, member_count)):
-        raise ProtocolError(f"JobIn makes no sense before byte {reader.position}")
+        raise ProtocolError(f"JobIn has an invalid number before byte {reader.position}")
     return Request(
         id=request_id,
         customer=customer,
--- a/corkdeal/simulator/encoding.py
+++ b/corkdeal/simulator/encoding.py
@@ -1,4 +1,4 @@
-"""Encodes actions as the records of a reply."""
+"""Encoder of actions as the records of a reply."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 from . import protocol
 from .protocol import MICROSECONDS_PER_SECOND, U16, U32, ActionCode
 
-ROUNDING_SLACK = 1e-3  # microseconds; what floating point adds to a whole number is not rounded up
+ROUNDING_SLACK = 1e-3  # microseconds; floating-point error above a whole number is not rounded up
 
 
 def _microseconds(seconds: float) -> int:
@@ -95,11 +95,11 @@
 
 
 def encode_decision_error(gateway: int, text: str) -> bytes:
-    """Encode the record of an exception in a gateway's decisions."""
+    """Encode a record that reports an exception in a gateway's decisions."""
     return struct.pack("<BI", ActionCode.DECISION_ERROR, gateway) + _text(text)
 
 
 def encode_reply(records: Sequence[bytes]) -> bytes:
-    """Frame the records of one reply."""
+    """Encode a reply frame from its records."""
     body = U32.pack(len(records)) + b"".join(records)
     return U32.pack(len(body)) + body
--- a/corkdeal/simulator/frame_reader.py
+++ b/corkdeal/simulator/frame_reader.py
@@ -1,4 +1,4 @@
-"""Reads packed fields off a frame, in order."""
+"""Sequential reader of the packed fields of a frame."""
 
 from __future__ import annotations
 
@@ -9,26 +9,26 @@
 
 
 class FrameReader:
-    """A position in a frame; a field that does not fit in the rest is a `ProtocolError` with its place."""
+    """Reads a frame from its start; a field beyond its end raises `ProtocolError` with the position."""
 
     def __init__(self, frame: bytes) -> None:
         self._frame = frame
-        self.position = 0  # bytes read
+        self.position = 0  # bytes read so far
 
     @property
     def remaining(self) -> int:
-        """Bytes not yet read."""
+        """Number of bytes not read yet."""
         return len(self._frame) - self.position
 
     def unpack(self, layout: struct.Struct, what: str) -> tuple[Any, ...]:
-        """Read the fields of one layout; `what` names it in an error."""
+        """Read the fields of one layout; `what` names it in error messages."""
         return layout.unpack(self.read_bytes(layout.size, what))
 
     def read_bytes(self, count: int, what: str) -> bytes:
-        """Read `count` raw bytes; `what` names them in an error."""
+        """Read `count` raw bytes; `what` names them in error messages."""
         start = self.position
         end = start + count
         if end > len(self._frame):
-            raise ProtocolError(f"{what} cut short at byte {start} of {len(self._frame)}")
+            raise ProtocolError(f"{what} truncated at byte {start} of {len(self._frame)}")
         self.position = end
         return self._frame[start:end]
--- a/corkdeal/simulator/protocol.py
+++ b/corkdeal/simulator/protocol.py
@@ -1,8 +1,8 @@
-"""The simulator's protocol: codes, layouts and units. All numbers are little-endian, times are microseconds.
+"""The simulator's protocol: codes, layouts and units. All numbers are little-endian, times in microseconds.
 
-A frame is its body's length (`U32`) and its body. A batch's body is `BATCH_HEADER` and records, each an
-event's code (`U8`), a gateway (`U32`) and the event's layout below; a reply's body is the number of its
-records (`U32`) and the records, each with the code and the gateway of an action before its fields.
+A frame is a body prefixed by its length (`U32`). The body of a batch is `BATCH_HEADER` followed by records,
+each an event code (`U8`), a gateway number (`U32`) and the event's layout below. The body of a reply is the
+number of records (`U32`) followed by records, each an action code, a gateway number and the action's fields.
 """
 
 from __future__ import annotations
@@ -17,7 +17,7 @@
 MAX_U32 = 0xFFFFFFFF
 ALL_PEERS = 0xFFFFFFFF
 MAX_TEXT_BYTES = 2000
-MAX_FRAME_BYTES = 1 << 30  # a longer announcement is taken for a broken frame
+MAX_FRAME_BYTES = 1 << 30  # a larger length prefix is treated as a malformed frame
 
 U8 = struct.Struct("<B")
 U16 = struct.Struct("<H")
@@ -42,11 +42,11 @@
 
 
 class ProtocolError(CorkdealError):
-    """A frame that does not follow the protocol; the text has what is wrong and where."""
+    """A frame violates the protocol; the message says what is wrong and where."""
 
 
 class EventCode(IntEnum):
-    """First byte of each event's record."""
+    """First byte of each record of a batch."""
 
     GATEWAY_STARTED = 0
     ENDPOINT_UPDATE = 1
--- a/tests/simulator/test_adapter.py
+++ b/tests/simulator/test_adapter.py
@@ -1,4 +1,4 @@
-"""Frames in and out, and what malformed ones get."""
+"""The adapter: replies to batches, and malformed input."""
 
 import io
 import pathlib
@@ -82,10 +82,10 @@
 @pytest.mark.parametrize(
     "data, word",
     [
-        (batch(attach(), members(), job())[:-3], "cut short"),
+        (batch(attach(), members(), job())[:-3], "truncated"),
         (batch(b"\x63\x00\x00\x00\x00"), "unknown event code 99"),
         (batch(job()), "never started"),
-        (b"\x01\x00", "cut short"),
+        (b"\x01\x00", "truncated"),
         (batch(attach(TEXT.replace("balancers=2\n", ""))), "balancers"),
         (batch(attach(TEXT.replace("aim_us=1000000", "aim_us=soon"))), "classes.0.aim_us"),
         (batch(attach(TEXT.replace("semantics=pure", "semantics=odd"))), "classes.0.semantics"),
--- a/tests/simulator/test_decoding.py
+++ b/tests/simulator/test_decoding.py
@@ -1,4 +1,4 @@
-"""The decoding of batches alone: one record of each event, and each error's text and place."""
+"""Unit tests of decoding: one record of each event, and the message and position of each error."""
 
 import math
 import struct
@@ -94,29 +94,29 @@
 
 def test_each_event_code_has_a_decoder():
     for code in EventCode:
-        with pytest.raises(ProtocolError, match="cut short"):
+        with pytest.raises(ProtocolError, match="truncated"):
             decode_batch(batch(record(code, "<"))[:-1], {})
 
 
 @pytest.mark.parametrize(
     "frame, text",
     [
-        (b"\x00" * 4, "batch header cut short at byte 0 of 4"),
-        (batch() + b"xy", "2 bytes left over at byte 12"),
+        (b"\x00" * 4, "batch header truncated at byte 0 of 4"),
+        (batch() + b"xy", "2 trailing bytes at byte 12"),
         (batch(record(99, "<")), "unknown event code 99 at byte 12"),
-        (batch(record(2, "<Q", 1)), "JobIn cut short at byte 17 of 25"),
-        (batch(record(*REQUEST[:3], -1.0, *REQUEST[4:])), "JobIn makes no sense before byte 55"),
-        (batch(record(*REQUEST[:3], math.nan, *REQUEST[4:])), "JobIn makes no sense before byte 55"),
-        (batch(UPDATE), "Membership entry cut short at byte 26 of 26"),
+        (batch(record(2, "<Q", 1)), "JobIn truncated at byte 17 of 25"),
+        (batch(record(*REQUEST[:3], -1.0, *REQUEST[4:])), "JobIn has an invalid number before byte 55"),
+        (batch(record(*REQUEST[:3], math.nan, *REQUEST[4:])), "JobIn has an invalid number before byte 55"),
+        (batch(UPDATE), "Membership entry truncated at byte 26 of 26"),
         (batch(record(1, "<BII", 7, 12, 0)), "unknown list form 7 before byte 26"),
         (
             batch(UPDATE + struct.pack("<QHfBBH6s", 0, 0, 1.0, 0, 3, 0, BACKEND)),
             "unknown condition 3 before byte 50",
         ),
         (batch(record(7, "<6sBIB", BACKEND, 77, 0, 0)), "unknown outcome 77 before byte 29"),
-        (batch(record(7, "<6sBIB", BACKEND, 0, 0, 2)), "load report cut short at byte 29 of 29"),
-        (batch(record(8, "<IH", 1, 5)), "Datagram content cut short at byte 23 of 23"),
-        (batch(record(0, "<QI2s", 1, 2, b"\xff\xff")), "profile_data is not text before byte 31"),
+        (batch(record(7, "<6sBIB", BACKEND, 0, 0, 2)), "load report truncated at byte 29 of 29"),
+        (batch(record(8, "<IH", 1, 5)), "Datagram content truncated at byte 23 of 23"),
+        (batch(record(0, "<QI2s", 1, 2, b"\xff\xff")), "profile_data is not UTF-8 before byte 31"),
     ],
 )
 def test_what_breaks_the_protocol_is_named_with_its_place(frame, text):
--- a/tests/simulator/test_encoding.py
+++ b/tests/simulator/test_encoding.py
@@ -1,4 +1,4 @@
-"""The encoding of replies alone: one record of each action, byte for byte."""
+"""Unit tests of encoding: the exact bytes of one record of each action."""
 
 import struct
 import typing
--- a/tests/simulator/test_frame_reader.py
+++ b/tests/simulator/test_frame_reader.py
@@ -1,4 +1,4 @@
-"""The frame reader alone: order of fields, and the place of what is cut short."""
+"""Unit tests of the frame reader: order of fields, and the position of truncated ones."""
 
 import struct
 
@@ -21,13 +21,13 @@
 def test_a_field_cut_short_is_named_with_its_place():
     reader = FrameReader(b"\x01\x00\x02")
     reader.unpack(U16, "first")
-    with pytest.raises(ProtocolError, match=r"^second cut short at byte 2 of 3$"):
+    with pytest.raises(ProtocolError, match=r"^second truncated at byte 2 of 3$"):
         reader.unpack(U32, "second")
 
 
 def test_bytes_cut_short_are_named_with_their_place_and_not_read():
     reader = FrameReader(b"abc")
-    with pytest.raises(ProtocolError, match=r"^text cut short at byte 0 of 3$"):
+    with pytest.raises(ProtocolError, match=r"^text truncated at byte 0 of 3$"):
         reader.read_bytes(4, "text")
     assert reader.position == 0
 
