--- a/corkdeal/decisions/aggregation_tree.py
+++ b/corkdeal/decisions/aggregation_tree.py
@@ -45,9 +45,9 @@
 
     def __init__(self, gateway_count: int, message_rate: float) -> None:
         """`message_rate` is what a gateway may receive, in messages/s; 0 for DEFAULT_MESSAGE_RATE."""
-        received = message_rate or DEFAULT_MESSAGE_RATE
-        self.push_interval = ROOTS / (PUSH_FRACTION * received)  # s
-        self.report_interval = aggregator_count(gateway_count) / (REPORT_FRACTION * received)  # s
+        effective_rate = message_rate or DEFAULT_MESSAGE_RATE
+        self.push_interval = ROOTS / (PUSH_FRACTION * effective_rate)  # s
+        self.report_interval = aggregator_count(gateway_count) / (REPORT_FRACTION * effective_rate)  # s
         self.reported_at: dict[int, float] = {}  # by root
         self.pushed_at = -math.inf
         self.pending: dict[int, Account] = {}  # by customer, accounts with unsent totals
@@ -78,27 +78,27 @@
         self.pending = {}
         due: dict[int, list[TreeTotals]] = {}
         reported_to: set[int] = set()
-        is_pushed = False
+        has_pushed = False
         for customer, account in pending.items():
             quotas.refill(account)
             for peer, edge in account.tree_edges.items():
-                earliest = self._earliest(now, quotas, account, peer, edge)
+                earliest = self._earliest_send_time(now, quotas, account, peer, edge)
                 if earliest is None:
                     continue
                 if earliest > now:
                     self.defer(customer, earliest)
                     continue
-                due.setdefault(peer, []).append(_send_totals(now, customer, account, edge))
+                due.setdefault(peer, []).append(_record_sent_totals(now, customer, account, edge))
                 if peer == account.parent:
                     reported_to.add(peer)
-                is_pushed = is_pushed or account.parent is None
+                has_pushed = has_pushed or account.parent is None
             account.has_parent_update = False
         self.reported_at.update(dict.fromkeys(reported_to, now))
-        if is_pushed:
+        if has_pushed:
             self.pushed_at = now
         return due
 
-    def _earliest(
+    def _earliest_send_time(
         self, now: float, quotas: QuotaRates, account: Account, peer: int, edge: TreeEdge
     ) -> float | None:
         """Return the earliest time at which totals may go to a peer; None if there is nothing to send."""
@@ -116,7 +116,7 @@
         return self.pushed_at + self.push_interval if is_near_end and unsent >= step else None
 
 
-def _send_totals(now: float, customer: int, account: Account, edge: TreeEdge) -> TreeTotals:
+def _record_sent_totals(now: float, customer: int, account: Account, edge: TreeEdge) -> TreeTotals:
     """Return an account's running totals on the near side of an edge, and record them as sent."""
     edge.sent_asked = account.total_asked - edge.remote_asked
     edge.last_sent_at = now
--- a/corkdeal/decisions/tree_routes.py
+++ b/corkdeal/decisions/tree_routes.py
@@ -63,15 +63,15 @@
     position = layout.position(gateway_index)
     if position == 0:
         aggregators = range(1, layout.size, layout.block_length)
-        return TreeRoutes(None, [layout.gateway_at(place) for place in aggregators])
-    place_in_block = (position - 1) % layout.block_length
-    if place_in_block:
-        aggregator = layout.gateway_at(position - place_in_block)
+        return TreeRoutes(None, [layout.gateway_at(start) for start in aggregators])
+    offset_in_block = (position - 1) % layout.block_length
+    if offset_in_block:
+        aggregator = layout.gateway_at(position - offset_in_block)
         return TreeRoutes(aggregator, [aggregator]) if is_member(gateway_index) else TreeRoutes(None, [])
     block = range(position + 1, min(layout.size, position + layout.block_length))
-    below = [gateway for gateway in map(layout.gateway_at, block) if is_member(gateway)]
+    block_members = [gateway for gateway in map(layout.gateway_at, block) if is_member(gateway)]
     root = layout.gateway_at(0)
-    return TreeRoutes(root, [*below, root])
+    return TreeRoutes(root, [*block_members, root])
 
 
 def _layout(customer: int, first_gateway: int, member_count: int, gateway_count: int) -> _TreeLayout:
@@ -84,6 +84,6 @@
     else:
         start, size = first_gateway, member_count
     block_length = math.ceil((size - 1) / aggregator_count(size))
-    number = customer % ROOTS
-    rotation = (number * size // ROOTS // block_length * block_length + 2 * number) % size
+    layout_index = customer % ROOTS
+    rotation = (layout_index * size // ROOTS // block_length * block_length + 2 * layout_index) % size
     return _TreeLayout(start, size, gateway_count, block_length, rotation)
