--- a/corkdeal/decisions/backend_selection.py
+++ b/corkdeal/decisions/backend_selection.py
@@ -53,7 +53,7 @@
         ]
         while True:
             candidates = self.candidates(request, usable, now)
-            if self.backends.has_others() and all(
+            if self.backends.has_non_preferred() and all(
                 backend.failures or backend in request.tried_backends for backend in candidates
             ):
                 candidates = self.candidates(request, self.warm_backends(now), now) or candidates
--- a/corkdeal/decisions/backends.py
+++ b/corkdeal/decisions/backends.py
@@ -15,7 +15,7 @@
 from .events import Endpoint, EndpointState, EndpointUpdate, UpdateKind
 
 SUBSET_SIZE = 10  # backends that each gateway of a large tier prefers
-RECORD_FADE_TIME = 5.0  # s without an attempt until the weight of a record decays to 1 / e
+RECORD_DECAY_TIME = 5.0  # s without an attempt until the weight of a record decays to 1 / e
 LOAD_REPORT_LIFETIME = 2.0  # s until the weight of a load report reaches 0
 
 
@@ -74,7 +74,7 @@
 
         The decay ensures that a backend with a bad record is tried again.
         """
-        return math.exp((self.last_attempt_at - now) / RECORD_FADE_TIME)
+        return math.exp((self.last_attempt_at - now) / RECORD_DECAY_TIME)
 
 
 class Backends:
@@ -110,6 +110,6 @@
         first = self.gateway_index * SUBSET_SIZE
         return [records[(first + i) % len(records)] for i in range(SUBSET_SIZE)]
 
-    def has_others(self) -> bool:
+    def has_non_preferred(self) -> bool:
         """Whether there are backends outside the preferred subset."""
         return len(self.preferred) < len(self.records)
--- a/corkdeal/decisions/slow_start.py
+++ b/corkdeal/decisions/slow_start.py
@@ -12,7 +12,7 @@
   `corkdeal/experiment/slow_start.py` measures how rarely that happens.
 - More gateways use random draws. A request is sent with probability credit / work and uses up credit either
   way; at most `saved` windows' gain is saved. The requests of a window have a mean of
-  m = (1 + saved) x the gain and a variance below m; as sqrt(m) <= sqrt(N) - ROOT_REDUCTION, A(N) is
+  m = (1 + saved) x the gain and a variance below m; as sqrt(m) <= sqrt(N) - SQRT_MARGIN, A(N) is
   3.4 standard deviations above the mean.
 
 `now` is the clock of the gateway in seconds; warmth is the fraction of its capacity that a backend has now.
@@ -31,7 +31,7 @@
 BUCKET_FRACTION = 0.6  # of N; the rest allows for the content of the buckets
 MAX_DRAW_FRACTION = 0.7  # of N; the smallest backend has this fraction of the mean capacity
 MIN_DRAW_FRACTION = 0.25  # of N, lower bound on the gain
-ROOT_REDUCTION = 0.7  # subtracted from sqrt(N), as above
+SQRT_MARGIN = 0.7  # subtracted from sqrt(N), as above
 SAVED_REQUESTS = 0.2  # credit is saved for the time in which a warm backend gets this many requests
 SERVED_RATE_TIME = 10.0  # s, time constant of the average of served work
 ASSUMED_RATE = 2.0  # s of work per second, assumed as served until more is known
@@ -39,7 +39,7 @@
 
 
 @dataclass(slots=True)
-class FadingRate:
+class DecayingRate:
     """An exponentially decaying average rate that is unbiased from the first seconds on."""
 
     time_constant: float  # s until the weight of an added amount decays to 1 / e
@@ -68,7 +68,7 @@
         self.rng = rng
         self.usual_work = usual_work  # s
         self.largest_work = usual_work  # s
-        self.served = FadingRate(SERVED_RATE_TIME)  # work served per warm backend
+        self.served = DecayingRate(SERVED_RATE_TIME)  # work served per warm backend
 
     def warmth(self, backend: BackendRecord, now: float) -> float:
         """Return the fraction of its capacity that a backend has at least; 1 once it has warmed up."""
@@ -87,29 +87,29 @@
         if sharers <= MAX_BUCKET_SHARERS:
             gain = BUCKET_FRACTION * allowed
             return gain, max(self.largest_work, gain)
-        one = self.usual_work / sharers
+        work_share = self.usual_work / sharers
         saved = min(1.0, SAVED_REQUESTS * self.usual_work / served)
-        drawn = max(0.0, math.sqrt(allowed / one) - ROOT_REDUCTION) ** 2 * one / (1 + saved)
-        gain = max(MIN_DRAW_FRACTION * allowed, min(MAX_DRAW_FRACTION * allowed, drawn))
+        draw_gain = max(0.0, math.sqrt(allowed / work_share) - SQRT_MARGIN) ** 2 * work_share / (1 + saved)
+        gain = max(MIN_DRAW_FRACTION * allowed, min(MAX_DRAW_FRACTION * allowed, draw_gain))
         return gain, gain * saved
 
     def has_credit(self, backend: BackendRecord, now: float, work: float, sharers: float) -> bool:
         """Whether the backend may be sent this work, with certainty or by a random draw."""
         self.largest_work = max(work, self.largest_work)
-        gain, most = self.window_credit(backend, now, max(1.0, sharers))
+        gain, max_credit = self.window_credit(backend, now, max(1.0, sharers))
         if backend.slow_start_credit_at is None:  # random, so that gateways do not all send at once
             backend.slow_start_credit = self.rng.random() * work
             backend.slow_start_credit_at = now
-        gained = gain * (now - backend.slow_start_credit_at) / self.settings.overload_window
-        backend.slow_start_credit = min(most, backend.slow_start_credit + gained)
+        new_credit = gain * (now - backend.slow_start_credit_at) / self.settings.overload_window
+        backend.slow_start_credit = min(max_credit, backend.slow_start_credit + new_credit)
         backend.slow_start_credit_at = now
-        return backend.slow_start_credit >= work or most < work
+        return backend.slow_start_credit >= work or max_credit < work
 
     def spend_credit(self, backend: BackendRecord, work: float) -> bool:
         """Spend the credit for a request; returns whether the request may be sent.
 
         Credit below the work is a random draw: the request is sent with probability credit / work.
         """
-        has_won = self.rng.random() * work < backend.slow_start_credit
+        is_sent = self.rng.random() * work < backend.slow_start_credit
         backend.slow_start_credit = max(0.0, backend.slow_start_credit - work)
-        return has_won
+        return is_sent
--- a/tests/decisions/test_backends.py
+++ b/tests/decisions/test_backends.py
@@ -7,7 +7,7 @@
 
 from corkdeal.decisions.backends import (
     LOAD_REPORT_LIFETIME,
-    RECORD_FADE_TIME,
+    RECORD_DECAY_TIME,
     SUBSET_SIZE,
     BackendRecord,
     Backends,
@@ -46,14 +46,14 @@
 
 def test_a_gateway_of_a_small_tier_prefers_all_backends():
     backends = listed(servers(*map(str, range(40))))
-    assert backends.preferred == list(backends.records.values()) and not backends.has_others()
+    assert backends.preferred == list(backends.records.values()) and not backends.has_non_preferred()
 
 
 def test_gateways_of_a_large_tier_prefer_each_backend_equally_often():
     preferred = Counter()
     for gateway_index in range(8):
         backends = listed(servers(*map(str, range(40))), gateway_index=gateway_index, is_large_tier=True)
-        assert len(backends.preferred) == SUBSET_SIZE and backends.has_others()
+        assert len(backends.preferred) == SUBSET_SIZE and backends.has_non_preferred()
         preferred.update(record.endpoint.backend for record in backends.preferred)
     assert set(preferred.values()) == {8 * SUBSET_SIZE // 40} and len(preferred) == 40
 
@@ -73,7 +73,7 @@
     assert record.freshness(100.0) == 0.0
     record.last_attempt_at = 100.0
     assert record.freshness(100.0) == 1.0
-    assert record.freshness(100.0 + RECORD_FADE_TIME) == pytest.approx(1 / math.e)
+    assert record.freshness(100.0 + RECORD_DECAY_TIME) == pytest.approx(1 / math.e)
 
 
 def test_an_attempt_counts_as_load_until_its_answer_begins():
@@ -99,5 +99,5 @@
 
 def test_an_attempt_makes_permanent_what_has_faded_of_the_record():
     record = BackendRecord(Endpoint("a", EndpointState.READY), slowness=9.0, last_attempt_at=100.0)
-    record.start_attempt(1, 100.0 + 20 * RECORD_FADE_TIME)
+    record.start_attempt(1, 100.0 + 20 * RECORD_DECAY_TIME)
     assert record.slowness == pytest.approx(1.0) and record.freshness(record.last_attempt_at) == 1.0
--- a/tests/decisions/test_slow_start.py
+++ b/tests/decisions/test_slow_start.py
@@ -10,7 +10,7 @@
 from corkdeal.decisions.events import Endpoint, EndpointState, UpdateKind
 from corkdeal.decisions.gateway import Gateway
 from corkdeal.decisions.settings import Plan, RequestClass
-from corkdeal.decisions.slow_start import FadingRate, SlowStartBudget
+from corkdeal.decisions.slow_start import DecayingRate, SlowStartBudget
 from corkdeal.experiment.slow_start import Play, draw
 from tests.helpers import outcome, pick, request, servers, settings
 
@@ -161,7 +161,7 @@
 
 
 def test_the_first_answer_does_not_count_as_a_rate():
-    rate = FadingRate(10.0)
+    rate = DecayingRate(10.0)
     rate.add(100.0, 5.0)
     assert rate.rate(100.0) == rate.rate(101.0) == 0.0
     rate.add(101.0, 5.0)
