--- a/corkdeal/decisions/quota_exchange.py
+++ b/corkdeal/decisions/quota_exchange.py
@@ -2,8 +2,8 @@
 
 The members of a customer's set form a ring, and each exchanges with its two neighbours. Of each pair, the end
 with the lower index sends its share, its demand and the level of its bucket. The other end closes
-EXCHANGE_STEP of the gap between the present shares and shares in proportion to demand, and replies. Levels
-are balanced in the same way, within the capacity of the buckets.
+EXCHANGE_FRACTION of the gap between the present shares and shares in proportion to demand, and replies.
+Levels are balanced in the same way, within the capacity of the buckets.
 
 Both ends keep running totals of what was moved, each the negative of the other, and messages carry totals,
 not differences. The sum of a customer's shares is therefore conserved when messages are lost, duplicated or
@@ -23,12 +23,12 @@
 from .settings import Settings
 
 EXCHANGE_INTERVAL = 0.25  # s; demand shifts within seconds, a message takes hundredths of a second
-EXCHANGE_STEP = 0.5  # fraction of the gap closed by one exchange; a ring of three still converges
+EXCHANGE_FRACTION = 0.5  # fraction of the gap closed by one exchange; a ring of three still converges
 LEVEL_STEPS = 16  # steps per unit; levels are moved in these
-DEMAND_FLOOR = 0.1  # of the even share's rate; leaves an idle gateway some quota for its first requests
-LOW_LEVEL = 0.6  # of the bucket; below this an end needs an exchange
+MIN_DEMAND_FRACTION = 0.1  # of the even share's rate; leaves an idle gateway quota for its first requests
+LOW_LEVEL_FRACTION = 0.6  # of the bucket; below this an end needs an exchange
 IDLE_INTERVAL = 2.0  # s between updates if neither end needs an exchange
-QUIET_TIME = 8.0  # s without requests after which such updates stop
+INACTIVITY_TIMEOUT = 8.0  # s without requests after which such updates stop
 SILENCE_TIMEOUT = 1.0  # s; three exchange intervals and one for a late message
 
 
@@ -40,7 +40,7 @@
     level: float  # units in the bucket, or free concurrency slots
 
 
-class Quotas(Protocol):
+class QuotaHost(Protocol):
     """What the exchange needs of the gateway's accounts."""
 
     def quota_share(self, account: Account, /) -> float:
@@ -53,7 +53,7 @@
 class QuotaExchange:
     """One gateway's side of the exchange with all its ring neighbours."""
 
-    def __init__(self, settings: Settings, accounts: AccountTable, quotas: Quotas) -> None:
+    def __init__(self, settings: Settings, accounts: AccountTable, quotas: QuotaHost) -> None:
         self.settings = settings
         self.accounts = accounts
         self.quotas = quotas
@@ -72,16 +72,16 @@
         share = account.base_share()
         predecessor = account.predecessor
         if predecessor is not None and self._may_borrow(predecessor, now):
-            lent = account.ledgers[predecessor].peer_share
-            share += 1 / account.member_count if lent is None else lent
+            borrowed = account.ledgers[predecessor].peer_share
+            share += 1 / account.member_count if borrowed is None else borrowed
         return min(1.0, share)
 
     def state(self, account: Account) -> ExchangeState:
         """Advance the account to now and return its state for neighbours."""
         share = self.quotas.refill(account)
         plan = account.plan
-        full = plan.rate or plan.max_in_flight or 1.0
-        demand = min(full, max(account.demand, DEMAND_FLOOR * full / account.member_count))
+        full_rate = plan.rate or plan.max_in_flight or 1.0
+        demand = min(full_rate, max(account.demand, MIN_DEMAND_FRACTION * full_rate / account.member_count))
         level = account.level if plan.rate else plan.max_in_flight * share - account.in_flight
         return ExchangeState(account.base_share(), demand, level)
 
@@ -111,7 +111,7 @@
         for customer, account in list(self.accounts.active.items()):
             share = self.quotas.quota_share(account)
             is_low = _is_low(account, share, self.state(account).level)
-            is_active = now - account.last_request_at < QUIET_TIME
+            is_active = now - account.last_request_at < INACTIVITY_TIMEOUT
             for peer, ledger in account.ledgers.items():
                 needs_exchange = is_low or ledger.is_update_due or _is_peer_low(account, ledger, now)
                 is_active = is_active or needs_exchange
@@ -139,13 +139,13 @@
         if ledger is None or round_number <= ledger.last_round:
             return None
         self.accounts.active[update.customer] = account
-        self._match_totals(ledger, peer, update)
+        self._reconcile_totals(ledger, peer, update)
         ledger.last_round = round_number
         own = self.state(account)
         if not account.has_peer_level:
             account.has_peer_level = True
             if is_older_peer:
-                _take_fill(account, own, update)
+                _limit_fill(account, own, update)
         makes_exchange = self.settings.gateway_index > peer
         if makes_exchange:
             share, level = _exchange(account, ledger, own, update)
@@ -166,7 +166,7 @@
             not self.is_silent(peer, now) for peer in self.peer_last_heard if peer != predecessor
         )
 
-    def _match_totals(self, ledger: PeerLedger, peer: int, update: AccountUpdate) -> None:
+    def _reconcile_totals(self, ledger: PeerLedger, peer: int, update: AccountUpdate) -> None:
         """Reconcile running totals after one end recreated its account."""
         has_totals = bool(update.received_share or update.received_units)
         is_first = not ledger.last_round
@@ -182,7 +182,7 @@
 def _is_low(account: Account, share: float, level: float) -> bool:
     """Whether an end's level is so low that it needs an exchange."""
     plan = account.plan
-    return level < LOW_LEVEL * share * (plan.burst if plan.rate else plan.max_in_flight)
+    return level < LOW_LEVEL_FRACTION * share * (plan.burst if plan.rate else plan.max_in_flight)
 
 
 def _is_peer_low(account: Account, ledger: PeerLedger, now: float) -> bool:
@@ -201,7 +201,7 @@
     return IDLE_INTERVAL if is_active else math.inf
 
 
-def _take_fill(account: Account, own: ExchangeState, update: AccountUpdate) -> None:
+def _limit_fill(account: Account, own: ExchangeState, update: AccountUpdate) -> None:
     """After a start, limit the bucket to the fill ratio of a neighbour that kept running."""
     if account.plan.rate and update.share > 0:
         fill = max(0.0, min(1.0, update.level / (update.share * account.plan.burst)))
@@ -224,13 +224,13 @@
     # Moves that the neighbour has not received yet are added to what it reported.
     level = update.level - (ledger.received_units + update.received_units)
     share = update.share - (ledger.received_share + update.received_share) / SHARE_STEPS
-    gap = EXCHANGE_STEP * (update.demand * own.share - own.demand * share) / total_demand
+    gap = EXCHANGE_FRACTION * (update.demand * own.share - own.demand * share) / total_demand
     moved = round(max(-max(0.0, share), min(own.share, gap)) * SHARE_STEPS)
     ledger.received_share -= moved
     share += moved / SHARE_STEPS
     if account.plan.rate:
         burst = account.plan.burst
-        gap = EXCHANGE_STEP * (update.demand * own.level - own.demand * level) / total_demand
+        gap = EXCHANGE_FRACTION * (update.demand * own.level - own.demand * level) / total_demand
         gap = min(gap, max(0.0, share * burst - level))  # neither bucket may overflow
         gap = max(gap, -max(0.0, account.base_share() * burst - own.level))
         units = round(LEVEL_STEPS * gap) / LEVEL_STEPS
--- a/tests/decisions/test_quota_exchange.py
+++ b/tests/decisions/test_quota_exchange.py
@@ -11,7 +11,7 @@
 from corkdeal.decisions.quota_exchange import (
     EXCHANGE_INTERVAL,
     IDLE_INTERVAL,
-    QUIET_TIME,
+    INACTIVITY_TIMEOUT,
     SILENCE_TIMEOUT,
     QuotaExchange,
 )
@@ -310,7 +310,7 @@
     one.account.level = one.account.ledgers[1].peer_level = PLAN.burst
     assert one.exchange.due(100.0 + 2 * EXCHANGE_INTERVAL, lambda peer: True) == {1: []}
     assert len(one.exchange.due(100.0 + EXCHANGE_INTERVAL + IDLE_INTERVAL, lambda peer: True)[1]) == 1
-    assert one.exchange.due(100.0 + QUIET_TIME, lambda peer: True) == {1: []} and not one.table.active
+    assert one.exchange.due(100.0 + INACTIVITY_TIMEOUT, lambda peer: True) == {1: []} and not one.table.active
 
 
 def test_a_share_is_on_loan_only_from_a_silent_predecessor():
