--- a/corkdeal/decisions/incarnations.py
+++ b/corkdeal/decisions/incarnations.py
@@ -21,7 +21,7 @@
 OLDER_MARGIN = 3000  # ms; a peer that started earlier by more than this saw what was spent before
 
 
-class Greeting(enum.Enum):
+class IncarnationStatus(enum.Enum):
     """How the incarnation in a peer's message compares with the latest known one."""
 
     CURRENT = enum.auto()
@@ -34,7 +34,7 @@
     return 0 < (first - second) % INCARNATION_RANGE < INCARNATION_RANGE // 2
 
 
-def following(incarnation: int, milliseconds: int) -> int:
+def incarnation_after(incarnation: int, milliseconds: int) -> int:
     """Return the incarnation `milliseconds` after the given one; never UNKNOWN."""
     return (incarnation + milliseconds) % INCARNATION_RANGE or 1
 
@@ -49,7 +49,7 @@
 
     def start(self, now: float) -> None:
         """Start an incarnation of this gateway at `now`, unless a later one is already set."""
-        started = following(int(now * 1000), 0)
+        started = incarnation_after(int(now * 1000), 0)
         if self.own == UNKNOWN or is_later(started, self.own):
             self.own = started
 
@@ -58,20 +58,20 @@
         self.own = own
         self.peers = peers
 
-    def succeed(self, own: int) -> None:
+    def start_after(self, own: int) -> None:
         """Choose an incarnation after one that has ended, since the wall clock may have been set back."""
         if own != UNKNOWN:
-            self.own = following(own, 1)
+            self.own = incarnation_after(own, 1)
 
-    def greet(self, peer: int, incarnation: int) -> Greeting:
+    def update_peer(self, peer: int, incarnation: int) -> IncarnationStatus:
         """Record a peer's incarnation if it is the latest; returns how it compares."""
         known = self.peers.get(peer)
         if known == incarnation:
-            return Greeting.CURRENT
+            return IncarnationStatus.CURRENT
         if known is not None and not is_later(incarnation, known):
-            return Greeting.STALE
+            return IncarnationStatus.STALE
         self.peers[peer] = incarnation
-        return Greeting.NEW
+        return IncarnationStatus.NEW
 
     def may_correct(self, peer: int, now: float) -> bool:
         """Whether a peer that sent an earlier incarnation may be corrected now; if so, records the time."""
@@ -80,7 +80,7 @@
         self.corrected_at[peer] = now
         return True
 
-    def outlive(self, own: int) -> bool:
+    def advance_past(self, own: int) -> bool:
         """Choose an incarnation after all known ones if a peer knows a later one of this gateway.
 
         Returns whether it did. The new incarnation is more than OLDER_MARGIN later, so that all peers count
@@ -92,7 +92,7 @@
         for incarnation in self.peers.values():
             if is_later(incarnation, latest):
                 latest = incarnation
-        self.own = following(latest, OLDER_MARGIN + 1)
+        self.own = incarnation_after(latest, OLDER_MARGIN + 1)
         return True
 
     def is_older(self, incarnation: int) -> bool:
--- a/corkdeal/decisions/peer_protocol.py
+++ b/corkdeal/decisions/peer_protocol.py
@@ -15,7 +15,7 @@
 from .aggregation_tree import AggregationScheduler
 from .events import PeerMessage
 from .extensions import MembershipView, QuotaRestoreView
-from .incarnations import Greeting, Incarnations
+from .incarnations import Incarnations, IncarnationStatus
 from .quota_exchange import QuotaExchange
 from .settings import Settings
 
@@ -79,7 +79,7 @@
         if not self._follow(peer, incarnation):
             self._correct(peer)
             return False
-        self._outlive(own_incarnation)
+        self._advance_incarnation(own_incarnation)
         self.quota_exchange.peer_last_heard[peer] = self.host.now
         if incarnation != known:
             self._report_totals(peer)
@@ -164,10 +164,10 @@
 
     def _follow(self, peer: int, incarnation: int) -> bool:
         """Record a peer's incarnation, resetting its ledgers if it is new; False for an earlier one."""
-        greeting = self.incarnations.greet(peer, incarnation)
-        if greeting is Greeting.NEW:
+        status = self.incarnations.update_peer(peer, incarnation)
+        if status is IncarnationStatus.NEW:
             self._restart_ledgers(peer)
-        return greeting is not Greeting.STALE
+        return status is not IncarnationStatus.STALE
 
     def _restart_ledgers(self, peer: int) -> None:
         """Reset ledgers and tree edges kept with a peer's earlier incarnation."""
@@ -196,9 +196,9 @@
         if self.incarnations.may_correct(peer, self.host.now):
             self.send_updates(peer, [])
 
-    def _outlive(self, own_incarnation: int) -> None:
+    def _advance_incarnation(self, own_incarnation: int) -> None:
         """Switch to a later incarnation if a peer knows a later one of this gateway."""
-        if self.incarnations.outlive(own_incarnation):
+        if self.incarnations.advance_past(own_incarnation):
             self.host.actions.append(
                 Log(
                     "peers know a later start of this gateway, so its wall clock was set back; "
--- a/corkdeal/decisions/state_transfer.py
+++ b/corkdeal/decisions/state_transfer.py
@@ -113,4 +113,4 @@
             self.peers.message_round = fleet.message_round
             incarnations.resume(fleet.incarnation, dict(fleet.peer_incarnations))
         else:
-            incarnations.succeed(fleet.incarnation)
+            incarnations.start_after(fleet.incarnation)
--- a/tests/decisions/test_peer_protocol.py
+++ b/tests/decisions/test_peer_protocol.py
@@ -71,7 +71,7 @@
 @pytest.mark.parametrize(("gateway_index", "replies"), [(0, 0), (2, 1)])
 def test_an_update_is_answered_by_the_higher_numbered_end_alone(gateway_index, replies):
     peers, host = make(gateway_index)
-    peers.incarnations.greet(PEER, PEER_START)
+    peers.incarnations.update_peer(PEER, PEER_START)
     peers.receive(exchange_message([update()]))
     assert len(sent(host)) == replies
     ledger = host.table.by_customer[CUSTOMER].ledgers[PEER]
@@ -97,7 +97,7 @@
 
 def test_an_earlier_start_of_a_peer_is_corrected_and_its_message_dropped():
     peers, host = make()
-    peers.incarnations.greet(PEER, PEER_START)
+    peers.incarnations.update_peer(PEER, PEER_START)
     peers.receive(exchange_message([update()], start=PEER_START - 1))
     ((peer, payload),) = sent(host)
     message = peer_messages.decode_exchange(payload, 0, settings(PEER, 3, plans=(PLAN,)))
@@ -107,7 +107,7 @@
 
 def test_a_restart_of_a_peer_begins_its_ledgers_anew():
     peers, host = make()
-    peers.incarnations.greet(PEER, PEER_START)
+    peers.incarnations.update_peer(PEER, PEER_START)
     account = host.account(CUSTOMER, 0, 0, 3)
     account.ledgers[PEER].received_share = SHARE_STEPS // 10
     peers.receive(exchange_message([], start=PEER_START + 1))
