--- a/corkdeal/decisions/settings_parser.py
+++ b/corkdeal/decisions/settings_parser.py
@@ -23,8 +23,8 @@
     """A setting is missing or invalid; the message names its path."""
 
 
-def parse_number(raw: str | None, path: str, default: float | None, least: float) -> float:
-    """Parse a finite number of at least `least`; a setting without a default is required."""
+def parse_number(raw: str | None, path: str, default: float | None, minimum: float) -> float:
+    """Parse a finite number of at least `minimum`; a setting without a default is required."""
     if raw is None:
         if default is None:
             raise SettingsError(f"setting {path} is missing")
@@ -33,7 +33,7 @@
         value = float(raw)
     except ValueError as error:
         raise SettingsError(f"setting {path} is not a number: {raw[:MAX_QUOTED_CHARACTERS]!r}") from error
-    if not math.isfinite(value) or value < least:
+    if not math.isfinite(value) or value < minimum:
         raise SettingsError(f"setting {path} is invalid: {raw[:MAX_QUOTED_CHARACTERS]!r}")
     return value
 
@@ -55,11 +55,11 @@
     """A finite number; required if it has no default."""
 
     default: float | None = None
-    least: float = 0.0
+    minimum: float = 0.0
 
     def parse(self, raw: str | None, path: str) -> float:
         """Return the number."""
-        return parse_number(raw, path, self.default, self.least)
+        return parse_number(raw, path, self.default, self.minimum)
 
 
 @dataclass(frozen=True)
@@ -68,16 +68,16 @@
 
     def parse(self, raw: str | None, path: str) -> int:
         """Return the truncated number."""
-        return int(parse_number(raw, path, self.default, self.least))
+        return int(parse_number(raw, path, self.default, self.minimum))
 
 
 @dataclass(frozen=True)
 class Microseconds(Number):
-    """A time; the value, the default and `least` are in microseconds."""
+    """A time; the value, the default and `minimum` are in microseconds."""
 
     def parse(self, raw: str | None, path: str) -> float:
         """Return the time in seconds."""
-        return parse_number(raw, path, self.default, self.least) / MICROSECONDS_PER_SECOND
+        return parse_number(raw, path, self.default, self.minimum) / MICROSECONDS_PER_SECOND
 
 
 @dataclass(frozen=True)
@@ -125,7 +125,7 @@
 
 
 @dataclass(frozen=True)
-class Words(Setting):
+class WordList(Setting):
     """A comma-separated list of words, with those in `names` replaced."""
 
     names: Mapping[str, str] = field(default_factory=dict)
@@ -154,16 +154,16 @@
 CLASSES_PATH = "classes"
 PLANS_PATH = "tiers_of_service"
 
-# One row per setting: its path, the field it fills, its default and its least value, in the unit of the path.
+# One row per setting: its path, the field it fills, its default and its minimum, in the unit of the path.
 # Settings are checked in the order of the rows.
 GATEWAY_SETTINGS: tuple[Setting, ...] = (
-    WholeNumber("balancers", "gateway_count", least=1),
+    WholeNumber("balancers", "gateway_count", minimum=1),
     WholeNumber("me", "gateway_index"),
     WholeNumber("zone", "zone", default=0),
 )
 CLASS_SETTINGS: tuple[Setting, ...] = (  # below `classes.<index>.`
-    Microseconds("aim_us", "latency_objective", least=1),
-    Microseconds("deadline_us", "deadline", least=1),
+    Microseconds("aim_us", "latency_objective", minimum=1),
+    Microseconds("deadline_us", "deadline", minimum=1),
     Number("points", "priority_weight", default=1.0),
     Number("late_share", "late_share", default=0.0),
     Choice("semantics", "effect", EFFECTS, default="side_effect"),
@@ -189,7 +189,7 @@
     Microseconds("granularity_us", "tick", default=1_000),
     FlagUnless("membership_mode", "is_endpoint_list_pushed", word="on_request"),
     Microseconds("rules.ask_every_us", "poll_interval", default=10_000_000),
-    Words("telemetry.columns", "report_fields", LOAD_REPORT_FIELDS),
+    WordList("telemetry.columns", "report_fields", LOAD_REPORT_FIELDS),
     WholeNumber("policy_limits.max_attempts", "max_attempts", default=1),
     Flag("policy_limits.cancel", "may_cancel"),
     Flag("policy_limits.may_probe", "may_check_health"),
@@ -199,8 +199,8 @@
     Flag("client_habits.marks_retry", "has_retry_marks"),
     Microseconds("policy_limits.connect_timeout_us", "connect_timeout", default=250_000),
     Microseconds("policy_limits.conn_idle_us", "idle_timeout", default=30_000_000),
-    Words("failure_domains", "zones"),
-    Words("host_types", "kinds"),
+    WordList("failure_domains", "zones"),
+    WordList("host_types", "kinds"),
     Flag("family_info.counter", "has_counter"),
     Microseconds("family_info.counter_timeout_us", "counter_timeout", default=0),
     Microseconds("family_info.meter_us", "meter_period", default=0),
@@ -210,7 +210,7 @@
     Microseconds("rules.answer_slack_us", "answer_slack", default=0),
     Microseconds("rules.drain_grace_us", "drain_grace", default=0),
     Number("rules.fall_multiple", "overload_multiple", default=2.0),
-    Microseconds("rules.fall_us", "overload_window", default=1_000_000, least=1),
+    Microseconds("rules.fall_us", "overload_window", default=1_000_000, minimum=1),
     Number("rules.cold_share", "initial_capacity", default=0.1),
     Microseconds("rules.warm_within_us", "warm_up_time", default=20_000_000),
 )
@@ -228,7 +228,7 @@
 def parse_count(values: Mapping[str, str], path: str) -> int:
     """Return the number of numbered records below a path; at least one."""
     count_path = f"{path}.count"
-    return int(parse_number(values.get(count_path), count_path, default=None, least=1))
+    return int(parse_number(values.get(count_path), count_path, default=None, minimum=1))
 
 
 def parse_settings(values: Mapping[str, str]) -> Settings:
--- a/tests/decisions/test_settings_parser.py
+++ b/tests/decisions/test_settings_parser.py
@@ -9,7 +9,7 @@
 from corkdeal.decisions.settings_parser import SettingsError, parse_settings, parse_settings_text
 from corkdeal.errors import CorkdealError
 
-LEAST = {
+REQUIRED_SETTINGS = {
     "balancers": "2",
     "me": "1",
     "classes.count": "1",
@@ -21,11 +21,11 @@
 
 def parsed(changes=None):
     """Parse the required settings with changes; a value of None removes a path."""
-    changed = LEAST | (changes or {})
+    changed = REQUIRED_SETTINGS | (changes or {})
     return parse_settings({path: value for path, value in changed.items() if value is not None})
 
 
-def fault(changes):
+def error_message(changes):
     """Return the error message for these changes."""
     with pytest.raises(SettingsError) as caught:
         parsed(changes)
@@ -115,9 +115,9 @@
     assert settings.plans == (Plan(rate=5.0, name="basic"), Plan(rate=50.0, max_in_flight=7))
 
 
-@pytest.mark.parametrize("path", LEAST)
+@pytest.mark.parametrize("path", REQUIRED_SETTINGS)
 def test_a_required_setting_that_is_missing_is_named(path):
-    assert fault({path: None}) == f"setting {path} is missing"
+    assert error_message({path: None}) == f"setting {path} is missing"
 
 
 @pytest.mark.parametrize(
@@ -136,18 +136,18 @@
     ],
 )
 def test_a_value_out_of_range_is_named_and_quoted(path, value):
-    assert fault({path: value}) == f"setting {path} is invalid: {value!r}"
+    assert error_message({path: value}) == f"setting {path} is invalid: {value!r}"
 
 
 def test_what_is_no_number_is_quoted_up_to_40_characters():
-    assert fault({"me": "x" * 60}) == f"setting me is not a number: {'x' * 40!r}"
+    assert error_message({"me": "x" * 60}) == f"setting me is not a number: {'x' * 40!r}"
 
 
 def test_the_first_wrong_setting_in_the_order_of_the_tables_is_reported():
     late = {"rules.fall_us": "0"}
-    assert "classes.count" in fault(late | {"classes.count": None, "balancers": None})
-    assert "balancers" in fault(late | {"balancers": None, "classes.0.aim_us": None})
-    assert "classes.0.aim_us" in fault(late | {"classes.0.aim_us": None})
+    assert "classes.count" in error_message(late | {"classes.count": None, "balancers": None})
+    assert "balancers" in error_message(late | {"balancers": None, "classes.0.aim_us": None})
+    assert "classes.0.aim_us" in error_message(late | {"classes.0.aim_us": None})
 
 
 def test_errors_are_errors_of_the_project():
@@ -155,12 +155,12 @@
 
 
 def test_text_is_lines_of_path_and_value():
-    text = "\n".join(f"{path}={value}" for path, value in LEAST.items())
+    text = "\n".join(f"{path}={value}" for path, value in REQUIRED_SETTINGS.items())
     assert parse_settings_text(text) == parsed()
     assert parse_settings_text(f"me=5\n{text}\nme=0").gateway_index == 0
 
 
 def test_text_without_equals_sign_and_unknown_paths_are_skipped():
-    text = "\n".join(f"{path}={value}" for path, value in LEAST.items())
+    text = "\n".join(f"{path}={value}" for path, value in REQUIRED_SETTINGS.items())
     named = parse_settings_text(f"{text}\na remark\nsome.new_setting=7\nclasses.0.name=a=b\n")
     assert named.classes[0].name == "a=b"
