--- a/corkdeal/simulator/decoding.py
+++ b/corkdeal/simulator/decoding.py
@@ -91,9 +91,9 @@
     return GatewayEvent(gateway, event)
 
 
-def _look_up(table: Mapping[int, Value], code: int, what: str, reader: FrameReader) -> Value:
+def _look_up(table: Mapping[int, Value], code: int, label: str, reader: FrameReader) -> Value:
     if code not in table:
-        raise ProtocolError(f"unknown {what} {code} before byte {reader.position}")
+        raise ProtocolError(f"unknown {label} {code} before byte {reader.position}")
     return table[code]
 
 
--- a/corkdeal/simulator/frame_reader.py
+++ b/corkdeal/simulator/frame_reader.py
@@ -20,15 +20,15 @@
         """Number of bytes not read yet."""
         return len(self._frame) - self.position
 
-    def unpack(self, layout: struct.Struct, what: str) -> tuple[Any, ...]:
-        """Read the fields of one layout; `what` names it in error messages."""
-        return layout.unpack(self.read_bytes(layout.size, what))
+    def unpack(self, layout: struct.Struct, label: str) -> tuple[Any, ...]:
+        """Read the fields of one layout; `label` names it in error messages."""
+        return layout.unpack(self.read_bytes(layout.size, label))
 
-    def read_bytes(self, count: int, what: str) -> bytes:
-        """Read `count` raw bytes; `what` names them in error messages."""
+    def read_bytes(self, count: int, label: str) -> bytes:
+        """Read `count` raw bytes; `label` names them in error messages."""
         start = self.position
         end = start + count
         if end > len(self._frame):
-            raise ProtocolError(f"{what} truncated at byte {start} of {len(self._frame)}")
+            raise ProtocolError(f"{label} truncated at byte {start} of {len(self._frame)}")
         self.position = end
         return self._frame[start:end]
--- a/tests/simulator/test_adapter.py
+++ b/tests/simulator/test_adapter.py
@@ -14,7 +14,7 @@
 from corkdeal.simulator import adapter
 from corkdeal.simulator.decoding import decode_batch
 
-TEXT = """balancers=2
+SETTINGS = """balancers=2
 me=0
 classes.count=1
 classes.0.aim_us=1000000
@@ -33,38 +33,38 @@
     return struct.pack("<I", len(body)) + body
 
 
-def attach(text=TEXT, seed=9):
+def gateway_started(text=SETTINGS, seed=9):
     raw = text.encode()
     return struct.pack("<BIQI", 0, 0, seed, len(raw)) + raw
 
 
-def members():
+def endpoint_update():
     entry = struct.pack("<QHfBBH6s", 0, 0, 1.0, 0, 1, 0, b"\x0a\x00\x00\x01\x88\x13")
     return struct.pack("<BIBII", 1, 0, 2, 1, 1) + entry
 
 
-def job(rid=77):
-    return struct.pack("<BIQfffBIBIQ", 2, 0, rid, 1.0, 0.0, 2.0, 0, 0, 0, 3_000_000, 5)
+def request_record(request_id=77):
+    return struct.pack("<BIQfffBIBIQ", 2, 0, request_id, 1.0, 0.0, 2.0, 0, 0, 0, 3_000_000, 5)
 
 
-def run(data):
+def replies_to(data):
     sink = io.BytesIO()
     adapter.serve(io.BytesIO(data), sink)
     return sink.getvalue()
 
 
 def test_request_is_sent():
-    reply = run(batch(attach(), members(), job()))
+    reply = replies_to(batch(gateway_started(), endpoint_update(), request_record()))
     assert struct.pack("<BIQ6s", 0, 0, 77, b"\x0a\x00\x00\x01\x88\x13") in reply
 
 
 def test_same_input_gives_same_output():
-    data = batch(attach(), members(), *[job(i) for i in range(20)])
-    assert run(data) == run(data)
+    data = batch(gateway_started(), endpoint_update(), *[request_record(i) for i in range(20)])
+    assert replies_to(data) == replies_to(data)
 
 
 def test_empty_batch():
-    assert run(bytes.fromhex("0c0000005a5c80000000000000000000")) == bytes.fromhex("0400000000000000")
+    assert replies_to(bytes.fromhex("0c0000005a5c80000000000000000000")) == bytes.fromhex("0400000000000000")
 
 
 def test_documented_completed_record():
@@ -82,32 +82,32 @@
 @pytest.mark.parametrize(
     "data, word",
     [
-        (batch(attach(), members(), job())[:-3], "truncated"),
+        (batch(gateway_started(), endpoint_update(), request_record())[:-3], "truncated"),
         (batch(b"\x63\x00\x00\x00\x00"), "unknown event code 99"),
-        (batch(job()), "never started"),
+        (batch(request_record()), "never started"),
         (b"\x01\x00", "truncated"),
-        (batch(attach(TEXT.replace("balancers=2\n", ""))), "balancers"),
-        (batch(attach(TEXT.replace("aim_us=1000000", "aim_us=soon"))), "classes.0.aim_us"),
-        (batch(attach(TEXT.replace("semantics=pure", "semantics=odd"))), "classes.0.semantics"),
-        (batch(attach(TEXT + "rules.fall_us=0\n")), "rules.fall_us"),
+        (batch(gateway_started(SETTINGS.replace("balancers=2\n", ""))), "balancers"),
+        (batch(gateway_started(SETTINGS.replace("aim_us=1000000", "aim_us=soon"))), "classes.0.aim_us"),
+        (batch(gateway_started(SETTINGS.replace("semantics=pure", "semantics=odd"))), "classes.0.semantics"),
+        (batch(gateway_started(SETTINGS + "rules.fall_us=0\n")), "rules.fall_us"),
     ],
 )
 def test_malformed_input_ends_with_one_plain_line(data, word):
-    done = subprocess.run(
+    process = subprocess.run(
         [sys.executable, "-m", "corkdeal.simulator"],
         input=data,
         capture_output=True,
         cwd=pathlib.Path(__file__).parents[2],
         check=False,
     )
-    assert done.returncode not in (0, None) and done.stdout == b""
-    lines = done.stderr.decode().splitlines()
+    assert process.returncode not in (0, None) and process.stdout == b""
+    lines = process.stderr.decode().splitlines()
     assert len(lines) == 1 and word in lines[0]
 
 
 def test_exception_in_the_decisions_is_reported(monkeypatch):
     monkeypatch.setattr(adapter.Gateway, "handle", lambda *a: 1 / 0)
-    reply = run(batch(attach(), members()))
+    reply = replies_to(batch(gateway_started(), endpoint_update()))
     assert b"\x09\x00\x00\x00\x00" in reply and b"ZeroDivision" in reply
 
 
