--- a/tests/decisions/test_aggregation_tree.py
+++ b/tests/decisions/test_aggregation_tree.py
@@ -20,56 +20,64 @@
 PLAN = Plan(rate=4.0, burst=16.0)
 
 
-class WideRing:
+class AggregatedTier:
     """All members of one customer's set; messages are delayed by 20 ms, and may be lost or duplicated."""
 
-    def __init__(self, spread, gateways, first=0, plan=PLAN, lose=0, repeat=1):
+    def __init__(self, spread, gateways, first=0, plan=PLAN, loss_rate=0, copies=1):
         self.set = (first, spread)
         self.gateways = {
             m: Gateway(settings(m, gateways, plans=(plan,), classes=(SAFE,)), seed=m)
             for m in ((first + i) % gateways for i in range(spread))
         }
-        self.lose, self.repeat, self.flight, self.now, self.rid = lose, repeat, [], 50.0, 0
+        self.loss_rate, self.copies, self.in_transit, self.now, self.request_id = (
+            loss_rate,
+            copies,
+            [],
+            50.0,
+            0,
+        )
         self.timers, self.chance = [], random.Random(3)
         for m, g in self.gateways.items():
-            self.take(m, g.handle(self.now, [servers("a", "b", "c")]))
+            self.apply_actions(m, g.handle(self.now, [servers("a", "b", "c")]))
 
-    def take(self, me, actions):
+    def apply_actions(self, me, actions):
         self.timers += [(self.now + x.delay, me) for x in pick(actions, SetTimer) if not x.token]
-        for tell in pick(actions, SendToPeer):
-            if self.chance.random() >= self.lose:
-                self.flight += [
-                    (self.now + 0.02 * (1 + i), me, tell.peer, tell.payload) for i in range(self.repeat)
+        for message in pick(actions, SendToPeer):
+            if self.chance.random() >= self.loss_rate:
+                self.in_transit += [
+                    (self.now + 0.02 * (1 + i), me, message.peer, message.payload) for i in range(self.copies)
                 ]
 
     def step(self, seconds):
         self.now += seconds
-        due = [m for m in self.flight if m[0] <= self.now]
-        self.flight = [m for m in self.flight if m[0] > self.now]
+        due = [m for m in self.in_transit if m[0] <= self.now]
+        self.in_transit = [m for m in self.in_transit if m[0] > self.now]
         for _, sender, to, payload in due:
-            self.take(to, self.gateways[to].handle(self.now, [PeerMessage(sender, payload)]))
+            self.apply_actions(to, self.gateways[to].handle(self.now, [PeerMessage(sender, payload)]))
         ready = [me for at, me in self.timers if at <= self.now]
         self.timers = [x for x in self.timers if x[0] > self.now]
         for me in ready:
-            self.take(me, self.gateways[me].handle(self.now, [TimerExpired(0)]))
+            self.apply_actions(me, self.gateways[me].handle(self.now, [TimerExpired(0)]))
 
-    def ask(self, me):
-        self.rid += 1
+    def send_request(self, me):
+        self.request_id += 1
         g = self.gateways[me]
-        actions = g.handle(self.now, [request(self.rid, units=2.0, spread=self.set[1], first=self.set[0])])
-        self.take(me, actions)
+        actions = g.handle(
+            self.now, [request(self.request_id, units=2.0, spread=self.set[1], first=self.set[0])]
+        )
+        self.apply_actions(me, actions)
         for send in pick(actions, StartAttempt):
-            self.take(me, g.handle(self.now, [outcome(send.id, 0, send.backend, elapsed=0.05)]))
+            self.apply_actions(me, g.handle(self.now, [outcome(send.id, 0, send.backend, elapsed=0.05)]))
         return bool(pick(actions, StartAttempt))
 
-    def drive(self, seconds, per_second):
+    def send_requests(self, seconds, per_second):
         """Send requests to members in turn; returns the units admitted."""
-        members, let_in = list(self.gateways), 0
+        members, admitted = list(self.gateways), 0
         for i in range(round(seconds * per_second)):
-            let_in += 2 * self.ask(members[(i * 7919) % len(members)])
+            admitted += 2 * self.send_request(members[(i * 7919) % len(members)])
             for _ in range(4):
                 self.step(0.25 / per_second)
-        return let_in
+        return admitted
 
 
 @pytest.mark.parametrize(
@@ -81,11 +89,11 @@
     routes = {me: tree_routes(me, customer, first, spread, gateways) for me in range(gateways)}
     edges = {me: set(ends) for me, (_, ends) in routes.items() if ends}
     assert all(m in edges[n] for m in edges for n in edges[m])  # the edge exists at both ends
-    top = [me for me in edges if routes[me][0] is None]
-    assert len(top) == 1
+    roots = [me for me in edges if routes[me][0] is None]
+    assert len(roots) == 1
     assert all(routes[m][0] == n or routes[n][0] == m for m in edges for n in edges[m])  # parent and child
-    heads = edges[top[0]]
-    reached = {*top, *heads}.union(*(edges[m] for m in heads))
+    aggregators = edges[roots[0]]
+    reached = {*roots, *aggregators}.union(*(edges[m] for m in aggregators))
     members = {(first + i) % gateways for i in range(spread)}
     assert members <= reached == set(edges)
     assert sum(map(len, edges.values())) == 2 * (len(edges) - 1)  # a tree, so no total is counted twice
@@ -94,48 +102,48 @@
 
 
 @pytest.mark.parametrize("gateways", [200, 208, 220, 400, 1000])
-def test_the_load_of_passing_on_is_spread(gateways):
-    parts = [
+def test_the_load_of_forwarding_is_spread(gateways):
+    forwarders = [
         me
         for customer in range(ROOTS)
         for me in range(gateways)
-        for up, ends in [tree_routes(me, customer, 0, gateways, gateways)]
-        if up is None or len(ends) > 1
+        for parent, ends in [tree_routes(me, customer, 0, gateways, gateways)]
+        if parent is None or len(ends) > 1
     ]
-    assert max(parts.count(me) for me in parts) <= 2
-    assert len(set(parts)) >= 0.9 * len(parts)  # few gateways are aggregator or root of two trees
+    assert max(forwarders.count(me) for me in forwarders) <= 2
+    assert len(set(forwarders)) >= 0.9 * len(forwarders)  # few gateways are aggregator or root of two trees
 
 
-class Seen(Gateway):
+class RecordingGateway(Gateway):
     """A gateway that records the totals it sends, as (time, peer)."""
 
     def __init__(self, *args, **more):
         super().__init__(*args, **more)
-        self.notes = []
+        self.sent_totals = []
         self.send_totals = self.peers.send_totals
-        self.peers.send_totals = self.keep_and_send
+        self.peers.send_totals = self.record_and_send
 
-    def keep_and_send(self, due):
-        self.notes += [(self.now, peer) for peer in due]
+    def record_and_send(self, due):
+        self.sent_totals += [(self.now, peer) for peer in due]
         self.send_totals(due)
 
 
-def test_a_root_tells_of_many_customers_in_one_message_and_waits_between_two():
-    made = Seen(settings(0, 200, plans=(PLAN,), classes=(SAFE,)), seed=1)
-    made.handle(50.0, [servers("a")])
-    head = tree_routes(0, 0, 0, 200, 200)[1][0]
+def test_a_root_sends_totals_of_many_customers_in_one_message_and_waits_between_two():
+    root = RecordingGateway(settings(0, 200, plans=(PLAN,), classes=(SAFE,)), seed=1)
+    root.handle(50.0, [servers("a")])
+    aggregator = tree_routes(0, 0, 0, 200, 200)[1][0]
     for i in range(40):  # demand of two customers with one tree is far beyond their quotas
-        news = [peer_messages.TreeTotals(c, 0, 0, 200, 8 * (i + 1), 2 * (i + 1)) for c in (0, ROOTS)]
-        made.handle(50.0 + i / 20, [PeerMessage(head, peer_messages.encode_totals(9, news)[0])])
+        rows = [peer_messages.TreeTotals(c, 0, 0, 200, 8 * (i + 1), 2 * (i + 1)) for c in (0, ROOTS)]
+        root.handle(50.0 + i / 20, [PeerMessage(aggregator, peer_messages.encode_totals(9, rows)[0])])
     other = tree_routes(0, 0, 0, 200, 200)[1][1]
-    times = [at for at, peer in made.notes if peer == other]
+    times = [at for at, peer in root.sent_totals if peer == other]
     assert (
-        2 / made.aggregation_scheduler.push_interval - 1
+        2 / root.aggregation_scheduler.push_interval - 1
         <= len(times)
-        <= 2 / made.aggregation_scheduler.push_interval + 1
+        <= 2 / root.aggregation_scheduler.push_interval + 1
     )
-    assert all(b - a >= made.aggregation_scheduler.push_interval for a, b in itertools.pairwise(times))
-    assert all(made.accounts[c].tree_edges[other].sent_asked > 0 for c in (0, ROOTS))
+    assert all(b - a >= root.aggregation_scheduler.push_interval for a, b in itertools.pairwise(times))
+    assert all(root.accounts[c].tree_edges[other].sent_asked > 0 for c in (0, ROOTS))
 
 
 def test_a_fleet_keeps_near_its_quotas():
@@ -144,26 +152,26 @@
     Exchanging totals over doubling distances instead of the tree gave an over-quota cost of 0.29.
     """
     plans = (Plan(rate=1.3, burst=6.0, over_quota_cost=1.0), Plan(rate=20.0, burst=40.0, over_quota_cost=1.0))
-    seen = quotas.World(quotas.Fleet(plans, (100, 16), gateways=120, seconds=10.0), seed=1).run()
-    assert seen["over_quota"] < 0.12
-    assert seen["inside"] > 0.95
-    assert seen["most_got"] < 50
+    result = quotas.World(quotas.Fleet(plans, (100, 16), gateways=120, seconds=10.0), seed=1).run()
+    assert result["over_quota"] < 0.12
+    assert result["inside"] > 0.95
+    assert result["most_got"] < 50
 
 
-@pytest.mark.parametrize("spread, lose, repeat", [(130, 0, 1), (130, 0.07, 1), (130, 0, 2), (400, 0, 1)])
-def test_use_over_the_quota_is_held_near_it(spread, lose, repeat):
-    ring = WideRing(spread, spread, lose=lose, repeat=repeat)
-    ring.drive(15, per_second=8)  # 16 units/s, four times the rate, until all members have the totals
-    assert 0.5 * 25 * PLAN.rate < ring.drive(25, per_second=8) < 1.6 * 25 * PLAN.rate
+@pytest.mark.parametrize("spread, loss_rate, copies", [(130, 0, 1), (130, 0.07, 1), (130, 0, 2), (400, 0, 1)])
+def test_use_beyond_the_quota_is_limited_near_it(spread, loss_rate, copies):
+    tier = AggregatedTier(spread, spread, loss_rate=loss_rate, copies=copies)
+    tier.send_requests(15, per_second=8)  # 16 units/s, four times the rate, until all have the totals
+    assert 0.5 * 25 * PLAN.rate < tier.send_requests(25, per_second=8) < 1.6 * 25 * PLAN.rate
 
 
-def test_use_under_the_quota_is_let_in_everywhere():
-    ring = WideRing(130, 130)
-    assert ring.drive(30, per_second=1) >= 0.95 * 60
+def test_use_within_the_quota_is_admitted_everywhere():
+    tier = AggregatedTier(130, 130)
+    assert tier.send_requests(30, per_second=1) >= 0.95 * 60
 
 
-def test_totals_count_once_whatever_messages_do():
-    edge = WideRing(9, 9).gateways[0].account(7, 0, 0, 9).tree_edges
+def test_totals_count_once_when_messages_are_repeated_or_reordered():
+    edge = AggregatedTier(9, 9).gateways[0].account(7, 0, 0, 9).tree_edges
     edge = next(iter(edge.values()))
     assert edge.receive(8190.0, 0.0, True) == (0.0, 0.0)
     assert edge.receive(3.0, 2.0, True) == (5.0, 2.0)  # wrapped around
@@ -197,20 +205,20 @@
 
 
 def test_gateways_prefer_few_servers_evenly():
-    names, seen = [f"s{i}" for i in range(80)], {}
+    names, preferred_by = [f"s{i}" for i in range(80)], {}
     for me in range(400):
         g = Gateway(settings(me, 400, plans=(PLAN,)), seed=1)
         g.handle(50.0, [servers(*names)])
         assert len(g.backends.preferred) == SUBSET_SIZE > MAX_EXCHANGE_MEMBERS
         for s in g.backends.preferred:
-            seen[s.endpoint.backend] = seen.get(s.endpoint.backend, 0) + 1
-    assert set(seen.values()) == {50}
+            preferred_by[s.endpoint.backend] = preferred_by.get(s.endpoint.backend, 0) + 1
+    assert set(preferred_by.values()) == {50}
 
 
-def test_one_of_many_gateways_sends_where_it_has_least_out():
-    aggregation_tree = Plan(rate=1e6, burst=1e6)
+def test_one_of_many_gateways_sends_where_it_has_fewest_requests_in_flight():
+    plan = Plan(rate=1e6, burst=1e6)
     for seed in range(5):
-        g = Gateway(settings(3, 40, plans=(aggregation_tree,)), seed=seed)
+        g = Gateway(settings(3, 40, plans=(plan,)), seed=seed)
         g.handle(50.0, [servers(*[f"s{i}" for i in range(60)])])
         used = [
             pick(g.handle(51.0, [request(i, spread=40)]), StartAttempt)[0].backend
@@ -220,9 +228,9 @@
         assert len(set(used)) == SUBSET_SIZE
 
 
-def test_full_to_one_class_leaves_the_server_to_the_other():
-    aggregation_tree = Plan(rate=1e6, burst=1e6)
-    g = Gateway(settings(0, 20, plans=(aggregation_tree,), classes=(SAFE, UNSAFE)), seed=1)
+def test_a_backend_that_rejects_one_class_still_serves_the_other():
+    plan = Plan(rate=1e6, burst=1e6)
+    g = Gateway(settings(0, 20, plans=(plan,), classes=(SAFE, UNSAFE)), seed=1)
     g.handle(50.0, [servers("a", "b")])
     sent = {0: [], 1: []}
     for i in range(60):
@@ -234,23 +242,25 @@
 
 
 @pytest.mark.parametrize("gateways", [130, 400])
-def test_cold_servers_are_used_and_the_sum_keeps_the_rule(gateways):
+def test_cold_backends_are_used_within_their_capacity(gateways):
     more = {"initial_capacity": 0.16, "warm_up_time": 18.0, "overload_multiple": 2.0, "overload_window": 1.5}
-    aggregation_tree = Plan(rate=1e6, burst=1e6)
-    all_of_them = [
-        Gateway(settings(m, gateways, plans=(aggregation_tree,), classes=(SAFE,), **more), seed=m)
+    plan = Plan(rate=1e6, burst=1e6)
+    tier = [
+        Gateway(settings(m, gateways, plans=(plan,), classes=(SAFE,), **more), seed=m)
         for m in range(gateways)
     ]
     sent = 0
-    for g in all_of_them:
+    for g in tier:
         g.handle(100.0, [servers("new", started=100.0)])
-    for turn in range(4):
-        for i, g in enumerate(all_of_them):
-            actions = g.handle(101.0 + 1.5 * turn, [request(1000 * turn + i, customer=i, spread=gateways)])
+    for window in range(4):
+        for i, g in enumerate(tier):
+            actions = g.handle(
+                101.0 + 1.5 * window, [request(1000 * window + i, customer=i, spread=gateways)]
+            )
             sent += len(pick(actions, StartAttempt))
     work, cores = 0.15, 2.0
-    able = sum(2.0 * (0.16 + 0.84 * (1 + 1.5 * k) / 18) * cores * 1.5 for k in range(4))
-    assert 0.2 * able < sent * work < able
+    capacity = sum(2.0 * (0.16 + 0.84 * (1 + 1.5 * k) / 18) * cores * 1.5 for k in range(4))
+    assert 0.2 * capacity < sent * work < capacity
 
 
 def test_idle_gateway_sets_no_timer_and_sends_nothing():
