--- a/tests/decisions/test_quota_exchange.py
+++ b/tests/decisions/test_quota_exchange.py
@@ -26,7 +26,7 @@
     return sum(ring.slices().values())
 
 
-def test_even_start():
+def test_shares_are_even_at_the_start():
     ring = Ring()
     for g in ring.gateways.values():
         a = g.account(7, 0, 2, 2)
@@ -37,7 +37,7 @@
 
 
 @pytest.mark.parametrize("gateways", [2, 3, 4])
-def test_supply_follows_demand_and_is_conserved(gateways):
+def test_shares_follow_demand_and_their_sum_is_conserved(gateways):
     ring = Ring(gateways)
     for g in ring.gateways.values():
         g.account(7, 0, 0, gateways)
@@ -50,7 +50,7 @@
 
 
 @pytest.mark.parametrize("trouble", ["loss", "repeats", "delay"])
-def test_bad_messages_heal(trouble):
+def test_shares_recover_from_lost_repeated_and_late_messages(trouble):
     ring = Ring()
     if trouble == "loss":
         ring.lost = lambda sender, to, number: number % 3 == 0
@@ -99,21 +99,23 @@
     assert ring.gateways[0].accounts[7].level < PLAN.burst / 6
 
 
-def test_silent_neighbour_is_a_loan_and_handed_back():
+def test_a_silent_neighbours_share_is_borrowed_and_returned():
     ring = Ring()
     ring.run(2, lambda me: 1.0)
-    gone = ring.gateways.pop(1)
+    stopped = ring.gateways.pop(1)
     ring.run(2, lambda me: 1.0)
-    heir, other = ring.gateways[2], ring.gateways[0]
-    a = heir.accounts[7]
-    assert heir.quota_share(a) == pytest.approx(heir.accounts[7].base_share() + a.ledgers[1].peer_share)
+    borrower, other = ring.gateways[2], ring.gateways[0]
+    a = borrower.accounts[7]
+    assert borrower.quota_share(a) == pytest.approx(
+        borrower.accounts[7].base_share() + a.ledgers[1].peer_share
+    )
     assert other.quota_share(other.accounts[7]) == pytest.approx(other.accounts[7].base_share())
-    ring.gateways[1] = gone
+    ring.gateways[1] = stopped
     ring.run(1, lambda me: 1.0)
-    assert heir.quota_share(a) == pytest.approx(heir.accounts[7].base_share())
+    assert borrower.quota_share(a) == pytest.approx(borrower.accounts[7].base_share())
 
 
-def test_own_cut_takes_no_loan():
+def test_a_gateway_that_is_cut_off_borrows_nothing():
     ring = Ring()
     ring.run(2, lambda me: 1.0)
     ring.lost = lambda *a: True
@@ -137,13 +139,13 @@
     ring = Ring()
     ring.run(2, busy_at(0))
     g = ring.gateways[1]
-    note = peer_messages.AccountUpdate(7, 0, 0, 3, 0.9, 9.0, 0.0, 9000, 50.0)
+    update = peer_messages.AccountUpdate(7, 0, 0, 3, 0.9, 9.0, 0.0, 9000, 50.0)
     before = ring.slices()
     g.handle(
         ring.now,
         [
             PeerMessage(
-                0, *peer_messages.encode_exchange(g.peer_incarnations[0] - 5, g.incarnation, 10**6, [note])
+                0, *peer_messages.encode_exchange(g.peer_incarnations[0] - 5, g.incarnation, 10**6, [update])
             )
         ],
     )
@@ -151,7 +153,7 @@
         ring.now,
         [
             PeerMessage(
-                0, *peer_messages.encode_exchange(g.peer_incarnations[0], g.incarnation - 5, 10**6, [note])
+                0, *peer_messages.encode_exchange(g.peer_incarnations[0], g.incarnation - 5, 10**6, [update])
             )
         ],
     )
@@ -165,9 +167,9 @@
     for a in g.accounts.values():
         a.level = 0.0
     ring.now += 0.3
-    tells = pick(g.handle(ring.now, [TimerExpired(0)]), SendToPeer)
-    assert actions and max(len(m.payload) for m in tells) <= peer_messages.MESSAGE_BYTES
-    assert len([m for m in tells if m.peer == 1]) > 1
+    messages = pick(g.handle(ring.now, [TimerExpired(0)]), SendToPeer)
+    assert actions and max(len(m.payload) for m in messages) <= peer_messages.MESSAGE_BYTES
+    assert len([m for m in messages if m.peer == 1]) > 1
     for rid, send in [(s.id, s) for s in pick(actions, StartAttempt)]:
         g.requests.attempts_in_flight.pop((rid, 0))[1].in_flight -= 1
         assert send
@@ -176,7 +178,7 @@
     assert not g.accounts
 
 
-def test_quiet_customers_cost_no_notes_and_are_forgotten_at_both_ends():
+def test_inactive_customers_cause_no_updates_and_are_forgotten_at_both_ends():
     ring, asked = Ring(), []
     ring.run(3)
     ring.run(1, lambda me: 0.0 if asked else asked.append(me) or 1.0)
@@ -193,15 +195,17 @@
 
 
 @pytest.mark.parametrize("busy", [0, 2])
-@pytest.mark.parametrize("who, asks", [(who, asks) for who in range(3) for asks in range(3)])
-def test_an_account_started_anew_at_one_end_keeps_the_sum_and_its_units(busy, who, asks):
+@pytest.mark.parametrize(
+    "restarted, requester", [(restarted, requester) for restarted in range(3) for requester in range(3)]
+)
+def test_an_account_recreated_at_one_end_keeps_the_sum_and_its_units(busy, restarted, requester):
     ring = Ring()
     ring.run(8, busy_at(busy))  # shares and many units have moved
     ring.run(7)
-    ring.gateways[who].accounts.clear()
-    ring.gateways[who].active_accounts.clear()
+    ring.gateways[restarted].accounts.clear()
+    ring.gateways[restarted].active_accounts.clear()
     for _ in range(10):
-        ring.run(0.3, lambda me: 0.05 if me == asks else 0.0)
+        ring.run(0.3, lambda me: 0.05 if me == requester else 0.0)
         for g in ring.gateways.values():  # units moved before must not be taken from a bucket again
             assert (
                 7 not in g.accounts
@@ -215,28 +219,33 @@
     ring = Ring()
     ring.run(2)
     g = ring.gateways[1]
-    note = peer_messages.AccountUpdate(
+    update = peer_messages.AccountUpdate(
         7, 0, 0, 3, 0.6, 1.0, 18.0, 8000, 12.0
     )  # its bucket is full with 12 units received from this gateway
-    message = PeerMessage(0, *peer_messages.encode_exchange(5, g.incarnation, 1, [note]))
-    tell = pick(g.handle(ring.now, [message]), SendToPeer)[-1]
-    (reply,) = peer_messages.decode_exchange(tell.payload, 1, ring.gateways[0].settings).updates
+    message = PeerMessage(0, *peer_messages.encode_exchange(5, g.incarnation, 1, [update]))
+    sent = pick(g.handle(ring.now, [message]), SendToPeer)[-1]
+    (reply,) = peer_messages.decode_exchange(sent.payload, 1, ring.gateways[0].settings).updates
     assert (
         reply.received_units <= -11.0 and reply.received_share < -4000
     )  # if totals restarted from 0, the other end would lose them
 
 
-def test_overtaken_message_changes_nothing():
+def test_a_reordered_message_changes_nothing():
     ring = Ring()
     ring.run(1, busy_at(0))
     g = ring.gateways[0]
-    born, pair = g.peer_incarnations[1], g.accounts[7].ledgers[1]
-    for number, moved in ((10**6 + 2, 6000), (10**6 + 1, -3000)):
-        note = peer_messages.AccountUpdate(7, 0, 0, 3, 0.5, 3.0, 5.0, moved, moved / 1000)
+    peer_incarnation, ledger = g.peer_incarnations[1], g.accounts[7].ledgers[1]
+    for number, received in ((10**6 + 2, 6000), (10**6 + 1, -3000)):
+        update = peer_messages.AccountUpdate(7, 0, 0, 3, 0.5, 3.0, 5.0, received, received / 1000)
         g.handle(
-            ring.now, [PeerMessage(1, *peer_messages.encode_exchange(born, g.incarnation, number, [note]))]
+            ring.now,
+            [
+                PeerMessage(
+                    1, *peer_messages.encode_exchange(peer_incarnation, g.incarnation, number, [update])
+                )
+            ],
         )
-    assert pair.received_share == -6000 and pair.received_units == -6.0
+    assert ledger.received_share == -6000 and ledger.received_units == -6.0
 
 
 def test_new_incarnation_starts_the_pair_over_at_once():
@@ -250,7 +259,7 @@
     assert g.accounts[7].ledgers[1].received_share == 0
 
 
-class Alone:
+class StandaloneExchange:
     """A quota exchange without a gateway: accounts need no refill, and nothing is borrowed."""
 
     def __init__(self, gateway_index, plan=PLAN, gateway_count=2):
@@ -269,7 +278,7 @@
 
 
 def test_a_pair_alone_moves_shares_towards_demand_and_conserves_their_sum():
-    low, high = Alone(0), Alone(1)
+    low, high = StandaloneExchange(0), StandaloneExchange(1)
     low.account.demand, high.account.demand = 1.0, 3.0
     for number in range(1, 20):
         update = low.exchange.update_for(7, low.account, 1, 100.0)
@@ -283,7 +292,7 @@
 
 
 def test_a_pair_alone_conserves_the_sum_whatever_is_lost_or_repeated():
-    low, high = Alone(0), Alone(1)
+    low, high = StandaloneExchange(0), StandaloneExchange(1)
     low.account.demand, high.account.demand = 1.0, 3.0
     chance = random.Random(5)
     for number in range(1, 60):
@@ -299,8 +308,8 @@
     assert low.account.level + high.account.level == pytest.approx(PLAN.burst)
 
 
-def test_an_exchange_alone_updates_often_in_need_rarely_else_and_ends_when_quiet():
-    one = Alone(0)
+def test_updates_are_frequent_in_need_rare_otherwise_and_end_when_inactive():
+    one = StandaloneExchange(0)
     one.table.active[7] = one.account
     assert [u.customer for u in one.exchange.due(100.0, lambda peer: True)[1]] == [7]
     assert one.exchange.due(100.0 + EXCHANGE_INTERVAL, lambda peer: True) == {1: []}
@@ -314,7 +323,7 @@
 
 
 def test_a_share_is_on_loan_only_from_a_silent_predecessor():
-    one = Alone(0, gateway_count=3)
+    one = StandaloneExchange(0, gateway_count=3)
     one.account.ledgers[2].peer_share = 0.2
     assert one.account.predecessor == 2
     one.exchange.peer_last_heard = {1: 100.0, 2: 100.0}
