--- a/tests/decisions/test_defences.py
+++ b/tests/decisions/test_defences.py
@@ -17,27 +17,27 @@
 from corkdeal.decisions.settings import Effect, Plan, RequestClass
 from tests.helpers import PLAN, outcome, pick, request, servers, settings
 
-WIDE = Plan(rate=1e6, burst=1e6)
+UNLIMITED = Plan(rate=1e6, burst=1e6)
 
 
-def started(*names, **more):
-    more.setdefault("plans", (WIDE,))
+def gateway_with(*names, **more):
+    more.setdefault("plans", (UNLIMITED,))
     g = Gateway(settings(**more), seed=3)
     g.handle(100.0, [servers(*names)])
     return g
 
 
-def drive(g, count, behave, now=101.0, step=0.05, cls=0):
+def send_requests(g, count, behave, now=101.0, step=0.05, cls=0):
     """Send `count` requests; `behave(backend)` is the status of an attempt or None for no answer.
 
     Returns the number of attempts by backend, and the time after the last one.
     """
-    seen = {}
+    attempts_by_backend = {}
     for _ in range(count):
         now += step
         actions = g.handle(now, [request(int(now * 1000), cls=cls), TimerExpired(0)])
         for send in pick(actions, StartAttempt):
-            seen[send.backend] = seen.get(send.backend, 0) + 1
+            attempts_by_backend[send.backend] = attempts_by_backend.get(send.backend, 0) + 1
             status = behave(send.backend)
             if status is not None:
                 g.handle(
@@ -53,22 +53,22 @@
                         )
                     ],
                 )
-    return seen, now
+    return attempts_by_backend, now
 
 
-@pytest.mark.parametrize("bad", [Status.ERROR, Status.CONNECT_FAILED, Status.REJECTED, None])
-def test_failing_refusing_and_hanging_servers_are_left(bad):
-    g = started("a", "b", "c", "d")
-    seen, now = drive(g, 100, lambda s: bad if s == "a" else Status.OK)
-    assert seen["a"] < 15
-    _, now = drive(g, 300, lambda s: Status.OK, now)
-    back, _ = drive(g, 200, lambda s: Status.OK, now)
-    if bad is not None:
-        assert not g.backends.records["a"].is_ejected and back["a"] > 20
+@pytest.mark.parametrize("failure", [Status.ERROR, Status.CONNECT_FAILED, Status.REJECTED, None])
+def test_failing_rejecting_and_hanging_backends_are_avoided(failure):
+    g = gateway_with("a", "b", "c", "d")
+    attempts, now = send_requests(g, 100, lambda s: failure if s == "a" else Status.OK)
+    assert attempts["a"] < 15
+    _, now = send_requests(g, 300, lambda s: Status.OK, now)
+    later_attempts, _ = send_requests(g, 200, lambda s: Status.OK, now)
+    if failure is not None:
+        assert not g.backends.records["a"].is_ejected and later_attempts["a"] > 20
 
 
-def test_hung_attempt_of_a_safe_request_moves_elsewhere():
-    g = started("a", "b", "c", "d")
+def test_a_hanging_attempt_of_an_idempotent_request_moves_to_another_backend():
+    g = gateway_with("a", "b", "c", "d")
     first = pick(g.handle(101.0, [request(1)]), StartAttempt)[0]
     g.handle(101.4, [TimerExpired(0)])
     cancel = pick(g.handle(101.7, [TimerExpired(0)]), CancelAttempt)
@@ -78,10 +78,10 @@
 
 
 @pytest.mark.parametrize("effect", Effect)
-def test_an_answer_lost_on_its_way_moves_its_request_but_ejects_nobody(effect):
+def test_a_lost_answer_moves_its_request_but_ejects_no_backend(effect):
     moves = effect is not Effect.NOT_IDEMPOTENT
     cls = RequestClass(latency_objective=1.5, deadline=4.0, effect=effect, deduplication_window=10.0)
-    g = started("a", classes=(cls,))
+    g = gateway_with("a", classes=(cls,))
     g.handle(101.0, [request(1, timeout=4.0)])
     for i in range(20):  # meanwhile the backend answers other requests
         g.handle(101.0 + i * 0.05, [request(10 + i, timeout=4.0)])
@@ -94,14 +94,14 @@
 
 
 def test_most_of_the_fleet_is_never_ejected():
-    g = started("a", "b", "c", "d")
-    drive(g, 60, lambda s: Status.ERROR)
+    g = gateway_with("a", "b", "c", "d")
+    send_requests(g, 60, lambda s: Status.ERROR)
     actions = g.handle(200.0, [request(999999)])
     assert pick(actions, StartAttempt)
 
 
 def test_retry_budget_prevents_storms():
-    g = started(*"abcdefgh", max_attempts=6)
+    g = gateway_with(*"abcdefgh", max_attempts=6)
     sends = firsts = 0
     for i in range(200):
         out = pick(g.handle(101.0 + i / 20, [request(i)]), StartAttempt)
@@ -115,38 +115,38 @@
     assert sends <= firsts * 1.2 + MAX_RETRY_BUDGET + 1
 
 
-def test_pressed_fleet_refuses_early():
-    g = started("a", "b")
+def test_an_overloaded_fleet_rejects_early():
+    g = gateway_with("a", "b")
     for i in range(40):
         g.handle(101.0 + i / 100, [request(i)])
-    refused = pick(g.handle(101.5, [request(99)]), Reject)
-    assert refused and len(g.requests.pending) < 20
+    rejections = pick(g.handle(101.5, [request(99)]), Reject)
+    assert rejections and len(g.requests.pending) < 20
 
 
-def test_bad_record_does_not_lock_a_server_out():
-    g = started("a")
+def test_a_bad_record_does_not_exclude_a_backend():
+    g = gateway_with("a")
     g.backends.records["a"].slowness, g.backends.records["a"].last_attempt_at = 50.0, 99.9
     assert pick(g.handle(100.1, [request(1)]), Reject)
     assert pick(g.handle(101.0, [request(2)]), StartAttempt)
 
 
-def test_marked_retries_do_not_drag_supply():
-    g = started("a", plans=(PLAN,))
+def test_marked_retries_add_no_demand():
+    g = gateway_with("a", plans=(PLAN,))
     g.handle(101.0, [request(1)])
     before = g.accounts[7].demand
     g.handle(101.0, [request(2, is_retry=True)])
     assert g.accounts[7].demand == before
 
 
-def test_beyond_quota_is_refused_at_once_with_advice():
-    g = started("a", "b", plans=(PLAN,))
+def test_a_request_beyond_the_quota_is_rejected_at_once_with_retry_after():
+    g = gateway_with("a", "b", plans=(PLAN,))
     answers = [g.handle(101.0, [request(i, units=4.0)]) for i in range(12)]
-    refused = [r for a in answers for r in pick(a, Reject)]
-    assert refused and all(0 < r.retry_after <= 1.0 for r in refused)
+    rejections = [r for a in answers for r in pick(a, Reject)]
+    assert rejections and all(0 < r.retry_after <= 1.0 for r in rejections)
 
 
-def test_credit_from_a_neighbour_that_has_room():
-    g = started("a", "b", plans=(PLAN,))
+def test_a_neighbours_level_is_credit():
+    g = gateway_with("a", "b", plans=(PLAN,))
     a = g.account(7, 0, 0, 3)
     a.level, a.refilled_at = 0.0, 101.0
     assert not g.admission.is_within_quota(a, 2.0, 1 / 3, g.now)
@@ -157,41 +157,41 @@
     assert not g.admission.is_within_quota(a, 2.0, 1 / 3, g.now)
 
 
-def test_open_slots_are_shared_and_small_ones_not_starved():
+def test_concurrency_slots_are_shared_and_small_shares_not_starved():
     plan = Plan(max_in_flight=2)
-    g = started("a", "b", plans=(plan,))
+    g = gateway_with("a", "b", plans=(plan,))
     assert pick(g.handle(101.0, [request(1)]), StartAttempt)
     assert pick(g.handle(101.0, [request(2)]), Reject)
     g.handle(101.1, [outcome(1, 0, g.requests.pending[1].backend.endpoint.backend)])
     assert pick(g.handle(101.2, [request(3)]), StartAttempt)
 
 
-def test_settled_units_correct_the_bucket():
-    g = started("a", plans=(PLAN,), is_post_paid=True)
+def test_true_units_correct_the_bucket():
+    g = gateway_with("a", plans=(PLAN,), is_post_paid=True)
     send = pick(g.handle(101.0, [request(1, units=1.0)]), StartAttempt)[0]
     before = g.accounts[7].level
     g.handle(101.0, [outcome(1, 0, send.backend, true_units=4.0)])
     assert g.accounts[7].level == pytest.approx(before - 3.0)
 
 
-def test_streams_are_left_to_the_client():
+def test_streams_have_no_deadline():
     stream = RequestClass(latency_objective=1.0, deadline=2.0, is_streaming=True)
-    g = started("a", classes=(stream,))
+    g = gateway_with("a", classes=(stream,))
     actions = g.handle(101.0, [request(1, timeout=2.0)])
     token = next(x.token for x in pick(actions, SetTimer) if x.token)
     g.handle(101.1, [StreamStarted(1, 0, "a", 0.1)])
     assert not pick(g.handle(103.0, [TimerExpired(token), TimerExpired(0)]), (Fail, Reject, CancelAttempt))
 
 
-def test_on_request_lists_are_subscribed_to_again():
+def test_endpoint_lists_on_request_are_watched_again():
     g = Gateway(settings(is_endpoint_list_pushed=False, poll_interval=4.0), seed=1)
     assert pick(g.handle(100.0, []), WatchEndpoints)
     assert pick(g.handle(102.0, [EndpointUpdate(UpdateKind.FAILED), TimerExpired(0)]), WatchEndpoints)
 
 
 def test_shared_slowness_is_seen_within_a_second_of_answers():
-    g = started(*"abcdefghij")
-    _, now = drive(g, 100, lambda s: Status.OK)
+    g = gateway_with(*"abcdefghij")
+    _, now = send_requests(g, 100, lambda s: Status.OK)
     usual = g.latency_model.fleet_slowness
     for i in range(20):
         now += 0.05
@@ -200,44 +200,44 @@
     assert g.latency_model.fleet_slowness > 2 * usual
 
 
-def test_idle_servers_share_the_work():
-    g = started("a", "b", "c", "d")
-    seen, _ = drive(g, 400, lambda s: Status.OK)
-    assert min(seen.values()) > 40
+def test_idle_backends_share_the_work():
+    g = gateway_with("a", "b", "c", "d")
+    attempts, _ = send_requests(g, 400, lambda s: Status.OK)
+    assert min(attempts.values()) > 40
 
 
 def test_no_messages_where_they_are_not_allowed():
-    g = started("a", may_message_peers=False, gateways=2)
+    g = gateway_with("a", may_message_peers=False, gateways=2)
     assert not pick(g.handle(101.0, [request(1, spread=2), TimerExpired(0)]), SendToPeer)
     g.handle(105.0, [TimerExpired(0)])
     assert g.quota_share(g.accounts[7]) == pytest.approx(1 / 2)  # no messages, so silence is no failure
 
 
-def test_capped_plan_advises_about_a_service_time():
-    g = started("a", "b", plans=(Plan(max_in_flight=2),))
+def test_retry_after_of_a_concurrency_limit_is_about_a_service_time():
+    g = gateway_with("a", "b", plans=(Plan(max_in_flight=2),))
     g.handle(101.0, [request(1)])
-    refused = pick(g.handle(101.0, [request(2)]), Reject)
-    assert len(refused) == 1 and 0 < refused[0].retry_after < 0.5
+    rejections = pick(g.handle(101.0, [request(2)]), Reject)
+    assert len(rejections) == 1 and 0 < rejections[0].retry_after < 0.5
 
 
-@pytest.mark.parametrize("turn", [1, -1])
-def test_the_order_of_the_classes_changes_no_guess(turn):
+@pytest.mark.parametrize("order", [1, -1])
+def test_the_order_of_the_classes_changes_no_assumed_latency(order):
     """The latency assumed before any answer must not depend on the order of classes in the settings."""
     quick, slow = (
         RequestClass(latency_objective=0.8, deadline=1.6),
         RequestClass(latency_objective=3.5, deadline=9.0),
     )
-    g = started("a", gateways=12, plans=(Plan(max_in_flight=4),), classes=(quick, slow)[::turn])
+    g = gateway_with("a", gateways=12, plans=(Plan(max_in_flight=4),), classes=(quick, slow)[::order])
     a = g.account(7, 0, 0, 12)
     assert g.rate(a) == pytest.approx(0.3 * 4 / (0.15 * 0.8))
 
 
-def test_pressed_servers_are_left_to_those_inside_their_quota_first():
+def test_loaded_backends_serve_requests_within_quota_first():
     """At medium load, requests beyond the quota are rejected although they have some value."""
     plan = Plan(rate=100.0, burst=100.0, over_quota_weight=0.3)
     sent = {}
     for elapsed in (0.1, 0.3, 0.6):
-        g = started("a", "b", plans=(plan,))
+        g = gateway_with("a", "b", plans=(plan,))
         for i in range(300):
             g.handle(101.0 + i / 10, [request(i, customer=i)])
             for (rid, attempt), (server, _) in list(g.requests.attempts_in_flight.items()):
