--- a/tests/decisions/test_gateway.py
+++ b/tests/decisions/test_gateway.py
@@ -14,14 +14,14 @@
     return g, g.handle(100.0, list(events))
 
 
-def timer_of(actions):
+def deadline_timer(actions):
     return [a for a in pick(actions, SetTimer) if a.token][-1]
 
 
 def test_every_request_is_answered_before_its_deadline():
     g, _ = gateway(servers("a"))
     actions = g.handle(101.0, [request(1, cls=1, timeout=0.5)])
-    timer = timer_of(actions)
+    timer = deadline_timer(actions)
     assert len(pick(actions, StartAttempt)) == 1 and timer.delay < 0.5
     late = g.handle(101.0 + timer.delay, [TimerExpired(timer.token)])
     assert pick(late, Fail) == [Fail(1)] and not pick(late, Reject)
@@ -37,17 +37,17 @@
     assert not pick(again, (Fail, Reject, StartAttempt))
 
 
-def test_every_refusal_says_when_to_come_back():
+def test_every_rejection_has_a_retry_after():
     g, _ = gateway(servers())
     g.handle(101.0, [request(1)])
     assert all(r.retry_after > 0 for r in pick(g.handle(101.9, [TimerExpired(0)]), Reject))
     g, _ = gateway(servers("a"))
-    pressed = [pick(g.handle(101.0, [request(rid, customer=rid)]), Reject) for rid in range(20)]
-    refused = [r for some in pressed for r in some]
-    assert refused and all(0 < r.retry_after <= 1.0 for r in refused)
+    results = [pick(g.handle(101.0, [request(rid, customer=rid)]), Reject) for rid in range(20)]
+    rejections = [r for result in results for r in result]
+    assert rejections and all(0 < r.retry_after <= 1.0 for r in rejections)
 
 
-def test_held_request_without_a_server_gets_an_answer():
+def test_a_request_waiting_for_a_backend_gets_a_reply():
     g, _ = gateway(servers())
     assert not pick(g.handle(101.0, [request(1)]), (Fail, Reject, StartAttempt))
     assert pick(g.handle(101.9, [TimerExpired(0)]), Reject)
@@ -64,7 +64,7 @@
         (Status.RESET, False),
     ],
 )
-def test_unsafe_runs_once(status, again):
+def test_a_request_that_is_not_idempotent_runs_once(status, again):
     g, _ = gateway(servers("a", "b"))
     sent = pick(g.handle(101.0, [request(1, cls=1)]), StartAttempt)[0]
     after = g.handle(101.1, [outcome(1, 0, sent.backend, status)])
@@ -73,7 +73,7 @@
 
 
 @pytest.mark.parametrize("group", DeduplicationScope)
-def test_keyed_stays_in_its_group_and_window(group):
+def test_a_request_with_an_idempotency_key_is_retried_within_its_scope_and_window(group):
     keyed = RequestClass(
         latency_objective=2.0,
         deadline=9.0,
@@ -110,7 +110,7 @@
 
 
 @pytest.mark.parametrize("state", [EndpointState.DRAINING, EndpointState.GONE])
-def test_drained_servers_get_nothing(state):
+def test_draining_backends_get_no_requests(state):
     g, _ = gateway(servers("a", "b"))
     g.handle(101.0, [servers("a", kind=UpdateKind.DELTA, state=state)])
     for i in range(10):
@@ -118,7 +118,7 @@
             assert send.backend == "b"
 
 
-def test_cold_server_gets_less_than_its_budget():
+def test_a_cold_backend_gets_less_than_its_budget():
     more = {"initial_capacity": 0.2, "warm_up_time": 10.0, "overload_multiple": 2.0, "overload_window": 1.0}
     plan = Plan(rate=1e6, burst=1e6)
     g, _ = gateway(servers("new", started=100.0), plans=(plan,), **more)
@@ -132,20 +132,20 @@
     assert 0 < sent * usual <= budget + usual
 
 
-def test_ceiling_is_kept_alone_and_starts_empty():
+def test_the_hard_limit_is_kept_per_gateway_and_starts_empty():
     plan = Plan(rate=3.0, burst=300.0, hard_limit_rate=6.0, hard_limit_burst=12.0)
     g, _ = gateway(servers("a", "b"), plans=(plan,))
     assert pick(g.handle(100.0, [request(1, units=1.0)]), Reject)
-    let_in, now = 0.0, 100.0
+    admitted, now = 0.0, 100.0
     for i in range(2, 400):
         now += 0.05
         for send in pick(g.handle(now, [request(i, units=1.0)]), StartAttempt):
-            let_in += 1
+            admitted += 1
             g.handle(now, [outcome(i, 0, send.backend, elapsed=0.01)])
-    assert 0 < let_in <= 2.0 * (now - 100.0) + 4.0
+    assert 0 < admitted <= 2.0 * (now - 100.0) + 4.0
 
 
-def test_ceiling_holds_even_where_going_over_quota_pays():
+def test_the_hard_limit_holds_even_if_requests_beyond_the_quota_pay():
     plan = Plan(
         rate=3.0,
         burst=3.0,
