--- a/tests/decisions/test_slow_start.py
+++ b/tests/decisions/test_slow_start.py
@@ -18,7 +18,7 @@
 
 
 @pytest.mark.parametrize("gateways, skew", [(4, 0.0), (40, 0.0), (40, 1.2), (150, 0.7)])
-def test_a_fleet_uses_a_cold_server_and_does_not_push_it_over(gateways, skew):
+def test_a_fleet_uses_a_cold_backend_without_overloading_it(gateways, skew):
     """Each gateway prefers 10 of 30 backends, and would send all its requests to the cold one."""
     rng = random.Random(gateways)
     s = settings(gateways=gateways, initial_capacity=0.25, warm_up_time=16.0, overload_multiple=4.0)
@@ -27,7 +27,7 @@
     weights = [1 / (1 + g) ** skew for g in range(gateways)]
     cold = [BackendRecord(Endpoint("new", EndpointState.READY, started=20.0)) for _ in range(gateways)]
     preferred = 30 if gateways < 10 else 10
-    borne = sum(weights[g] for g in sharing) / sum(weights) * RATE * 30 / preferred  # at a warm backend
+    warm_backend_rate = sum(weights[g] for g in sharing) / sum(weights) * RATE * 30 / preferred  # requests/s
     sent, now = [], 0.0
     while now < 36.0:
         now += rng.expovariate(RATE * 30)
@@ -40,12 +40,12 @@
             budgets[g].served.add(now, WORK / preferred)
     for at in sent:
         warmth = 0.25 + 0.75 * (at - 20.0) / 16.0
-        assert sum(at - 1.0 < x <= at for x in sent) <= 4.0 * warmth * max(borne, CAPACITY)
-    due = sum(RATE * (0.25 + 0.75 * k / 16) for k in range(16))  # at the load of warm backends
-    assert len(sent) > 0.8 * due
+        assert sum(at - 1.0 < x <= at for x in sent) <= 4.0 * warmth * max(warm_backend_rate, CAPACITY)
+    expected = sum(RATE * (0.25 + 0.75 * k / 16) for k in range(16))  # at the load of warm backends
+    assert len(sent) > 0.8 * expected
 
 
-def test_without_anything_served_yet_a_cold_server_is_still_tried():
+def test_a_cold_backend_is_used_before_anything_was_served():
     s = settings(gateways=40, initial_capacity=0.25, warm_up_time=16.0)
     budget = SlowStartBudget(s, random.Random(1), WORK)
     cold = BackendRecord(Endpoint("new", EndpointState.READY, started=1.0))
@@ -64,7 +64,7 @@
     assert budget.served.rate(100.0 + seconds) == pytest.approx(10 * WORK / 5.0, rel=0.15)
 
 
-def test_work_counts_the_same_while_servers_are_slow():
+def test_work_is_independent_of_slow_backends():
     """Credit is counted as work, so a latency that doubles under load must not halve the requests sent."""
     heavy, light = (
         RequestClass(latency_objective=1.0, deadline=9.0),
@@ -72,25 +72,25 @@
     )
     g = Gateway(settings(0, 4, plans=(Plan(rate=1e6, burst=1e6),), classes=(heavy, light)), seed=1)
     g.handle(100.0, [servers("a", "b")])
-    seen = []
+    works = []
     for k in range(800):
         now, slow = 100.0 + k / 10, 1 if k < 400 else 4
         send = pick(g.handle(now, [request(k, cls=k % 2, timeout=9.0)]), StartAttempt)[0]
         if k in (398, 399, 798, 799):
-            seen.append(g.latency_model.work(g.requests.pending[k]))
-        took = (0.02 if k % 2 else 0.04) * slow
-        g.handle(now, [outcome(k, 0, send.backend, elapsed=took)])
-    assert seen[:2] == pytest.approx(seen[2:], rel=0.1)
-    assert seen[0] == pytest.approx(2 * seen[1], rel=0.1)
+            works.append(g.latency_model.work(g.requests.pending[k]))
+        latency = (0.02 if k % 2 else 0.04) * slow
+        g.handle(now, [outcome(k, 0, send.backend, elapsed=latency)])
+    assert works[:2] == pytest.approx(works[2:], rel=0.1)
+    assert works[0] == pytest.approx(2 * works[1], rel=0.1)
 
 
 @pytest.mark.parametrize("gateways", [5, 30, 200, 1100])
-def test_no_drawn_cold_start_is_pushed_over_and_the_server_is_used(gateways):
+def test_no_random_cold_start_is_overloaded_and_the_backend_is_used(gateways):
     """The short version of benchmarks/slow_start.py."""
-    verdicts = [Play(draw(gateways, random.Random(f"{gateways} {n}")), n).run() for n in range(60)]
-    assert not [n for n, v in enumerate(verdicts) if v.broken]
-    stood = [v.done / v.able for v in verdicts if not v.fell]
-    assert sum(stood) / len(stood) > (0.8 if gateways < 100 else 0.45)
+    results = [Play(draw(gateways, random.Random(f"{gateways} {n}")), n).run() for n in range(60)]
+    assert not [n for n, v in enumerate(results) if v.broken]
+    served_shares = [v.done / v.able for v in results if not v.fell]
+    assert sum(served_shares) / len(served_shares) > (0.8 if gateways < 100 else 0.45)
 
 
 def budgets_of(gateways, works, load, seed):
@@ -111,7 +111,7 @@
 
 @pytest.mark.parametrize("gateways", [2, 8, 30, 300])
 @pytest.mark.parametrize("works", [(0.2,), (0.1, 0.3)])
-def test_a_rush_after_a_lull_stays_under_what_makes_a_server_fall(gateways, works):
+def test_a_burst_after_a_pause_stays_below_the_overload_limit(gateways, works):
     """After a pause, each gateway tries to send ten requests within one window.
 
     With few sharers, budgets start with random credit, so full buckets at all of them are not covered here.
@@ -119,14 +119,14 @@
     chance = random.Random(1)
     for seed in range(0, 20_000, 1000):
         budgets, cold = budgets_of(gateways, works, load=2.6, seed=seed)
-        got = 0.0
+        sent_work = 0.0
         for at in sorted(chance.uniform(15.0, 16.0) for _ in range(10)):
             for budget, server in zip(budgets, cold, strict=True):
                 work = chance.choice(works)
                 if budget.has_credit(server, at, work, gateways) and budget.spend_credit(server, work):
-                    got += work
+                    sent_work += work
         allowed = 2.6 * 4.0 * 0.25 / 0.2
-        assert got / 0.2 <= allowed + 2 * math.sqrt(allowed) + 2
+        assert sent_work / 0.2 <= allowed + 2 * math.sqrt(allowed) + 2
 
 
 def test_all_gateways_have_the_same_chance_of_a_large_and_of_a_small_request():
@@ -141,14 +141,14 @@
     assert sent[0.1] == pytest.approx(sent[0.3], rel=0.2)
 
 
-@pytest.mark.parametrize("won, goes_to", [(True, "new"), (False, "warm")])
-def test_a_lost_draw_leaves_the_request_to_the_next_best_server(won, goes_to):
+@pytest.mark.parametrize("is_sent, goes_to", [(True, "new"), (False, "warm")])
+def test_a_failed_draw_sends_the_request_to_the_next_best_backend(is_sent, goes_to):
     g = Gateway(settings(0, 200, plans=(Plan(rate=1e6, burst=1e6),)), seed=1)
     g.handle(100.0, [servers("warm")])
     g.handle(100.0, [servers("new", kind=UpdateKind.DELTA, started=100.0)])
     draws = []
     g.slow_start.has_credit = lambda server, now, need, sharers: True
-    g.slow_start.spend_credit = lambda server, need: draws.append((server.endpoint.backend, need)) or won
+    g.slow_start.spend_credit = lambda server, need: draws.append((server.endpoint.backend, need)) or is_sent
     g.backends.records["warm"].in_flight.update({-k: (100.0, 0.0) for k in range(1, 3)})
     assert pick(g.handle(100.1, [request(1, spread=200)]), StartAttempt)[0].backend == goes_to
     assert draws == [("new", g.latency_model.initial_latency)]
