--- a/tests/test_quotas.py
+++ b/tests/test_quotas.py
@@ -30,7 +30,7 @@
     assert (judge.inside[0], judge.beyond[0]) == (inside, beyond)
 
 
-def test_an_attempt_that_is_over_frees_its_place():
+def test_an_ended_attempt_frees_its_slot():
     judge, c = quotas.Judge((OPEN,)), customer()
     for _ in range(3):
         judge.sent(c, 0.0, 1)
@@ -38,7 +38,7 @@
     assert (judge.inside[0], judge.beyond[0]) == (3, 0)
 
 
-def test_the_price_is_that_of_the_worth_offered():
+def test_the_over_quota_cost_is_relative_to_the_value_offered():
     judge, c = quotas.Judge((RATE,)), customer(store=6.0, ideal=6.0)
     for _ in range(4):  # an ideal gateway admits three of these
         judge.offer(c, 0.0, 2)
@@ -46,7 +46,7 @@
     assert judge.table() == {"inside": 1.0, "over_quota": round(2 * 0.5 / 6, 4), "beyond": [round(2 / 6, 3)]}
 
 
-class LetsAllIn(quotas.Gateway):
+class AdmitsAll(quotas.Gateway):
     """Decisions that ignore quotas."""
 
     def __init__(self, *args, **more):
@@ -54,7 +54,7 @@
         self.admission.is_within_quota = lambda *_: True
 
 
-class LetsNoneIn(quotas.Gateway):
+class RejectsAll(quotas.Gateway):
     """Decisions that reject every request."""
 
     def __init__(self, *args, **more):
@@ -66,25 +66,25 @@
     return quotas.Fleet((RATE,), (30,), gateways=12, seconds=6.0, **more)
 
 
-def test_bad_decisions_are_seen():
-    makers = (quotas.Gateway, LetsAllIn, LetsNoneIn)
-    usual, all_in, none = (quotas.World(fleet(), 1, make).run() for make in makers)
-    assert all_in["over_quota"] > 3 * usual["over_quota"]
-    assert none["inside"] == none["over_quota"] == 0.0 < usual["inside"]
+def test_wrong_decisions_are_detected():
+    gateway_classes = (quotas.Gateway, AdmitsAll, RejectsAll)
+    normal, all_admitted, none_admitted = (quotas.World(fleet(), 1, make).run() for make in gateway_classes)
+    assert all_admitted["over_quota"] > 3 * normal["over_quota"]
+    assert none_admitted["inside"] == none_admitted["over_quota"] == 0.0 < normal["inside"]
 
 
-def test_a_seed_gives_the_same_play_again_and_another_seed_another():
+def test_a_run_is_determined_by_its_seed():
     first, again, other = (quotas.World(fleet(), seed).run() for seed in (1, 1, 2))
     assert first == again != other
 
 
-def test_messages_over_a_receivers_intake_are_not_taken():
+def test_messages_beyond_the_intake_limit_are_dropped():
     free, full = (quotas.World(fleet(loss=0.0, intake=intake), 1) for intake in (1000.0, 2.0))
     assert free.run()["not_taken"] == 0.0 < full.run()["not_taken"]
     assert max(full.got.values()) > 2.0 * (6 + 1)  # one received more than its intake limit
 
 
-def test_a_gateway_that_is_killed_is_asked_nothing_until_it_is_back():
+def test_a_killed_gateway_gets_no_requests_until_it_restarts():
     world = quotas.World(fleet(), 1)
     world.run(2.0)
     world.kill(3)
