--- a/corkdeal/decisions/backend_selection.py
+++ b/corkdeal/decisions/backend_selection.py
@@ -84,7 +84,7 @@
         self, request: PendingRequest, usable: list[BackendRecord], now: float
     ) -> list[BackendRecord]:
         """Return the first nonempty group: due for a trial, untried and not ejected, not ejected, any."""
-        usable = self.deduplicating(request, usable, now)
+        usable = self.deduplicating_backends(request, usable, now)
         request_class = request.request.request_class
         untried = [b for b in usable if b not in request.tried_backends] or usable
         is_rejecting = self.outlier_detection.is_rejecting
@@ -97,7 +97,7 @@
                 return trials
         return [b for b in accepting if not b.is_ejected] or accepting
 
-    def deduplicating(
+    def deduplicating_backends(
         self, request: PendingRequest, usable: list[BackendRecord], now: float
     ) -> list[BackendRecord]:
         """Return the backends that would deduplicate a request with an idempotency key that may have run."""
--- a/corkdeal/decisions/peer_protocol.py
+++ b/corkdeal/decisions/peer_protocol.py
@@ -76,8 +76,8 @@
         from an earlier incarnation of the sender.
         """
         known = self.incarnations.peers.get(peer, 0)
-        if not self._follow(peer, incarnation):
-            self._correct(peer)
+        if not self._update_incarnation(peer, incarnation):
+            self._send_correction(peer)
             return False
         self._advance_incarnation(own_incarnation)
         self.quota_exchange.peer_last_heard[peer] = self.host.now
@@ -111,8 +111,8 @@
 
     def _receive_totals(self, peer: int, message: peer_messages.TotalsMessage) -> None:
         """Apply totals of aggregation trees, unless an earlier incarnation of the peer sent them."""
-        if not self._follow(peer, message.sender_incarnation):
-            self._correct(peer)
+        if not self._update_incarnation(peer, message.sender_incarnation):
+            self._send_correction(peer)
             return
         is_older_peer = self.incarnations.is_older(message.sender_incarnation)
         for totals in message.totals:
@@ -162,7 +162,7 @@
         is_older_peer = self.incarnations.is_older(self.incarnations.peers[peer])
         return self.quota_exchange.receive(account, peer, round_number, update, is_older_peer, self.host.now)
 
-    def _follow(self, peer: int, incarnation: int) -> bool:
+    def _update_incarnation(self, peer: int, incarnation: int) -> bool:
         """Record a peer's incarnation, resetting its ledgers if it is new; False for an earlier one."""
         status = self.incarnations.update_peer(peer, incarnation)
         if status is IncarnationStatus.NEW:
@@ -191,7 +191,7 @@
                 updates.append(self.quota_exchange.update_for(customer, account, peer, self.host.now))
         self.send_updates(peer, updates)
 
-    def _correct(self, peer: int) -> None:
+    def _send_correction(self, peer: int) -> None:
         """Send a peer that uses an earlier incarnation the latest known one."""
         if self.incarnations.may_correct(peer, self.host.now):
             self.send_updates(peer, [])
