--- a/tests/decisions/test_incarnations.py
+++ b/tests/decisions/test_incarnations.py
@@ -14,55 +14,55 @@
 
 
 @pytest.mark.parametrize("base", [1, INCARNATION_RANGE // 2, INCARNATION_RANGE - 1])
-def test_order_holds_where_the_numbers_begin_anew(base):
+def test_order_holds_across_the_wrap_around(base):
     after = incarnation_after(base, 10)
     assert is_later(after, base) and not is_later(base, after) and not is_later(base, base)
 
 
-def test_following_is_never_the_unknown_one():
+def test_the_next_incarnation_is_never_unknown():
     assert incarnation_after(INCARNATION_RANGE - 1, 1) == 1
-    made = Incarnations()
-    made.start(0.0)
-    assert made.own == 1
+    incarnations = Incarnations()
+    incarnations.start(0.0)
+    assert incarnations.own == 1
 
 
 def test_the_latest_incarnation_of_a_peer_is_followed():
-    made = Incarnations()
-    assert made.update_peer(3, 100) is IncarnationStatus.NEW
-    assert made.update_peer(3, 100) is IncarnationStatus.CURRENT
-    assert made.update_peer(3, 200) is IncarnationStatus.NEW
-    assert made.update_peer(3, 100) is IncarnationStatus.STALE
-    assert made.peers == {3: 200}
+    incarnations = Incarnations()
+    assert incarnations.update_peer(3, 100) is IncarnationStatus.NEW
+    assert incarnations.update_peer(3, 100) is IncarnationStatus.CURRENT
+    assert incarnations.update_peer(3, 200) is IncarnationStatus.NEW
+    assert incarnations.update_peer(3, 100) is IncarnationStatus.STALE
+    assert incarnations.peers == {3: 200}
 
 
 def test_each_peer_is_corrected_once_in_an_interval():
-    made = Incarnations()
-    assert made.may_correct(3, 0.0) and made.may_correct(4, 0.0)
-    assert not made.may_correct(3, 0.9 * CORRECTION_INTERVAL)
-    assert made.may_correct(3, CORRECTION_INTERVAL)
-    assert not made.may_correct(3, 1.9 * CORRECTION_INTERVAL)
+    incarnations = Incarnations()
+    assert incarnations.may_correct(3, 0.0) and incarnations.may_correct(4, 0.0)
+    assert not incarnations.may_correct(3, 0.9 * CORRECTION_INTERVAL)
+    assert incarnations.may_correct(3, CORRECTION_INTERVAL)
+    assert not incarnations.may_correct(3, 1.9 * CORRECTION_INTERVAL)
 
 
 def test_a_start_never_goes_back():
-    made = Incarnations()
-    made.start_after(0)
-    assert made.own == 0
-    made.start_after(5000)
-    made.start(2.0)
-    assert made.own == 5001
-    made.start(7.0)
-    assert made.own == 7000
+    incarnations = Incarnations()
+    incarnations.start_after(0)
+    assert incarnations.own == 0
+    incarnations.start_after(5000)
+    incarnations.start(2.0)
+    assert incarnations.own == 5001
+    incarnations.start(7.0)
+    assert incarnations.own == 7000
 
 
-def test_a_gateway_outlives_what_peers_know_of_it():
-    made = Incarnations()
-    made.resume(100, {1: 400, 2: 90_000})
+def test_a_gateway_advances_past_what_peers_know_of_it():
+    incarnations = Incarnations()
+    incarnations.resume(100, {1: 400, 2: 90_000})
     assert (
-        not made.advance_past(0)
-        and not made.advance_past(100)
-        and not made.advance_past(50)
-        and made.own == 100
+        not incarnations.advance_past(0)
+        and not incarnations.advance_past(100)
+        and not incarnations.advance_past(50)
+        and incarnations.own == 100
     )
-    assert made.advance_past(500)
-    assert made.own == 90_000 + OLDER_MARGIN + 1
-    assert made.is_older(90_000) and not made.is_older(made.own - OLDER_MARGIN)
+    assert incarnations.advance_past(500)
+    assert incarnations.own == 90_000 + OLDER_MARGIN + 1
+    assert incarnations.is_older(90_000) and not incarnations.is_older(incarnations.own - OLDER_MARGIN)
--- a/tests/decisions/test_peer_protocol.py
+++ b/tests/decisions/test_peer_protocol.py
@@ -14,9 +14,9 @@
 from tests.helpers import PLAN, settings
 
 CUSTOMER = 7
-OWN_START = 100_000  # ms
+OWN_INCARNATION = 100_000  # ms
 PEER = 1
-PEER_START = 90_000  # ms
+PEER_INCARNATION = 90_000  # ms
 
 
 class FakeHost:
@@ -48,7 +48,7 @@
     host = FakeHost(config)
     exchange = QuotaExchange(config, host.table, host)
     peers = PeerProtocol(config, host, host.table, exchange, AggregationScheduler(gateway_count, 60.0))
-    peers.incarnations.start(OWN_START / 1000)
+    peers.incarnations.start(OWN_INCARNATION / 1000)
     return peers, host
 
 
@@ -63,15 +63,15 @@
     return AccountUpdate(CUSTOMER, 0, 0, 3, **{**given, **more})
 
 
-def exchange_message(updates, own=OWN_START, start=PEER_START, number=1):
-    (payload,) = peer_messages.encode_exchange(start, own, number, updates)
+def exchange_message(updates, own_incarnation=OWN_INCARNATION, incarnation=PEER_INCARNATION, round_number=1):
+    (payload,) = peer_messages.encode_exchange(incarnation, own_incarnation, round_number, updates)
     return PeerMessage(PEER, payload)
 
 
 @pytest.mark.parametrize(("gateway_index", "replies"), [(0, 0), (2, 1)])
 def test_an_update_is_answered_by_the_higher_numbered_end_alone(gateway_index, replies):
     peers, host = make(gateway_index)
-    peers.incarnations.update_peer(PEER, PEER_START)
+    peers.incarnations.update_peer(PEER, PEER_INCARNATION)
     peers.receive(exchange_message([update()]))
     assert len(sent(host)) == replies
     ledger = host.table.by_customer[CUSTOMER].ledgers[PEER]
@@ -79,45 +79,45 @@
     assert (moved < 0) is bool(replies) and ledger.peer_share == pytest.approx(1 / 3 - moved, abs=1e-3)
 
 
-def test_an_update_for_another_start_of_this_gateway_is_not_applied():
+def test_an_update_for_another_incarnation_of_this_gateway_is_not_applied():
     peers, host = make()
-    peers.receive(exchange_message([update()], own=OWN_START - 1))
+    peers.receive(exchange_message([update()], own_incarnation=OWN_INCARNATION - 1))
     assert CUSTOMER not in host.table.by_customer
     assert peers.quota_exchange.peer_last_heard[PEER] == host.now  # but the peer does not count as silent
 
 
-def test_a_peer_is_greeted_once_for_each_of_its_starts():
+def test_a_peer_gets_one_message_for_each_of_its_incarnations():
     peers, host = make()
     peers.receive(exchange_message([]))
-    peers.receive(exchange_message([], number=2))
+    peers.receive(exchange_message([], round_number=2))
     assert [peer for peer, _ in sent(host)] == [PEER]
-    peers.receive(exchange_message([], start=PEER_START + 1))
+    peers.receive(exchange_message([], incarnation=PEER_INCARNATION + 1))
     assert [peer for peer, _ in sent(host)] == [PEER]
 
 
-def test_an_earlier_start_of_a_peer_is_corrected_and_its_message_dropped():
+def test_an_earlier_incarnation_of_a_peer_is_corrected_and_its_message_dropped():
     peers, host = make()
-    peers.incarnations.update_peer(PEER, PEER_START)
-    peers.receive(exchange_message([update()], start=PEER_START - 1))
+    peers.incarnations.update_peer(PEER, PEER_INCARNATION)
+    peers.receive(exchange_message([update()], incarnation=PEER_INCARNATION - 1))
     ((peer, payload),) = sent(host)
     message = peer_messages.decode_exchange(payload, 0, settings(PEER, 3, plans=(PLAN,)))
-    assert peer == PEER and message.receiver_incarnation == PEER_START
+    assert peer == PEER and message.receiver_incarnation == PEER_INCARNATION
     assert CUSTOMER not in host.table.by_customer
 
 
-def test_a_restart_of_a_peer_begins_its_ledgers_anew():
+def test_a_restart_of_a_peer_resets_its_ledgers():
     peers, host = make()
-    peers.incarnations.update_peer(PEER, PEER_START)
+    peers.incarnations.update_peer(PEER, PEER_INCARNATION)
     account = host.account(CUSTOMER, 0, 0, 3)
     account.ledgers[PEER].received_share = SHARE_STEPS // 10
-    peers.receive(exchange_message([], start=PEER_START + 1))
+    peers.receive(exchange_message([], incarnation=PEER_INCARNATION + 1))
     assert account.ledgers[PEER].received_share == 0
 
 
-def test_a_gateway_whose_clock_went_back_takes_a_start_after_the_one_its_peers_follow():
+def test_a_gateway_whose_clock_was_set_back_advances_past_what_its_peers_know():
     peers, host = make()
-    peers.receive(exchange_message([], own=OWN_START + 5000))
-    assert peers.incarnations.own == OWN_START + 5000 + OLDER_MARGIN + 1
+    peers.receive(exchange_message([], own_incarnation=OWN_INCARNATION + 5000))
+    assert peers.incarnations.own == OWN_INCARNATION + 5000 + OLDER_MARGIN + 1
     assert any(isinstance(action, Log) for action in host.actions)
 
 
@@ -133,7 +133,7 @@
     account = host.account(CUSTOMER, 0, 0, 20)
     neighbour = next(iter(account.tree_edges))
     totals = TreeTotals(CUSTOMER, 0, 0, 20, 3.0, 2.0)
-    (payload,) = peer_messages.encode_totals(OWN_START + 1, [totals])
+    (payload,) = peer_messages.encode_totals(OWN_INCARNATION + 1, [totals])
     peers.receive(PeerMessage(neighbour, payload))
     assert (account.total_asked, account.total_spent) == (3.0, 2.0)
     assert account.level == PLAN.burst - 2.0 and peers.aggregation_scheduler.pending == {CUSTOMER: account}
--- a/tests/decisions/test_request_lifecycle.py
+++ b/tests/decisions/test_request_lifecycle.py
@@ -32,7 +32,7 @@
         self.actions = []
         self.quota_fraction = 1.0
         self.is_endpoint_list_stale = False
-        self.has_ramp_room = True
+        self.has_ramp_capacity = True
         self.table = AccountTable(config)
 
     def account(self, customer, plan, first_gateway, member_count):
@@ -46,7 +46,7 @@
         return 1.0
 
     def may_start_first_attempt(self):
-        return self.has_ramp_room
+        return self.has_ramp_capacity
 
 
 def make(*names):
@@ -74,7 +74,7 @@
     return lifecycle, host
 
 
-def take(host):
+def take_actions(host):
     actions, host.actions = host.actions, []
     return actions
 
@@ -82,27 +82,27 @@
 def test_a_request_inside_the_quota_starts_an_attempt_and_a_deadline_timer():
     lifecycle, host = make("a")
     lifecycle.handle_request(request(1, spread=1))
-    timer, start = take(host)
+    timer, start = take_actions(host)
     assert isinstance(timer, SetTimer) and start == StartAttempt(1, "a")
     assert lifecycle.attempts_in_flight[1, 0][0] is lifecycle.backends.records["a"]
     assert host.table.by_customer[7].level == BURST - 1.0
 
 
-def test_a_request_beyond_the_quota_is_rejected_with_a_time_to_come_again():
+def test_a_request_beyond_the_quota_is_rejected_with_a_retry_after():
     lifecycle, host = make("a")
     lifecycle.handle_request(request(1, units=2.5, spread=1))
-    take(host)
+    take_actions(host)
     lifecycle.handle_request(request(2, units=1.0, spread=1))
-    (rejection,) = pick(take(host), Reject)
+    (rejection,) = pick(take_actions(host), Reject)
     assert rejection.id == 2 and rejection.retry_after == pytest.approx(0.5, rel=1e-3)
     assert lifecycle.rejection_causes == {"beyond_quota": 1} and 2 not in lifecycle.pending
 
 
-def test_where_the_ramp_has_no_room_a_request_inside_the_quota_is_rejected():
+def test_a_request_within_the_quota_is_rejected_if_the_ramp_has_no_capacity():
     lifecycle, host = make("a")
-    host.has_ramp_room = False
+    host.has_ramp_capacity = False
     lifecycle.handle_request(request(1, spread=1))
-    assert pick(take(host), Reject) and lifecycle.rejection_causes == {"inside_opening": 1}
+    assert pick(take_actions(host), Reject) and lifecycle.rejection_causes == {"inside_opening": 1}
     assert host.table.by_customer[7].level == BURST  # nothing was spent
 
 
@@ -111,11 +111,11 @@
     lifecycle, host = make(*(["a"] if is_stale else []))
     host.is_endpoint_list_stale = is_stale
     lifecycle.handle_request(request(1, spread=1))
-    assert lifecycle.waiting == [1] and not pick(take(host), StartAttempt)
+    assert lifecycle.waiting == [1] and not pick(take_actions(host), StartAttempt)
     host.is_endpoint_list_stale = False
     lifecycle.backends.apply(servers("a"), lambda endpoint: BackendRecord(endpoint, first_seen_at=host.now))
     lifecycle.dispatch_waiting()
-    assert take(host) == [StartAttempt(1, "a")] and lifecycle.waiting == []
+    assert take_actions(host) == [StartAttempt(1, "a")] and lifecycle.waiting == []
 
 
 def test_a_request_that_waited_for_half_of_its_objective_is_rejected():
@@ -123,7 +123,7 @@
     lifecycle.handle_request(request(1, spread=1))
     host.now += 0.6
     lifecycle.dispatch_waiting()
-    assert pick(take(host), Reject) and lifecycle.rejection_causes == {"inside_no_server": 1}
+    assert pick(take_actions(host), Reject) and lifecycle.rejection_causes == {"inside_no_server": 1}
 
 
 @pytest.mark.parametrize(
@@ -137,9 +137,9 @@
 def test_a_failed_attempt_is_retried_as_its_class_permits(status, request_class, answer):
     lifecycle, host = make("a", "b")
     lifecycle.handle_request(request(1, cls=request_class, spread=1))
-    (start,) = pick(take(host), StartAttempt)
+    (start,) = pick(take_actions(host), StartAttempt)
     lifecycle.handle_attempt_ended(outcome(1, 0, start.backend, status))
-    (action,) = take(host)
+    (action,) = take_actions(host)
     assert isinstance(action, answer)
     assert answer is Fail or action.backend != start.backend
 
@@ -155,20 +155,20 @@
 def test_a_deadline_answers_a_request_once_and_cancels_its_attempt():
     lifecycle, host = make("a")
     lifecycle.handle_request(request(1, spread=1))
-    timer, _ = take(host)
+    timer, _ = take_actions(host)
     lifecycle.expire(timer.token)
-    assert [type(action) for action in take(host)] == [Reject, CancelAttempt]
+    assert [type(action) for action in take_actions(host)] == [Reject, CancelAttempt]
     lifecycle.expire(timer.token)
-    assert take(host) == []
+    assert take_actions(host) == []
 
 
 def test_a_request_whose_answer_has_begun_has_no_deadline():
     lifecycle, host = make("a")
     lifecycle.handle_request(request(1, spread=1))
-    timer, _ = take(host)
+    timer, _ = take_actions(host)
     lifecycle.handle_stream_started(StreamStarted(1, 0, "a", 0.1))
     lifecycle.expire(timer.token)
-    assert take(host) == [] and 1 in lifecycle.pending
+    assert take_actions(host) == [] and 1 in lifecycle.pending
 
 
 def test_a_head_beyond_the_quota_is_rejected_early_and_spends_nothing():
--- a/tests/decisions/test_state_transfer.py
+++ b/tests/decisions/test_state_transfer.py
@@ -79,7 +79,7 @@
     assert transfer.peers.incarnations.peers == ({1: 55} if has_resumed else {})
 
 
-def test_figures_out_of_range_are_limited():
+def test_values_out_of_range_are_clamped():
     transfer = make()
     transfer.restore_fleet(FakeState(FLEET._replace(pace=7.0, slowness=-1.0, retry_budget=1e9)), 100.0, None)
     model = transfer.latency_model
