--- a/corkdeal/simulator/decoding.py
+++ b/corkdeal/simulator/decoding.py
@@ -118,9 +118,9 @@
 
 
 def _decode_endpoint(reader: FrameReader) -> Endpoint:
-    start, kind, weight, zone, state, cell, server = reader.unpack(protocol.ENDPOINT, "Membership entry")
+    start, kind, weight, zone, state, cell, backend = reader.unpack(protocol.ENDPOINT, "Membership entry")
     known_state = _look_up(protocol.ENDPOINT_STATES, state, "condition", reader)
-    return Endpoint(server, known_state, zone, cell, weight, kind, start / MICROSECONDS_PER_SECOND)
+    return Endpoint(backend, known_state, zone, cell, weight, kind, start / MICROSECONDS_PER_SECOND)
 
 
 def _decode_endpoint_update(reader: FrameReader) -> EndpointUpdate:
@@ -149,17 +149,17 @@
 
 
 def _decode_stream_started(reader: FrameReader) -> StreamStarted:
-    request_id, attempt, server, elapsed = reader.unpack(protocol.STREAM_STARTED, "Flowing")
-    return StreamStarted(request_id, attempt, server, elapsed / MICROSECONDS_PER_SECOND)
+    request_id, attempt, backend, elapsed = reader.unpack(protocol.STREAM_STARTED, "Flowing")
+    return StreamStarted(request_id, attempt, backend, elapsed / MICROSECONDS_PER_SECOND)
 
 
 def _decode_attempt_ended(reader: FrameReader, report_fields: ReportFields) -> AttemptEnded:
     fields = reader.unpack(protocol.ATTEMPT_ENDED, "Completed")
-    request_id, attempt, server, status, elapsed, final, use, units, column_count = fields
+    request_id, attempt, backend, status, elapsed, final, use, units, column_count = fields
     return AttemptEnded(
         id=request_id,
         attempt=attempt,
-        backend=server,
+        backend=backend,
         status=_look_up(protocol.STATUSES, status, "outcome", reader),
         elapsed=elapsed / MICROSECONDS_PER_SECOND,
         final=bool(final),
@@ -180,9 +180,9 @@
 
 
 def _decode_health_check_result(reader: FrameReader, report_fields: ReportFields) -> HealthCheckResult:
-    server, status, elapsed, column_count = reader.unpack(protocol.HEALTH_CHECK_RESULT, "HealthResult")
+    backend, status, elapsed, column_count = reader.unpack(protocol.HEALTH_CHECK_RESULT, "HealthResult")
     return HealthCheckResult(
-        backend=server,
+        backend=backend,
         status=_look_up(protocol.STATUSES, status, "outcome", reader),
         elapsed=elapsed / MICROSECONDS_PER_SECOND,
         report=_decode_load_report(reader, column_count, report_fields),
