--- a/tests/decisions/test_aggregation_tree.py
+++ b/tests/decisions/test_aggregation_tree.py
@@ -204,7 +204,7 @@
     assert not g.accounts
 
 
-def test_gateways_prefer_few_servers_evenly():
+def test_gateways_prefer_few_backends_evenly():
     names, preferred_by = [f"s{i}" for i in range(80)], {}
     for me in range(400):
         g = Gateway(settings(me, 400, plans=(PLAN,)), seed=1)
--- a/tests/decisions/test_backend_selection.py
+++ b/tests/decisions/test_backend_selection.py
@@ -58,7 +58,7 @@
     assert world.choose() == "c"
 
 
-def test_a_slow_backend_is_passed_over_until_its_record_fades():
+def test_a_slow_backend_is_avoided_until_its_record_decays():
     world = World(("a", "b"))
     world["a"].slowness, world["a"].last_attempt_at = 50.0, NOW
     assert world.choose() == "b"
@@ -111,7 +111,7 @@
     ("scope", "found"),
     [(DeduplicationScope.ALL, "b"), (DeduplicationScope.ZONE, "a"), (DeduplicationScope.CELL, "a")],
 )
-def test_what_may_have_run_with_a_key_goes_where_a_repeat_is_dropped(scope, found):
+def test_a_keyed_request_that_may_have_run_goes_where_a_repeat_is_deduplicated(scope, found):
     keyed = RequestClass(
         latency_objective=1.0,
         deadline=3.0,
@@ -128,7 +128,7 @@
     assert world.choose(pending, NOW + 2.0) is None  # the retry would run again
 
 
-def test_beyond_its_subset_a_gateway_goes_only_where_all_of_that_failed():
+def test_a_gateway_leaves_its_subset_only_if_all_of_it_failed():
     world = World(tuple(map(str, range(40))), is_large_tier=True)
     preferred = {record.endpoint.backend for record in world.backends.preferred}
     assert {world.choose() for _ in range(50)} <= preferred
--- a/tests/decisions/test_backends.py
+++ b/tests/decisions/test_backends.py
@@ -68,7 +68,7 @@
     assert record.load(100.0 + 2 * LOAD_REPORT_LIFETIME) == 1.0
 
 
-def test_a_record_fades_without_attempts():
+def test_a_record_decays_without_attempts():
     record = BackendRecord(Endpoint("a", EndpointState.READY))
     assert record.freshness(100.0) == 0.0
     record.last_attempt_at = 100.0
@@ -88,7 +88,7 @@
     assert record.end_attempt(1, 100.3) == 0.0 and record.load(100.3) == 0.0 and not record.streaming
 
 
-def test_of_a_load_report_the_own_requests_are_taken_off():
+def test_own_requests_are_subtracted_from_a_load_report():
     record = BackendRecord(Endpoint("a", EndpointState.READY))
     record.start_attempt(1, 100.0)
     record.set_reported_load(5.0, 100.0)
@@ -97,7 +97,7 @@
     assert record.peer_load == 0.0
 
 
-def test_an_attempt_makes_permanent_what_has_faded_of_the_record():
+def test_an_attempt_makes_the_decay_of_a_record_permanent():
     record = BackendRecord(Endpoint("a", EndpointState.READY), slowness=9.0, last_attempt_at=100.0)
     record.start_attempt(1, 100.0 + 20 * RECORD_DECAY_TIME)
     assert record.slowness == pytest.approx(1.0) and record.freshness(record.last_attempt_at) == 1.0
--- a/tests/decisions/test_peer_messages.py
+++ b/tests/decisions/test_peer_messages.py
@@ -25,14 +25,14 @@
 )
 
 
-def test_exchange_bytes_and_their_way_back():
+def test_exchange_messages_are_encoded_and_decoded():
     (payload,) = peer_messages.encode_exchange(11, 12, 13, [UPDATE])
     assert payload.hex() == "030b0000000c0000000d000000" + "0700000003000000030000380040" + "00bed8dc0000803e"
     decoded = peer_messages.decode_exchange(payload, 1, settings(0, 3))
     assert decoded == ExchangeMessage(11, 12, 13, [UPDATE])
 
 
-def test_totals_bytes_and_their_way_back():
+def test_totals_messages_are_encoded_and_decoded():
     (payload,) = peer_messages.encode_totals(11, [TOTALS])
     assert payload.hex() == "050b000000" + "070000000300000003001100" + "0c00"
     assert peer_messages.decode_totals(payload, 1, settings(0, 3)) == TotalsMessage(11, [TOTALS])
--- a/tests/decisions/test_quota_exchange.py
+++ b/tests/decisions/test_quota_exchange.py
@@ -66,7 +66,7 @@
     assert total(ring) == pytest.approx(1, abs=0.02)
 
 
-def test_restart_resets_the_pair_at_both_ends():
+def test_a_restart_resets_the_ledgers_at_both_ends():
     ring = Ring()
     ring.run(5, busy_at(0))
     assert ring.slices()[0] > 0.5
@@ -75,7 +75,7 @@
     assert total(ring) == pytest.approx(1, abs=0.02)
 
 
-def test_restart_is_followed_when_the_milliseconds_begin_anew():
+def test_a_restart_is_recognized_when_incarnations_wrap_around():
     ring = Ring()
     ring.now = (1 << 32) / 1000 - 3
     for me in range(3):
@@ -248,7 +248,7 @@
     assert ledger.received_share == -6000 and ledger.received_units == -6.0
 
 
-def test_new_incarnation_starts_the_pair_over_at_once():
+def test_a_new_incarnation_resets_the_ledger_at_once():
     ring = Ring()
     ring.run(5, busy_at(0))
     g = ring.gateways[0]
@@ -322,7 +322,7 @@
     assert one.exchange.due(100.0 + INACTIVITY_TIMEOUT, lambda peer: True) == {1: []} and not one.table.active
 
 
-def test_a_share_is_on_loan_only_from_a_silent_predecessor():
+def test_a_share_is_borrowed_only_from_a_silent_predecessor():
     one = StandaloneExchange(0, gateway_count=3)
     one.account.ledgers[2].peer_share = 0.2
     assert one.account.predecessor == 2
--- a/tests/decisions/test_retries.py
+++ b/tests/decisions/test_retries.py
@@ -16,13 +16,15 @@
 
 def pending(effect=Effect.IDEMPOTENT, scope=DeduplicationScope.ALL, has_run=False, has_attempt=False):
     request_class = RequestClass(1.0, 3.0, effect=effect, deduplication_scope=scope)
-    made = PendingRequest(request(1), request_class, Account(PLAN, 0, 0, 1, NOW, NOW), 1.0, NOW, NOW + 3.0)
-    made.attempts = 1
+    pending_request = PendingRequest(
+        request(1), request_class, Account(PLAN, 0, 0, 1, NOW, NOW), 1.0, NOW, NOW + 3.0
+    )
+    pending_request.attempts = 1
     backend = BackendRecord(Endpoint("a", EndpointState.READY))
     if has_run:
-        made.may_have_run_at, made.may_have_run_on = NOW, backend
-    made.backend = backend if has_attempt else None
-    return made
+        pending_request.may_have_run_at, pending_request.may_have_run_on = NOW, backend
+    pending_request.backend = backend if has_attempt else None
+    return pending_request
 
 
 def retries(is_large_tier=False):
@@ -94,7 +96,9 @@
         (Effect.NOT_IDEMPOTENT, DeduplicationScope.ALL, True, False),
     ],
 )
-def test_one_that_may_have_run_only_where_a_repeat_does_no_harm(effect, scope, has_attempt, harmless):
+def test_a_client_may_retry_what_may_have_run_only_if_a_repeat_is_harmless(
+    effect, scope, has_attempt, harmless
+):
     assert is_client_retry_safe(pending(effect, scope, True, has_attempt)) is harmless
 
 
--- a/tests/simulator/test_decoding.py
+++ b/tests/simulator/test_decoding.py
@@ -119,7 +119,7 @@
         (batch(record(0, "<QI2s", 1, 2, b"\xff\xff")), "profile_data is not UTF-8 before byte 31"),
     ],
 )
-def test_what_breaks_the_protocol_is_named_with_its_place(frame, text):
+def test_protocol_errors_have_cause_and_position(frame, text):
     with pytest.raises(ProtocolError) as caught:
         decode_batch(frame, {})
     assert str(caught.value) == text
--- a/tests/simulator/test_frame_reader.py
+++ b/tests/simulator/test_frame_reader.py
@@ -18,14 +18,14 @@
     assert reader.remaining == 0
 
 
-def test_a_field_cut_short_is_named_with_its_place():
+def test_a_truncated_field_is_reported_with_its_position():
     reader = FrameReader(b"\x01\x00\x02")
     reader.unpack(U16, "first")
     with pytest.raises(ProtocolError, match=r"^second truncated at byte 2 of 3$"):
         reader.unpack(U32, "second")
 
 
-def test_bytes_cut_short_are_named_with_their_place_and_not_read():
+def test_truncated_bytes_are_reported_with_their_position_and_not_read():
     reader = FrameReader(b"abc")
     with pytest.raises(ProtocolError, match=r"^text truncated at byte 0 of 3$"):
         reader.read_bytes(4, "text")
