--- a/corkdeal/decisions/settings_parser.py
+++ b/corkdeal/decisions/settings_parser.py
@@ -1,8 +1,8 @@
-"""The settings' parser: values by path, as text, to a checked `Settings`.
+"""Parser of settings: turns text values by path into a validated `Settings`.
 
-The paths and units are those that the operators write and that the simulator sends. The tables below are
-the one place that maps them to the fields of `corkdeal.decisions.settings`; a path that no table has is
-skipped. Times come in microseconds and leave in seconds.
+Paths and units are those that operators write and that the simulator sends. The tables below are the only
+place that maps them to the fields of `corkdeal.decisions.settings`; unknown paths are ignored. Times are
+given in microseconds and converted to seconds.
 """
 
 from __future__ import annotations
@@ -16,15 +16,15 @@
 from .settings import DeduplicationScope, Effect, Plan, RequestClass, Settings
 
 MICROSECONDS_PER_SECOND = 1_000_000
-MAX_QUOTED_CHARACTERS = 40  # of a wrong value in an error's text
+MAX_QUOTED_CHARACTERS = 40  # of an invalid value, in an error message
 
 
 class SettingsError(CorkdealError):
-    """A setting that is missing or can't be used; the text names its path."""
+    """A setting is missing or invalid; the message names its path."""
 
 
-def parse_number(raw: str | None, path: str, default: float | None, least: float) -> float:
-    """A finite number of at least `least`; without a default the setting has to be there."""
+def parse_number(raw: str | None, path: str, default: float | None, minimum: float) -> float:
+    """Parse a finite number of at least `minimum`; a setting without a default is required."""
     if raw is None:
         if default is None:
             raise SettingsError(f"setting {path} is missing")
@@ -33,105 +33,105 @@
         value = float(raw)
     except ValueError as error:
         raise SettingsError(f"setting {path} is not a number: {raw[:MAX_QUOTED_CHARACTERS]!r}") from error
-    if not math.isfinite(value) or value < least:
-        raise SettingsError(f"setting {path} makes no sense: {raw[:MAX_QUOTED_CHARACTERS]!r}")
+    if not math.isfinite(value) or value < minimum:
+        raise SettingsError(f"setting {path} is invalid: {raw[:MAX_QUOTED_CHARACTERS]!r}")
     return value
 
 
 @dataclass(frozen=True)
 class Setting:
-    """One row of a table: where a setting stands and which field it fills; each kind is a subclass."""
+    """One row of a table: the path of a setting and the field that it fills; each type is a subclass."""
 
     path: str
     field_name: str
 
     def parse(self, raw: str | None, path: str) -> object:
-        """The field's value; `raw` is None where the setting is absent, `path` goes into errors."""
+        """Return the field's value; `raw` is None if the setting is absent, `path` is for error messages."""
         raise NotImplementedError
 
 
 @dataclass(frozen=True)
 class Number(Setting):
-    """A finite number; required where it has no default."""
+    """A finite number; required if it has no default."""
 
     default: float | None = None
-    least: float = 0.0
+    minimum: float = 0.0
 
     def parse(self, raw: str | None, path: str) -> float:
-        """The number as it stands."""
-        return parse_number(raw, path, self.default, self.least)
+        """Return the number."""
+        return parse_number(raw, path, self.default, self.minimum)
 
 
 @dataclass(frozen=True)
 class WholeNumber(Number):
-    """A number of things; a fraction is cut off."""
+    """An integer; a fraction is truncated."""
 
     def parse(self, raw: str | None, path: str) -> int:
-        """The number without its fraction."""
-        return int(parse_number(raw, path, self.default, self.least))
+        """Return the truncated number."""
+        return int(parse_number(raw, path, self.default, self.minimum))
 
 
 @dataclass(frozen=True)
 class Microseconds(Number):
-    """A time in microseconds, as are its default and its least value."""
+    """A time; the value, the default and `minimum` are in microseconds."""
 
     def parse(self, raw: str | None, path: str) -> float:
-        """The time in seconds."""
-        return parse_number(raw, path, self.default, self.least) / MICROSECONDS_PER_SECOND
+        """Return the time in seconds."""
+        return parse_number(raw, path, self.default, self.minimum) / MICROSECONDS_PER_SECOND
 
 
 @dataclass(frozen=True)
 class Flag(Setting):
-    """True for `true`; false for all else and where absent."""
+    """True for the word `true`; false for anything else or if absent."""
 
     def parse(self, raw: str | None, path: str) -> bool:
-        """Whether the flag is set."""
+        """Return whether the flag is set."""
         return raw == "true"
 
 
 @dataclass(frozen=True)
 class FlagUnless(Setting):
-    """False for one word; true for all else and where absent."""
+    """False for one given word; true for anything else or if absent."""
 
     word: str
 
     def parse(self, raw: str | None, path: str) -> bool:
-        """Whether the setting is another word."""
+        """Return whether the value differs from the given word."""
         return raw != self.word
 
 
 @dataclass(frozen=True)
 class Choice(Setting):
-    """One of a few words; an empty value is the default."""
+    """One of a set of words; an empty value is the default."""
 
     choices: Mapping[str, object]
     default: str
 
     def parse(self, raw: str | None, path: str) -> object:
-        """What the word stands for."""
+        """Return the value of the word."""
         word = raw or self.default
         if word not in self.choices:
-            raise SettingsError(f"setting {path} makes no sense: {word[:MAX_QUOTED_CHARACTERS]!r}")
+            raise SettingsError(f"setting {path} is invalid: {word[:MAX_QUOTED_CHARACTERS]!r}")
         return self.choices[word]
 
 
 @dataclass(frozen=True)
 class Text(Setting):
-    """Any text; empty where absent."""
+    """Any text; empty if absent."""
 
     def parse(self, raw: str | None, path: str) -> str:
-        """The text as it stands."""
+        """Return the text unchanged."""
         return raw or ""
 
 
 @dataclass(frozen=True)
-class Words(Setting):
-    """Words between commas, each replaced by its name in `names` where it has one."""
+class WordList(Setting):
+    """A comma-separated list of words, with those in `names` replaced."""
 
     names: Mapping[str, str] = field(default_factory=dict)
 
     def parse(self, raw: str | None, path: str) -> tuple[str, ...]:
-        """The words in their order."""
+        """Return the nonempty words in order."""
         words = (raw or "").split(",")
         return tuple(self.names.get(word, word) for word in words if word)
 
@@ -154,16 +154,16 @@
 CLASSES_PATH = "classes"
 PLANS_PATH = "tiers_of_service"
 
-# One row a setting: its path, the field it fills, its default and its least value, both in the path's unit.
-# The order of the rows is the order in which they are checked.
+# One row per setting: its path, the field it fills, its default and its minimum, in the unit of the path.
+# Settings are checked in the order of the rows.
 GATEWAY_SETTINGS: tuple[Setting, ...] = (
-    WholeNumber("balancers", "gateway_count", least=1),
+    WholeNumber("balancers", "gateway_count", minimum=1),
     WholeNumber("me", "gateway_index"),
     WholeNumber("zone", "zone", default=0),
 )
 CLASS_SETTINGS: tuple[Setting, ...] = (  # below `classes.<index>.`
-    Microseconds("aim_us", "latency_objective", least=1),
-    Microseconds("deadline_us", "deadline", least=1),
+    Microseconds("aim_us", "latency_objective", minimum=1),
+    Microseconds("deadline_us", "deadline", minimum=1),
     Number("points", "priority_weight", default=1.0),
     Number("late_share", "late_share", default=0.0),
     Choice("semantics", "effect", EFFECTS, default="side_effect"),
@@ -189,7 +189,7 @@
     Microseconds("granularity_us", "tick", default=1_000),
     FlagUnless("membership_mode", "is_endpoint_list_pushed", word="on_request"),
     Microseconds("rules.ask_every_us", "poll_interval", default=10_000_000),
-    Words("telemetry.columns", "report_fields", LOAD_REPORT_FIELDS),
+    WordList("telemetry.columns", "report_fields", LOAD_REPORT_FIELDS),
     WholeNumber("policy_limits.max_attempts", "max_attempts", default=1),
     Flag("policy_limits.cancel", "may_cancel"),
     Flag("policy_limits.may_probe", "may_check_health"),
@@ -199,8 +199,8 @@
     Flag("client_habits.marks_retry", "has_retry_marks"),
     Microseconds("policy_limits.connect_timeout_us", "connect_timeout", default=250_000),
     Microseconds("policy_limits.conn_idle_us", "idle_timeout", default=30_000_000),
-    Words("failure_domains", "zones"),
-    Words("host_types", "kinds"),
+    WordList("failure_domains", "zones"),
+    WordList("host_types", "kinds"),
     Flag("family_info.counter", "has_counter"),
     Microseconds("family_info.counter_timeout_us", "counter_timeout", default=0),
     Microseconds("family_info.meter_us", "meter_period", default=0),
@@ -210,14 +210,14 @@
     Microseconds("rules.answer_slack_us", "answer_slack", default=0),
     Microseconds("rules.drain_grace_us", "drain_grace", default=0),
     Number("rules.fall_multiple", "overload_multiple", default=2.0),
-    Microseconds("rules.fall_us", "overload_window", default=1_000_000, least=1),
+    Microseconds("rules.fall_us", "overload_window", default=1_000_000, minimum=1),
     Number("rules.cold_share", "initial_capacity", default=0.1),
     Microseconds("rules.warm_within_us", "warm_up_time", default=20_000_000),
 )
 
 
 def parse_fields(values: Mapping[str, str], settings: Iterable[Setting], prefix: str = "") -> dict[str, Any]:
-    """The fields that a table fills; `prefix` stands before each of its paths."""
+    """Return the fields that a table fills; `prefix` is prepended to each of its paths."""
     fields = {}
     for setting in settings:
         path = prefix + setting.path
@@ -226,13 +226,13 @@
 
 
 def parse_count(values: Mapping[str, str], path: str) -> int:
-    """How many numbered records stand below a path; at least one."""
+    """Return the number of numbered records below a path; at least one."""
     count_path = f"{path}.count"
-    return int(parse_number(values.get(count_path), count_path, default=None, least=1))
+    return int(parse_number(values.get(count_path), count_path, default=None, minimum=1))
 
 
 def parse_settings(values: Mapping[str, str]) -> Settings:
-    """Check values by path and give the rest its defaults; `SettingsError` names the first wrong path."""
+    """Parse settings from values by path; raises `SettingsError` for the first invalid path."""
     class_count = parse_count(values, CLASSES_PATH)
     plan_count = parse_count(values, PLANS_PATH)
     gateway_fields = parse_fields(values, GATEWAY_SETTINGS)
@@ -248,7 +248,7 @@
 
 
 def parse_settings_text(text: str) -> Settings:
-    """Settings from lines of `path=value`; a line without an equals sign is skipped."""
+    """Parse settings from lines of `path=value`; lines without an equals sign are skipped."""
     values = {}
     for line in text.splitlines():
         path, separator, value = line.partition("=")
--- a/corkdeal/simulator/decoding.py
+++ b/corkdeal/simulator/decoding.py
@@ -1,4 +1,4 @@
-"""Decodes the simulator's batches into typed events."""
+"""Decoder of the simulator's batches into typed events."""
 
 from __future__ import annotations
 
@@ -28,12 +28,12 @@
 from .protocol import MICROSECONDS_PER_SECOND, EventCode, ProtocolError
 
 Value = TypeVar("Value")
-ReportFields = tuple[str, ...]  # names of a load report's columns, in order
+ReportFields = tuple[str, ...]  # column names of load reports, in order
 
 
 @dataclass(slots=True, frozen=True)
 class GatewayStarted:
-    """A gateway started, with its settings and the seed of its random numbers."""
+    """A gateway started, with its settings and its random seed."""
 
     settings: Settings
     seed: int
@@ -41,7 +41,7 @@
 
 @dataclass(slots=True, frozen=True)
 class GatewayKilled:
-    """A gateway was killed; nothing of it is left."""
+    """A gateway was killed and lost its state."""
 
 
 SimulatorEvent = Event | GatewayStarted | GatewayKilled
@@ -49,7 +49,7 @@
 
 @dataclass(slots=True, frozen=True)
 class GatewayEvent:
-    """One event and the number of the gateway to which it happened."""
+    """An event and the number of its gateway."""
 
     gateway: int
     event: SimulatorEvent
@@ -57,22 +57,22 @@
 
 @dataclass(slots=True, frozen=True)
 class Batch:
-    """The events of one moment, in order; `time` is the simulator's clock in seconds."""
+    """The events at one time, in order; `time` is the simulator's clock in seconds."""
 
     time: float
     events: tuple[GatewayEvent, ...]
 
 
 def decode_batch(frame: bytes, report_fields: MutableMapping[int, ReportFields]) -> Batch:
-    """Decode a frame's body.
+    """Decode the body of a frame.
 
-    `report_fields` has the load report's columns of each gateway; the start of a gateway sets its own.
+    `report_fields` holds the load report columns of each gateway; a gateway's start event sets its entry.
     """
     reader = FrameReader(frame)
     clock, count = reader.unpack(protocol.BATCH_HEADER, "batch header")
     events = tuple(_decode_record(reader, report_fields) for _ in range(count))
     if reader.remaining:
-        raise ProtocolError(f"{reader.remaining} bytes left over at byte {reader.position}")
+        raise ProtocolError(f"{reader.remaining} trailing bytes at byte {reader.position}")
     return Batch(clock / MICROSECONDS_PER_SECOND, events)
 
 
@@ -91,15 +91,15 @@
     return GatewayEvent(gateway, event)
 
 
-def _look_up(table: Mapping[int, Value], code: int, what: str, reader: FrameReader) -> Value:
+def _look_up(table: Mapping[int, Value], code: int, label: str, reader: FrameReader) -> Value:
     if code not in table:
-        raise ProtocolError(f"unknown {what} {code} before byte {reader.position}")
+        raise ProtocolError(f"unknown {label} {code} before byte {reader.position}")
     return table[code]
 
 
 def _decode_load_report(reader: FrameReader, count: int, fields: ReportFields) -> dict[str, float]:
     values = reader.unpack(struct.Struct(f"<{count}f"), "load report")
-    # A gateway that never started has no names, and a column that the backend leaves out is not finite.
+    # A gateway that was never started has no column names; a column that the backend omits is not finite.
     return {name: value for name, value in zip(fields, values, strict=False) if math.isfinite(value)}
 
 
@@ -109,7 +109,7 @@
     try:
         text = raw.decode()
     except UnicodeDecodeError as error:
-        raise ProtocolError(f"profile_data is not text before byte {reader.position}") from error
+        raise ProtocolError(f"profile_data is not UTF-8 before byte {reader.position}") from error
     return GatewayStarted(parse_settings_text(text), seed)
 
 
@@ -118,9 +118,9 @@
 
 
 def _decode_endpoint(reader: FrameReader) -> Endpoint:
-    start, kind, weight, zone, state, cell, server = reader.unpack(protocol.ENDPOINT, "Membership entry")
+    start, kind, weight, zone, state, cell, backend = reader.unpack(protocol.ENDPOINT, "Membership entry")
     known_state = _look_up(protocol.ENDPOINT_STATES, state, "condition", reader)
-    return Endpoint(server, known_state, zone, cell, weight, kind, start / MICROSECONDS_PER_SECOND)
+    return Endpoint(backend, known_state, zone, cell, weight, kind, start / MICROSECONDS_PER_SECOND)
 
 
 def _decode_endpoint_update(reader: FrameReader) -> EndpointUpdate:
@@ -133,7 +133,7 @@
     fields = reader.unpack(protocol.REQUEST, "JobIn")
     request_id, units, first_gateway, member_count, flags, plan, request_class, timeout, customer = fields
     if not all(math.isfinite(value) and value >= 0 for value in (units, first_gateway, member_count)):
-        raise ProtocolError(f"JobIn makes no sense before byte {reader.position}")
+        raise ProtocolError(f"JobIn has an invalid number before byte {reader.position}")
     return Request(
         id=request_id,
         customer=customer,
@@ -149,17 +149,17 @@
 
 
 def _decode_stream_started(reader: FrameReader) -> StreamStarted:
-    request_id, attempt, server, elapsed = reader.unpack(protocol.STREAM_STARTED, "Flowing")
-    return StreamStarted(request_id, attempt, server, elapsed / MICROSECONDS_PER_SECOND)
+    request_id, attempt, backend, elapsed = reader.unpack(protocol.STREAM_STARTED, "Flowing")
+    return StreamStarted(request_id, attempt, backend, elapsed / MICROSECONDS_PER_SECOND)
 
 
 def _decode_attempt_ended(reader: FrameReader, report_fields: ReportFields) -> AttemptEnded:
     fields = reader.unpack(protocol.ATTEMPT_ENDED, "Completed")
-    request_id, attempt, server, status, elapsed, final, use, units, column_count = fields
+    request_id, attempt, backend, status, elapsed, final, use, units, column_count = fields
     return AttemptEnded(
         id=request_id,
         attempt=attempt,
-        backend=server,
+        backend=backend,
         status=_look_up(protocol.STATUSES, status, "outcome", reader),
         elapsed=elapsed / MICROSECONDS_PER_SECOND,
         final=bool(final),
@@ -180,9 +180,9 @@
 
 
 def _decode_health_check_result(reader: FrameReader, report_fields: ReportFields) -> HealthCheckResult:
-    server, status, elapsed, column_count = reader.unpack(protocol.HEALTH_CHECK_RESULT, "HealthResult")
+    backend, status, elapsed, column_count = reader.unpack(protocol.HEALTH_CHECK_RESULT, "HealthResult")
     return HealthCheckResult(
-        backend=server,
+        backend=backend,
         status=_look_up(protocol.STATUSES, status, "outcome", reader),
         elapsed=elapsed / MICROSECONDS_PER_SECOND,
         report=_decode_load_report(reader, column_count, report_fields),
--- a/tests/decisions/test_backends.py
+++ b/tests/decisions/test_backends.py
@@ -1,4 +1,4 @@
-"""The endpoint list alone: which records it leads to, and which of them one of many gateways prefers."""
+"""Unit tests of backend records: endpoint updates, preferred subsets, load and decay."""
 
 import math
 from collections import Counter
@@ -7,7 +7,7 @@
 
 from corkdeal.decisions.backends import (
     LOAD_REPORT_LIFETIME,
-    RECORD_FADE_TIME,
+    RECORD_DECAY_TIME,
     SUBSET_SIZE,
     BackendRecord,
     Backends,
@@ -46,14 +46,14 @@
 
 def test_a_gateway_of_a_small_tier_prefers_all_backends():
     backends = listed(servers(*map(str, range(40))))
-    assert backends.preferred == list(backends.records.values()) and not backends.has_others()
+    assert backends.preferred == list(backends.records.values()) and not backends.has_non_preferred()
 
 
 def test_gateways_of_a_large_tier_prefer_each_backend_equally_often():
     preferred = Counter()
     for gateway_index in range(8):
         backends = listed(servers(*map(str, range(40))), gateway_index=gateway_index, is_large_tier=True)
-        assert len(backends.preferred) == SUBSET_SIZE and backends.has_others()
+        assert len(backends.preferred) == SUBSET_SIZE and backends.has_non_preferred()
         preferred.update(record.endpoint.backend for record in backends.preferred)
     assert set(preferred.values()) == {8 * SUBSET_SIZE // 40} and len(preferred) == 40
 
@@ -68,12 +68,12 @@
     assert record.load(100.0 + 2 * LOAD_REPORT_LIFETIME) == 1.0
 
 
-def test_a_record_fades_without_attempts():
+def test_a_record_decays_without_attempts():
     record = BackendRecord(Endpoint("a", EndpointState.READY))
     assert record.freshness(100.0) == 0.0
     record.last_attempt_at = 100.0
     assert record.freshness(100.0) == 1.0
-    assert record.freshness(100.0 + RECORD_FADE_TIME) == pytest.approx(1 / math.e)
+    assert record.freshness(100.0 + RECORD_DECAY_TIME) == pytest.approx(1 / math.e)
 
 
 def test_an_attempt_counts_as_load_until_its_answer_begins():
@@ -88,7 +88,7 @@
     assert record.end_attempt(1, 100.3) == 0.0 and record.load(100.3) == 0.0 and not record.streaming
 
 
-def test_of_a_load_report_the_own_requests_are_taken_off():
+def test_own_requests_are_subtracted_from_a_load_report():
     record = BackendRecord(Endpoint("a", EndpointState.READY))
     record.start_attempt(1, 100.0)
     record.set_reported_load(5.0, 100.0)
@@ -97,7 +97,7 @@
     assert record.peer_load == 0.0
 
 
-def test_an_attempt_makes_permanent_what_has_faded_of_the_record():
+def test_an_attempt_makes_the_decay_of_a_record_permanent():
     record = BackendRecord(Endpoint("a", EndpointState.READY), slowness=9.0, last_attempt_at=100.0)
-    record.start_attempt(1, 100.0 + 20 * RECORD_FADE_TIME)
+    record.start_attempt(1, 100.0 + 20 * RECORD_DECAY_TIME)
     assert record.slowness == pytest.approx(1.0) and record.freshness(record.last_attempt_at) == 1.0
--- a/tests/decisions/test_peer_messages.py
+++ b/tests/decisions/test_peer_messages.py
@@ -1,4 +1,4 @@
-"""The codec of peer messages: stable bytes, typed results, and what is rejected."""
+"""Unit tests of the peer message codec: exact bytes, decoded values, and rejected input."""
 
 import math
 import struct
@@ -25,14 +25,14 @@
 )
 
 
-def test_exchange_bytes_and_their_way_back():
+def test_exchange_messages_are_encoded_and_decoded():
     (payload,) = peer_messages.encode_exchange(11, 12, 13, [UPDATE])
     assert payload.hex() == "030b0000000c0000000d000000" + "0700000003000000030000380040" + "00bed8dc0000803e"
     decoded = peer_messages.decode_exchange(payload, 1, settings(0, 3))
     assert decoded == ExchangeMessage(11, 12, 13, [UPDATE])
 
 
-def test_totals_bytes_and_their_way_back():
+def test_totals_messages_are_encoded_and_decoded():
     (payload,) = peer_messages.encode_totals(11, [TOTALS])
     assert payload.hex() == "050b000000" + "070000000300000003001100" + "0c00"
     assert peer_messages.decode_totals(payload, 1, settings(0, 3)) == TotalsMessage(11, [TOTALS])
@@ -81,7 +81,7 @@
     (payload,) = peer_messages.encode_totals(1, [TreeTotals(8, 0, 0, 2, 1.0, 1.0)])
     assert peer_messages.decode_totals(payload, 1, settings(7, 8)).totals == []
     (payload,) = peer_messages.encode_totals(1, [TreeTotals(8, 0, 0, 7, 1.0, 1.0)])
-    assert len(peer_messages.decode_totals(payload, 1, settings(7, 8)).totals) == 1  # by the tier's tree
+    assert len(peer_messages.decode_totals(payload, 1, settings(7, 8)).totals) == 1  # whole tier's tree
 
 
 @pytest.mark.parametrize("peer", [-1, 0, 3])
--- a/tests/decisions/test_state_transfer.py
+++ b/tests/decisions/test_state_transfer.py
@@ -1,4 +1,4 @@
-"""State handed from one process to the next, by itself."""
+"""Unit tests of the transfer of state from one process to the next."""
 
 from types import SimpleNamespace
 
@@ -29,7 +29,7 @@
 
 
 class FakeState:
-    """The state of an earlier process, with one backend."""
+    """Persisted state of an earlier process, with one backend."""
 
     def __init__(self, fleet=FLEET, may_resume=True, is_exact=True):
         self.stored_fleet = fleet
@@ -65,7 +65,7 @@
     [
         (True, True, True, True),
         (True, False, False, True),
-        (True, False, True, False),  # a snapshot may be out of date, and neighbours have the totals
+        (True, False, True, False),  # a snapshot may be outdated, and the neighbours have the totals
         (False, True, False, False),
     ],
 )
@@ -79,7 +79,7 @@
     assert transfer.peers.incarnations.peers == ({1: 55} if has_resumed else {})
 
 
-def test_figures_out_of_range_are_limited():
+def test_values_out_of_range_are_clamped():
     transfer = make()
     transfer.restore_fleet(FakeState(FLEET._replace(pace=7.0, slowness=-1.0, retry_budget=1e9)), 100.0, None)
     model = transfer.latency_model
