--- a/corkdeal/halls/__init__.py
+++ b/corkdeal/halls/__init__.py
@@ -1,5 +1,5 @@
-"""Halls (zones, localities): who stands where, how near they are, and whether one is cut off. No I/O.
+"""Zones (localities): which zone an address is in, their distances, and whether one is cut off; no I/O.
 
-`nets` finds an address's hall, `tiers` orders halls by nearness, `loss` declares a hall lost from what its
-servers answer and fail to answer.
+`nets` finds the zone of an address, `tiers` orders zones by distance, and `loss` declares a zone lost, by the
+replies and failures of its backends.
 """
--- a/corkdeal/halls/loss.py
+++ b/corkdeal/halls/loss.py
@@ -1,17 +1,17 @@
-"""Whether a hall is cut off, declared as one event from a few failures of several of its servers.
+"""Detects that a zone is cut off, as one event, from a few failures of several of its backends.
 
-A sequential test (Wald, 1945) for each hall: how much likelier is what was seen if the hall is cut off than
-if it is not? Since the last answer from the hall, two things speak for a cut:
+Each zone has a sequential probability ratio test (Wald, 1945): how much likelier are the observations if the
+zone is cut off than if it is not? Two kinds of evidence since the zone's last reply speak for a cut:
 
-- *servers that can't be reached*, each counted once, however often it fails: a dead server is no dead hall.
-  A failed connect has a small chance where there is no cut. A silence has the chance that this server's
-  attempts, or those of all other halls together, were silent of late and then answered: on a day on which
-  many are slow, silence says little;
-- *quiet*: as many answers as came from the hall before should have come meanwhile. Had they been due, none
-  would have come with the chance exp(-due). What is due is cut by the share of their own due that the other
-  halls answered in the same time, so that "all slowed together" makes quiet say nothing.
+- *Unreachable backends*, each counted once, however often it fails: a dead backend does not make a dead zone.
+  Without a cut, a failed connect has a small probability. A silence (an attempt without a reply for much
+  longer than usual) has the recent share of silent attempts that were answered in the end, at this backend or
+  in all other zones together, whichever is greater: while many backends are slow, a silence says little.
+- *Missing replies*: at its previous rate the zone would have sent a number of replies by now. Without a cut,
+  the probability that none came is exp(-expected). The expected number is scaled by the share of their own
+  expected replies that came from the other zones in the same time, so a slowdown of all zones is no evidence.
 
-One answer to an attempt that was sent after the quiet began ends the suspicion.
+One reply to an attempt that was sent after the zone's previous reply clears the evidence.
 """
 
 from __future__ import annotations
@@ -21,27 +21,27 @@
 from collections.abc import Hashable
 from dataclasses import dataclass, field
 
-BOUND = math.log(1e6)  # one false alarm in a million independent looks at a hall that is not cut off
-CUT_FAILS = 0.98  # of attempts at servers of a hall that is cut off
-FAILS_LEAST = 0.02  # chance that a server of a hall that is not cut off can't be reached just now
-SERVERS_LEAST = 2  # distinct servers that must have failed, or the only one there is
-RATE_MEMORY = 3.0  # s that a hall's rate of answers is averaged over
-QUIET_LEAST = 0.05  # s without an answer before quiet says anything
-EVIDENCE_MOST = 5.0  # s that a failure counts
-HABIT_MEMORY = 10.0  # s that a server's habit of being silent and then answering is averaged over
-ANSWERS_KEPT = 512  # latest answers of all halls; more than come in EVIDENCE_MOST at 100 a second
+BOUND = math.log(1e6)  # log likelihood ratio; one false alarm in a million independent tests without a cut
+CUT_FAILS = 0.98  # share of attempts at backends of a cut-off zone that fail
+FAILS_LEAST = 0.02  # least probability that a backend is unreachable while its zone is not cut off
+SERVERS_LEAST = 2  # distinct backends that must have failed; all of them if the zone has fewer
+RATE_MEMORY = 3.0  # s; time constant of a zone's average reply rate
+QUIET_LEAST = 0.05  # s without a reply before missing replies count
+EVIDENCE_MOST = 5.0  # s for which a failure or missing replies count
+HABIT_MEMORY = 10.0  # s; time constant of a backend's counts of silent and answered attempts
+ANSWERS_KEPT = 512  # latest replies of all zones; more than come in EVIDENCE_MOST at 100 a second
 
 
 @dataclass(slots=True)
 class Habit:
-    """How often attempts at one server were silent for long, and how often answered; faded counts."""
+    """Decaying counts of the attempts at one backend that were silent and of those that were answered."""
 
     silent: float = 0.0
     answered: float = 0.0
     at: float = -math.inf
 
     def fade(self, now: float) -> None:
-        """Bring both up to now."""
+        """Decay both counts up to now."""
         if self.at > -math.inf:
             left = math.exp(-max(0.0, now - self.at) / HABIT_MEMORY)
             self.silent, self.answered = self.silent * left, self.answered * left
@@ -50,33 +50,33 @@
 
 @dataclass(slots=True)
 class HallEvidence:
-    """What was seen of one hall."""
+    """Observations of one zone."""
 
-    servers: int = 0  # that the list names there
-    rate: float = 0.0  # answers a second
+    servers: int = 0  # number of listed backends
+    rate: float = 0.0  # replies a second, averaged
     answered_at: float = -math.inf
-    counted_at: float = -math.inf  # up to when `rate` is averaged
-    # server -> last failure, a silence
+    counted_at: float = -math.inf  # time up to which `rate` has decayed
+    # backend -> time of its last failure, and whether that was a silence
     failed: dict[Hashable, tuple[float, bool]] = field(default_factory=dict)
     habits: dict[Hashable, Habit] = field(default_factory=dict)
     lost_at: float | None = None
 
 
 class Losses:
-    """Evidence over all halls, and which of them are declared lost."""
+    """Observations of all zones, and which of these are declared lost."""
 
     def __init__(self) -> None:
         self.halls: dict[str, HallEvidence] = {}
         self.answers: deque[tuple[float, str]] = deque(maxlen=ANSWERS_KEPT)
 
     def listed(self, servers: dict[str, int]) -> None:
-        """How many servers each hall has now; a hall without any is forgotten."""
+        """Set the number of backends in each zone; a zone without any is removed."""
         self.halls = {name: self.halls.get(name) or HallEvidence() for name, n in servers.items() if n}
         for name, e in self.halls.items():
             e.servers = servers[name]
 
     def answered(self, hall: str, server: Hashable, sent_at: float, now: float) -> None:
-        """An answer of any kind, a refusal too: what was sent at `sent_at` got through and back."""
+        """Record a reply of any kind, also a rejection: the attempt sent at `sent_at` reached its backend."""
         if (e := self.halls.get(hall)) is None:
             return
         self.rated(e, now)
@@ -85,11 +85,11 @@
         quiet_since, e.answered_at = e.answered_at, now
         self.habit(e, server, now).answered += 1
         e.failed.pop(server, None)
-        if e.lost_at is None or sent_at >= quiet_since:  # not one that was on its way when the cut began
+        if e.lost_at is None or sent_at >= quiet_since:  # a reply in flight when the cut began proves nothing
             e.failed.clear()
 
     def failed(self, hall: str, server: Hashable, now: float, silent: bool = False) -> None:
-        """A server could not be reached, or is `silent` with work in hand for longer than it should be."""
+        """Record that a backend was unreachable or, if `silent`, has not answered an attempt for too long."""
         if (e := self.halls.get(hall)) is not None:
             e.failed[server] = now, silent
             if silent:
@@ -97,26 +97,26 @@
 
     @staticmethod
     def habit(e: HallEvidence, server: Hashable, now: float) -> Habit:
-        """A server's habit as of now."""
+        """Return a backend's counts, decayed up to now."""
         made = e.habits.setdefault(server, Habit())
         made.fade(now)
         return made
 
     def returned(self, hall: str) -> None:
-        """The hall is reachable again, as whoever eases it back in has seen."""
+        """Mark a zone as reachable again; the caller, which returns traffic to it gradually, decides when."""
         if (e := self.halls.get(hall)) is not None:
             e.lost_at = None
             e.failed.clear()
 
     @staticmethod
     def rated(e: HallEvidence, now: float) -> None:
-        """Bring the rate of answers up to now."""
+        """Decay the reply rate up to now."""
         if e.counted_at > -math.inf:
             e.rate *= math.exp(-max(0.0, now - e.counted_at) / RATE_MEMORY)
         e.counted_at = now
 
     def look(self, now: float) -> list[str]:
-        """Halls that are newly declared lost, in the order of their names."""
+        """Declare zones lost by their evidence; return the newly lost ones, sorted by name."""
         found = []
         for name, e in sorted(self.halls.items()):
             if e.lost_at is None and self.weight(name, now) >= BOUND and self.reachable(name, now):
@@ -125,11 +125,11 @@
         return found
 
     def lost(self) -> list[str]:
-        """Halls that are lost now."""
+        """Return the zones that are lost now, sorted by name."""
         return sorted(name for name, e in self.halls.items() if e.lost_at is not None)
 
     def failing(self, e: HallEvidence, now: float) -> list[tuple[Hashable, bool]]:
-        """Servers that failed of late and since the hall's last answer, and whether they are silent."""
+        """Return the backends that failed recently and after the zone's last reply, and which are silent."""
         return [
             (server, silent)
             for server, (at, silent) in e.failed.items()
@@ -137,8 +137,9 @@
         ]
 
     def reachable(self, name: str, now: float) -> bool:
-        """Whether another hall answered after this one failed; else the gateway is cut off itself, or all is
-        down.
+        """Return whether another zone replied after this one failed.
+
+        Otherwise the gateway itself may be cut off, or all zones be down.
         """
         e = self.halls[name]
         failed = sorted(at for at, _ in e.failed.values() if at > e.answered_at and now - at < EVIDENCE_MOST)
@@ -146,7 +147,7 @@
         return any(o.answered_at > since for other, o in self.halls.items() if other != name)
 
     def weight(self, name: str, now: float) -> float:
-        """The logarithm of how much likelier a cut is, by what was seen."""
+        """Return the log likelihood ratio of a cut against none, given the observations."""
         e = self.halls[name]
         failing = self.failing(e, now)
         if len(failing) < min(SERVERS_LEAST, e.servers):
@@ -158,14 +159,14 @@
         told = 0.0
         for server, is_silent in failing:
             h = e.habits.get(server, Habit())
-            # The silence at hand is no habit yet: what was silent before it and then answered is.
+            # Without the current silence: only earlier ones, which ended with a reply, show how usual it is.
             own = max(0.0, h.silent - 1) / (h.silent + h.answered + 1)
             chance = max(FAILS_LEAST, usual, own) if is_silent else FAILS_LEAST
             told += math.log(max(1.0, CUT_FAILS / chance))
         return told + self.due(name, e, others, now)
 
     def due(self, name: str, e: HallEvidence, others: list[HallEvidence], now: float) -> float:
-        """Answers that should have come from the hall since its last one, as far as the others got theirs."""
+        """Return the replies missing from a zone since its last one, scaled by what other zones sent."""
         quiet = now - e.answered_at
         if not QUIET_LEAST < quiet < EVIDENCE_MOST:
             return 0.0
--- a/corkdeal/halls/nets.py
+++ b/corkdeal/halls/nets.py
@@ -1,7 +1,7 @@
-"""Which hall an address stands in, by nets in CIDR form, IPv4 and IPv6: the longest net that holds it.
+"""Finds the zone of an IPv4 or IPv6 address: that of the longest CIDR prefix that contains it.
 
-netaddr reads and checks the nets; py-radix, a Patricia trie in C, looks them up (`benchmarks/halls.py` has
-both at 100,000 nets: netaddr alone would walk a list).
+netaddr parses and checks the networks; py-radix, a Patricia trie in C, looks addresses up, since netaddr
+alone would scan a list (`benchmarks/halls.py` compares them at 100,000 networks).
 """
 
 from __future__ import annotations
@@ -16,7 +16,7 @@
 
 
 class Net(NamedTuple):
-    """One net of a hall; `place.at()` gives line and column of where it is written, where that is known."""
+    """One network of a zone; `place.at()` returns line and column of its definition, if these are known."""
 
     text: str
     hall: str
@@ -24,17 +24,17 @@
 
 
 class Wrong(NamedTuple):
-    """A net that can't be used, and why."""
+    """A network that cannot be used, and why."""
 
     net: Net
     why: str
 
 
 class Nets:
-    """Nets and their halls."""
+    """Networks and their zones."""
 
     def __init__(self, nets: Iterable[Net]) -> None:
-        """All that is wrong is in `wrong`; a caller that finds anything there uses none of it."""
+        """Add networks; invalid ones end up in `wrong`, and unless it is empty the object is unusable."""
         self.tree, self.wrong, self.count = radix.Radix(), [], 0
         for net in nets:
             if why := self.add(net):
@@ -42,26 +42,26 @@
         self.wrong += self.redundant()
 
     def add(self, net: Net) -> str:
-        """Take one net; why not, where it can't be taken."""
+        """Add one network; return why it cannot be added, or an empty string."""
         try:
             made = netaddr.IPNetwork(net.text) if "/" in net.text else None
         except (netaddr.AddrFormatError, ValueError):
             made = None
         if made is None:
-            return f"is no net in CIDR form: {net.text!r:.60}"
+            return f"not a network in CIDR notation: {net.text!r:.60}"
         if made.ip != made.network:
-            return f"has bits set behind its prefix; {made.cidr} is meant, or another net"
+            return f"has host bits set; {made.cidr} is the network with this prefix length"
         if self.count >= MOST_NETS:
-            return f"is one more than {MOST_NETS} nets"
+            return f"exceeds the limit of {MOST_NETS} networks"
         if (known := self.tree.search_exact(str(made.cidr))) is not None:
             first: Net = known.data["net"]
-            return f"is given twice; first for {first.hall}{at(first)}"
+            return f"is given twice; first for zone {first.hall}{at(first)}"
         self.tree.add(str(made.cidr)).data["net"] = net
         self.count += 1
         return ""
 
     def redundant(self) -> list[Wrong]:
-        """Nets that lie in another of the same hall with none of another hall's between: they say nothing."""
+        """Return networks without effect: their closest enclosing network belongs to the same zone."""
         found = []
         for node in self.tree.nodes():
             parent = node.parent
@@ -69,11 +69,11 @@
                 parent = parent.parent
             if parent is not None and parent.data["net"].hall == node.data["net"].hall:
                 outer: Net = parent.data["net"]
-                found.append(Wrong(node.data["net"], f"overlaps {outer.text} of the same hall{at(outer)}"))
+                found.append(Wrong(node.data["net"], f"overlaps {outer.text} of the same zone{at(outer)}"))
         return found
 
     def hall_of(self, address: str) -> str | None:
-        """The hall of an address, or none; an address that is none has no hall either."""
+        """Return the zone of an address; None if no network contains it, or if it is not a valid address."""
         try:
             node = self.tree.search_best(address)
         except ValueError:
@@ -82,7 +82,7 @@
 
 
 def at(net: Net) -> str:
-    """Where a net is written, if that is known."""
+    """Format the position of a network's definition; empty if unknown."""
     if net.place is None:
         return ""
     line, column = net.place.at()
--- a/corkdeal/halls/tiers.py
+++ b/corkdeal/halls/tiers.py
@@ -1,8 +1,8 @@
-"""How near halls are to one another: tiers from a hall's own outwards, over two levels.
+"""Distances between zones, and the tiers of zones at equal distance from one zone, nearest first.
 
-A hall may stand in a region. Without distances that the operators give, the own hall is at 0, halls of the
-own region at `NEAR`, all others at `FAR`; without regions all others are near. A given distance counts both
-ways.
+A zone may belong to a region. Unless the options file gives a distance, a zone is at distance 0 from itself,
+`NEAR` from zones of its region, and `FAR` from all others; zones without a region are near each other. A
+given distance applies in both directions.
 """
 
 from __future__ import annotations
@@ -15,7 +15,7 @@
 
 @dataclass(slots=True, frozen=True)
 class Hall:
-    """One hall, the region that it stands in, and what it is worth against others of its tier."""
+    """A zone, its region, and its weight relative to other zones of the same tier."""
 
     name: str
     region: str = ""
@@ -24,30 +24,32 @@
 
 @dataclass(slots=True)
 class Tiers:
-    """All halls and their distances."""
+    """All zones and the distances between them."""
 
     halls: dict[str, Hall]
     given: dict[frozenset[str], float] = field(default_factory=dict)
 
     @classmethod
     def of(cls, halls: Iterable[Hall], distances: Mapping[tuple[str, str], float] | None = None) -> Tiers:
-        """From halls and distances; `ValueError` for a hall that is not there, or a pair given twice
-        otherwise.
+        """Build from zones and distances.
+
+        Raise `ValueError` for an unknown zone, a distance from a zone to itself, one that is not positive,
+        and a pair with two different distances.
         """
         made = cls({h.name: h for h in halls})
         for (a, b), distance in (distances or {}).items():
             for name in (a, b):
                 if name not in made.halls:
-                    raise ValueError(f"there is no hall {name!r}")
+                    raise ValueError(f"unknown zone {name!r}")
             if a == b or distance <= 0:
-                raise ValueError(f"from {a} to {b} can't be {distance:g}: only a hall itself is at 0")
+                raise ValueError(f"distance from {a} to {b} cannot be {distance:g}: only to itself is it 0")
             if made.given.get(frozenset((a, b)), distance) != distance:
-                raise ValueError(f"from {a} to {b} is given twice and differs")
+                raise ValueError(f"distance from {a} to {b} is given twice with different values")
             made.given[frozenset((a, b))] = distance
         return made
 
     def distance(self, a: str, b: str) -> float:
-        """From one hall to another; a hall that is not known is far from all."""
+        """Return the distance between two zones; an unknown zone is far from all others."""
         if a == b:
             return OWN
         if (given := self.given.get(frozenset((a, b)))) is not None:
@@ -58,7 +60,7 @@
         return NEAR if one.region == other.region else FAR
 
     def tiers(self, home: str) -> tuple[tuple[str, ...], ...]:
-        """Halls from the nearest tier to the farthest; within a tier by name."""
+        """Return the zones grouped by distance from `home`, nearest first; sorted by name within a tier."""
         by_distance: dict[float, list[str]] = {}
         for name in sorted(self.halls):
             by_distance.setdefault(self.distance(home, name), []).append(name)
--- a/corkdeal/options/__init__.py
+++ b/corkdeal/options/__init__.py
@@ -1,7 +1,7 @@
-"""The operators' own file: what the platform's configuration does not know, as KDL 1.0, off unless it stands
-there.
+"""The options file: features of the gateway that the platform's configuration does not cover.
 
-One reader (`load`), one frozen record a subsystem (`records`); nothing else reads the file.
+It is written in KDL 1.0; a feature that has no node in the file is off. `load` is the only reader of the
+file; it returns frozen records, one per subsystem (`records`).
 """
 
 from .records import KnowledgeOptions, LogOptions, Options
@@ -10,7 +10,7 @@
 
 
 def __getattr__(name: str) -> object:
-    """The reader and its parser are imported only where a file is given."""
+    """Import the reader and its KDL parser on first use; without an options file they are never loaded."""
     if name in ("OptionsError", "load", "parse"):
         from . import reader
 
--- a/corkdeal/options/halls.py
+++ b/corkdeal/options/halls.py
@@ -1,4 +1,4 @@
-"""The `halls` node put together: nets and tiers, and the faults that only show then."""
+"""Builds networks and tiers from the `halls` node, and finds the faults that span several of its records."""
 
 from __future__ import annotations
 
@@ -11,12 +11,12 @@
 
 
 def nets_of(options: HallsOptions) -> Nets:
-    """All nets of all halls."""
+    """Return the networks of all zones."""
     return Nets(Net(n.cidr, h.name, n.place) for h in options.halls for n in h.nets)
 
 
 def tiers_of(options: HallsOptions) -> Tiers:
-    """Halls and distances; `ValueError` where they don't fit."""
+    """Return the zones with their distances; raise `ValueError` if these are inconsistent."""
     return Tiers.of(
         (Hall(h.name, h.region, h.weight) for h in options.halls),
         {(d.one, d.other): d.value for d in options.distances},
@@ -24,11 +24,11 @@
 
 
 def faults(options: HallsOptions) -> Iterator[tuple[Any, str, str]]:
-    """What is wrong, each with its place and its node."""
+    """Yield each fault as its position in the file, the path of its node, and its text."""
     seen: set[str] = set()
     for hall in options.halls:
         if not hall.name or hall.name in seen:
-            yield hall.place, "halls.hall", f"{hall.name!r:.60} has no name or stands here a second time"
+            yield hall.place, "halls.hall", f"{hall.name!r:.60} is an empty name or is given a second time"
         seen.add(hall.name)
     halls = [Hall(h.name, h.region, h.weight) for h in options.halls]
     pairs: dict[frozenset[str], float] = {}
@@ -39,7 +39,7 @@
             yield distance.place, "halls.distance", str(error)
         pair = frozenset((distance.one, distance.other))
         if pair in pairs:
-            yield distance.place, "halls.distance", "stands here a second time"
+            yield distance.place, "halls.distance", "the distance of these zones is given a second time"
         pairs[pair] = distance.value
     for wrong in nets_of(options).wrong:
         yield wrong.net.place, "halls.hall.net", wrong.why
--- a/corkdeal/options/reader.py
+++ b/corkdeal/options/reader.py
@@ -1,6 +1,6 @@
-"""Reads the operators' file into records, and says of every fault where it stands.
+"""Reads the options file into records, and reports each fault with its position.
 
-kdl-py rather than ckdl: ckdl tells the place of neither a node nor a fault, and a refusal here names both.
+The parser is kdl-py rather than ckdl: ckdl gives no position, neither of a node nor of a syntax error.
 """
 
 from __future__ import annotations
@@ -17,26 +17,26 @@
 from .records import Options
 
 Whole = TypeVar("Whole")
-MOST_BYTES = 1 << 20  # of a file that a person writes
-KINDS = {str: "text", int: "a whole number", float: "a number", bool: "true or false"}
+MOST_BYTES = 1 << 20  # largest accepted file; options files are written by hand
+KINDS = {str: "a string", int: "an integer", float: "a number", bool: "true or false"}
 
 
 class Fault(NamedTuple):
-    """One thing wrong, and where; line and column count from 1, 0 where the file itself is at fault."""
+    """One fault and its position; line and column count from 1, and are 0 for a fault of the whole file."""
 
     line: int
     column: int
-    node: str  # path of nodes, as `knowledge.every`
+    node: str  # path of a node or setting, such as `knowledge.every`
     text: str
 
     def __str__(self) -> str:
-        """The place, then what is wrong there."""
+        """Format the position, the path and the text."""
         place = f"line {self.line}, column {self.column}: " if self.line else ""
         return f"{place}{self.node + ': ' if self.node else ''}{self.text}"
 
 
 class OptionsError(ValueError):
-    """A file that can't be used, with all its faults in the order of their places."""
+    """A file that cannot be used; `faults` holds all its faults, ordered by position."""
 
     def __init__(self, path: str, faults: list[Fault]) -> None:
         self.path, self.faults = path, sorted(faults)
@@ -44,53 +44,53 @@
 
 
 class Placed(NamedTuple):
-    """A value or a node with its place."""
+    """A value or a node with its position in the source."""
 
     value: Any
     place: Any  # kdl.ParseFragment
 
     def at(self) -> tuple[int, int]:
-        """Line and column, found only when they are told: finding them reads the text from its start."""
+        """Return line and column; called for faults only, since it scans the text from its start."""
         error = self.place.error("")
         return error.line, error.col
 
 
 class PlacedValue(Placed):
-    """kdl-py gives a value's end as its place."""
+    """A value; kdl-py reports the position of its end."""
 
     def at(self) -> tuple[int, int]:
-        """Line and column of its first character."""
+        """Return line and column of the value's first character."""
         error = self.place.error("")
         text = self.place.fragment
         return error.line - text.count("\n"), max(1, error.col - len(text)) if "\n" not in text else 1
 
 
 def load(path: str) -> Options:
-    """Read and check the operators' file; `OptionsError` holds every fault."""
+    """Read and check an options file; raise `OptionsError` with all its faults."""
     return parse(text_of(path), path)
 
 
 def text_of(path: str) -> str:
-    """A file's text, if it is a regular file of a size that a person writes."""
+    """Return the text of a regular file of at most `MOST_BYTES`."""
     try:
-        if not stat.S_ISREG(os.stat(path).st_mode):  # a FIFO would keep the reader waiting for ever
-            raise OptionsError(path, [Fault(0, 0, "", "is no regular file")])
+        if not stat.S_ISREG(os.stat(path).st_mode):  # opening a FIFO could block for ever
+            raise OptionsError(path, [Fault(0, 0, "", "not a regular file")])
         with open(path, "rb") as file:
             data = file.read(MOST_BYTES + 1)
     except OSError as error:
         raise OptionsError(path, [Fault(0, 0, "", error.strerror or str(error))]) from None
     if len(data) > MOST_BYTES:
-        raise OptionsError(path, [Fault(0, 0, "", f"is larger than {MOST_BYTES} bytes")])
+        raise OptionsError(path, [Fault(0, 0, "", f"larger than {MOST_BYTES} bytes")])
     try:
         return data.decode()
     except UnicodeDecodeError as error:
         line = data.count(b"\n", 0, error.start) + 1
         column = error.start - data.rfind(b"\n", 0, error.start)
-        raise OptionsError(path, [Fault(line, column, "", "is not UTF-8 here")]) from None
+        raise OptionsError(path, [Fault(line, column, "", "invalid UTF-8")]) from None
 
 
 def parse(text: str, path: str = "options") -> Options:
-    """Check the operators' file's text and turn it into records."""
+    """Parse and check the text of an options file."""
     options = parse_as(Options, text, path)
     if options.halls:
         from . import halls
@@ -102,9 +102,9 @@
 
 
 def parse_as(whole: type[Whole], text: str, path: str) -> Whole:
-    """Check a document's text and turn it into a record of that kind.
+    """Parse and check a KDL document, and return it as an instance of the dataclass `whole`.
 
-    Its fields are the nodes that may stand at the top: one record or None, or `many` of a name.
+    Its fields are the allowed top-level nodes: one record or None, or a tuple of records (`many`).
     """
     config = kdl.ParseConfig(
         nodeConverters={None: Placed},
@@ -116,9 +116,9 @@
         said = error.msg.partition("parse error:")[2].strip()
         raise OptionsError(path, [Fault(error.line, error.col, "", " ".join(said.split()))]) from None
     except RecursionError:
-        raise OptionsError(path, [Fault(0, 0, "", "nodes stand in one another too deeply")]) from None
-    except (ValueError, ArithmeticError) as error:  # figures that no number holds
-        raise OptionsError(path, [Fault(0, 0, "", f"can't be read: {error}")]) from None
+        raise OptionsError(path, [Fault(0, 0, "", "nodes are nested too deeply")]) from None
+    except (ValueError, ArithmeticError) as error:  # number literals that Python cannot convert
+        raise OptionsError(path, [Fault(0, 0, "", f"cannot be parsed: {error}")]) from None
     faults: list[Fault] = []
     hints = get_type_hints(whole)
     fields = {f.metadata.get("child", f.name): f for f in dataclasses.fields(whole)}
@@ -130,7 +130,7 @@
         elif "many" in field.metadata:
             made[field.name] = (*made.get(field.name, ()), record(node, field.metadata["many"], faults))
         elif name in made:
-            faults.append(Fault(*node.at(), node.value.name, "stands here a second time"))
+            faults.append(Fault(*node.at(), node.value.name, "is given a second time"))
         else:
             kind = next(k for k in hints[name].__args__ if dataclasses.is_dataclass(k))
             made[name] = record(node, kind, faults)
@@ -140,17 +140,20 @@
 
 
 def key_of(name: str) -> str:
-    """A record's field for a node's name; KDL joins words by hyphens."""
+    """Return the field for a KDL name, which joins words by hyphens; empty for a name with an underscore."""
     return name.replace("-", "_") if "_" not in name else ""
 
 
 def listed(names: Any) -> str:
-    """Names as the file writes them."""
+    """Format field names as the file spells them."""
     return ", ".join(sorted(n.replace("_", "-") for n in names))
 
 
 def given(node: Placed) -> Iterator[tuple[str, Placed | None, Placed]]:
-    """A node's settings by name, from its properties and from its children, with each one's place."""
+    """Yield name, value and source of each setting of a node, from its properties and its children.
+
+    The value is None for a child that does not hold exactly one value; the source gives the position.
+    """
     for name, value in node.value.props.items():
         yield name, value, value
     for child in node.value.nodes:
@@ -160,7 +163,7 @@
 
 
 def record(node: Placed, kind: type, faults: list[Fault], above: str = "") -> Any:
-    """One node as its record; None and more faults where that can't be."""
+    """Convert a node to its record; if it has faults, append them to `faults` and return None."""
     before, named = len(faults), f"{above}{node.value.name}"
     fields = {f.name: f for f in dataclasses.fields(kind)}
     types, values = get_type_hints(kind), {}
@@ -190,7 +193,7 @@
             known = [*scalars, *children]
             faults.append(Fault(*place.at(), path, f"unknown setting; known are {listed(known)}"))
         elif key in values:
-            faults.append(Fault(*place.at(), path, "stands here a second time"))
+            faults.append(Fault(*place.at(), path, "is given a second time"))
         elif value is None:
             faults.append(Fault(*place.at(), path, "takes exactly one value"))
             values[key] = None
@@ -207,7 +210,7 @@
 
 
 def checked(value: Any, kind: type, bounds: Any) -> tuple[Any, str]:
-    """A value in its type, and what is wrong with it."""
+    """Convert a value to its type and check it; return the value and the fault, empty if it is valid."""
     if kind is float and type(value) is int:
         value = float(value)
     elif kind is int and type(value) is float and value.is_integer():
--- a/corkdeal/options/records.py
+++ b/corkdeal/options/records.py
@@ -1,8 +1,8 @@
-"""The records that the operators' file becomes; each later subsystem adds one here.
+"""The records that the options file is read into, one per subsystem.
 
-A field's metadata says what is allowed: `least` and `most` (both allowed themselves), `choices`, `absolute`
-for a path; see `setting`, `many` and `placed`. The reader goes by nothing else, so a record is all that a
-subsystem has to write.
+A field's metadata holds its constraints: `least` and `most` (inclusive bounds), `choices`, and `absolute` for
+an absolute path; see `setting`, `many` and `placed`. The reader relies on this metadata alone, so to add
+options a subsystem only needs to add a record here.
 """
 
 from __future__ import annotations
@@ -20,27 +20,27 @@
     absolute: bool = False,
     argument: int | None = None,
 ) -> Any:
-    """A field with its bounds; without a default the node must give it.
+    """Declare a field with its constraints; without a default the setting is required.
 
-    With `argument` its value stands at that place behind the node's name, without a name of its own.
+    With `argument` the value is the node's positional argument with that index, instead of a named setting.
     """
     bounds = {"least": least, "most": most, "choices": choices, "absolute": absolute, "argument": argument}
     return field(metadata=bounds) if default is ... else field(default=default, metadata=bounds)
 
 
 def many(kind: type, child: str) -> Any:
-    """A field that holds a record for each child of that name."""
+    """Declare a field that holds a tuple of records, one for each child node of that name."""
     return field(default=(), metadata={"many": kind, "child": child})
 
 
 def placed() -> Any:
-    """A field that holds where the record stands, for faults that only show when records are put together."""
+    """Declare a field that holds the record's position, for faults that span several records."""
     return field(default=None, compare=False, repr=False, metadata={"placed": True})
 
 
 @dataclass(frozen=True, kw_only=True)
 class LogOptions:
-    """`log`: how a line of the log is written."""
+    """`log`: format and level of the log."""
 
     format: str = setting("text", choices=("text", "json"))
     level: str = setting("info", choices=("debug", "info", "warn", "error"))
@@ -48,36 +48,36 @@
 
 @dataclass(frozen=True, kw_only=True)
 class KnowledgeOptions:
-    """`knowledge`: what survives a restart. Times are in seconds."""
+    """`knowledge`: state that is persisted across restarts. Times are in seconds."""
 
-    path: str = setting(absolute=True)  # holds one folder a gateway's name
-    every: float = setting(1.0, least=0.1, most=60.0)  # between writes
-    generations: int = setting(2, least=2, most=16)  # whole files kept
-    # a store slower than that is given up at the start
+    path: str = setting(absolute=True)  # parent of one folder per gateway name
+    every: float = setting(1.0, least=0.1, most=60.0)  # between snapshots
+    generations: int = setting(2, least=2, most=16)  # complete snapshot files kept
+    # timeout of the read at the start; after it the gateway serves without persisted state
     read_wait: float = setting(0.5, least=0.01, most=10.0)
-    stop_wait: float = setting(0.5, least=0.0, most=10.0)  # and at the end
+    stop_wait: float = setting(0.5, least=0.0, most=10.0)  # timeout of the last write before a planned exit
 
 
 @dataclass(frozen=True, kw_only=True)
 class RecoveryOptions:
-    """`recovery`: coming back after a start or a pause; it has nothing to set."""
+    """`recovery`: gradual return to service after a start or a pause; it has no settings."""
 
 
 @dataclass(frozen=True, kw_only=True)
 class MembershipOptions:
-    """`membership`: which gateways live, and whose slices may be spent; it has nothing to set."""
+    """`membership`: which gateways are alive, and whose quota shares may be spent; it has no settings."""
 
 
 @dataclass(frozen=True, kw_only=True)
 class FiguresOptions:
-    """`figures`: running totals as a line of the log."""
+    """`figures`: a periodic log line with running totals."""
 
-    every: float = setting(10.0, least=0.25, most=3600.0)  # s
+    every: float = setting(10.0, least=0.25, most=3600.0)  # seconds between lines
 
 
 @dataclass(frozen=True, kw_only=True)
 class NetOptions:
-    """`net "10.1.0.0/16"`: a net of a hall."""
+    """`net "10.1.0.0/16"`: a network of a zone."""
 
     cidr: str = setting(argument=0)
     place: Any = placed()
@@ -85,7 +85,7 @@
 
 @dataclass(frozen=True, kw_only=True)
 class HallOptions:
-    """`hall "north-hall"`: one hall."""
+    """`hall "north-hall"`: one zone."""
 
     name: str = setting(argument=0)
     region: str = setting("")
@@ -96,7 +96,10 @@
 
 @dataclass(frozen=True, kw_only=True)
 class DistanceOptions:
-    """`distance "north-hall" "east-hall" 1.5`: counts both ways; 1 is near, 2 is far."""
+    """`distance "north-hall" "east-hall" 1.5`: applies in both directions.
+
+    Without it zones are at distance 1 within a region and 2 across regions.
+    """
 
     one: str = setting(argument=0)
     other: str = setting(argument=1)
@@ -106,7 +109,7 @@
 
 @dataclass(frozen=True, kw_only=True)
 class HallsOptions:
-    """`halls`: who stands where, and how near."""
+    """`halls`: the zones, their networks, and the distances between zones."""
 
     halls: tuple[HallOptions, ...] = many(HallOptions, "hall")
     distances: tuple[DistanceOptions, ...] = many(DistanceOptions, "distance")
@@ -114,7 +117,7 @@
 
 @dataclass(frozen=True, kw_only=True)
 class Options:
-    """The whole file; None is off."""
+    """The whole options file; None means that the subsystem is off."""
 
     log: LogOptions | None = None
     knowledge: KnowledgeOptions | None = None
--- a/tests/halls/test_view.py
+++ b/tests/halls/test_view.py
@@ -1,4 +1,4 @@
-"""Nets, tiers and the declaration of a lost hall."""
+"""Zones: look-up of addresses, tiers, and the detection of a lost zone."""
 
 import ipaddress
 
@@ -48,14 +48,14 @@
 @pytest.mark.parametrize(
     ("nets", "why"),
     [
-        (["10.0.0.0/33"], "is no net in CIDR form"),
-        (["10.0.0.1"], "is no net"),
-        (["10/8"], "is no net"),
-        (["x/8"], "is no net"),
-        (["10.0.0.1/24"], "10.0.0.0/24 is meant"),
-        (["2001:db8::1/32"], "bits set"),
-        (["10.0.0.0/8", "10.0.0.0/8"], "is given twice; first for north at line 1, column 2"),
-        (["10.0.0.0/8", "10.1.0.0/16"], "overlaps 10.0.0.0/8 of the same hall at line 1, column 2"),
+        (["10.0.0.0/33"], "not a network in CIDR notation"),
+        (["10.0.0.1"], "not a network"),
+        (["10/8"], "not a network"),
+        (["x/8"], "not a network"),
+        (["10.0.0.1/24"], "10.0.0.0/24 is the network"),
+        (["2001:db8::1/32"], "host bits set"),
+        (["10.0.0.0/8", "10.0.0.0/8"], "is given twice; first for zone north at line 1, column 2"),
+        (["10.0.0.0/8", "10.1.0.0/16"], "overlaps 10.0.0.0/8 of the same zone at line 1, column 2"),
     ],
 )
 def test_what_is_wrong_is_told_with_its_place(nets, why):
--- a/tests/test_cli.py
+++ b/tests/test_cli.py
@@ -116,7 +116,7 @@
     )
     assert done.returncode == 2 and done.stderr.splitlines() == [
         f"corkdeal: {bad}: line 2, column 9: log.level: must be one of debug, info, warn, error, not 'loud'",
-        f"corkdeal: {bad}: line 3, column 10: log.format: must be text, not 3",
+        f"corkdeal: {bad}: line 3, column 10: log.format: must be a string, not 3",
     ]
 
 
--- a/tests/test_options.py
+++ b/tests/test_options.py
@@ -1,4 +1,4 @@
-"""The operators' file: what it may say, and what is told of a fault."""
+"""The options file: valid contents, and the position and text of each fault."""
 
 import pathlib
 
@@ -31,7 +31,7 @@
         ('log {\n  format "xml"\n}', 2, 10, "log.format", "must be one of text, json"),
         ("\n  bogus 1", 2, 3, "bogus", "unknown node; known are figures, halls, knowledge, log"),
         ("log colour=true", 1, 12, "log.colour", "unknown setting"),
-        ('log level="info" level=3', 1, 24, "log.level", "must be text"),
+        ('log level="info" level=3', 1, 24, "log.level", "must be a string"),
         ('log "json"', 1, 5, "log", "takes settings by name only"),
         ("log\nlog", 2, 1, "log", "second time"),
         ('log format="json" {\n format "text"\n}', 2, 2, "log.format", "second time"),
@@ -40,7 +40,7 @@
         ('knowledge path="here"', 1, 16, "knowledge.path", "absolute"),
         ('knowledge path="/x" every=0.05', 1, 27, "knowledge.every", "between 0.1 and 60"),
         ('knowledge path="/x" every=true', 1, 27, "knowledge.every", "a number, not True"),
-        ('knowledge path="/x" generations=2.5', 1, 33, "knowledge.generations", "a whole number"),
+        ('knowledge path="/x" generations=2.5', 1, 33, "knowledge.generations", "an integer"),
         ('knowledge path="/x" read_wait=1', 1, 31, "knowledge.read_wait", "unknown setting"),
         ('knowledge path="/x" {', 1, 21, "", "Hit EOF"),
         ("log format=", 1, 12, "", "Expected value"),
@@ -81,15 +81,15 @@
             3,
             44,
             "halls.hall.net",
-            "twice; first for north at line 2, column 36",
+            "twice; first for zone north at line 2, column 36",
         ),
-        ("2001:db8::/32", "10.1.2.0/24", 2, 55, "halls.hall.net", "overlaps 10.1.0.0/16 of the same hall"),
-        ("10.2.0.0/16", "10.2.0.1/16", 3, 44, "halls.hall.net", "10.2.0.0/16 is meant"),
+        ("2001:db8::/32", "10.1.2.0/24", 2, 55, "halls.hall.net", "overlaps 10.1.0.0/16 of the same zone"),
+        ("10.2.0.0/16", "10.2.0.1/16", 3, 44, "halls.hall.net", "10.2.0.0/16 is the network"),
         ('hall "south"', 'hall "east"', 4, 5, "halls.hall", "second time"),
-        ('"north" "south" 1.5', '"north" "west" 1.5', 5, 5, "halls.distance", "there is no hall 'west'"),
+        ('"north" "south" 1.5', '"north" "west" 1.5', 5, 5, "halls.distance", "unknown zone 'west'"),
         ("1.5", "1.5 2", 5, 34, "halls.distance", "takes 3 values"),
         ("weight=2", "weight=0", 3, 40, "halls.hall.weight", "between 0.01 and 100"),
-        ('net "10.2.0.0/16"', "net 3", 3, 48, "halls.hall.net", "must be text"),
+        ('net "10.2.0.0/16"', "net 3", 3, 48, "halls.hall.net", "must be a string"),
         ('"south" 1.5', '"south"', 5, 5, "halls.distance.value", "must be given"),
         ('distance "north"', 'near "north"', 5, 5, "halls.near", "known are distance, hall"),
     ],
@@ -110,14 +110,14 @@
 
 @pytest.mark.parametrize(
     ("data", "said"),
-    [(b'log level="\xff"', "line 1, column 12: is not UTF-8"), (b"//" + b"x" * (1 << 20), "larger than")],
+    [(b'log level="\xff"', "line 1, column 12: invalid UTF-8"), (b"//" + b"x" * (1 << 20), "larger than")],
 )
 def test_a_file_that_is_no_text_is_refused(tmp_path, data, said):
     path = tmp_path / "o.kdl"
     path.write_bytes(data)
     with pytest.raises(options.OptionsError, match=said):
         options.load(str(path))
-    with pytest.raises(options.OptionsError, match="no regular file"):
+    with pytest.raises(options.OptionsError, match="not a regular file"):
         options.load(str(tmp_path))
     with pytest.raises(options.OptionsError, match="No such file"):
         options.load(str(tmp_path / "none"))
