--- a/corkdeal/cli/__init__.py
+++ b/corkdeal/cli/__init__.py
@@ -1,7 +1,6 @@
-"""The command line, on click: one module a command group, imported when its command is called.
+"""The command line, built with click: one module per command, imported only when the command is called.
 
-Exit codes: 0 done, 1 the thing looked at is at fault or was refused, 2 the call or a configuration can't be
-used.
+Exit codes: 0 success, 1 what was examined is faulty or rejected, 2 wrong usage or unusable configuration.
 """
 
 from __future__ import annotations
@@ -12,31 +11,31 @@
 import click
 
 COMMANDS = {
-    "serve": ("serve", "Serve until a planned end (SIGTERM)."),
-    "check": ("check", "Check a configuration and the operators' file."),
-    "experiment": ("experiment", "Run experiments on stand-ins."),
-    "halls": ("halls", "Look at halls as the operators' file has them."),
-    "knowledge": ("knowledge", "Look at and repair what survives a restart."),
-    "version": ("version", "Tell versions of the program and its file format."),
+    "serve": ("serve", "Run the gateway until SIGTERM or SIGINT."),
+    "check": ("check", "Check a configuration and an options file."),
+    "experiment": ("experiment", "Run experiments with fake clients and backends."),
+    "halls": ("halls", "Show zones as the options file defines them."),
+    "knowledge": ("knowledge", "Show and repair persisted state."),
+    "version": ("version", "Print versions of the program and its file format."),
 }
 
 
 class Lazy(click.Group):
-    """Knows its commands by name and imports the module of the one that is called."""
+    """A group that knows its commands by name and imports only the module of the one that is called."""
 
     def list_commands(self, ctx: click.Context) -> list[str]:
-        """All of them."""
+        """Return the names of all commands."""
         return sorted(COMMANDS)
 
     def get_command(self, ctx: click.Context, name: str) -> click.Command | None:
-        """One of them; its module holds it under `command`."""
+        """Import a command's module and return its `command`."""
         if name not in COMMANDS:
             return None
         command: click.Command = importlib.import_module(f".{COMMANDS[name][0]}", __name__).command
         return command
 
     def format_commands(self, ctx: click.Context, formatter: click.HelpFormatter) -> None:
-        """For --help, without importing any."""
+        """Write the list of commands for --help without importing their modules."""
         with formatter.section("Commands"):
             formatter.write_dl([(name, said) for name, (_, said) in sorted(COMMANDS.items())])
 
@@ -48,11 +47,11 @@
     "fish_source).",
 )
 def main() -> None:
-    """A rate-limiting gateway, and what its operators need round it."""
+    """A rate-limiting gateway and its operators' tools."""
 
 
 def tell(data: Any, as_json: bool, text: str) -> None:
-    """Print a result, as one JSON document or for a person."""
+    """Print a result, as one JSON document or as text."""
     if as_json:
         import orjson
 
--- a/corkdeal/cli/check.py
+++ b/corkdeal/cli/check.py
@@ -1,4 +1,4 @@
-"""`corkdeal check`: says what is wrong with a configuration and the operators' file, and where."""
+"""`corkdeal check`: reports the faults of a configuration and of an options file, with their positions."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 
 
 def faults_of_config(path: str) -> list[dict[str, Any]]:
-    """What is wrong with a configuration; its reader stops at the first."""
+    """Return the first fault of a configuration, if any; its reader stops there."""
     from ..net import config
 
     try:
@@ -23,7 +23,7 @@
 
 
 def faults_of_options(path: str) -> tuple[list[dict[str, Any]], Any]:
-    """All that is wrong with the operators' file, or its records."""
+    """Return all faults of an options file, and its records if there are none."""
     from ..options import OptionsError, load
 
     try:
@@ -41,9 +41,10 @@
 @json_option
 @click.pass_context
 def command(ctx: click.Context, config: str | None, options: str | None, as_json: bool) -> None:
-    """Check files without serving. Each fault has its key, and its line and column in the operators' file.
+    """Check files without serving. Faults are printed with their key, those of the options file also
+    with line and column.
 
-    Exit code 0 if nothing is wrong, 1 if something is, 2 if no file was named.
+    Exit code 0 if there is no fault, 1 if there is one, 2 if no file was named.
     """
     if not config and not options:
         raise click.UsageError("name a file with --config or --options")
--- a/corkdeal/cli/halls.py
+++ b/corkdeal/cli/halls.py
@@ -1,4 +1,4 @@
-"""`corkdeal halls`: who stands where by the operators' file."""
+"""`corkdeal halls`: shows the zones of addresses and the tiers of zones, by the options file."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 
 
 def halls_in(path: str) -> Any:
-    """The `halls` node of a file; a click error where it can't be used or there is none."""
+    """Return the `halls` node of an options file; raise a click error if it is invalid or missing."""
     from ..options import OptionsError, load
 
     try:
@@ -28,13 +28,13 @@
     envvar="CORKDEAL_OPTIONS",
     show_envvar=True,
     required=True,
-    help="The operators' file.",
+    help="The options file.",
 )
 
 
 @click.group("halls")
 def command() -> None:
-    """Look at halls as the operators' file has them."""
+    """Show zones as the options file defines them."""
 
 
 @command.command("where")
@@ -43,12 +43,12 @@
 @json_option
 @click.pass_context
 def where(ctx: click.Context, addresses: tuple[str, ...], options: str, as_json: bool) -> None:
-    """Tell in which hall addresses stand. Exit code 1 if one stands in none."""
+    """Print the zone of each address. Exit code 1 if any is in no zone."""
     from ..options.halls import nets_of
 
     nets = nets_of(halls_in(options))
     found = {address: nets.hall_of(address) for address in addresses}
-    tell(found, as_json, "\n".join(f"{address} {hall or 'in no hall'}" for address, hall in found.items()))
+    tell(found, as_json, "\n".join(f"{address} {hall or 'in no zone'}" for address, hall in found.items()))
     ctx.exit(0 if all(found.values()) else 1)
 
 
@@ -57,11 +57,11 @@
 @options_option
 @json_option
 def tiers(hall: str, options: str, as_json: bool) -> None:
-    """Print the tiers of a hall, nearest first."""
+    """Print all zones by their distance from one, nearest first."""
     from ..options.halls import tiers_of
 
     made = tiers_of(halls_in(options))
     if hall not in made.halls:
-        raise click.ClickException(f"there is no hall {hall!r}; known are {', '.join(sorted(made.halls))}")
+        raise click.ClickException(f"unknown zone {hall!r}; known are {', '.join(sorted(made.halls))}")
     found = [{"distance": made.distance(hall, tier[0]), "halls": list(tier)} for tier in made.tiers(hall)]
     tell(found, as_json, "\n".join(f"{t['distance']:g}: {', '.join(t['halls'])}" for t in found))
--- a/corkdeal/cli/knowledge.py
+++ b/corkdeal/cli/knowledge.py
@@ -1,4 +1,4 @@
-"""`corkdeal knowledge`: show, verify, age and merge the files that survive a restart."""
+"""`corkdeal knowledge`: shows, verifies, ages and merges snapshot files of persisted state."""
 
 from __future__ import annotations
 
@@ -20,7 +20,7 @@
 
 
 def read(path: str) -> tuple[int, int, Snapshot]:
-    """A file's generation, format and document; a click error where it can't be used."""
+    """Return a file's generation, format and snapshot; raise a click error if it is unusable."""
     try:
         return decode_snapshot(bytes_of(path))
     except (DamagedSnapshotError, UnsupportedFormatError, OSError) as error:
@@ -28,7 +28,7 @@
 
 
 def bytes_of(path: str) -> bytes:
-    """A file's bytes, by the same care as the gateway takes: no symlink, FIFO or other user's file."""
+    """Return a file's bytes; reject a symlink, a FIFO and a file of another user, as the gateway does."""
     files = StateFolder(os.path.dirname(os.path.abspath(path)), create_missing=False)
     try:
         return files.read(os.path.basename(path), MAX_FILE_SIZE)
@@ -37,7 +37,7 @@
 
 
 def write(path: str, document: Snapshot, generation: int) -> None:
-    """A new file with a document; an existing one is never overwritten."""
+    """Write a snapshot to a new file; an existing one is never overwritten."""
     entries = [
         encode_page_entry(customer, raw) for each in document.accounts for customer, raw in each.items()
     ]
@@ -59,19 +59,19 @@
 
 
 def newest_in(path: str) -> str:
-    """The file itself, or the newest generation in a folder."""
+    """Return the path of the newest generation in a folder; the path itself if it is a file."""
     if not os.path.isdir(path):
         return path
     names = sorted(filter(match_snapshot_name, os.listdir(path)))
     if not names:
-        raise click.ClickException(f"{path}: holds no knowledge")
+        raise click.ClickException(f"{path}: contains no snapshot")
     return os.path.join(path, names[-1])
 
 
 def described(
     path: str, generation: int, form: int, document: Snapshot, extra: float = 0.0
 ) -> dict[str, Any]:
-    """All that a person may ask of a document, with ages and weights as they count now, or in `extra` s."""
+    """Describe a snapshot, with ages and weights as they are now, or `extra` seconds later."""
     head = document.head
     age, odd = clock.measure_age(head.clock, clock.read_clocks())
     age += extra
@@ -142,12 +142,12 @@
 
 
 def number(value: float) -> float | None:
-    """A figure as JSON has it: none for an endless one."""
+    """Round a number for JSON, which has no infinity and no NaN: these become None."""
     return round(value, 3) if math.isfinite(value) else None
 
 
 def table(rows: list[dict[str, Any]], most: int = MOST_ROWS) -> str:
-    """Rows under their names, at most so many."""
+    """Format rows as columns under their names, at most `most` rows."""
     if not rows:
         return "  none"
     names = list(rows[0])
@@ -155,19 +155,19 @@
     widths = [max(len(name), *(len(row[i]) for row in cells)) for i, name in enumerate(names)]
     lines = ["  " + "  ".join(name.ljust(width) for name, width in zip(names, widths, strict=True))]
     lines += ["  " + "  ".join(c.ljust(width) for c, width in zip(row, widths, strict=True)) for row in cells]
-    more = [f"  and {len(rows) - most} more; --json has all"] if len(rows) > most else []
+    more = [f"  and {len(rows) - most} more; --json prints all"] if len(rows) > most else []
     return "\n".join([line.rstrip() for line in lines] + more)
 
 
 def shown(value: Any) -> str:
-    """One cell."""
+    """Format one cell."""
     if isinstance(value, list):
         return ",".join(map(str, value)) or "-"
     return f"{value:.3f}" if isinstance(value, float) else "endless" if value is None else str(value)
 
 
 def as_text(said: dict[str, Any]) -> str:
-    """A document for a person."""
+    """Format a described snapshot as text."""
     lines = [
         f"{key}: {shown(said[key])}"
         for key in (
@@ -191,14 +191,14 @@
 
 @click.group("knowledge")
 def command() -> None:
-    """Look at and repair what survives a restart. A folder stands for its newest generation."""
+    """Show and repair persisted state. A folder stands for its newest generation."""
 
 
 @command.command("show")
 @click.argument("path", type=click.Path(exists=True))
 @json_option
 def show(path: str, as_json: bool) -> None:
-    """Print a file with ages and weights as they would count now."""
+    """Print a snapshot with ages and weights as they are now."""
     path = newest_in(path)
     said = described(path, *read(path))
     tell(said, as_json, as_text(said))
@@ -209,7 +209,7 @@
 @json_option
 @click.pass_context
 def verify(ctx: click.Context, paths: tuple[str, ...], as_json: bool) -> None:
-    """Say what is wrong with files and where; of a folder all generations. Exit code 1 if any is not good."""
+    """Report faults of files and their positions; of a folder all generations. Exit code 1 if any has one."""
     files: list[str] = []
     for path in paths:
         inside = sorted(filter(match_snapshot_name, os.listdir(path))) if os.path.isdir(path) else None
@@ -220,9 +220,9 @@
             generation, form, document = decode_snapshot(bytes_of(path))
             bad = sum(map(len, document.accounts)) - len(merge.accounts_of(document))
             named = match_snapshot_name(os.path.basename(path))
-            fault = f"{bad} accounts can't be read" if bad else ""
+            fault = f"{bad} accounts cannot be decoded" if bad else ""
             if named and int(named[1]) != generation:
-                fault = f"byte 16: generation {generation} under the name of {int(named[1])}"
+                fault = f"byte 16: generation {generation} in the file of generation {int(named[1])}"
             found.append({"file": path, "format": form, "good": not fault, "fault": fault})
         except (DamagedSnapshotError, UnsupportedFormatError, OSError) as error:
             found.append({"file": path, "format": None, "good": False, "fault": str(error)})
@@ -233,11 +233,11 @@
 
 @command.command("age")
 @click.argument("path", type=click.Path(exists=True))
-@click.option("--by", type=click.FloatRange(min=0), required=True, help="Seconds to let pass.")
-@click.option("--write", "out", type=click.Path(), help="Write the older document to a new file.")
+@click.option("--by", type=click.FloatRange(min=0), required=True, help="Seconds to add to its age.")
+@click.option("--write", "out", type=click.Path(), help="Write the aged snapshot to a new file.")
 @json_option
 def age(path: str, by: float, out: str | None, as_json: bool) -> None:
-    """Print a file as it would count after so many seconds more."""
+    """Print a snapshot as it would be after that many more seconds."""
     path = newest_in(path)
     generation, form, document = read(path)
     if out:
@@ -253,13 +253,13 @@
     "--out",
     type=click.Path(),
     required=True,
-    help="A new file: in a stopped gateway's folder, the name of the generation after its newest.",
+    help="A new file; to be restored, it must be the next generation in the folder of a stopped gateway.",
 )
 @json_option
 def merge_files(target: str, others: tuple[str, ...], out: str, as_json: bool) -> None:
-    """Take the knowledge of lost machines into another's, record by record, by age.
+    """Merge the persisted state of lost machines into that of another: the newest of each record counts.
 
-    Name, incarnation and ledgers stay those of TARGET. Nothing is overwritten.
+    Name, incarnation and ledgers stay those of TARGET. No file is overwritten.
     """
     target = newest_in(target)
     generation, form, document = read(target)
--- a/corkdeal/cli/serve.py
+++ b/corkdeal/cli/serve.py
@@ -1,4 +1,4 @@
-"""`corkdeal serve`: the gateway, as `python -m corkdeal.net` starts it."""
+"""`corkdeal serve`: runs the gateway, as `python -m corkdeal.net` does."""
 
 from __future__ import annotations
 
@@ -22,11 +22,11 @@
     type=click.Path(),
     envvar="CORKDEAL_OPTIONS",
     show_envvar=True,
-    help="The operators' own file, KDL; without it all that it could switch on is off.",
+    help="The options file, KDL; without it every feature that it can switch on is off.",
 )
-@click.option("--debug", is_flag=True, help="Assert invariants instead of counting broken ones.")
+@click.option("--debug", is_flag=True, help="Assert invariants instead of counting violations.")
 def command(config: str, options: str | None, debug: bool) -> None:
-    """Serve until SIGTERM or SIGINT; SIGHUP reads both files again, each whole or not at all."""
+    """Run the gateway until SIGTERM or SIGINT; SIGHUP reloads both files, each whole or not at all."""
     os.environ["RELAY_CONFIG"] = config
     if options:
         os.environ["CORKDEAL_OPTIONS"] = options
@@ -34,5 +34,5 @@
         os.environ.pop("CORKDEAL_OPTIONS", None)
     flags = [] if debug else ["-O"]
     sys.stdout.flush()
-    # A fresh interpreter: invariants are asserted or counted by a flag of its start, and click is not kept.
+    # A new interpreter, since asserting invariants depends on its -O flag; it also keeps click out of memory.
     os.execv(sys.executable, [sys.executable, *flags, "-m", "corkdeal.net"])
--- a/corkdeal/cli/version.py
+++ b/corkdeal/cli/version.py
@@ -1,4 +1,4 @@
-"""`corkdeal version`."""
+"""`corkdeal version`: prints versions of the program, its file format and its libraries."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 @click.command("version")
 @json_option
 def command(as_json: bool) -> None:
-    """Tell versions of the program, of the knowledge format and of the libraries that matter for both."""
+    """Print versions of the program, of the snapshot format, and of the libraries that matter for both."""
     from ..persistence.codec import CURRENT_FORMAT
 
     said = {"corkdeal": __version__, "knowledge_format": CURRENT_FORMAT, "python": platform.python_version()}
