--- a/corkdeal/halls/loss.py
+++ b/corkdeal/halls/loss.py
@@ -21,44 +21,44 @@
 from collections.abc import Hashable
 from dataclasses import dataclass, field
 
-BOUND = math.log(1e6)  # log likelihood ratio; one false alarm in a million independent tests without a cut
-CUT_FAILS = 0.98  # share of attempts at backends of a cut-off zone that fail
-FAILS_LEAST = 0.02  # least probability that a backend is unreachable while its zone is not cut off
-SERVERS_LEAST = 2  # distinct backends that must have failed; all of them if the zone has fewer
-RATE_MEMORY = 3.0  # s; time constant of a zone's average reply rate
-QUIET_LEAST = 0.05  # s without a reply before missing replies count
-EVIDENCE_MOST = 5.0  # s for which a failure or missing replies count
-HABIT_MEMORY = 10.0  # s; time constant of a backend's counts of silent and answered attempts
-ANSWERS_KEPT = 512  # latest replies of all zones; more than come in EVIDENCE_MOST at 100 a second
+CUT_THRESHOLD = math.log(1e6)  # one false alarm in a million independent tests without a cut
+FAILURE_PROBABILITY_IF_CUT = 0.98  # share of attempts at backends of a cut-off zone that fail
+MIN_FAILURE_PROBABILITY = 0.02  # that a backend is unreachable although its zone is not cut off
+MIN_FAILED_BACKENDS = 2  # distinct backends that must have failed; all of them if the zone has fewer
+REPLY_RATE_TIME_CONSTANT = 3.0  # s; time constant of a zone's average reply rate
+MIN_REPLY_GAP = 0.05  # s without a reply before missing replies count
+MAX_EVIDENCE_AGE = 5.0  # s for which a failure or missing replies count
+SILENCE_TIME_CONSTANT = 10.0  # s; time constant of a backend's counts of silent and answered attempts
+MAX_RECENT_REPLIES = 512  # latest replies of all zones; more than come in MAX_EVIDENCE_AGE at 100 a second
 
 
 @dataclass(slots=True)
-class Habit:
+class SilenceCounts:
     """Decaying counts of the attempts at one backend that were silent and of those that were answered."""
 
     silent: float = 0.0
     answered: float = 0.0
-    at: float = -math.inf
+    decayed_at: float = -math.inf
 
-    def fade(self, now: float) -> None:
+    def decay(self, now: float) -> None:
         """Decay both counts up to now."""
-        if self.at > -math.inf:
-            left = math.exp(-max(0.0, now - self.at) / HABIT_MEMORY)
-            self.silent, self.answered = self.silent * left, self.answered * left
-        self.at = now
+        if self.decayed_at > -math.inf:
+            factor = math.exp(-max(0.0, now - self.decayed_at) / SILENCE_TIME_CONSTANT)
+            self.silent, self.answered = self.silent * factor, self.answered * factor
+        self.decayed_at = now
 
 
 @dataclass(slots=True)
-class HallEvidence:
+class ZoneEvidence:
     """Observations of one zone."""
 
-    servers: int = 0  # number of listed backends
-    rate: float = 0.0  # replies a second, averaged
-    answered_at: float = -math.inf
-    counted_at: float = -math.inf  # time up to which `rate` has decayed
+    backend_count: int = 0  # listed in the zone
+    reply_rate: float = 0.0  # replies a second, averaged
+    last_reply_at: float = -math.inf
+    rate_decayed_at: float = -math.inf  # time up to which `reply_rate` has decayed
     # backend -> time of its last failure, and whether that was a silence
-    failed: dict[Hashable, tuple[float, bool]] = field(default_factory=dict)
-    habits: dict[Hashable, Habit] = field(default_factory=dict)
+    last_failures: dict[Hashable, tuple[float, bool]] = field(default_factory=dict)
+    silence_counts: dict[Hashable, SilenceCounts] = field(default_factory=dict)
     lost_at: float | None = None
 
 
@@ -66,111 +66,139 @@
     """Observations of all zones, and which of these are declared lost."""
 
     def __init__(self) -> None:
-        self.halls: dict[str, HallEvidence] = {}
-        self.answers: deque[tuple[float, str]] = deque(maxlen=ANSWERS_KEPT)
+        self.zones: dict[str, ZoneEvidence] = {}
+        self.recent_replies: deque[tuple[float, str]] = deque(maxlen=MAX_RECENT_REPLIES)
 
-    def listed(self, servers: dict[str, int]) -> None:
+    def listed(self, backend_counts: dict[str, int]) -> None:
         """Set the number of backends in each zone; a zone without any is removed."""
-        self.halls = {name: self.halls.get(name) or HallEvidence() for name, n in servers.items() if n}
-        for name, e in self.halls.items():
-            e.servers = servers[name]
+        self.zones = {name: self.zones.get(name) or ZoneEvidence() for name, n in backend_counts.items() if n}
+        for name, evidence in self.zones.items():
+            evidence.backend_count = backend_counts[name]
 
-    def answered(self, hall: str, server: Hashable, sent_at: float, now: float) -> None:
+    def answered(self, zone: str, backend: Hashable, sent_at: float, now: float) -> None:
         """Record a reply of any kind, also a rejection: the attempt sent at `sent_at` reached its backend."""
-        if (e := self.halls.get(hall)) is None:
+        if (evidence := self.zones.get(zone)) is None:
             return
-        self.rated(e, now)
-        e.rate += 1 / RATE_MEMORY
-        self.answers.append((now, hall))
-        quiet_since, e.answered_at = e.answered_at, now
-        self.habit(e, server, now).answered += 1
-        e.failed.pop(server, None)
-        if e.lost_at is None or sent_at >= quiet_since:  # a reply in flight when the cut began proves nothing
-            e.failed.clear()
-
-    def failed(self, hall: str, server: Hashable, now: float, silent: bool = False) -> None:
+        self.decay_reply_rate(evidence, now)
+        evidence.reply_rate += 1 / REPLY_RATE_TIME_CONSTANT
+        self.recent_replies.append((now, zone))
+        previous_reply_at, evidence.last_reply_at = evidence.last_reply_at, now
+        self.counts_of(evidence, backend, now).answered += 1
+        evidence.last_failures.pop(backend, None)
+        # Of a lost zone, a reply that was in flight when the cut began proves nothing.
+        if evidence.lost_at is None or sent_at >= previous_reply_at:
+            evidence.last_failures.clear()
+
+    def failed(self, zone: str, backend: Hashable, now: float, silent: bool = False) -> None:
         """Record that a backend was unreachable or, if `silent`, has not answered an attempt for too long."""
-        if (e := self.halls.get(hall)) is not None:
-            e.failed[server] = now, silent
+        if (evidence := self.zones.get(zone)) is not None:
+            evidence.last_failures[backend] = now, silent
             if silent:
-                self.habit(e, server, now).silent += 1
+                self.counts_of(evidence, backend, now).silent += 1
 
     @staticmethod
-    def habit(e: HallEvidence, server: Hashable, now: float) -> Habit:
+    def counts_of(evidence: ZoneEvidence, backend: Hashable, now: float) -> SilenceCounts:
         """Return a backend's counts, decayed up to now."""
-        made = e.habits.setdefault(server, Habit())
-        made.fade(now)
-        return made
+        counts = evidence.silence_counts.setdefault(backend, SilenceCounts())
+        counts.decay(now)
+        return counts
 
-    def returned(self, hall: str) -> None:
+    def mark_reachable(self, zone: str) -> None:
         """Mark a zone as reachable again; the caller, which returns traffic to it gradually, decides when."""
-        if (e := self.halls.get(hall)) is not None:
-            e.lost_at = None
-            e.failed.clear()
+        if (evidence := self.zones.get(zone)) is not None:
+            evidence.lost_at = None
+            evidence.last_failures.clear()
 
     @staticmethod
-    def rated(e: HallEvidence, now: float) -> None:
+    def decay_reply_rate(evidence: ZoneEvidence, now: float) -> None:
         """Decay the reply rate up to now."""
-        if e.counted_at > -math.inf:
-            e.rate *= math.exp(-max(0.0, now - e.counted_at) / RATE_MEMORY)
-        e.counted_at = now
+        if evidence.rate_decayed_at > -math.inf:
+            evidence.reply_rate *= math.exp(
+                -max(0.0, now - evidence.rate_decayed_at) / REPLY_RATE_TIME_CONSTANT
+            )
+        evidence.rate_decayed_at = now
 
     def look(self, now: float) -> list[str]:
         """Declare zones lost by their evidence; return the newly lost ones, sorted by name."""
-        found = []
-        for name, e in sorted(self.halls.items()):
-            if e.lost_at is None and self.weight(name, now) >= BOUND and self.reachable(name, now):
-                e.lost_at = now
-                found.append(name)
-        return found
-
-    def lost(self) -> list[str]:
+        newly_lost = []
+        for name, evidence in sorted(self.zones.items()):
+            if (
+                evidence.lost_at is None
+                and self.log_likelihood_ratio(name, now) >= CUT_THRESHOLD
+                and self.has_reply_elsewhere(name, now)
+            ):
+                evidence.lost_at = now
+                newly_lost.append(name)
+        return newly_lost
+
+    def lost_zones(self) -> list[str]:
         """Return the zones that are lost now, sorted by name."""
-        return sorted(name for name, e in self.halls.items() if e.lost_at is not None)
+        return sorted(name for name, evidence in self.zones.items() if evidence.lost_at is not None)
 
-    def failing(self, e: HallEvidence, now: float) -> list[tuple[Hashable, bool]]:
+    def recent_failures(self, evidence: ZoneEvidence, now: float) -> list[tuple[Hashable, bool]]:
         """Return the backends that failed recently and after the zone's last reply, and which are silent."""
         return [
-            (server, silent)
-            for server, (at, silent) in e.failed.items()
-            if at > e.answered_at and now - at < EVIDENCE_MOST
+            (backend, silent)
+            for backend, (at, silent) in evidence.last_failures.items()
+            if at > evidence.last_reply_at and now - at < MAX_EVIDENCE_AGE
         ]
 
-    def reachable(self, name: str, now: float) -> bool:
+    def has_reply_elsewhere(self, name: str, now: float) -> bool:
         """Return whether another zone replied after this one failed.
 
         Otherwise the gateway itself may be cut off, or all zones be down.
         """
-        e = self.halls[name]
-        failed = sorted(at for at, _ in e.failed.values() if at > e.answered_at and now - at < EVIDENCE_MOST)
-        since = failed[min(SERVERS_LEAST, len(failed)) - 1] if failed else now
-        return any(o.answered_at > since for other, o in self.halls.items() if other != name)
-
-    def weight(self, name: str, now: float) -> float:
+        evidence = self.zones[name]
+        failed = sorted(
+            at
+            for at, _ in evidence.last_failures.values()
+            if at > evidence.last_reply_at and now - at < MAX_EVIDENCE_AGE
+        )
+        since = failed[min(MIN_FAILED_BACKENDS, len(failed)) - 1] if failed else now
+        return any(
+            other_zone.last_reply_at > since for other, other_zone in self.zones.items() if other != name
+        )
+
+    def log_likelihood_ratio(self, name: str, now: float) -> float:
         """Return the log likelihood ratio of a cut against none, given the observations."""
-        e = self.halls[name]
-        failing = self.failing(e, now)
-        if len(failing) < min(SERVERS_LEAST, e.servers):
+        evidence = self.zones[name]
+        failing = self.recent_failures(evidence, now)
+        if len(failing) < min(MIN_FAILED_BACKENDS, evidence.backend_count):
             return 0.0
-        others = [o for other, o in self.halls.items() if other != name and o.lost_at is None]
-        elsewhere = [h for o in others for h in o.habits.values()]
-        silent, answered = sum(h.silent for h in elsewhere), sum(h.answered for h in elsewhere)
-        usual = silent / (silent + answered + 1)
-        told = 0.0
-        for server, is_silent in failing:
-            h = e.habits.get(server, Habit())
+        others = [
+            other_zone
+            for other, other_zone in self.zones.items()
+            if other != name and other_zone.lost_at is None
+        ]
+        elsewhere = [counts for other_zone in others for counts in other_zone.silence_counts.values()]
+        silent, answered = (
+            sum(counts.silent for counts in elsewhere),
+            sum(counts.answered for counts in elsewhere),
+        )
+        share_elsewhere = silent / (silent + answered + 1)
+        log_ratio = 0.0
+        for backend, is_silent in failing:
+            counts = evidence.silence_counts.get(backend, SilenceCounts())
             # Without the current silence: only earlier ones, which ended with a reply, show how usual it is.
-            own = max(0.0, h.silent - 1) / (h.silent + h.answered + 1)
-            chance = max(FAILS_LEAST, usual, own) if is_silent else FAILS_LEAST
-            told += math.log(max(1.0, CUT_FAILS / chance))
-        return told + self.due(name, e, others, now)
-
-    def due(self, name: str, e: HallEvidence, others: list[HallEvidence], now: float) -> float:
+            own_share = max(0.0, counts.silent - 1) / (counts.silent + counts.answered + 1)
+            probability = (
+                max(MIN_FAILURE_PROBABILITY, share_elsewhere, own_share)
+                if is_silent
+                else MIN_FAILURE_PROBABILITY
+            )
+            log_ratio += math.log(max(1.0, FAILURE_PROBABILITY_IF_CUT / probability))
+        return log_ratio + self.missing_replies(name, evidence, others, now)
+
+    def missing_replies(
+        self, name: str, evidence: ZoneEvidence, others: list[ZoneEvidence], now: float
+    ) -> float:
         """Return the replies missing from a zone since its last one, scaled by what other zones sent."""
-        quiet = now - e.answered_at
-        if not QUIET_LEAST < quiet < EVIDENCE_MOST:
+        gap = now - evidence.last_reply_at
+        if not MIN_REPLY_GAP < gap < MAX_EVIDENCE_AGE:
             return 0.0
-        before = e.rate * math.exp(-max(0.0, e.answered_at - e.counted_at) / RATE_MEMORY)
-        expected = quiet * sum(o.rate for o in others)
-        got = sum(1 for at, hall in self.answers if at > e.answered_at and hall != name)
-        return before * quiet * (min(1.0, got / expected) if expected else 0.0)
+        rate_at_last_reply = evidence.reply_rate * math.exp(
+            -max(0.0, evidence.last_reply_at - evidence.rate_decayed_at) / REPLY_RATE_TIME_CONSTANT
+        )
+        expected = gap * sum(other_zone.reply_rate for other_zone in others)
+        received = sum(1 for at, zone in self.recent_replies if at > evidence.last_reply_at and zone != name)
+        return rate_at_last_reply * gap * (min(1.0, received / expected) if expected else 0.0)
--- a/tests/halls/test_view.py
+++ b/tests/halls/test_view.py
@@ -115,9 +115,9 @@
     assert day.declared == []
     day.cut = {EAST}
     day.run(15)
-    assert [h for _, h in day.declared] == [EAST] == day.losses.lost() and day.declared[0][0] < 11.5
+    assert [h for _, h in day.declared] == [EAST] == day.losses.lost_zones() and day.declared[0][0] < 11.5
     day.cut = set()
-    day.losses.returned(EAST)
+    day.losses.mark_reachable(EAST)
     day.run(25)
     assert len(day.declared) == 1
 
@@ -137,9 +137,9 @@
     day.run(10)
     day.cut = {NORTH, EAST}
     day.run(14)
-    assert day.losses.lost() == [EAST, NORTH]
+    assert day.losses.lost_zones() == [EAST, NORTH]
     alone = Day(2)
     alone.run(10)
     alone.cut = set(HALLS)  # the gateway itself is cut off
     alone.run(20)
-    assert alone.losses.lost() == []
+    assert alone.losses.lost_zones() == []
