--- a/corkdeal/cli/halls.py
+++ b/corkdeal/cli/halls.py
@@ -9,17 +9,17 @@
 from . import json_option, tell
 
 
-def halls_in(path: str) -> Any:
+def load_zones_options(path: str) -> Any:
     """Return the `halls` node of an options file; raise a click error if it is invalid or missing."""
     from ..options import OptionsError, load
 
     try:
-        made = load(path)
+        options = load(path)
     except OptionsError as error:
         raise click.ClickException(str(error)) from None
-    if made.halls is None:
+    if options.halls is None:
         raise click.ClickException(f"{path}: has no halls node")
-    return made.halls
+    return options.halls
 
 
 options_option = click.option(
@@ -44,24 +44,26 @@
 @click.pass_context
 def where(ctx: click.Context, addresses: tuple[str, ...], options: str, as_json: bool) -> None:
     """Print the zone of each address. Exit code 1 if any is in no zone."""
-    from ..options.halls import nets_of
+    from ..options.halls import build_networks
 
-    nets = nets_of(halls_in(options))
-    found = {address: nets.hall_of(address) for address in addresses}
-    tell(found, as_json, "\n".join(f"{address} {hall or 'in no zone'}" for address, hall in found.items()))
-    ctx.exit(0 if all(found.values()) else 1)
+    networks = build_networks(load_zones_options(options))
+    zones = {address: networks.hall_of(address) for address in addresses}
+    tell(zones, as_json, "\n".join(f"{address} {zone or 'in no zone'}" for address, zone in zones.items()))
+    ctx.exit(0 if all(zones.values()) else 1)
 
 
 @command.command("tiers")
-@click.argument("hall")
+@click.argument("zone")
 @options_option
 @json_option
-def tiers(hall: str, options: str, as_json: bool) -> None:
-    """Print all zones by their distance from one, nearest first."""
-    from ..options.halls import tiers_of
-
-    made = tiers_of(halls_in(options))
-    if hall not in made.halls:
-        raise click.ClickException(f"unknown zone {hall!r}; known are {', '.join(sorted(made.halls))}")
-    found = [{"distance": made.distance(hall, tier[0]), "halls": list(tier)} for tier in made.tiers(hall)]
+def tiers(zone: str, options: str, as_json: bool) -> None:
+    """Print all zones by their distance from ZONE, nearest first."""
+    from ..options.halls import build_distances
+
+    distances = build_distances(load_zones_options(options))
+    if zone not in distances.zones:
+        raise click.ClickException(f"unknown zone {zone!r}; known are {', '.join(sorted(distances.zones))}")
+    found = [
+        {"distance": distances.distance(zone, tier[0]), "halls": list(tier)} for tier in distances.tiers(zone)
+    ]
     tell(found, as_json, "\n".join(f"{t['distance']:g}: {', '.join(t['halls'])}" for t in found))
--- a/corkdeal/halls/nets.py
+++ b/corkdeal/halls/nets.py
@@ -12,7 +12,7 @@
 import netaddr
 import radix
 
-MOST_NETS = 200_000
+MAX_NETWORKS = 200_000
 
 
 class Net(NamedTuple):
@@ -23,54 +23,58 @@
     place: Any = None
 
 
-class Wrong(NamedTuple):
+class InvalidNetwork(NamedTuple):
     """A network that cannot be used, and why."""
 
     net: Net
-    why: str
+    reason: str
 
 
 class Nets:
     """Networks and their zones."""
 
     def __init__(self, nets: Iterable[Net]) -> None:
-        """Add networks; invalid ones end up in `wrong`, and unless it is empty the object is unusable."""
-        self.tree, self.wrong, self.count = radix.Radix(), [], 0
+        """Add networks; invalid ones end up in `invalid`, and unless it is empty the object is unusable."""
+        self.tree, self.invalid, self.count = radix.Radix(), [], 0
         for net in nets:
-            if why := self.add(net):
-                self.wrong.append(Wrong(net, why))
-        self.wrong += self.redundant()
+            if reason := self.add(net):
+                self.invalid.append(InvalidNetwork(net, reason))
+        self.invalid += self.find_redundant()
 
     def add(self, net: Net) -> str:
         """Add one network; return why it cannot be added, or an empty string."""
         try:
-            made = netaddr.IPNetwork(net.text) if "/" in net.text else None
+            network = netaddr.IPNetwork(net.text) if "/" in net.text else None
         except (netaddr.AddrFormatError, ValueError):
-            made = None
-        if made is None:
+            network = None
+        if network is None:
             return f"not a network in CIDR notation: {net.text!r:.60}"
-        if made.ip != made.network:
-            return f"has host bits set; {made.cidr} is the network with this prefix length"
-        if self.count >= MOST_NETS:
-            return f"exceeds the limit of {MOST_NETS} networks"
-        if (known := self.tree.search_exact(str(made.cidr))) is not None:
-            first: Net = known.data["net"]
-            return f"is given twice; first for zone {first.hall}{at(first)}"
-        self.tree.add(str(made.cidr)).data["net"] = net
+        if network.ip != network.network:
+            return f"has host bits set; {network.cidr} is the network with this prefix length"
+        if self.count >= MAX_NETWORKS:
+            return f"exceeds the limit of {MAX_NETWORKS} networks"
+        if (existing := self.tree.search_exact(str(network.cidr))) is not None:
+            first: Net = existing.data["net"]
+            return f"is given twice; first for zone {first.hall}{format_position(first)}"
+        self.tree.add(str(network.cidr)).data["net"] = net
         self.count += 1
         return ""
 
-    def redundant(self) -> list[Wrong]:
+    def find_redundant(self) -> list[InvalidNetwork]:
         """Return networks without effect: their closest enclosing network belongs to the same zone."""
-        found = []
+        redundant = []
         for node in self.tree.nodes():
             parent = node.parent
             while parent is not None and "net" not in parent.data:
                 parent = parent.parent
             if parent is not None and parent.data["net"].hall == node.data["net"].hall:
                 outer: Net = parent.data["net"]
-                found.append(Wrong(node.data["net"], f"overlaps {outer.text} of the same zone{at(outer)}"))
-        return found
+                redundant.append(
+                    InvalidNetwork(
+                        node.data["net"], f"overlaps {outer.text} of the same zone{format_position(outer)}"
+                    )
+                )
+        return redundant
 
     def hall_of(self, address: str) -> str | None:
         """Return the zone of an address; None if no network contains it, or if it is not a valid address."""
@@ -81,7 +85,7 @@
         return node.data["net"].hall if node is not None else None
 
 
-def at(net: Net) -> str:
+def format_position(net: Net) -> str:
     """Format the position of a network's definition; empty if unknown."""
     if net.place is None:
         return ""
--- a/corkdeal/options/halls.py
+++ b/corkdeal/options/halls.py
@@ -6,40 +6,40 @@
 from typing import Any
 
 from ..halls.nets import Net, Nets
-from ..halls.tiers import Hall, Tiers
-from .records import HallsOptions
+from ..halls.tiers import Zone, ZoneDistances
+from .records import ZonesOptions
 
 
-def nets_of(options: HallsOptions) -> Nets:
+def build_networks(options: ZonesOptions) -> Nets:
     """Return the networks of all zones."""
-    return Nets(Net(n.cidr, h.name, n.place) for h in options.halls for n in h.nets)
+    return Nets(Net(net.cidr, zone.name, net.place) for zone in options.halls for net in zone.nets)
 
 
-def tiers_of(options: HallsOptions) -> Tiers:
+def build_distances(options: ZonesOptions) -> ZoneDistances:
     """Return the zones with their distances; raise `ValueError` if these are inconsistent."""
-    return Tiers.of(
-        (Hall(h.name, h.region, h.weight) for h in options.halls),
+    return ZoneDistances.build(
+        (Zone(zone.name, zone.region, zone.weight) for zone in options.halls),
         {(d.one, d.other): d.value for d in options.distances},
     )
 
 
-def faults(options: HallsOptions) -> Iterator[tuple[Any, str, str]]:
+def find_faults(options: ZonesOptions) -> Iterator[tuple[Any, str, str]]:
     """Yield each fault as its position in the file, the path of its node, and its text."""
-    seen: set[str] = set()
-    for hall in options.halls:
-        if not hall.name or hall.name in seen:
-            yield hall.place, "halls.hall", f"{hall.name!r:.60} is an empty name or is given a second time"
-        seen.add(hall.name)
-    halls = [Hall(h.name, h.region, h.weight) for h in options.halls]
-    pairs: dict[frozenset[str], float] = {}
+    seen_names: set[str] = set()
+    for zone in options.halls:
+        if not zone.name or zone.name in seen_names:
+            yield zone.place, "halls.hall", f"{zone.name!r:.60} is an empty name or is given a second time"
+        seen_names.add(zone.name)
+    zones = [Zone(zone.name, zone.region, zone.weight) for zone in options.halls]
+    seen_pairs: dict[frozenset[str], float] = {}
     for distance in options.distances:
         try:
-            Tiers.of(halls, {(distance.one, distance.other): distance.value})
+            ZoneDistances.build(zones, {(distance.one, distance.other): distance.value})
         except ValueError as error:
             yield distance.place, "halls.distance", str(error)
         pair = frozenset((distance.one, distance.other))
-        if pair in pairs:
+        if pair in seen_pairs:
             yield distance.place, "halls.distance", "the distance of these zones is given a second time"
-        pairs[pair] = distance.value
-    for wrong in nets_of(options).wrong:
-        yield wrong.net.place, "halls.hall.net", wrong.why
+        seen_pairs[pair] = distance.value
+    for invalid in build_networks(options).invalid:
+        yield invalid.net.place, "halls.hall.net", invalid.reason
--- a/corkdeal/options/reader.py
+++ b/corkdeal/options/reader.py
@@ -95,7 +95,7 @@
     if options.halls:
         from . import halls
 
-        faults = [Fault(*place.at(), node, text) for place, node, text in halls.faults(options.halls)]
+        faults = [Fault(*place.at(), node, text) for place, node, text in halls.find_faults(options.halls)]
         if faults:
             raise OptionsError(path, faults)
     return options
--- a/corkdeal/options/records.py
+++ b/corkdeal/options/records.py
@@ -24,8 +24,14 @@
 
     With `argument` the value is the node's positional argument with that index, instead of a named setting.
     """
-    bounds = {"least": least, "most": most, "choices": choices, "absolute": absolute, "argument": argument}
-    return field(metadata=bounds) if default is ... else field(default=default, metadata=bounds)
+    constraints = {
+        "least": least,
+        "most": most,
+        "choices": choices,
+        "absolute": absolute,
+        "argument": argument,
+    }
+    return field(metadata=constraints) if default is ... else field(default=default, metadata=constraints)
 
 
 def many(kind: type, child: str) -> Any:
@@ -69,14 +75,14 @@
 
 
 @dataclass(frozen=True, kw_only=True)
-class FiguresOptions:
+class MetricsOptions:
     """`figures`: a periodic log line with running totals."""
 
     every: float = setting(10.0, least=0.25, most=3600.0)  # seconds between lines
 
 
 @dataclass(frozen=True, kw_only=True)
-class NetOptions:
+class NetworkOptions:
     """`net "10.1.0.0/16"`: a network of a zone."""
 
     cidr: str = setting(argument=0)
@@ -84,13 +90,13 @@
 
 
 @dataclass(frozen=True, kw_only=True)
-class HallOptions:
+class ZoneOptions:
     """`hall "north-hall"`: one zone."""
 
     name: str = setting(argument=0)
     region: str = setting("")
     weight: float = setting(1.0, least=0.01, most=100.0)
-    nets: tuple[NetOptions, ...] = many(NetOptions, "net")
+    nets: tuple[NetworkOptions, ...] = many(NetworkOptions, "net")
     place: Any = placed()
 
 
@@ -108,10 +114,10 @@
 
 
 @dataclass(frozen=True, kw_only=True)
-class HallsOptions:
+class ZonesOptions:
     """`halls`: the zones, their networks, and the distances between zones."""
 
-    halls: tuple[HallOptions, ...] = many(HallOptions, "hall")
+    halls: tuple[ZoneOptions, ...] = many(ZoneOptions, "hall")
     distances: tuple[DistanceOptions, ...] = many(DistanceOptions, "distance")
 
 
@@ -121,7 +127,7 @@
 
     log: LogOptions | None = None
     knowledge: KnowledgeOptions | None = None
-    halls: HallsOptions | None = None
+    halls: ZonesOptions | None = None
     recovery: RecoveryOptions | None = None
     membership: MembershipOptions | None = None
-    figures: FiguresOptions | None = None
+    figures: MetricsOptions | None = None
--- a/tests/halls/test_view.py
+++ b/tests/halls/test_view.py
@@ -9,7 +9,7 @@
 from corkdeal.experiment.cuts import HALLS, TROUBLES, Day
 from corkdeal.halls import tiers
 from corkdeal.halls.nets import Net, Nets
-from corkdeal.halls.tiers import Hall, Tiers
+from corkdeal.halls.tiers import Zone, ZoneDistances
 
 
 @pytest.mark.parametrize(
@@ -34,7 +34,7 @@
             Net("2001:db8:1::/48", "north"),
         ]
     )
-    assert nets.wrong == [] and nets.hall_of(address) == hall
+    assert nets.invalid == [] and nets.hall_of(address) == hall
 
 
 class Place:
@@ -60,12 +60,12 @@
 )
 def test_what_is_wrong_is_told_with_its_place(nets, why):
     made = Nets([Net(text, "north", Place(i + 1)) for i, text in enumerate(nets)])
-    assert why in made.wrong[0].why and made.wrong[0].net.place.at() == (len(nets), 2)
+    assert why in made.invalid[0].reason and made.invalid[0].net.place.at() == (len(nets), 2)
 
 
 def test_a_net_between_makes_the_inner_one_meaningful():
     made = Nets([Net("10.0.0.0/8", "a"), Net("10.1.0.0/16", "b"), Net("10.1.1.0/24", "a")])
-    assert made.wrong == [] and made.hall_of("10.1.1.1") == "a" and made.hall_of("10.1.2.1") == "b"
+    assert made.invalid == [] and made.hall_of("10.1.1.1") == "a" and made.hall_of("10.1.2.1") == "b"
 
 
 NETS = st.dictionaries(
@@ -90,11 +90,11 @@
 
 
 def test_tiers_go_outwards_over_two_levels():
-    halls = [Hall("n", "campus"), Hall("e", "campus"), Hall("s", "town"), Hall("w", "town")]
-    assert Tiers.of(halls).tiers("n") == (("n",), ("e",), ("s", "w"))
-    assert Tiers.of(halls, {("w", "n"): 0.5}).tiers("n") == (("n",), ("w",), ("e",), ("s",))
-    assert Tiers.of([Hall("n"), Hall("e"), Hall("s")]).tiers("e") == (("e",), ("n", "s"))
-    assert Tiers.of(halls).distance("n", "elsewhere") == tiers.FAR
+    halls = [Zone("n", "campus"), Zone("e", "campus"), Zone("s", "town"), Zone("w", "town")]
+    assert ZoneDistances.build(halls).tiers("n") == (("n",), ("e",), ("s", "w"))
+    assert ZoneDistances.build(halls, {("w", "n"): 0.5}).tiers("n") == (("n",), ("w",), ("e",), ("s",))
+    assert ZoneDistances.build([Zone("n"), Zone("e"), Zone("s")]).tiers("e") == (("e",), ("n", "s"))
+    assert ZoneDistances.build(halls).distance("n", "elsewhere") == tiers.OTHER_REGION
     for wrong in (
         {("n", "x"): 1.0},
         {("n", "n"): 1.0},
@@ -102,7 +102,7 @@
         {("n", "e"): 1.0, ("e", "n"): 2.0},
     ):
         with pytest.raises(ValueError):
-            Tiers.of(halls, wrong)
+            ZoneDistances.build(halls, wrong)
 
 
 NORTH, EAST, SOUTH = HALLS
