--- a/corkdeal/options/reader.py
+++ b/corkdeal/options/reader.py
@@ -16,9 +16,9 @@
 
 from .records import Options
 
-Whole = TypeVar("Whole")
-MOST_BYTES = 1 << 20  # largest accepted file; options files are written by hand
-KINDS = {str: "a string", int: "an integer", float: "a number", bool: "true or false"}
+Document = TypeVar("Document")
+MAX_FILE_SIZE = 1 << 20  # largest accepted file; options files are written by hand
+TYPE_NAMES = {str: "a string", int: "an integer", float: "a number", bool: "true or false"}
 
 
 class Fault(NamedTuple):
@@ -43,7 +43,7 @@
         super().__init__("; ".join(f"{path}: {fault}" for fault in self.faults))
 
 
-class Placed(NamedTuple):
+class Located(NamedTuple):
     """A value or a node with its position in the source."""
 
     value: Any
@@ -55,7 +55,7 @@
         return error.line, error.col
 
 
-class PlacedValue(Placed):
+class LocatedValue(Located):
     """A value; kdl-py reports the position of its end."""
 
     def at(self) -> tuple[int, int]:
@@ -71,16 +71,16 @@
 
 
 def text_of(path: str) -> str:
-    """Return the text of a regular file of at most `MOST_BYTES`."""
+    """Return the text of a regular file of at most `MAX_FILE_SIZE`."""
     try:
         if not stat.S_ISREG(os.stat(path).st_mode):  # opening a FIFO could block for ever
             raise OptionsError(path, [Fault(0, 0, "", "not a regular file")])
         with open(path, "rb") as file:
-            data = file.read(MOST_BYTES + 1)
+            data = file.read(MAX_FILE_SIZE + 1)
     except OSError as error:
         raise OptionsError(path, [Fault(0, 0, "", error.strerror or str(error))]) from None
-    if len(data) > MOST_BYTES:
-        raise OptionsError(path, [Fault(0, 0, "", f"larger than {MOST_BYTES} bytes")])
+    if len(data) > MAX_FILE_SIZE:
+        raise OptionsError(path, [Fault(0, 0, "", f"larger than {MAX_FILE_SIZE} bytes")])
     try:
         return data.decode()
     except UnicodeDecodeError as error:
@@ -101,55 +101,60 @@
     return options
 
 
-def parse_as(whole: type[Whole], text: str, path: str) -> Whole:
-    """Parse and check a KDL document, and return it as an instance of the dataclass `whole`.
+def parse_as(document_type: type[Document], text: str, path: str) -> Document:
+    """Parse and check a KDL document, and return it as an instance of the dataclass `document_type`.
 
     Its fields are the allowed top-level nodes: one record or None, or a tuple of records (`many`).
     """
     config = kdl.ParseConfig(
-        nodeConverters={None: Placed},
-        valueConverters={None: lambda value, place: PlacedValue(value.value, place)},
+        nodeConverters={None: Located},
+        valueConverters={None: lambda value, place: LocatedValue(value.value, place)},
     )
     try:
         document = kdl.parse(text, config)
     except kdl.ParseError as error:
-        said = error.msg.partition("parse error:")[2].strip()
-        raise OptionsError(path, [Fault(error.line, error.col, "", " ".join(said.split()))]) from None
+        message = error.msg.partition("parse error:")[2].strip()
+        raise OptionsError(path, [Fault(error.line, error.col, "", " ".join(message.split()))]) from None
     except RecursionError:
         raise OptionsError(path, [Fault(0, 0, "", "nodes are nested too deeply")]) from None
     except (ValueError, ArithmeticError) as error:  # number literals that Python cannot convert
         raise OptionsError(path, [Fault(0, 0, "", f"cannot be parsed: {error}")]) from None
     faults: list[Fault] = []
-    hints = get_type_hints(whole)
-    fields = {f.metadata.get("child", f.name): f for f in dataclasses.fields(whole)}
-    made: dict[str, Any] = {}
+    hints = get_type_hints(document_type)
+    fields = {f.metadata.get("child", f.name): f for f in dataclasses.fields(document_type)}
+    values: dict[str, Any] = {}
     for node in document.nodes:
-        name = node.value.name if node.value.name in fields else key_of(node.value.name)
+        name = node.value.name if node.value.name in fields else field_name(node.value.name)
         if (field := fields.get(name)) is None:
-            faults.append(Fault(*node.at(), node.value.name, f"unknown node; known are {listed(fields)}"))
+            faults.append(
+                Fault(*node.at(), node.value.name, f"unknown node; known are {format_names(fields)}")
+            )
         elif "many" in field.metadata:
-            made[field.name] = (*made.get(field.name, ()), record(node, field.metadata["many"], faults))
-        elif name in made:
+            values[field.name] = (
+                *values.get(field.name, ()),
+                read_record(node, field.metadata["many"], faults),
+            )
+        elif name in values:
             faults.append(Fault(*node.at(), node.value.name, "is given a second time"))
         else:
-            kind = next(k for k in hints[name].__args__ if dataclasses.is_dataclass(k))
-            made[name] = record(node, kind, faults)
+            record_type = next(k for k in hints[name].__args__ if dataclasses.is_dataclass(k))
+            values[name] = read_record(node, record_type, faults)
     if faults:
         raise OptionsError(path, faults)
-    return whole(**made)
+    return document_type(**values)
 
 
-def key_of(name: str) -> str:
+def field_name(name: str) -> str:
     """Return the field for a KDL name, which joins words by hyphens; empty for a name with an underscore."""
     return name.replace("-", "_") if "_" not in name else ""
 
 
-def listed(names: Any) -> str:
+def format_names(names: Any) -> str:
     """Format field names as the file spells them."""
     return ", ".join(sorted(n.replace("_", "-") for n in names))
 
 
-def given(node: Placed) -> Iterator[tuple[str, Placed | None, Placed]]:
+def settings_of(node: Located) -> Iterator[tuple[str, Located | None, Located]]:
     """Yield name, value and source of each setting of a node, from its properties and its children.
 
     The value is None for a child that does not hold exactly one value; the source gives the position.
@@ -158,71 +163,75 @@
         yield name, value, value
     for child in node.value.nodes:
         inner = child.value
-        single = len(inner.args) == 1 and not inner.props and not inner.nodes
-        yield inner.name, inner.args[0] if single else None, child
+        has_one_value = len(inner.args) == 1 and not inner.props and not inner.nodes
+        yield inner.name, inner.args[0] if has_one_value else None, child
 
 
-def record(node: Placed, kind: type, faults: list[Fault], above: str = "") -> Any:
+def read_record(node: Located, record_type: type, faults: list[Fault], parent_path: str = "") -> Any:
     """Convert a node to its record; if it has faults, append them to `faults` and return None."""
-    before, named = len(faults), f"{above}{node.value.name}"
-    fields = {f.name: f for f in dataclasses.fields(kind)}
-    types, values = get_type_hints(kind), {}
+    initial_fault_count, node_path = len(faults), f"{parent_path}{node.value.name}"
+    fields = {f.name: f for f in dataclasses.fields(record_type)}
+    types, values = get_type_hints(record_type), {}
     children = {f.metadata["child"]: f for f in fields.values() if "many" in f.metadata}
-    scalars = {name for name, f in fields.items() if "least" in f.metadata and f.metadata["argument"] is None}
+    named_settings = {
+        name for name, f in fields.items() if "least" in f.metadata and f.metadata["argument"] is None
+    }
     arguments = sorted(
         (f.metadata["argument"], f) for f in fields.values() if f.metadata.get("argument") is not None
     )
 
-    def take(name: str, value: Placed, path: str) -> None:
-        values[name], wrong = checked(value.value, types[name], fields[name].metadata)
-        if wrong:
-            faults.append(Fault(*value.at(), path, wrong))
+    def convert_setting(name: str, value: Located, path: str) -> None:
+        values[name], fault = convert(value.value, types[name], fields[name].metadata)
+        if fault:
+            faults.append(Fault(*value.at(), path, fault))
 
     for (_, field), value in zip(arguments, node.value.args, strict=False):
-        take(field.name, value, named)
+        convert_setting(field.name, value, node_path)
     if len(node.value.args) > len(arguments):
-        said = "takes settings by name only" if not arguments else f"takes {len(arguments)} values"
-        faults.append(Fault(*node.value.args[len(arguments)].at(), named, said))
-    for name, value, place in given(node):
-        key, path = key_of(name), f"{named}.{name}"
-        if name in children and place is not value:
+        text = "takes settings by name only" if not arguments else f"takes {len(arguments)} values"
+        faults.append(Fault(*node.value.args[len(arguments)].at(), node_path, text))
+    for name, value, source in settings_of(node):
+        key, path = field_name(name), f"{node_path}.{name}"
+        if name in children and source is not value:
             field = children[name]
-            made = record(place, field.metadata["many"], faults, f"{named}.")
-            values.setdefault(field.name, []).append(made)
-        elif key not in scalars:
-            known = [*scalars, *children]
-            faults.append(Fault(*place.at(), path, f"unknown setting; known are {listed(known)}"))
+            item = read_record(source, field.metadata["many"], faults, f"{node_path}.")
+            values.setdefault(field.name, []).append(item)
+        elif key not in named_settings:
+            known_names = [*named_settings, *children]
+            faults.append(
+                Fault(*source.at(), path, f"unknown setting; known are {format_names(known_names)}")
+            )
         elif key in values:
-            faults.append(Fault(*place.at(), path, "is given a second time"))
+            faults.append(Fault(*source.at(), path, "is given a second time"))
         elif value is None:
-            faults.append(Fault(*place.at(), path, "takes exactly one value"))
+            faults.append(Fault(*source.at(), path, "takes exactly one value"))
             values[key] = None
         else:
-            take(key, value, path)
+            convert_setting(key, value, path)
     for name, field in fields.items():
         if name not in values and field.default is dataclasses.MISSING:
-            faults.append(Fault(*node.at(), f"{named}.{name.replace('_', '-')}", "must be given"))
+            faults.append(Fault(*node.at(), f"{node_path}.{name.replace('_', '-')}", "must be given"))
         if "placed" in field.metadata:
             values[name] = node
-    if len(faults) > before:
+    if len(faults) > initial_fault_count:
         return None
-    return kind(**{name: tuple(v) if isinstance(v, list) else v for name, v in values.items()})
+    return record_type(**{name: tuple(v) if isinstance(v, list) else v for name, v in values.items()})
 
 
-def checked(value: Any, kind: type, bounds: Any) -> tuple[Any, str]:
+def convert(value: Any, value_type: type, constraints: Any) -> tuple[Any, str]:
     """Convert a value to its type and check it; return the value and the fault, empty if it is valid."""
-    if kind is float and type(value) is int:
+    if value_type is float and type(value) is int:
         value = float(value)
-    elif kind is int and type(value) is float and value.is_integer():
+    elif value_type is int and type(value) is float and value.is_integer():
         value = int(value)
-    said = f"{value:g}" if type(value) is float else f"{value!r:.60}"
-    if type(value) is not kind or (kind is float and not math.isfinite(value)):
-        return None, f"must be {KINDS[kind]}, not {said}"
-    if bounds["choices"] and value not in bounds["choices"]:
-        return None, f"must be one of {', '.join(bounds['choices'])}, not {said}"
-    least, most = bounds["least"], bounds["most"]
+    shown = f"{value:g}" if type(value) is float else f"{value!r:.60}"
+    if type(value) is not value_type or (value_type is float and not math.isfinite(value)):
+        return None, f"must be {TYPE_NAMES[value_type]}, not {shown}"
+    if constraints["choices"] and value not in constraints["choices"]:
+        return None, f"must be one of {', '.join(constraints['choices'])}, not {shown}"
+    least, most = constraints["least"], constraints["most"]
     if (least is not None and value < least) or (most is not None and value > most):
-        return None, f"must lie between {least} and {most}, not {said}"
-    if bounds["absolute"] and (not value.startswith("/") or "\0" in value):
-        return None, f"must be an absolute path, not {said}"
+        return None, f"must lie between {least} and {most}, not {shown}"
+    if constraints["absolute"] and (not value.startswith("/") or "\0" in value):
+        return None, f"must be an absolute path, not {shown}"
     return value, ""
