--- a/corkdeal/cli/__init__.py
+++ b/corkdeal/cli/__init__.py
@@ -20,7 +20,7 @@
 }
 
 
-class Lazy(click.Group):
+class LazyGroup(click.Group):
     """A group that knows its commands by name and imports only the module of the one that is called."""
 
     def list_commands(self, ctx: click.Context) -> list[str]:
@@ -37,11 +37,11 @@
     def format_commands(self, ctx: click.Context, formatter: click.HelpFormatter) -> None:
         """Write the list of commands for --help without importing their modules."""
         with formatter.section("Commands"):
-            formatter.write_dl([(name, said) for name, (_, said) in sorted(COMMANDS.items())])
+            formatter.write_dl([(name, help_text) for name, (_, help_text) in sorted(COMMANDS.items())])
 
 
 @click.command(
-    cls=Lazy,
+    cls=LazyGroup,
     context_settings={"help_option_names": ["-h", "--help"]},
     epilog='Shell completion: eval "$(_CORKDEAL_COMPLETE=bash_source corkdeal)" (or zsh_source, '
     "fish_source).",
@@ -50,12 +50,12 @@
     """A rate-limiting gateway and its operators' tools."""
 
 
-def tell(data: Any, as_json: bool, text: str) -> None:
+def print_result(result: Any, as_json: bool, text: str) -> None:
     """Print a result, as one JSON document or as text."""
     if as_json:
         import orjson
 
-        click.echo(orjson.dumps(data, default=str, option=orjson.OPT_INDENT_2 | orjson.OPT_NON_STR_KEYS))
+        click.echo(orjson.dumps(result, default=str, option=orjson.OPT_INDENT_2 | orjson.OPT_NON_STR_KEYS))
     else:
         click.echo(text)
 
--- a/corkdeal/cli/check.py
+++ b/corkdeal/cli/check.py
@@ -7,7 +7,7 @@
 
 import click
 
-from . import json_option, tell
+from . import json_option, print_result
 
 
 def faults_of_config(path: str) -> list[dict[str, Any]]:
@@ -49,15 +49,15 @@
     if not config and not options:
         raise click.UsageError("name a file with --config or --options")
     faults = faults_of_config(config) if config else []
-    on: dict[str, Any] = {}
+    enabled: dict[str, Any] = {}
     if options:
-        wrong, made = faults_of_options(options)
-        faults += wrong
-        if made is not None:
-            on = {
+        option_faults, records = faults_of_options(options)
+        faults += option_faults
+        if records is not None:
+            enabled = {
                 f.name: dataclasses.asdict(value)
-                for f in dataclasses.fields(made)
-                if (value := getattr(made, f.name)) is not None
+                for f in dataclasses.fields(records)
+                if (value := getattr(records, f.name)) is not None
             }
     lines = [
         f"{f['file']}:{f['line']}:{f['column']}: {f['key']}: {f['fault']}"
@@ -65,6 +65,6 @@
         else f"{f['file']}: {f['key']}: {f['fault']}"
         for f in faults
     ]
-    good = f"good; switched on: {', '.join(sorted(on)) or 'nothing'}"
-    tell({"faults": faults, "on": on}, as_json, "\n".join(lines) if faults else good)
+    good = f"good; switched on: {', '.join(sorted(enabled)) or 'nothing'}"
+    print_result({"faults": faults, "on": enabled}, as_json, "\n".join(lines) if faults else good)
     ctx.exit(1 if faults else 0)
--- a/corkdeal/cli/experiment.py
+++ b/corkdeal/cli/experiment.py
@@ -113,8 +113,8 @@
         arms.chart(os.path.join(report, f"{name}.svg"), runs, name)
     click.echo(arms.table(runs))
     broken = [b for run in runs if not run["arm"] for b in run["broken"]]
-    for each in broken[:10]:
-        click.echo(f"broken: {each['rule']}\n  " + "\n  ".join(each["lines"]))
+    for violation in broken[:10]:
+        click.echo(f"broken: {violation['rule']}\n  " + "\n  ".join(violation["lines"]))
     raise SystemExit(1 if broken else 0)
 
 
@@ -133,9 +133,9 @@
     """Check all orders of crash, start, message, loss and tick on three gateways' decisions; no sockets."""
     from ..experiment import explore as experiment
 
-    made = experiment.explore(depth, walks, seed, together)
-    click.echo(json.dumps(made, indent=1))
-    raise SystemExit(1 if made["faults"] else 0)
+    result = experiment.explore(depth, walks, seed, together)
+    click.echo(json.dumps(result, indent=1))
+    raise SystemExit(1 if result["faults"] else 0)
 
 
 @command.command("members")
@@ -172,9 +172,9 @@
 
     if not depth:
         return click.echo(json.dumps(experiment.measure(list(sizes), hours, together), indent=1))
-    made = [experiment.explore(n, depth, together) for n in sizes]
-    click.echo(json.dumps(made, indent=1))
-    raise SystemExit(1 if any(one["faults"] for one in made) else 0)
+    result = [experiment.explore(n, depth, together) for n in sizes]
+    click.echo(json.dumps(result, indent=1))
+    raise SystemExit(1 if any(one["faults"] for one in result) else 0)
 
 
 @command.command("fleet")
@@ -189,10 +189,10 @@
 
     from ..experiment import fleet as experiment
 
-    seen = experiment.add_up(pathlib.Path(folder))
-    if not seen["rows"]:
+    result = experiment.add_up(pathlib.Path(folder))
+    if not result["rows"]:
         raise click.ClickException(f"{folder}: contains no log with `figures` lines")
     if out:
-        pathlib.Path(out).write_text(json.dumps(seen, separators=(",", ":")))
-        experiment.chart(seen, str(pathlib.Path(out).with_suffix(".svg")), title or folder)
-    click.echo(experiment.table(seen))
+        pathlib.Path(out).write_text(json.dumps(result, separators=(",", ":")))
+        experiment.chart(result, str(pathlib.Path(out).with_suffix(".svg")), title or folder)
+    click.echo(experiment.table(result))
--- a/corkdeal/cli/halls.py
+++ b/corkdeal/cli/halls.py
@@ -6,7 +6,7 @@
 
 import click
 
-from . import json_option, tell
+from . import json_option, print_result
 
 
 def load_zones_options(path: str) -> Any:
@@ -48,7 +48,9 @@
 
     networks = build_networks(load_zones_options(options))
     zones = {address: networks.hall_of(address) for address in addresses}
-    tell(zones, as_json, "\n".join(f"{address} {zone or 'in no zone'}" for address, zone in zones.items()))
+    print_result(
+        zones, as_json, "\n".join(f"{address} {zone or 'in no zone'}" for address, zone in zones.items())
+    )
     ctx.exit(0 if all(zones.values()) else 1)
 
 
@@ -63,7 +65,11 @@
     distances = build_distances(load_zones_options(options))
     if zone not in distances.zones:
         raise click.ClickException(f"unknown zone {zone!r}; known are {', '.join(sorted(distances.zones))}")
-    found = [
+    tiers_by_distance = [
         {"distance": distances.distance(zone, tier[0]), "halls": list(tier)} for tier in distances.tiers(zone)
     ]
-    tell(found, as_json, "\n".join(f"{t['distance']:g}: {', '.join(t['halls'])}" for t in found))
+    print_result(
+        tiers_by_distance,
+        as_json,
+        "\n".join(f"{t['distance']:g}: {', '.join(t['halls'])}" for t in tiers_by_distance),
+    )
--- a/corkdeal/cli/knowledge.py
+++ b/corkdeal/cli/knowledge.py
@@ -14,51 +14,51 @@
 from ..persistence.errors import DamagedSnapshotError, UnsupportedFormatError
 from ..persistence.files import StateFolder
 from ..persistence.store import match_snapshot_name
-from . import json_option, tell
+from . import json_option, print_result
 
-MOST_ROWS = 20
+MAX_ROWS = 20
 
 
-def read(path: str) -> tuple[int, int, Snapshot]:
+def read_snapshot(path: str) -> tuple[int, int, Snapshot]:
     """Return a file's generation, format and snapshot; raise a click error if it is unusable."""
     try:
-        return decode_snapshot(bytes_of(path))
+        return decode_snapshot(read_bytes(path))
     except (DamagedSnapshotError, UnsupportedFormatError, OSError) as error:
         raise click.ClickException(f"{path}: {error}") from error
 
 
-def bytes_of(path: str) -> bytes:
+def read_bytes(path: str) -> bytes:
     """Return a file's bytes; reject a symlink, a FIFO and a file of another user, as the gateway does."""
-    files = StateFolder(os.path.dirname(os.path.abspath(path)), create_missing=False)
+    folder = StateFolder(os.path.dirname(os.path.abspath(path)), create_missing=False)
     try:
-        return files.read(os.path.basename(path), MAX_FILE_SIZE)
+        return folder.read(os.path.basename(path), MAX_FILE_SIZE)
     finally:
-        files.close()
+        folder.close()
 
 
-def write(path: str, document: Snapshot, generation: int) -> None:
+def write_snapshot(path: str, snapshot: Snapshot, generation: int) -> None:
     """Write a snapshot to a new file; an existing one is never overwritten."""
     entries = [
-        encode_page_entry(customer, raw) for each in document.accounts for customer, raw in each.items()
+        encode_page_entry(customer, raw) for page in snapshot.accounts for customer, raw in page.items()
     ]
-    parts = encode_snapshot(generation, document.head, [encode_page(entries, len(entries))])
-    files = StateFolder(os.path.dirname(os.path.abspath(path)), create_missing=False)
+    parts = encode_snapshot(generation, snapshot.head, [encode_page(entries, len(entries))])
+    folder = StateFolder(os.path.dirname(os.path.abspath(path)), create_missing=False)
     name = os.path.basename(path)
     try:
-        file = files.create(name)
+        file = folder.create(name)
         try:
-            files.write(file, parts)
-            files.sync(file)
+            folder.write(file, parts)
+            folder.sync(file)
         finally:
-            files.close_file(file)
-        files.sync_folder()
+            folder.close_file(file)
+        folder.sync_folder()
     except OSError as error:
         raise click.ClickException(f"{path}: {error.strerror or error}") from None
     finally:
-        files.close()
+        folder.close()
 
 
-def newest_in(path: str) -> str:
+def newest_generation(path: str) -> str:
     """Return the path of the newest generation in a folder; the path itself if it is a file."""
     if not os.path.isdir(path):
         return path
@@ -68,26 +68,26 @@
     return os.path.join(path, names[-1])
 
 
-def described(
-    path: str, generation: int, form: int, document: Snapshot, extra: float = 0.0
+def describe(
+    path: str, generation: int, format_version: int, snapshot: Snapshot, extra: float = 0.0
 ) -> dict[str, Any]:
     """Describe a snapshot, with ages and weights as they are now, or `extra` seconds later."""
-    head = document.head
-    age, odd = clock.measure_age(head.clock, clock.read_clocks())
+    head = snapshot.head
+    age, clock_faults = clock.measure_age(head.clock, clock.read_clocks())
     age += extra
 
-    def since(stamp: float) -> float:
-        return max(0.0, age + head.clock.boot - stamp)
+    def age_of(recorded_at: float) -> float:
+        return max(0.0, age + head.clock.boot - recorded_at)
 
-    accounts = merge.accounts_of(document)
+    accounts = merge.accounts_of(snapshot)
     return {
         "file": path,
         "generation": generation,
-        "format": form,
+        "format": format_version,
         "name": head.name,
         "program": head.program,
-        "age": number(age),
-        "odd": list(odd),
+        "age": round_finite(age),
+        "odd": list(clock_faults),
         "clean": head.is_clean,
         "unseen": head.write_interval,
         "ledgers_hold": age < expiry.LEDGER_HORIZON and head.fleet.incarnation > 0,
@@ -103,8 +103,8 @@
                 "class": w.request_class,
                 "size": w.size,
                 "seconds": w.latency,
-                "age": number(since(w.recorded_at)),
-                "weight": expiry.USUAL_LATENCY.weight(since(w.recorded_at)),
+                "age": round_finite(age_of(w.recorded_at)),
+                "weight": expiry.USUAL_LATENCY.weight(age_of(w.recorded_at)),
             }
             for w in head.fleet.usual_latencies
         ],
@@ -112,12 +112,12 @@
             {
                 "server": s.backend,
                 "started": s.started,
-                "age": number(since(s.recorded_at)),
+                "age": round_finite(age_of(s.recorded_at)),
                 "slow": s.slowness,
-                "weight": expiry.SERVER_SLOWNESS.weight(since(s.recorded_at)),
+                "weight": expiry.SERVER_SLOWNESS.weight(age_of(s.recorded_at)),
                 "failures": s.failures,
                 "ejected": s.is_ejected,
-                "failures_weight": expiry.SERVER_FAILURES.weight(since(s.recorded_at)),
+                "failures_weight": expiry.SERVER_FAILURES.weight(age_of(s.recorded_at)),
                 "address": s.address,
                 "shut": [x.request_class for x in s.rejections],
             }
@@ -129,47 +129,47 @@
                 "plan": a.plan,
                 "first": a.first_gateway,
                 "spread": a.member_count,
-                "age": number(since(a.refilled_at)),
+                "age": round_finite(age_of(a.refilled_at)),
                 "level": a.level,
                 "demand": a.demand,
                 "open": a.in_flight,
                 "ledgers": len(a.ledgers) + len(a.tree_edges),
-                "counts": since(a.refilled_at) < expiry.ACCOUNT_HORIZON,
+                "counts": age_of(a.refilled_at) < expiry.ACCOUNT_HORIZON,
             }
             for key, a in sorted(accounts.items())
         ],
     }
 
 
-def number(value: float) -> float | None:
+def round_finite(value: float) -> float | None:
     """Round a number for JSON, which has no infinity and no NaN: these become None."""
     return round(value, 3) if math.isfinite(value) else None
 
 
-def table(rows: list[dict[str, Any]], most: int = MOST_ROWS) -> str:
-    """Format rows as columns under their names, at most `most` rows."""
+def format_table(rows: list[dict[str, Any]], max_rows: int = MAX_ROWS) -> str:
+    """Format rows as columns under their names, at most `max_rows` rows."""
     if not rows:
         return "  none"
     names = list(rows[0])
-    cells = [[shown(row[name]) for name in names] for row in rows[:most]]
+    cells = [[format_cell(row[name]) for name in names] for row in rows[:max_rows]]
     widths = [max(len(name), *(len(row[i]) for row in cells)) for i, name in enumerate(names)]
     lines = ["  " + "  ".join(name.ljust(width) for name, width in zip(names, widths, strict=True))]
     lines += ["  " + "  ".join(c.ljust(width) for c, width in zip(row, widths, strict=True)) for row in cells]
-    more = [f"  and {len(rows) - most} more; --json prints all"] if len(rows) > most else []
+    more = [f"  and {len(rows) - max_rows} more; --json prints all"] if len(rows) > max_rows else []
     return "\n".join([line.rstrip() for line in lines] + more)
 
 
-def shown(value: Any) -> str:
+def format_cell(value: Any) -> str:
     """Format one cell."""
     if isinstance(value, list):
         return ",".join(map(str, value)) or "-"
     return f"{value:.3f}" if isinstance(value, float) else "endless" if value is None else str(value)
 
 
-def as_text(said: dict[str, Any]) -> str:
+def format_description(description: dict[str, Any]) -> str:
     """Format a described snapshot as text."""
     lines = [
-        f"{key}: {shown(said[key])}"
+        f"{key}: {format_cell(description[key])}"
         for key in (
             "file",
             "generation",
@@ -183,9 +183,11 @@
             "ledgers_hold",
         )
     ]
-    lines.append("fleet: " + ", ".join(f"{key} {shown(value)}" for key, value in said["fleet"].items()))
+    lines.append(
+        "fleet: " + ", ".join(f"{key} {format_cell(value)}" for key, value in description["fleet"].items())
+    )
     for key in ("work", "servers", "accounts"):
-        lines += [f"{key} ({len(said[key])}):", table(said[key])]
+        lines += [f"{key} ({len(description[key])}):", format_table(description[key])]
     return "\n".join(lines)
 
 
@@ -199,9 +201,9 @@
 @json_option
 def show(path: str, as_json: bool) -> None:
     """Print a snapshot with ages and weights as they are now."""
-    path = newest_in(path)
-    said = described(path, *read(path))
-    tell(said, as_json, as_text(said))
+    path = newest_generation(path)
+    description = describe(path, *read_snapshot(path))
+    print_result(description, as_json, format_description(description))
 
 
 @command.command("verify")
@@ -214,21 +216,21 @@
     for path in paths:
         inside = sorted(filter(match_snapshot_name, os.listdir(path))) if os.path.isdir(path) else None
         files += [path] if inside is None else [os.path.join(path, name) for name in inside]
-    found = []
+    results = []
     for path in files:
         try:
-            generation, form, document = decode_snapshot(bytes_of(path))
-            bad = sum(map(len, document.accounts)) - len(merge.accounts_of(document))
-            named = match_snapshot_name(os.path.basename(path))
+            generation, format_version, snapshot = decode_snapshot(read_bytes(path))
+            bad = sum(map(len, snapshot.accounts)) - len(merge.accounts_of(snapshot))
+            name_match = match_snapshot_name(os.path.basename(path))
             fault = f"{bad} accounts cannot be decoded" if bad else ""
-            if named and int(named[1]) != generation:
-                fault = f"byte 16: generation {generation} in the file of generation {int(named[1])}"
-            found.append({"file": path, "format": form, "good": not fault, "fault": fault})
+            if name_match and int(name_match[1]) != generation:
+                fault = f"byte 16: generation {generation} in the file of generation {int(name_match[1])}"
+            results.append({"file": path, "format": format_version, "good": not fault, "fault": fault})
         except (DamagedSnapshotError, UnsupportedFormatError, OSError) as error:
-            found.append({"file": path, "format": None, "good": False, "fault": str(error)})
-    lines = [f"{f['file']}: {'good' if f['good'] else f['fault']}" for f in found]
-    tell(found, as_json, "\n".join(lines) or "no files")
-    ctx.exit(0 if all(f["good"] for f in found) else 1)
+            results.append({"file": path, "format": None, "good": False, "fault": str(error)})
+    lines = [f"{f['file']}: {'good' if f['good'] else f['fault']}" for f in results]
+    print_result(results, as_json, "\n".join(lines) or "no files")
+    ctx.exit(0 if all(f["good"] for f in results) else 1)
 
 
 @command.command("age")
@@ -238,12 +240,12 @@
 @json_option
 def age(path: str, by: float, out: str | None, as_json: bool) -> None:
     """Print a snapshot as it would be after that many more seconds."""
-    path = newest_in(path)
-    generation, form, document = read(path)
+    path = newest_generation(path)
+    generation, format_version, snapshot = read_snapshot(path)
     if out:
-        write(out, merge.backdated(document, by), generation)
-    said = described(path, generation, form, document, by)
-    tell(said, as_json, as_text(said))
+        write_snapshot(out, merge.backdated(snapshot, by), generation)
+    description = describe(path, generation, format_version, snapshot, by)
+    print_result(description, as_json, format_description(description))
 
 
 @command.command("merge")
@@ -261,10 +263,10 @@
 
     Name, incarnation and ledgers stay those of TARGET. No file is overwritten.
     """
-    target = newest_in(target)
-    generation, form, document = read(target)
-    made = merge.merge(document, [read(newest_in(other))[2] for other in others])
-    named = match_snapshot_name(os.path.basename(out))
-    write(out, made, int(named[1]) if named else generation + 1)
-    said = {"file": out, "servers": len(made.head.servers), "accounts": sum(map(len, made.accounts))}
-    tell(said, as_json, f"{out}: {said['servers']} servers, {said['accounts']} accounts")
+    target = newest_generation(target)
+    generation, format_version, snapshot = read_snapshot(target)
+    merged = merge.merge(snapshot, [read_snapshot(newest_generation(other))[2] for other in others])
+    name_match = match_snapshot_name(os.path.basename(out))
+    write_snapshot(out, merged, int(name_match[1]) if name_match else generation + 1)
+    summary = {"file": out, "servers": len(merged.head.servers), "accounts": sum(map(len, merged.accounts))}
+    print_result(summary, as_json, f"{out}: {summary['servers']} servers, {summary['accounts']} accounts")
--- a/corkdeal/cli/version.py
+++ b/corkdeal/cli/version.py
@@ -8,7 +8,7 @@
 import click
 
 from .. import __version__
-from . import json_option, tell
+from . import json_option, print_result
 
 
 @click.command("version")
@@ -17,6 +17,12 @@
     """Print versions of the program, of the snapshot format, and of the libraries that matter for both."""
     from ..persistence.codec import CURRENT_FORMAT
 
-    said = {"corkdeal": __version__, "knowledge_format": CURRENT_FORMAT, "python": platform.python_version()}
-    said |= {name: metadata.version(name) for name in ("Twisted", "msgspec", "zstandard", "blake3", "kdl-py")}
-    tell(said, as_json, "\n".join(f"{name} {version}" for name, version in said.items()))
+    versions = {
+        "corkdeal": __version__,
+        "knowledge_format": CURRENT_FORMAT,
+        "python": platform.python_version(),
+    }
+    versions |= {
+        name: metadata.version(name) for name in ("Twisted", "msgspec", "zstandard", "blake3", "kdl-py")
+    }
+    print_result(versions, as_json, "\n".join(f"{name} {version}" for name, version in versions.items()))
