--- a/tests/halls/test_view.py
+++ b/tests/halls/test_view.py
@@ -13,7 +13,7 @@
 
 
 @pytest.mark.parametrize(
-    ("address", "hall"),
+    ("address", "zone"),
     [
         ("10.1.2.3", "north"),
         ("10.1.9.1", "east"),
@@ -25,7 +25,7 @@
         ("", None),
     ],
 )
-def test_the_longest_net_counts(address, hall):
+def test_the_longest_prefix_counts(address, zone):
     nets = Nets(
         [
             Net("10.1.0.0/16", "north"),
@@ -34,10 +34,10 @@
             Net("2001:db8:1::/48", "north"),
         ]
     )
-    assert nets.invalid == [] and nets.hall_of(address) == hall
+    assert nets.invalid == [] and nets.hall_of(address) == zone
 
 
-class Place:
+class Position:
     def __init__(self, line):
         self.line = line
 
@@ -46,7 +46,7 @@
 
 
 @pytest.mark.parametrize(
-    ("nets", "why"),
+    ("nets", "reason"),
     [
         (["10.0.0.0/33"], "not a network in CIDR notation"),
         (["10.0.0.1"], "not a network"),
@@ -58,12 +58,12 @@
         (["10.0.0.0/8", "10.1.0.0/16"], "overlaps 10.0.0.0/8 of the same zone at line 1, column 2"),
     ],
 )
-def test_what_is_wrong_is_told_with_its_place(nets, why):
-    made = Nets([Net(text, "north", Place(i + 1)) for i, text in enumerate(nets)])
-    assert why in made.invalid[0].reason and made.invalid[0].net.place.at() == (len(nets), 2)
+def test_an_invalid_network_is_reported_with_its_position(nets, reason):
+    made = Nets([Net(text, "north", Position(i + 1)) for i, text in enumerate(nets)])
+    assert reason in made.invalid[0].reason and made.invalid[0].net.place.at() == (len(nets), 2)
 
 
-def test_a_net_between_makes_the_inner_one_meaningful():
+def test_a_network_of_another_zone_between_gives_the_inner_one_an_effect():
     made = Nets([Net("10.0.0.0/8", "a"), Net("10.1.0.0/16", "b"), Net("10.1.1.0/24", "a")])
     assert made.invalid == [] and made.hall_of("10.1.1.1") == "a" and made.hall_of("10.1.2.1") == "b"
 
@@ -89,20 +89,20 @@
         assert made.hall_of(str(address)) == best
 
 
-def test_tiers_go_outwards_over_two_levels():
-    halls = [Zone("n", "campus"), Zone("e", "campus"), Zone("s", "town"), Zone("w", "town")]
-    assert ZoneDistances.build(halls).tiers("n") == (("n",), ("e",), ("s", "w"))
-    assert ZoneDistances.build(halls, {("w", "n"): 0.5}).tiers("n") == (("n",), ("w",), ("e",), ("s",))
+def test_tiers_are_ordered_by_distance_over_two_levels():
+    zones = [Zone("n", "campus"), Zone("e", "campus"), Zone("s", "town"), Zone("w", "town")]
+    assert ZoneDistances.build(zones).tiers("n") == (("n",), ("e",), ("s", "w"))
+    assert ZoneDistances.build(zones, {("w", "n"): 0.5}).tiers("n") == (("n",), ("w",), ("e",), ("s",))
     assert ZoneDistances.build([Zone("n"), Zone("e"), Zone("s")]).tiers("e") == (("e",), ("n", "s"))
-    assert ZoneDistances.build(halls).distance("n", "elsewhere") == tiers.OTHER_REGION
-    for wrong in (
+    assert ZoneDistances.build(zones).distance("n", "elsewhere") == tiers.OTHER_REGION
+    for invalid in (
         {("n", "x"): 1.0},
         {("n", "n"): 1.0},
         {("n", "e"): 0.0},
         {("n", "e"): 1.0, ("e", "n"): 2.0},
     ):
         with pytest.raises(ValueError):
-            ZoneDistances.build(halls, wrong)
+            ZoneDistances.build(zones, invalid)
 
 
 NORTH, EAST, SOUTH = HALLS
@@ -124,7 +124,7 @@
 
 @pytest.mark.parametrize("seed", range(5))
 @pytest.mark.parametrize("kind", TROUBLES)
-def test_other_troubles_are_no_cut(seed, kind):
+def test_other_faults_are_not_declared_a_cut(seed, kind):
     day = Day(seed)
     day.run(10)
     day.trouble(kind)
@@ -132,14 +132,14 @@
     assert day.declared == []
 
 
-def test_two_of_three_halls_may_go_and_without_any_answer_none_is_declared():
+def test_two_of_three_zones_can_be_lost_but_none_is_without_any_reply():
     day = Day(1)
     day.run(10)
     day.cut = {NORTH, EAST}
     day.run(14)
     assert day.losses.lost_zones() == [EAST, NORTH]
-    alone = Day(2)
-    alone.run(10)
-    alone.cut = set(HALLS)  # the gateway itself is cut off
-    alone.run(20)
-    assert alone.losses.lost_zones() == []
+    isolated = Day(2)
+    isolated.run(10)
+    isolated.cut = set(HALLS)  # the gateway itself is cut off
+    isolated.run(20)
+    assert isolated.losses.lost_zones() == []
--- a/tests/test_options.py
+++ b/tests/test_options.py
@@ -10,11 +10,11 @@
 
 
 def test_the_example_is_good_and_nothing_is_on_without_a_file():
-    made = options.load(str(ROOT / "deploy" / "corkdeal.kdl"))
+    parsed = options.load(str(ROOT / "deploy" / "corkdeal.kdl"))
     assert (
-        made.log.format == "json"
-        and made.knowledge.path == "/var/lib/corkdeal"
-        and made.knowledge.every == 1.0
+        parsed.log.format == "json"
+        and parsed.knowledge.path == "/var/lib/corkdeal"
+        and parsed.knowledge.every == 1.0
     )
     assert options.parse("") == options.Options() and options.parse("// nothing").knowledge is None
 
@@ -26,7 +26,7 @@
 
 
 @pytest.mark.parametrize(
-    ("text", "line", "column", "node", "said"),
+    ("text", "line", "column", "node", "message"),
     [
         ('log {\n  format "xml"\n}', 2, 10, "log.format", "must be one of text, json"),
         ("\n  bogus 1", 2, 3, "bogus", "unknown node; known are figures, halls, knowledge, log"),
@@ -47,14 +47,14 @@
         ("a {\n" * 3000, 0, 0, "", "too deeply"),
     ],
 )
-def test_a_fault_is_told_with_its_place(text, line, column, node, said):
-    with pytest.raises(options.OptionsError) as caught:
+def test_a_fault_is_reported_with_its_position(text, line, column, node, message):
+    with pytest.raises(options.OptionsError) as raised:
         options.parse(text)
-    fault = caught.value.faults[0]
-    assert (fault.line, fault.column, fault.node) == (line, column, node) and said in fault.text
+    fault = raised.value.faults[0]
+    assert (fault.line, fault.column, fault.node) == (line, column, node) and message in fault.text
 
 
-HALLS = """halls {
+ZONES = """halls {
     hall "north" region="campus" { net "10.1.0.0/16"; net "2001:db8::/32"; }
     hall "east" region="campus" weight=2 { net "10.2.0.0/16"; }
     hall "south" region="town"
@@ -62,18 +62,18 @@
 }"""
 
 
-def test_halls_have_nets_regions_and_distances():
-    made = options.parse(HALLS).halls
-    assert [(h.name, h.region, h.weight, [n.cidr for n in h.nets]) for h in made.halls] == [
+def test_zones_have_networks_regions_and_distances():
+    parsed = options.parse(ZONES).halls
+    assert [(h.name, h.region, h.weight, [n.cidr for n in h.nets]) for h in parsed.halls] == [
         ("north", "campus", 1.0, ["10.1.0.0/16", "2001:db8::/32"]),
         ("east", "campus", 2.0, ["10.2.0.0/16"]),
         ("south", "town", 1.0, []),
     ]
-    assert [(d.one, d.other, d.value) for d in made.distances] == [("north", "south", 1.5)]
+    assert [(d.one, d.other, d.value) for d in parsed.distances] == [("north", "south", 1.5)]
 
 
 @pytest.mark.parametrize(
-    ("old", "new", "line", "column", "node", "said"),
+    ("old", "new", "line", "column", "node", "message"),
     [
         (
             "10.2.0.0/16",
@@ -94,28 +94,28 @@
         ('distance "north"', 'near "north"', 5, 5, "halls.near", "known are distance, hall"),
     ],
 )
-def test_a_fault_of_halls_is_told_with_its_place(old, new, line, column, node, said):
-    assert old in HALLS
-    with pytest.raises(options.OptionsError) as caught:
-        options.parse(HALLS.replace(old, new))
-    fault = caught.value.faults[0]
-    assert (fault.line, fault.column, fault.node) == (line, column, node) and said in fault.text
+def test_a_fault_of_zones_is_reported_with_its_position(old, new, line, column, node, message):
+    assert old in ZONES
+    with pytest.raises(options.OptionsError) as raised:
+        options.parse(ZONES.replace(old, new))
+    fault = raised.value.faults[0]
+    assert (fault.line, fault.column, fault.node) == (line, column, node) and message in fault.text
 
 
-def test_all_faults_are_told_at_once_in_order():
-    with pytest.raises(options.OptionsError) as caught:
+def test_all_faults_are_reported_at_once_in_order():
+    with pytest.raises(options.OptionsError) as raised:
         options.parse("x\nlog level=1\nknowledge {\n every 99\n}")
-    assert [f.line for f in caught.value.faults] == [1, 2, 3, 4]
+    assert [f.line for f in raised.value.faults] == [1, 2, 3, 4]
 
 
 @pytest.mark.parametrize(
-    ("data", "said"),
+    ("data", "message"),
     [(b'log level="\xff"', "line 1, column 12: invalid UTF-8"), (b"//" + b"x" * (1 << 20), "larger than")],
 )
-def test_a_file_that_is_no_text_is_refused(tmp_path, data, said):
+def test_a_file_that_is_not_text_is_rejected(tmp_path, data, message):
     path = tmp_path / "o.kdl"
     path.write_bytes(data)
-    with pytest.raises(options.OptionsError, match=said):
+    with pytest.raises(options.OptionsError, match=message):
         options.load(str(path))
     with pytest.raises(options.OptionsError, match="not a regular file"):
         options.load(str(tmp_path))
