--- a/corkdeal/cli/check.py
+++ b/corkdeal/cli/check.py
@@ -41,8 +41,7 @@
 @json_option
 @click.pass_context
 def command(ctx: click.Context, config: str | None, options: str | None, as_json: bool) -> None:
-    """Check files without serving. Faults are printed with their key, those of the options file also
-    with line and column.
+    """Check files without serving. Faults have a key, and those of the options file line and column.
 
     Exit code 0 if there is no fault, 1 if there is one, 2 if no file was named.
     """
--- a/corkdeal/cli/experiment.py
+++ b/corkdeal/cli/experiment.py
@@ -123,7 +123,11 @@
     "--depth", type=click.IntRange(1, 8), default=4, show_default=True, help="Steps of the exhaustive search."
 )
 @click.option(
-    "--walks", type=click.IntRange(0, 100_000), default=1000, show_default=True, help="Longer random runs."
+    "--walks",
+    type=click.IntRange(0, 100_000),
+    default=1000,
+    show_default=True,
+    help="Number of longer random runs.",
 )
 @click.option("--seed", type=int, default=1, show_default=True)
 @click.option(
--- a/corkdeal/cli/halls.py
+++ b/corkdeal/cli/halls.py
@@ -34,7 +34,7 @@
 
 @click.group("halls")
 def command() -> None:
-    """Show zones as the options file defines them."""
+    """Show zones, the `hall` nodes of the options file."""
 
 
 @command.command("where")
--- a/corkdeal/halls/loss.py
+++ b/corkdeal/halls/loss.py
@@ -11,7 +11,8 @@
   the probability that none came is exp(-expected). The expected number is scaled by the share of their own
   expected replies that came from the other zones in the same time, so a slowdown of all zones is no evidence.
 
-One reply to an attempt that was sent after the zone's previous reply clears the evidence.
+Any reply clears the evidence against a zone. Once the zone is declared lost, only a reply to an attempt
+sent after its previous reply does.
 """
 
 from __future__ import annotations
--- a/corkdeal/halls/tiers.py
+++ b/corkdeal/halls/tiers.py
@@ -44,14 +44,16 @@
                 if name not in distances.zones:
                     raise ValueError(f"unknown zone {name!r}")
             if a == b or distance <= 0:
-                raise ValueError(f"distance from {a} to {b} cannot be {distance:g}: only to itself is it 0")
+                raise ValueError(
+                    f"distance from {a} to {b} cannot be {distance:g}: must be positive, between two zones"
+                )
             if distances.configured.get(frozenset((a, b)), distance) != distance:
                 raise ValueError(f"distance from {a} to {b} is given twice with different values")
             distances.configured[frozenset((a, b))] = distance
         return distances
 
     def distance(self, a: str, b: str) -> float:
-        """Return the distance between two zones; an unknown zone is far from all others."""
+        """Return the distance between two zones; an unknown zone counts as one of another region."""
         if a == b:
             return SAME_ZONE
         if (configured := self.configured.get(frozenset((a, b)))) is not None:
--- a/corkdeal/options/__init__.py
+++ b/corkdeal/options/__init__.py
@@ -1,7 +1,7 @@
 """The options file: features of the gateway that the platform's configuration does not cover.
 
-It is written in KDL 1.0; a feature that has no node in the file is off. `load` is the only reader of the
-file; it returns frozen records, one per subsystem (`records`).
+It is written in KDL 1.0; a feature that has no node in the file is off. Only `load` reads the file; it
+returns frozen records, one per subsystem (`records`).
 """
 
 from .records import KnowledgeOptions, LogOptions, Options
