--- a/corkdeal/cli/knowledge.py
+++ b/corkdeal/cli/knowledge.py
@@ -69,12 +69,12 @@
 
 
 def describe(
-    path: str, generation: int, format_version: int, snapshot: Snapshot, extra: float = 0.0
+    path: str, generation: int, format_version: int, snapshot: Snapshot, added_age: float = 0.0
 ) -> dict[str, Any]:
-    """Describe a snapshot, with ages and weights as they are now, or `extra` seconds later."""
+    """Describe a snapshot, with ages and weights as they are now, or `added_age` seconds later."""
     head = snapshot.head
-    age, clock_faults = clock.measure_age(head.clock, clock.read_clocks())
-    age += extra
+    age, clock_anomalies = clock.measure_age(head.clock, clock.read_clocks())
+    age += added_age
 
     def age_of(recorded_at: float) -> float:
         return max(0.0, age + head.clock.boot - recorded_at)
@@ -87,7 +87,7 @@
         "name": head.name,
         "program": head.program,
         "age": round_finite(age),
-        "odd": list(clock_faults),
+        "odd": list(clock_anomalies),
         "clean": head.is_clean,
         "unseen": head.write_interval,
         "ledgers_hold": age < expiry.LEDGER_HORIZON and head.fleet.incarnation > 0,
@@ -214,15 +214,15 @@
     """Report faults of files and their positions; of a folder all generations. Exit code 1 if any has one."""
     files: list[str] = []
     for path in paths:
-        inside = sorted(filter(match_snapshot_name, os.listdir(path))) if os.path.isdir(path) else None
-        files += [path] if inside is None else [os.path.join(path, name) for name in inside]
+        names = sorted(filter(match_snapshot_name, os.listdir(path))) if os.path.isdir(path) else None
+        files += [path] if names is None else [os.path.join(path, name) for name in names]
     results = []
     for path in files:
         try:
             generation, format_version, snapshot = decode_snapshot(read_bytes(path))
-            bad = sum(map(len, snapshot.accounts)) - len(merge.accounts_of(snapshot))
+            undecodable = sum(map(len, snapshot.accounts)) - len(merge.accounts_of(snapshot))
             name_match = match_snapshot_name(os.path.basename(path))
-            fault = f"{bad} accounts cannot be decoded" if bad else ""
+            fault = f"{undecodable} accounts cannot be decoded" if undecodable else ""
             if name_match and int(name_match[1]) != generation:
                 fault = f"byte 16: generation {generation} in the file of generation {int(name_match[1])}"
             results.append({"file": path, "format": format_version, "good": not fault, "fault": fault})
--- a/corkdeal/halls/loss.py
+++ b/corkdeal/halls/loss.py
@@ -150,12 +150,12 @@
         Otherwise the gateway itself may be cut off, or all zones be down.
         """
         evidence = self.zones[name]
-        failed = sorted(
+        failure_times = sorted(
             at
             for at, _ in evidence.last_failures.values()
             if at > evidence.last_reply_at and now - at < MAX_EVIDENCE_AGE
         )
-        since = failed[min(MIN_FAILED_BACKENDS, len(failed)) - 1] if failed else now
+        since = failure_times[min(MIN_FAILED_BACKENDS, len(failure_times)) - 1] if failure_times else now
         return any(
             other_zone.last_reply_at > since for other, other_zone in self.zones.items() if other != name
         )
--- a/corkdeal/options/reader.py
+++ b/corkdeal/options/reader.py
@@ -31,8 +31,8 @@
 
     def __str__(self) -> str:
         """Format the position, the path and the text."""
-        place = f"line {self.line}, column {self.column}: " if self.line else ""
-        return f"{place}{self.node + ': ' if self.node else ''}{self.text}"
+        position = f"line {self.line}, column {self.column}: " if self.line else ""
+        return f"{position}{self.node + ': ' if self.node else ''}{self.text}"
 
 
 class OptionsError(ValueError):
