--- a/corkdeal/cli/__init__.py
+++ b/corkdeal/cli/__init__.py
@@ -14,7 +14,7 @@
     "serve": ("serve", "Run the gateway until SIGTERM or SIGINT."),
     "check": ("check", "Check a configuration and an options file."),
     "experiment": ("experiment", "Run experiments with fake clients and backends."),
-    "halls": ("halls", "Show zones, the `hall` nodes of the options file."),
+    "halls": ("zones", "Show zones, the `hall` nodes of the options file."),
     "knowledge": ("knowledge", "Show and repair persisted state."),
     "version": ("version", "Print versions of the program and its file format."),
 }
--- a/corkdeal/cli/halls.py
+++ b/corkdeal/cli/zones.py
@@ -44,7 +44,7 @@
 @click.pass_context
 def where(ctx: click.Context, addresses: tuple[str, ...], options: str, as_json: bool) -> None:
     """Print the zone of each address. Exit code 1 if any is in no zone."""
-    from ..options.halls import build_networks
+    from ..options.zones import build_networks
 
     networks = build_networks(load_zones_options(options))
     zones = {address: networks.hall_of(address) for address in addresses}
@@ -60,7 +60,7 @@
 @json_option
 def tiers(zone: str, options: str, as_json: bool) -> None:
     """Print all zones by their distance from ZONE, nearest first."""
-    from ..options.halls import build_distances
+    from ..options.zones import build_distances
 
     distances = build_distances(load_zones_options(options))
     if zone not in distances.zones:
--- a/corkdeal/options/reader.py
+++ b/corkdeal/options/reader.py
@@ -93,9 +93,9 @@
     """Parse and check the text of an options file."""
     options = parse_as(Options, text, path)
     if options.halls:
-        from . import halls
+        from . import zones
 
-        faults = [Fault(*place.at(), node, text) for place, node, text in halls.find_faults(options.halls)]
+        faults = [Fault(*place.at(), node, text) for place, node, text in zones.find_faults(options.halls)]
         if faults:
             raise OptionsError(path, faults)
     return options
