--- a/benchmarks/halls.py
+++ b/benchmarks/halls.py
@@ -12,7 +12,7 @@
 
 import netaddr
 
-from corkdeal.halls.nets import Net, Nets
+from corkdeal.zones.nets import Net, Nets
 
 NETS, LOOK_UPS, FEW = 100_000, 50_000, 200
 
--- a/corkdeal/experiment/cuts.py
+++ b/corkdeal/experiment/cuts.py
@@ -10,7 +10,7 @@
 import random
 from typing import Any
 
-from ..halls.loss import Losses
+from ..zones.loss import Losses
 
 CONNECT_LATE = 0.25  # s until a connect to what is cut off is given up
 SILENT_TIMES = 4.0  # times the usual answer's time, after which an attempt counts as silent
--- a/corkdeal/options/zones.py
+++ b/corkdeal/options/zones.py
@@ -5,8 +5,8 @@
 from collections.abc import Iterator
 from typing import Any
 
-from ..halls.nets import Net, Nets
-from ..halls.tiers import Zone, ZoneDistances
+from ..zones.nets import Net, Nets
+from ..zones.tiers import Zone, ZoneDistances
 from .records import ZonesOptions
 
 
--- a/tests/test_layout.py
+++ b/tests/test_layout.py
@@ -46,13 +46,13 @@
     "membership": {"decisions", "errors"},
     "simulator": {"decisions", "errors"},
     "logs": set(),
-    "options": {"halls", "errors"},
+    "options": {"zones", "errors"},
     "persistence": {"decisions", "errors", "logs", "options"},
     "standin": {"decisions", "simulator", "options", "logs", "net"},
     "net": {"decisions", "errors", "logs", "options", "persistence", "recovery", "membership"},
-    "experiment": {"decisions", "recovery", "membership", "halls", "simulator", "options", "persistence"}
+    "experiment": {"decisions", "recovery", "membership", "zones", "simulator", "options", "persistence"}
     | {"standin", "net", "logs"},
-    "cli": {"halls", "options", "persistence", "net", "experiment", "standin", "logs"},
+    "cli": {"zones", "options", "persistence", "net", "experiment", "standin", "logs"},
     "__main__": {"cli"},
     "__init__": {"decisions"},
 }
@@ -117,7 +117,7 @@
         "from corkdeal.net.__main__ import main; main()\n"
         "from twisted.internet import reactor\n"
         "bad = {'structlog', 'msgspec', 'zstandard', 'blake3', 'kdl', 'click', 'numpy'} & set(sys.modules)\n"
-        "off = ('persistence', 'decisions.persisted_state', 'options', 'cli', 'halls', 'recovery')\n"
+        "off = ('persistence', 'decisions.persisted_state', 'options', 'cli', 'zones', 'recovery')\n"
         "off += ('membership',)\n"
         "off = tuple('corkdeal.' + p for p in off)\n"
         "sys.exit(', '.join(bad | {m for m in sys.modules if m.startswith(off)}) or 0)"
--- a/tests/test_start.py
+++ b/tests/test_start.py
@@ -16,7 +16,7 @@
 LATE = (  # packages and modules for which the first answer does not wait
     *("blake3", "click", "msgspec", "netaddr", "numpy", "radix", "structlog", "zstandard"),
     *("twisted.web.resource", "twisted.web.server", "twisted.web.static"),
-    *("corkdeal.cli", "corkdeal.emulator", "corkdeal.experiment", "corkdeal.halls", "corkdeal.persistence"),
+    *("corkdeal.cli", "corkdeal.emulator", "corkdeal.experiment", "corkdeal.zones", "corkdeal.persistence"),
     *(
         "corkdeal.decisions.persisted_state",
         "corkdeal.net.ops",
--- a/tests/halls/test_view.py
+++ b/tests/zones/test_zones.py
@@ -7,9 +7,9 @@
 from hypothesis import strategies as st
 
 from corkdeal.experiment.cuts import HALLS, TROUBLES, Day
-from corkdeal.halls import tiers
-from corkdeal.halls.nets import Net, Nets
-from corkdeal.halls.tiers import Zone, ZoneDistances
+from corkdeal.zones import tiers
+from corkdeal.zones.nets import Net, Nets
+from corkdeal.zones.tiers import Zone, ZoneDistances
 
 
 @pytest.mark.parametrize(
