--- a/corkdeal/cli/check.py
+++ b/corkdeal/cli/check.py
@@ -1,4 +1,4 @@
-"""`corkdeal check`: says what is wrong with a configuration and the operators' file, and where."""
+"""`corkdeal check`: reports the faults of a configuration and of an options file, with their positions."""
 
 from __future__ import annotations
 
@@ -7,11 +7,11 @@
 
 import click
 
-from . import json_option, tell
+from . import json_option, print_result
 
 
 def faults_of_config(path: str) -> list[dict[str, Any]]:
-    """What is wrong with a configuration; its reader stops at the first."""
+    """Return the first fault of a configuration, if any; its reader stops there."""
     from ..net import config
 
     try:
@@ -23,7 +23,7 @@
 
 
 def faults_of_options(path: str) -> tuple[list[dict[str, Any]], Any]:
-    """All that is wrong with the operators' file, or its records."""
+    """Return all faults of an options file, and its records if there are none."""
     from ..options import OptionsError, load
 
     try:
@@ -41,22 +41,22 @@
 @json_option
 @click.pass_context
 def command(ctx: click.Context, config: str | None, options: str | None, as_json: bool) -> None:
-    """Check files without serving. Each fault has its key, and its line and column in the operators' file.
+    """Check files without serving. Faults have a key, and those of the options file line and column.
 
-    Exit code 0 if nothing is wrong, 1 if something is, 2 if no file was named.
+    Exit code 0 if there is no fault, 1 if there is one, 2 if no file was named.
     """
     if not config and not options:
         raise click.UsageError("name a file with --config or --options")
     faults = faults_of_config(config) if config else []
-    on: dict[str, Any] = {}
+    enabled: dict[str, Any] = {}
     if options:
-        wrong, made = faults_of_options(options)
-        faults += wrong
-        if made is not None:
-            on = {
+        option_faults, records = faults_of_options(options)
+        faults += option_faults
+        if records is not None:
+            enabled = {
                 f.name: dataclasses.asdict(value)
-                for f in dataclasses.fields(made)
-                if (value := getattr(made, f.name)) is not None
+                for f in dataclasses.fields(records)
+                if (value := getattr(records, f.name)) is not None
             }
     lines = [
         f"{f['file']}:{f['line']}:{f['column']}: {f['key']}: {f['fault']}"
@@ -64,6 +64,6 @@
         else f"{f['file']}: {f['key']}: {f['fault']}"
         for f in faults
     ]
-    good = f"good; switched on: {', '.join(sorted(on)) or 'nothing'}"
-    tell({"faults": faults, "on": on}, as_json, "\n".join(lines) if faults else good)
+    good = f"good; switched on: {', '.join(sorted(enabled)) or 'nothing'}"
+    print_result({"faults": faults, "on": enabled}, as_json, "\n".join(lines) if faults else good)
     ctx.exit(1 if faults else 0)
--- a/tests/test_options.py
+++ b/tests/test_options.py
@@ -1,4 +1,4 @@
-"""The operators' file: what it may say, and what is told of a fault."""
+"""The options file: valid contents, and the position and text of each fault."""
 
 import pathlib
 
@@ -10,11 +10,11 @@
 
 
 def test_the_example_is_good_and_nothing_is_on_without_a_file():
-    made = options.load(str(ROOT / "deploy" / "corkdeal.kdl"))
+    parsed = options.load(str(ROOT / "deploy" / "corkdeal.kdl"))
     assert (
-        made.log.format == "json"
-        and made.knowledge.path == "/var/lib/corkdeal"
-        and made.knowledge.every == 1.0
+        parsed.log.format == "json"
+        and parsed.knowledge.path == "/var/lib/corkdeal"
+        and parsed.knowledge.every == 1.0
     )
     assert options.parse("") == options.Options() and options.parse("// nothing").knowledge is None
 
@@ -26,12 +26,12 @@
 
 
 @pytest.mark.parametrize(
-    ("text", "line", "column", "node", "said"),
+    ("text", "line", "column", "node", "message"),
     [
         ('log {\n  format "xml"\n}', 2, 10, "log.format", "must be one of text, json"),
         ("\n  bogus 1", 2, 3, "bogus", "unknown node; known are figures, halls, knowledge, log"),
         ("log colour=true", 1, 12, "log.colour", "unknown setting"),
-        ('log level="info" level=3', 1, 24, "log.level", "must be text"),
+        ('log level="info" level=3', 1, 24, "log.level", "must be a string"),
         ('log "json"', 1, 5, "log", "takes settings by name only"),
         ("log\nlog", 2, 1, "log", "second time"),
         ('log format="json" {\n format "text"\n}', 2, 2, "log.format", "second time"),
@@ -40,21 +40,21 @@
         ('knowledge path="here"', 1, 16, "knowledge.path", "absolute"),
         ('knowledge path="/x" every=0.05', 1, 27, "knowledge.every", "between 0.1 and 60"),
         ('knowledge path="/x" every=true', 1, 27, "knowledge.every", "a number, not True"),
-        ('knowledge path="/x" generations=2.5', 1, 33, "knowledge.generations", "a whole number"),
+        ('knowledge path="/x" generations=2.5', 1, 33, "knowledge.generations", "an integer"),
         ('knowledge path="/x" read_wait=1', 1, 31, "knowledge.read_wait", "unknown setting"),
         ('knowledge path="/x" {', 1, 21, "", "Hit EOF"),
         ("log format=", 1, 12, "", "Expected value"),
         ("a {\n" * 3000, 0, 0, "", "too deeply"),
     ],
 )
-def test_a_fault_is_told_with_its_place(text, line, column, node, said):
-    with pytest.raises(options.OptionsError) as caught:
+def test_a_fault_is_reported_with_its_position(text, line, column, node, message):
+    with pytest.raises(options.OptionsError) as raised:
         options.parse(text)
-    fault = caught.value.faults[0]
-    assert (fault.line, fault.column, fault.node) == (line, column, node) and said in fault.text
+    fault = raised.value.faults[0]
+    assert (fault.line, fault.column, fault.node) == (line, column, node) and message in fault.text
 
 
-HALLS = """halls {
+ZONES = """halls {
     hall "north" region="campus" { net "10.1.0.0/16"; net "2001:db8::/32"; }
     hall "east" region="campus" weight=2 { net "10.2.0.0/16"; }
     hall "south" region="town"
@@ -62,18 +62,18 @@
 }"""
 
 
-def test_halls_have_nets_regions_and_distances():
-    made = options.parse(HALLS).halls
-    assert [(h.name, h.region, h.weight, [n.cidr for n in h.nets]) for h in made.halls] == [
+def test_zones_have_networks_regions_and_distances():
+    parsed = options.parse(ZONES).halls
+    assert [(h.name, h.region, h.weight, [n.cidr for n in h.nets]) for h in parsed.halls] == [
         ("north", "campus", 1.0, ["10.1.0.0/16", "2001:db8::/32"]),
         ("east", "campus", 2.0, ["10.2.0.0/16"]),
         ("south", "town", 1.0, []),
     ]
-    assert [(d.one, d.other, d.value) for d in made.distances] == [("north", "south", 1.5)]
+    assert [(d.one, d.other, d.value) for d in parsed.distances] == [("north", "south", 1.5)]
 
 
 @pytest.mark.parametrize(
-    ("old", "new", "line", "column", "node", "said"),
+    ("old", "new", "line", "column", "node", "message"),
     [
         (
             "10.2.0.0/16",
@@ -81,43 +81,43 @@
             3,
             44,
             "halls.hall.net",
-            "twice; first for north at line 2, column 36",
+            "twice; first for zone north at line 2, column 36",
         ),
-        ("2001:db8::/32", "10.1.2.0/24", 2, 55, "halls.hall.net", "overlaps 10.1.0.0/16 of the same hall"),
-        ("10.2.0.0/16", "10.2.0.1/16", 3, 44, "halls.hall.net", "10.2.0.0/16 is meant"),
+        ("2001:db8::/32", "10.1.2.0/24", 2, 55, "halls.hall.net", "overlaps 10.1.0.0/16 of the same zone"),
+        ("10.2.0.0/16", "10.2.0.1/16", 3, 44, "halls.hall.net", "10.2.0.0/16 is the network"),
         ('hall "south"', 'hall "east"', 4, 5, "halls.hall", "second time"),
-        ('"north" "south" 1.5', '"north" "west" 1.5', 5, 5, "halls.distance", "there is no hall 'west'"),
+        ('"north" "south" 1.5', '"north" "west" 1.5', 5, 5, "halls.distance", "unknown zone 'west'"),
         ("1.5", "1.5 2", 5, 34, "halls.distance", "takes 3 values"),
         ("weight=2", "weight=0", 3, 40, "halls.hall.weight", "between 0.01 and 100"),
-        ('net "10.2.0.0/16"', "net 3", 3, 48, "halls.hall.net", "must be text"),
+        ('net "10.2.0.0/16"', "net 3", 3, 48, "halls.hall.net", "must be a string"),
         ('"south" 1.5', '"south"', 5, 5, "halls.distance.value", "must be given"),
         ('distance "north"', 'near "north"', 5, 5, "halls.near", "known are distance, hall"),
     ],
 )
-def test_a_fault_of_halls_is_told_with_its_place(old, new, line, column, node, said):
-    assert old in HALLS
-    with pytest.raises(options.OptionsError) as caught:
-        options.parse(HALLS.replace(old, new))
-    fault = caught.value.faults[0]
-    assert (fault.line, fault.column, fault.node) == (line, column, node) and said in fault.text
+def test_a_fault_of_zones_is_reported_with_its_position(old, new, line, column, node, message):
+    assert old in ZONES
+    with pytest.raises(options.OptionsError) as raised:
+        options.parse(ZONES.replace(old, new))
+    fault = raised.value.faults[0]
+    assert (fault.line, fault.column, fault.node) == (line, column, node) and message in fault.text
 
 
-def test_all_faults_are_told_at_once_in_order():
-    with pytest.raises(options.OptionsError) as caught:
+def test_all_faults_are_reported_at_once_in_order():
+    with pytest.raises(options.OptionsError) as raised:
         options.parse("x\nlog level=1\nknowledge {\n every 99\n}")
-    assert [f.line for f in caught.value.faults] == [1, 2, 3, 4]
+    assert [f.line for f in raised.value.faults] == [1, 2, 3, 4]
 
 
 @pytest.mark.parametrize(
-    ("data", "said"),
-    [(b'log level="\xff"', "line 1, column 12: is not UTF-8"), (b"//" + b"x" * (1 << 20), "larger than")],
+    ("data", "message"),
+    [(b'log level="\xff"', "line 1, column 12: invalid UTF-8"), (b"//" + b"x" * (1 << 20), "larger than")],
 )
-def test_a_file_that_is_no_text_is_refused(tmp_path, data, said):
+def test_a_file_that_is_not_text_is_rejected(tmp_path, data, message):
     path = tmp_path / "o.kdl"
     path.write_bytes(data)
-    with pytest.raises(options.OptionsError, match=said):
+    with pytest.raises(options.OptionsError, match=message):
         options.load(str(path))
-    with pytest.raises(options.OptionsError, match="no regular file"):
+    with pytest.raises(options.OptionsError, match="not a regular file"):
         options.load(str(tmp_path))
     with pytest.raises(options.OptionsError, match="No such file"):
         options.load(str(tmp_path / "none"))
