--- a/corkdeal/net/gateway.py
+++ b/corkdeal/net/gateway.py
@@ -1,4 +1,4 @@
-"""Turns socket events into the module's events and carries out its actions on the sockets."""
+"""Turns socket events into events of the decision module and carries out its actions on the sockets."""
 
 from __future__ import annotations
 
@@ -67,23 +67,26 @@
     from .recovery import Recovery
     from .upgrade import Succession
 
-START_WAIT = 0.25  # s that a start waits for discovery's first word before it goes by `known`
-STAY_UP = 0.5  # s after SIGTERM that new connections are taken; they keep coming for 0.4
-LONGEST_MOST, KILL_WAIT = 3.0, 0.7  # s; SIGKILL comes so long after the longest deadline, 3 s at most
-LAST_WORD = 0.15  # s before it by which all has its final answer
-PROBE_TIMEOUT = 0.25  # s
-SWEEP_EVERY = 0.1  # s between looks for connections to retire
-REPORT_EVERY = 10.0  # s between lines of counts
+START_WAIT = 0.25  # s that a start waits for discovery's first endpoint list before it accepts clients
+STAY_UP = 0.5  # s after SIGTERM in which connections are accepted; new ones keep arriving for 0.4 s
+# SIGKILL follows SIGTERM after the longest deadline of the request classes (at most LONGEST_MOST s) plus
+# KILL_WAIT s.
+LONGEST_MOST, KILL_WAIT = 3.0, 0.7
+LAST_WORD = 0.15  # s before SIGKILL by which each open request gets its final answer
+PROBE_TIMEOUT = 0.25  # s for a health check
+SWEEP_EVERY = 0.1  # s between sweeps of expired connections, and between attempts to listen
+REPORT_EVERY = 10.0  # s between log lines with the counters
 FAILED = b"-ERR failed\r\n"
-AT_START = ("discovery", "known", "seed")  # what a reload follows, or what only a start has a use for
+# Not reported as pending after a reload: `discovery` is applied at once, the others matter to a start only.
+AT_START = ("discovery", "known", "seed")
 
 
 class Gateway:
-    """One gateway: the module's decisions between client connections and backend connections."""
+    """One gateway: connects the decision module to client connections, backend connections and peers."""
 
     def __init__(self, reactor: Any, config: Config) -> None:
         self.reactor, self.config, self.settings = reactor, config, config.settings
-        self.epoch = time.time() - time.monotonic()  # wall time at the start; later steps of it don't matter
+        self.epoch = time.time() - time.monotonic()  # wall time at the start; later steps don't matter
         self.decisions = Decisions(self.settings, config.seed)
         self.reader = Reader(self.settings)
         self.client_connections: set[client_connection.ClientConnection] = set()
@@ -105,23 +108,23 @@
         self.peering = Peering(self.settings.gateway_index, config.peers, config.peers_all, self.heard)
         self.watch = self.watch_at(config.discovery, config.known)
         self.report_names = {f: f for f in self.settings.report_fields}
-        self.rpcs: dict[int, RPC] = {}  # taken and not answered
-        self.out: dict[tuple[int, int], Attempt] = {}
-        self.events: list[Event] = []
-        self.busy = False
+        self.rpcs: dict[int, RPC] = {}  # accepted and not yet answered, by request id
+        self.out: dict[tuple[int, int], Attempt] = {}  # in flight, by request id and attempt number
+        self.events: list[Event] = []  # not yet handed to the decisions
+        self.busy = False  # whether `pump` is running
         self.timers = Timers(reactor, self.now, self.due)
         self.port: Any = None
-        self.opening: Any = None  # the next try to listen
+        self.opening: Any = None  # the delayed call that retries listening
         self.begun = self.started = self.draining = self.ending = False
-        self.last_at = math.inf  # by when all has its answer, once it drains
+        self.last_at = math.inf  # while draining: when all must be answered
         self.peer_port: Any = None
-        self.mute = False  # whether another life of this gateway speaks with the peers for good
-        self.recovery: Recovery | None = None  # of what may be relied on after a pause, where that is on
-        self.membership: Membership | None = None  # who of the tier is there, where that is on
-        self.succession: Succession | None = None  # of lives, where the listening socket is handed down
-        self.before_end: list[Any] = []  # whose `stop(done)` is called after the last answer
-        self.reported = ""
-        self.refused = 0
+        self.mute = False  # whether the successor now communicates with the peers
+        self.recovery: Recovery | None = None  # handles starts and stalls, if enabled
+        self.membership: Membership | None = None  # tracks the tier's running gateways, if enabled
+        self.succession: Succession | None = None  # quota handover, with an inherited socket
+        self.before_end: list[Any] = []  # their `stop(done)` is called after the last answer, before exit
+        self.reported = ""  # counters as last logged
+        self.refused = 0  # rejections as last logged
         self.ops_port: Any = None
         overrides = ManualOverrides(config.name) if config.ops else None
         if overrides:
@@ -145,13 +148,13 @@
         }
 
     def now(self) -> float:
-        """The module's clock: wall time at the start plus monotonic time since."""
+        """The clock of the decisions: wall time at the start plus monotonic time since."""
         return self.epoch + time.monotonic()
 
-    # Start and end
+    # Start and shutdown
 
     def start(self) -> None:
-        """Begin with the list last known; clients are let in once discovery has spoken, or soon anyway."""
+        """Start with the configured endpoint list; accept clients after discovery's answer or START_WAIT."""
         self.begun = True
         known = self.config.known
         if self.recovery is not None:
@@ -168,7 +171,7 @@
         self.reactor.callLater(REPORT_EVERY, self.report)
 
     def hear_operators(self) -> None:
-        """Open the operations address, if there is one; while another process has it, clients are served."""
+        """Open the operations address, if configured; while it is in use, retry without delaying clients."""
         if not self.config.ops or self.ending:
             return
         from . import ops
@@ -180,13 +183,13 @@
             self.reactor.callLater(SWEEP_EVERY, self.hear_operators)
 
     def taken(self, what: str, at: tuple[str, int], error: CannotListenError) -> None:
-        """Another process has an address of this one's: told once, and tried again until it is free."""
+        """Count an address that another process uses; it is logged the first time, and callers retry."""
         if not invariants.counts[what]:
             logs.event("listen_failed", at=text_of(at), error=str(error.socketError))
         count(what)
 
     def hear(self) -> None:
-        """Take the peers' datagrams. A process that this one replaces has the port until it ends."""
+        """Listen for the peers' datagrams. During an upgrade, the predecessor has the port until it ends."""
         waits = self.succession is not None and self.succession.waits
         if not self.config.peer_listen or self.mute or waits:
             return
@@ -198,16 +201,16 @@
             self.reactor.callLater(SWEEP_EVERY, self.hear)
 
     def be_silent(self) -> None:
-        """Speak with peers no more: another life of this gateway does."""
+        """Stop communicating with peers for good: the successor does from now on."""
         self.mute = True
         if self.peer_port is not None:
             port, self.peer_port = self.peer_port, None
             port.stopListening()
 
     def open(self) -> None:
-        """Let clients in; from here on PING is answered. A listening socket handed down is taken as it is.
+        """Accept clients; from here on PING is answered. An inherited listening socket is used as it is.
 
-        An address that another process has is tried again until it is free: it may be on its way out.
+        An address in use is retried until it is free, since the process that has it may be shutting down.
         """
         if not self.started and not self.draining:
             clients = client_connection.ClientConnections(self)
@@ -229,27 +232,27 @@
             )
 
     def open_again(self) -> None:
-        """Try once more."""
+        """Retry listening."""
         self.opening = None
         self.open()
 
     def watch_at(self, at: tuple[str, int], held: DiscoverySnapshot | None = None) -> Watch:
-        """A watch of the discovery at that address; without a list held it asks for the whole one."""
+        """Create a watch of the discovery service; without a `held` list it fetches a complete one first."""
         return Watch(self.reactor, at, self.settings, self.told, held, random.Random(self.config.seed))
 
     def watch_again(self) -> None:
-        """Begin the watch anew, with the whole list."""
+        """Restart the watch, beginning with the complete list."""
         self.watch.stop()
         if self.begun:
             self.watch = self.watch_at(self.config.discovery)
             self.watch.run()
-        else:  # the start is yet to come, and begins it
+        else:  # `start` has not been called yet, and will run it
             self.watch = self.watch_at(self.config.discovery, self.config.known)
 
     def reload(self) -> None:
-        """SIGHUP: check the file whole, then move the watch; requests and connections go on."""
+        """Reload the configuration (SIGHUP). If it is valid, restart the watch; requests are not affected."""
         if self.ending:
-            return  # the watch has stopped for good
+            return  # the watch has been stopped for good
         try:
             new = load()
         except ConfigError as error:
@@ -267,7 +270,7 @@
         logs.event("reloaded", discovery=text_of(new.discovery), at_next_start=",".join(late))
 
     def drain(self) -> None:
-        """Planned end: connections are taken for a while, then those of clients close as they fall idle."""
+        """Shut down: accept connections for STAY_UP s, then close client connections as they become idle."""
         if not self.draining:
             self.draining = True
             logs.event("draining", open=len(self.rpcs))
@@ -278,11 +281,11 @@
             self.reactor.callLater(left, self.last_call)
 
     def close(self) -> None:
-        """Take no new connections; what was taken is still answered."""
+        """Stop accepting connections; requests on accepted ones are still answered."""
         if self.succession is not None:
             self.succession.end()
         if self.port:
-            if self.config.inherited is None:  # of a shared socket others accept on
+            if self.config.inherited is None:  # the queue of an inherited socket is left to other processes
                 self.port.accept_queued()
             self.port.stopListening()
         for each in list(self.client_connections):
@@ -290,13 +293,13 @@
         self.client_connection_ended()
 
     def last_call(self) -> None:
-        """Answer all that is open: clients that stayed have asked more, and the process is killed soon."""
+        """Answer all requests that are still open, because the process will be killed soon."""
         for rpc in list(self.rpcs.values()):
             count("unserved_at_last_call")
             self.abandon(rpc)
 
     def abandon(self, rpc: RPC) -> None:
-        """Give an RPC up from this side, in whatever state it is, with its one final answer."""
+        """End an RPC in whatever state it is, with exactly one final answer."""
         rpc.left = True
         self.feed(ClientDisconnected(rpc.request.id))
         if rpc.attempt is None:
@@ -305,7 +308,7 @@
             self.pool.give_up(rpc.attempt, Status.CANCELLED if rpc.attempt.whole else Status.ABANDONED)
 
     def client_connection_ended(self) -> None:
-        """End once draining is done and the last client connection has closed."""
+        """Begin the shutdown's last steps if the gateway is draining and nothing is open any more."""
         if (
             self.draining
             and not (self.ending or self.client_connections or self.rpcs)
@@ -317,26 +320,26 @@
             self.end(self.before_end[:])
 
     def end(self, left: list[Any]) -> None:
-        """Have each of those stop in turn, then end."""
+        """Stop the given subsystems one after another, then the reactor."""
         if left:
             return left.pop().stop(lambda: self.end(left))
         self.report()
         self.reactor.stop()
 
     def sweep_later(self) -> None:
-        """Have the next sweep come."""
+        """Schedule the next sweep."""
         self.reactor.callLater(SWEEP_EVERY, self.sweep, self.now() + SWEEP_EVERY)
 
     def sweep(self, due: float) -> None:
-        """Retire idle connections now and then; see what another life was told by hand."""
+        """Close expired connections, and apply manual overrides that were made at another process."""
         self.lateness.fired(due, self.now(), time.process_time())
-        self.sweep_later()  # first: whatever fails here, the next look comes
+        self.sweep_later()  # first, so that an exception below does not end the sweeps
         self.operators.follow()
         self.pool.sweep()
         self.descriptors.sweep()
 
     def report(self) -> None:
-        """Log the counts where they changed."""
+        """Log the counters and the rejections by cause, if they changed."""
         if (line := invariants.report()) != self.reported:
             self.reported = line
             logs.event("counts", **dict(sorted(invariants.counts.items())))
@@ -348,13 +351,13 @@
     # Events
 
     def feed(self, event: Event) -> None:
-        """Hand an event to the module; what actions cause at once goes into its next call."""
+        """Queue an event and hand it to the decisions; events caused by actions go into the next batch."""
         self.events.append(event)
         if not self.busy:
             self.pump()
 
     def pump(self) -> None:
-        """Call the module until nothing is left to tell it, and carry out what it wants."""
+        """Hand queued events to the decisions and carry out the returned actions until the queue is empty."""
         if self.recovery is not None:
             self.recovery.check_stall(self.now())
         self.busy = True
@@ -363,7 +366,7 @@
                 events, self.events = self.events, []
                 try:
                     actions = self.decisions.handle(self.now(), events)
-                except Exception:  # costs the RPCs of these events only
+                except Exception:  # only the RPCs of these events fail
                     count("module_failed")
                     logs.event("module_failed", events=events, trace=traceback.format_exc())
                     actions = self.decisions.actions + self.orphans(events)
@@ -380,13 +383,13 @@
         self.timers.arm()
 
     def orphans(self, events: list[Event]) -> list[Action]:
-        """Failures for the RPCs that these events were about, as far as none of them was sent just now."""
+        """Failures for the RPCs of these events, except those for which an attempt was just started."""
         sent = {a.id for a in self.decisions.actions if isinstance(a, StartAttempt)}
         ids = {e.id for e in events if isinstance(e, Request | AttemptEnded)} - sent
         return [Fail(i) for i in sorted(ids) if i in self.rpcs and not self.rpcs[i].attempt]
 
     def take(self, rpc: RPC) -> None:
-        """An RPC has come whole; from here on it is owed an answer, at once where its time is over."""
+        """Accept an RPC that was received completely; it is rejected at once if its time is over."""
         self.rpcs[rpc.request.id] = rpc
         if self.draining and rpc.deadline > self.last_at:
             rpc.deadline = self.last_at
@@ -397,14 +400,14 @@
         self.feed(rpc.request)
 
     def turned_down(self, rpc: RPC, after: float) -> bytes:
-        """A command is refused before it has come whole; the answer to give."""
+        """Reject an RPC before it is handed to the decisions; returns the encoded answer."""
         rpc.done = True
         self.reader.open.discard(rpc.id)
         self.tally["busy"] += 1
         return self.rejection(min(after, self.settings.max_retry_after))
 
     def beyond_quota(self, request: Request) -> float | None:
-        """The wait to advise where a command can be refused on its head alone, else None."""
+        """Seconds to wait before a retry if a command can be rejected by its head alone, else None."""
         try:
             return self.decisions.early_rejection(self.now(), request)
         except Exception:
@@ -413,17 +416,17 @@
             return None
 
     def gone(self, rpc: RPC) -> None:
-        """Its client has gone away: what a backend has not got whole is not sent any more."""
+        """The client has disconnected: an attempt that is not written completely is given up."""
         if self.settle(rpc.request.id) is not None:
             self.feed(ClientDisconnected(rpc.request.id))
             if rpc.attempt is not None and not rpc.attempt.whole:
                 self.pool.give_up(rpc.attempt, Status.ABANDONED)
 
     def left(self, rpc: RPC) -> None:
-        """Its client sends no more, as one that has gone: nothing more is begun for it.
+        """The client has closed its sending side, as one that has disconnected: start nothing more for it.
 
-        One that has only ended its sending still reads, so it has its one final answer all the same: an
-        attempt that a backend has goes on and is that answer, else it is refused here.
+        A client that has only half-closed the connection still reads, so it gets its one final answer: an
+        attempt that a backend has received completely goes on and provides it, else the RPC is rejected.
         """
         if rpc.attempt is None or not rpc.attempt.whole:
             return self.abandon(rpc)
@@ -431,7 +434,7 @@
         self.feed(ClientDisconnected(rpc.request.id))
 
     def let_go(self, rpc: RPC) -> None:
-        """An attempt can't begin any more, for its client has left: the RPC ends with it."""
+        """End an RPC whose attempt can't begin any more because the client has left."""
         count("attempt_not_begun")
         if rpc.client_connection.is_reset:
             self.gone(rpc)
@@ -439,11 +442,11 @@
             self.left(rpc)
 
     def may_write(self, attempt: Attempt) -> bool:
-        """Whether an attempt whose connection has come up may begin; one that may not is given up."""
+        """Whether an attempt may be written on its newly opened connection; if not, it is given up."""
         rpc = attempt.rpc
         if rpc is None:
             return True
-        if rpc.done:  # answered meanwhile, and the decisions may not cancel
+        if rpc.done:  # answered meanwhile, and the settings forbid the decisions to cancel attempts
             self.pool.give_up(attempt, Status.ABANDONED)
             return False
         if rpc.client_connection.may_begin(self.now()):
@@ -452,7 +455,7 @@
         return False
 
     def finished(self, attempt: Attempt, reply: Reply) -> None:
-        """An attempt ended; a value is passed on before the module hears of it."""
+        """An attempt ended: send a value to the client, then notify the decisions."""
         if self.recovery is not None:
             self.recovery.check_stall(self.now())
         elapsed, rpc = attempt.first, attempt.rpc
@@ -470,7 +473,7 @@
         if reply.status is Status.OK and not rpc.done:
             self.tally["success"] += 1
             self.answer(rid, [reply.value])
-        elif rpc.left:  # the decisions have let go of it
+        elif rpc.left:  # the decisions have dropped it
             never = rpc.attempts == 1 and reply.status in NEVER_RAN
             self.refuse(Reject(rid, 0.0)) if never else self.fail(Fail(rid))
         if self.decisions.admission_ramp is not None:
@@ -480,9 +483,9 @@
         )
 
     def passing(self, attempt: Attempt, response_stream: ResponseStream) -> bool:
-        """The first bytes of a long answer: it is the final one. Whether somebody waits for it.
+        """A long answer has begun, which makes it final; returns whether the RPC still waits for one.
 
-        The decisions are told the time up to here. What a slow reader adds says nothing of the backend.
+        The decisions get the time until now, because the rest depends on how fast the client reads.
         """
         if (rpc := self.settle(attempt.rpc.request.id)) is None:
             return False
@@ -493,14 +496,14 @@
         return True
 
     def heard(self, peer: int, payload: bytes) -> None:
-        """A peer's datagram; one that came while the process stood still is as good as lost."""
+        """Handle a peer's datagram; one that may have arrived during a stall is dropped as outdated."""
         self.tally["heard"] += 1
         if self.decisions.is_endpoint_list_stale:
             return count("datagram_old")
         self.feed(PeerMessage(peer, payload))
 
     def told(self, result: DiscoverySnapshot) -> None:
-        """Discovery's word."""
+        """Apply an endpoint list or delta from discovery, and accept clients."""
         if self.recovery is not None:
             self.recovery.discovery_answered()
             self.recovery.backends_known(len(result.entries))
@@ -508,28 +511,28 @@
         self.open()
 
     def timer(self, due: float, what: int | Attempt) -> None:
-        """Have a token announced, or an attempt ended, at a time."""
+        """Set a timer that returns a token to the decisions, or ends an attempt, at `due`."""
         self.timers.at(due, what)
         if not self.busy:
             self.timers.arm()
 
     def due(self, tokens: list[int], late: list[Attempt]) -> None:
-        """Timers ran out: the module hears of its own in one call, and attempts end."""
+        """Timers expired: hand the decisions' tokens over in one batch, then time attempts out."""
         self.events += [TimerExpired(token) for token in tokens]
         self.pump()
         for attempt in late:
-            if attempt.first is None:  # an answer that has begun is waited for
+            if attempt.first is None:  # an answer that has begun may take longer
                 self.pool.give_up(attempt, Status.TIMEOUT)
 
     # Actions
 
     def answer(self, rid: int, reply: list[Any]) -> None:
-        """The one final answer; what has one already, or whose client is gone, gets none."""
+        """Send an RPC's one final answer, unless it has one or its client has disconnected."""
         if (rpc := self.settle(rid)) is not None:
             rpc.client_connection.answer(rpc, reply)
 
     def settle(self, rid: int) -> RPC | None:
-        """Take an RPC off the books, for its final answer; None for one that is off them."""
+        """Remove an RPC from the open ones, for its final answer; None if it is not open."""
         if (rpc := self.rpcs.pop(rid, None)) is not None:
             rpc.done = True
             self.reader.open.discard(rpc.id)
@@ -537,7 +540,7 @@
         return rpc
 
     def send(self, a: StartAttempt) -> None:
-        """Start an attempt; it ends with the client's patience at the latest."""
+        """Start an attempt; it ends at the client's deadline at the latest."""
         rpc, now = self.rpcs.get(a.id), self.now()
         if rpc is None or not holds(rpc.attempt is None, "two_attempts_at_once"):
             number = rpc.attempts if rpc else 0
@@ -556,9 +559,10 @@
         self.pool.limit_write(attempt)
 
     def window_end(self, rpc: RPC) -> float:
-        """Until when backends drop a repeat of what may have run; no end where there is none to drop.
+        """End of the deduplication window of an RPC that may have run; infinite if there is none.
 
-        The decisions send nothing after it, but a connection may come up, or take the last byte, later.
+        A retry must be written by then, for the backend would run it again later. The decisions start no
+        attempt after it, but the connection may come up, or accept the last byte, later.
         """
         cls = self.settings.classes[rpc.request.request_class]
         if cls.effect is not Effect.IDEMPOTENCY_KEY or rpc.ran_since is None:
@@ -566,31 +570,31 @@
         return rpc.ran_since + cls.deduplication_window
 
     def refuse(self, a: Reject) -> None:
-        """A rejection, with the time after which to come again where that is allowed."""
+        """Reject a request, with a retry-after time where the settings allow one."""
         self.tally["busy"] += a.id in self.rpcs
         self.answer(a.id, [self.rejection(a.retry_after)])
 
     def rejection(self, after: float) -> bytes:
-        """A rejection as it is written."""
+        """The encoded rejection; `after` is the retry-after time in s."""
         wait = math.ceil(after * 1000) if self.settings.may_send_retry_after else 0
         return b"-BUSY %d\r\n" % wait if wait > 0 else b"-BUSY\r\n"
 
     def fail(self, a: Fail) -> None:
-        """A failure that promises nothing."""
+        """Answer that a request failed; it may or may not have run."""
         self.tally["failure"] += a.id in self.rpcs
         self.answer(a.id, [FAILED])
 
     def cancel(self, a: CancelAttempt) -> None:
-        """Stop waiting for an attempt."""
+        """Cancel an attempt."""
         if (attempt := self.out.get((a.id, a.attempt))) is not None:
             self.pool.give_up(attempt, Status.CANCELLED)
 
     def set_timer(self, a: SetTimer) -> None:
-        """A timer of the module's."""
+        """Set a timer of the decisions."""
         self.timer(self.now() + a.delay, a.token)
 
     def probe(self, a: CheckHealth) -> None:
-        """Ask a backend for its load."""
+        """Send a health check, which asks a backend for its load."""
         now = self.now()
         attempt = Attempt(None, 0, a.backend, now, now + PROBE_TIMEOUT, [command(b"INFO", b"load")])
         self.timer(attempt.until, attempt)
@@ -601,20 +605,20 @@
         self.pool.close_idle(a.backend)
 
     def tell(self, a: SendToPeer) -> None:
-        """A datagram."""
+        """Send a datagram to a peer, or to all of them."""
         self.tally["told"] += 1
         self.peering.tell(a.peer, a.payload)
 
     def write_log(self, a: Log) -> None:
-        """A line for the operators."""
+        """Write a log line of the decisions."""
         logs.event("module_says", text=a.text)
 
     def subscribe(self, a: WatchEndpoints) -> None:
-        """The watch runs always: nothing to do."""
+        """Nothing to do: the watch always runs."""
 
     def fetch_list(self, a: FetchEndpoints) -> None:
-        """The watch holds the newest list there is: nothing to do."""
+        """Nothing to do: the watch holds the latest list."""
 
     def count(self, a: IncrementCounter) -> None:
-        """No counter service is offered to real gateways: nothing was added."""
+        """Report a failed increment: there is no counter service outside the simulator."""
         self.feed(CounterResult(a.name, 0.0, Status.CONNECT_FAILED, 0.0))
