--- a/corkdeal/net/__init__.py
+++ b/corkdeal/net/__init__.py
@@ -1,1 +1,1 @@
-"""The gateway on sockets, round the decisions of `corkdeal.decisions`; nothing is decided here."""
+"""Socket I/O of the gateway. All policy is in `corkdeal.decisions`; this package carries it out."""
--- a/corkdeal/net/__main__.py
+++ b/corkdeal/net/__main__.py
@@ -1,4 +1,4 @@
-"""The gateway's application: configuration, signals and the reactor."""
+"""Entry point of the gateway process: loads the configuration, installs signal handlers, runs the reactor."""
 
 from __future__ import annotations
 
@@ -7,15 +7,15 @@
 import signal
 import sys
 
-GC_EVERY = 5000  # allocations more than frees; requests leave few cycles behind
-OPTIONS = "CORKDEAL_OPTIONS"  # names the operators' file; without it all that it could switch on is off
+GC_EVERY = 5000  # allocations in excess of deallocations; requests create few reference cycles
+OPTIONS = "CORKDEAL_OPTIONS"  # names the options file; without one, all optional subsystems are off
 
 
 def main() -> int:
-    """Serve until a planned end; bad configuration ends it with a line a fault."""
-    gc.disable()  # a start makes next to no garbage; looking for it took up to a fifth of its CPU time
-    early: list[int] = []  # reloads asked for after the file was read, maybe, and before there is a gateway
-    signal.signal(signal.SIGHUP, lambda number, _: early.append(number))  # its default ends the process
+    """Serve until shutdown. If the configuration is invalid, print one line per error and return 2."""
+    gc.disable()  # startup creates almost no garbage, and collections took up to a fifth of its CPU time
+    early: list[int] = []  # SIGHUPs received before the gateway exists
+    signal.signal(signal.SIGHUP, lambda number, _: early.append(number))  # the default ends the process
     from . import config
 
     options, path = None, os.environ.get(OPTIONS, "")
@@ -38,10 +38,10 @@
     for each in (signal.SIGTERM, signal.SIGINT):
         signal.signal(each, lambda *_: reactor.callFromThread(application.gateway.drain))
     signal.signal(signal.SIGHUP, lambda *_: reactor.callFromThread(application.reload))
-    if early:  # looked at last: from the line before on the other handler has them
+    if early:  # the old file may have been read before the signal; the handler above has all later ones
         reactor.callFromThread(application.reload)
     reactor.callWhenRunning(application.start)
-    gc.freeze()  # what is loaded by now stays; later collections need not look at it
+    gc.freeze()  # objects loaded so far are permanent; exclude them from later collections
     gc.set_threshold(GC_EVERY, 10, 50)
     gc.enable()
     reactor.run(installSignalHandlers=False)
--- a/corkdeal/net/application.py
+++ b/corkdeal/net/application.py
@@ -1,4 +1,4 @@
-"""Wires one gateway and the subsystems that the operators' file switches on; what is off is not imported."""
+"""Creates the gateway and the optional subsystems that are enabled; disabled ones are not imported."""
 
 from __future__ import annotations
 
@@ -16,14 +16,14 @@
 
 
 class Application:
-    """The gateway, the file that its subsystems are set by, and their common life."""
+    """Owns the gateway and its optional subsystems: starts them, and reloads configuration and options."""
 
     def __init__(self, reactor: Any, config: Config, options: Options | None, options_path: str) -> None:
         self.reactor, self.config, self.options_path = reactor, config, options_path
         self.options = options
         self.gateway = Gateway(reactor, config)
         self.snapshot_writer: SnapshotWriter | None = None
-        if options and options.recovery:  # before the store is read: neighbours are asked as well
+        if options and options.recovery:  # before the load: restored accounts also ask ring neighbours
             from .recovery import Recovery
 
             self.gateway.recovery = Recovery(reactor, self.gateway)
@@ -35,7 +35,7 @@
             self.make_snapshot_writer(options).load()
 
     def start(self) -> None:
-        """Begin to serve; knowledge is in force by now."""
+        """Start the subsystems and the gateway; persisted state has been restored by now."""
         if self.gateway.recovery is not None:
             self.gateway.recovery.start()
         if self.gateway.membership is not None:
@@ -52,7 +52,7 @@
             self.snapshot_writer.start()
 
     def succeed(self) -> None:
-        """Begin beside the process before this one, if there is one, with what it gives."""
+        """Start as the successor of a running process, if there is one, with the quota it hands over."""
         from .upgrade import Succession
 
         try:
@@ -65,7 +65,7 @@
             self.gateway.start()
 
     def make_snapshot_writer(self, options: Options) -> SnapshotWriter:
-        """Make the writer of snapshots."""
+        """Create the snapshot writer and have it stopped at shutdown."""
         from ..persistence.snapshot_writer import SnapshotWriter
 
         self.snapshot_writer = SnapshotWriter(self.reactor, self.gateway, options.knowledge, counts)
@@ -73,7 +73,7 @@
         return self.snapshot_writer
 
     def reload(self) -> None:
-        """SIGHUP: the configuration and the operators' file, each whole or not at all."""
+        """Reload the configuration and the options file (SIGHUP); each is applied as a whole or rejected."""
         self.gateway.reload()
         if not self.options_path:
             return
@@ -93,7 +93,7 @@
         logs.event("options_reloaded", changed=",".join(changed))
 
     def reload_knowledge(self, options: Options) -> None:
-        """Switch keeping on or off, or change how."""
+        """Enable, disable or reconfigure the snapshot writer."""
         if self.snapshot_writer and options.knowledge:
             self.snapshot_writer.reload(options.knowledge)
         elif self.snapshot_writer:
@@ -105,7 +105,7 @@
 
 
 def log_to(options: Options | None, name: str) -> None:
-    """Have lines written as the operators' file says; without it by Twisted's text observer."""
+    """Configure logging from the options file; without a `log` node, use Twisted's text observer."""
     from twisted.logger import (
         FilteringLogObserver,
         LogLevel,
