--- a/corkdeal/net/figures.py
+++ b/corkdeal/net/figures.py
@@ -1,6 +1,6 @@
-"""One gateway's running totals as a line of its log, now and then; made only where the operators' file asks.
+"""Logs one gateway's metrics at a fixed interval; created only if the options file enables it.
 
-All figures count from the process's start, so a line lost costs nothing and a restart shows as a step back.
+All counters start at 0 with the process, so a lost line loses no counts, and a restart shows as a decrease.
 """
 
 from __future__ import annotations
@@ -12,18 +12,18 @@
 
 
 class Figures:
-    """Writes the line `figures` every so many seconds."""
+    """Writes the log event `figures` every `every` seconds."""
 
     def __init__(self, reactor: Any, gateway: Any, every: float) -> None:
         self.reactor, self.gateway, self.every = reactor, gateway, every
 
     def start(self) -> None:
-        """Write one now, and go on."""
+        """Write one line now and schedule the next one."""
         logs.event("figures", **self.totals())
         self.reactor.callLater(self.every, self.start)
 
     def totals(self) -> dict[str, Any]:
-        """What has been done and met so far, and how things stand now."""
+        """Counters since the start, and gauges (`now_...`) with their present values."""
         g, d = self.gateway, self.gateway.decisions
         tally = {k: g.tally[k] for k in ("success", "busy", "failure", "backend_calls", "told", "heard")}
         members = d.membership.metrics() if d.membership is not None else {}
--- a/corkdeal/net/invariants.py
+++ b/corkdeal/net/invariants.py
@@ -1,19 +1,19 @@
-"""What must hold: asserted in debug builds, counted in release builds (python -O)."""
+"""Invariants, asserted in debug builds and counted in release builds (python -O); counters of anomalies."""
 
 from __future__ import annotations
 
 from collections import Counter
 
-counts: Counter[str] = Counter()  # invariants broken and oddities met, by name
+counts: Counter[str] = Counter()  # broken invariants and anomalies, by name
 
 
 def count(what: str) -> None:
-    """Count something odd that the other side may cause; it is no fault of this program."""
+    """Count an anomaly, most often caused by the other side; unlike a broken invariant it is never raised."""
     counts[what] += 1
 
 
 def holds(truth: object, what: str) -> bool:
-    """Whether an invariant holds: a debug build stops at a broken one, a release build counts it."""
+    """Check an invariant; if it is broken, a debug build raises and a release build counts it."""
     if __debug__:
         assert truth, what
     elif not truth:
@@ -22,5 +22,5 @@
 
 
 def report() -> str:
-    """The counts as one line for the log."""
+    """The counters as one line of text."""
     return " ".join(f"{name}={n}" for name, n in sorted(counts.items()))
--- a/corkdeal/net/loop_lateness.py
+++ b/corkdeal/net/loop_lateness.py
@@ -1,23 +1,25 @@
-"""How late the process's loop runs: by how much a timer that is set again and again fires after its time."""
+"""How late the event loop runs: the delay with which a periodic timer fires."""
 
 from __future__ import annotations
 
-KEPT = 10.0  # s that the greatest lateness is kept at the least, and twice as long at the most
-OVERLOAD = 0.1  # s; a loop that is so late twice in a row has more to do than it gets done
-OWN_PART = 0.3  # of the time between; a process that used less of it waited for others, and work is not why
+KEPT = 10.0  # s for which the greatest lateness is reported at least; it is reported twice as long at most
+OVERLOAD = 0.1  # s; a loop that is this late twice in a row can't keep up with its work
+# CPU time as a fraction of the time between two firings; a process that used less had to wait for the CPU, so
+# its own work isn't the cause.
+OWN_PART = 0.3
 
 
 class LoopLateness:
-    """The lateness of the loop in the last seconds; times are in s, of any clock that goes evenly."""
+    """The lateness of the loop in the last seconds; times are in s, of any steady clock."""
 
     def __init__(self) -> None:
         self.fired_at = self.cpu_time = 0.0
-        self.late_by_work = 0  # how many times in a row the timer was late by the process's own work
+        self.late_by_work = 0  # consecutive firings that were late because of the process's own work
         self.period_began = 0.0
-        self.most_now = self.most_before = 0.0  # in this period of `KEPT`, and in the one before it
+        self.most_now = self.most_before = 0.0  # greatest lateness in this period of `KEPT` s and the last
 
     def fired(self, due: float, now: float, cpu_time: float) -> None:
-        """The timer that was due then has fired now; `cpu_time` is what the process has used so far."""
+        """Record that the timer due at `due` fired at `now`; `cpu_time` is the process's CPU time so far."""
         late = max(0.0, now - due)
         is_own = cpu_time - self.cpu_time >= OWN_PART * (now - self.fired_at)
         self.late_by_work = self.late_by_work + 1 if late >= OVERLOAD and is_own else 0
@@ -30,10 +32,10 @@
 
     @property
     def most(self) -> float:
-        """The greatest lateness of the last `KEPT` to twice `KEPT`."""
+        """The greatest lateness in the last `KEPT` to 2 * `KEPT` seconds."""
         return max(self.most_now, self.most_before)
 
     @property
     def is_overloaded(self) -> bool:
-        """Whether the loop runs late by its own work. Once may be what came together during a pause."""
+        """Whether the loop can't keep up. One late firing may be due to events that piled up in a stall."""
         return self.late_by_work >= 2
--- a/corkdeal/net/timers.py
+++ b/corkdeal/net/timers.py
@@ -1,7 +1,7 @@
-"""The gateway's timers: one heap and one call of the reactor's for all of them.
+"""The gateway's timers: one heap, with one delayed call of the reactor for all of them.
 
-What is due together is told together, so the decisions hear of it in one call. An attempt that is over needs
-no timer any more and is passed over.
+Timers that are due together expire together, so that the decisions handle them in one batch. An attempt that
+has ended needs no timer any more and is skipped.
 """
 
 from __future__ import annotations
@@ -13,13 +13,13 @@
 
 from .backend_connection import Attempt
 
-LATE_LEAST = 0.01  # s by which a turn has to be late to be told of; less would cost one more turn each time
+LATE_LEAST = 0.01  # s; a smaller lateness isn't reported, since each report costs a reactor iteration
 
 
 class Timers:
-    """Tokens and attempts by when they are due, in s of the gateway's clock; `due` hears of both.
+    """Tokens and attempts, ordered by when they are due on the gateway's clock; `due` is called with both.
 
-    `late` tells for the rest of a turn of the reactor by how many s its timers, and so the turn, came late.
+    Until the end of a reactor iteration, `late` is by how many s its timers, and so all of it, ran late.
     """
 
     def __init__(
@@ -33,12 +33,12 @@
         self.late = 0.0
 
     def at(self, due: float, what: int | Attempt) -> None:
-        """Have a token announced, or an attempt ended, at a time; `arm` has to follow."""
+        """Add a timer that returns a token or ends an attempt at `due`; `arm` must be called afterwards."""
         self.number += 1
         heapq.heappush(self.heap, (due, self.number, what))
 
     def arm(self) -> None:
-        """Wake for the earliest timer; attempts that are over need none."""
+        """Schedule the delayed call for the earliest timer; drop timers of attempts that have ended."""
         heap = self.heap
         while heap and type(heap[0][2]) is Attempt and heap[0][2].over:
             heapq.heappop(heap)
@@ -49,7 +49,7 @@
             self.wake = self.reactor.callLater(max(0.0, self.wake_at - self.now()), self.ring)
 
     def ring(self) -> None:
-        """Tell all that is due, at once."""
+        """Expire all timers that are due, in one batch."""
         now = self.now()
         if (late := now - self.wake_at) > LATE_LEAST:
             self.late = late
@@ -64,5 +64,5 @@
         self.arm()
 
     def turn_over(self) -> None:
-        """The next turn has begun, after the sockets that were ready in the last one."""
+        """Reset the lateness: the late iteration and its socket events are over, and the next has begun."""
         self.late = 0.0
