--- a/corkdeal/net/config.py
+++ b/corkdeal/net/config.py
@@ -1,4 +1,4 @@
-"""The one place where configuration is read, checked and given defaults."""
+"""The gateway's configuration; only this module reads it, checks it and sets defaults."""
 
 from __future__ import annotations
 
@@ -18,12 +18,12 @@
 
 
 class ConfigError(ValueError):
-    """Configuration that can't be used; the text names the key."""
+    """The configuration is invalid; the message names the key."""
 
 
 @dataclass(slots=True, frozen=True)
 class Config:
-    """All that one gateway is told at its start."""
+    """The configuration of one gateway."""
 
     name: str
     listen: Address
@@ -35,13 +35,13 @@
     peers_all: Address | None = None
     known: DiscoverySnapshot | None = None
     sockets: int = 1024
-    memory: int = 192 << 20  # bytes that the process may take
-    ops: Address | None = None  # the operators' HTTP address; without it there is none
-    inherited: int | None = None  # a listening socket for clients, handed down by whoever started this one
+    memory: int = 192 << 20  # bytes; memory limit of the process
+    ops: Address | None = None  # of the HTTP server for operators; None disables it
+    inherited: int | None = None  # descriptor of a listening socket for clients, from the parent process
 
 
 def address(raw: object, key: str) -> Address:
-    """An IPv4 host and port; there are no names to look up."""
+    """Parse an IPv4 address with a port; host names are rejected."""
     host, _, port = raw.rpartition(":") if isinstance(raw, str) else ("", "", "")
     parts = host.split(".")
     if (
@@ -55,12 +55,12 @@
 
 
 def text_of(at: Address) -> str:
-    """An address as text."""
+    """Format an address as host:port."""
     return f"{at[0]}:{at[1]}"
 
 
 def flatten(value: Any, path: str, into: dict[str, str]) -> None:
-    """Nested settings as text by path, the form of the simulator's first message."""
+    """Flatten nested settings into text by dotted path, as in the simulator's first message."""
     if isinstance(value, dict):
         for key, inner in value.items():
             flatten(inner, f"{path}.{key}" if path else key, into)
@@ -75,9 +75,9 @@
 
 
 def settings_of(raw: object) -> Settings:
-    """The module's settings from their JSON form."""
+    """Parse the settings of the decisions from their JSON form."""
     if not isinstance(raw, dict):
-        raise ConfigError("settings must be an object")
+        raise ConfigError("settings must be a JSON object")
     pairs: dict[str, str] = {}
     flatten(raw, "", pairs)
     try:
@@ -90,44 +90,44 @@
 
 
 def seed_of(raw: object) -> int:
-    """The seed: hexadecimal text."""
+    """Parse the seed, given as hexadecimal digits."""
     try:
         return int(raw, 16)  # type: ignore[call-overload]
     except (TypeError, ValueError):
-        raise ConfigError(f"seed must be hexadecimal text, not {raw!r:.60}") from None
+        raise ConfigError(f"seed must be a string of hexadecimal digits, not {raw!r:.60}") from None
 
 
 def inherited_of(raw: object) -> int | None:
-    """The descriptor of an inherited listening socket, from RELAY_INHERITED_FD; empty is none."""
+    """Parse RELAY_INHERITED_FD, the descriptor of an inherited listening socket; None if unset or empty."""
     if raw in (None, ""):
         return None
     if not isinstance(raw, str) or not raw.isdecimal() or not 0 <= int(raw) < 1 << 20:
-        raise ConfigError(f"RELAY_INHERITED_FD must be a descriptor's number, not {raw!r:.60}")
+        raise ConfigError(f"RELAY_INHERITED_FD must be a file descriptor number, not {raw!r:.60}")
     return int(raw)
 
 
 def read(data: bytes, env: Mapping[str, str] = os.environ) -> Config:
-    """Check a configuration; what it leaves out comes from the environment or a default."""
+    """Parse and check a configuration; missing keys come from the environment or have defaults."""
     try:
         raw = orjson.loads(data)
     except orjson.JSONDecodeError as error:
-        raise ConfigError(f"configuration is not JSON: {error}") from None
+        raise ConfigError(f"configuration is not valid JSON: {error}") from None
     if not isinstance(raw, dict):
-        raise ConfigError("configuration must be an object")
+        raise ConfigError("configuration must be a JSON object")
     limits, peers = raw.get("limits", {}), raw.get("peers", [])
     if not isinstance(limits, dict):
-        raise ConfigError("limits must be an object")
+        raise ConfigError("limits must be a JSON object")
     sockets = limits.get("sockets", 1024)
     if type(sockets) is not int or sockets < 32:
-        raise ConfigError(f"limits.sockets must be a whole number of 32 or more, not {sockets!r:.60}")
+        raise ConfigError(f"limits.sockets must be an integer of at least 32, not {sockets!r:.60}")
     memory = limits.get("memory_mb", 192)
     if type(memory) not in (int, float) or not 16 <= memory <= 1 << 20:
         raise ConfigError(f"limits.memory_mb must be a number from 16 to 1048576, not {memory!r:.60}")
     if not isinstance(peers, list):
-        raise ConfigError("peers must be a list")
+        raise ConfigError("peers must be a JSON array")
     settings = settings_of(raw.get("settings"))
     if peers and len(peers) != settings.gateway_count:
-        raise ConfigError(f"peers must name all {settings.gateway_count} gateways, not {len(peers)}")
+        raise ConfigError(f"peers must list all {settings.gateway_count} gateways, not {len(peers)}")
     try:
         known = None if raw.get("known") is None else parse_list(raw["known"], settings)
     except ListError as error:
@@ -150,7 +150,7 @@
 
 
 def load(env: Mapping[str, str] = os.environ) -> Config:
-    """Read the file that RELAY_CONFIG names."""
+    """Load the configuration file named by RELAY_CONFIG."""
     path = env.get("RELAY_CONFIG")
     if not path:
         raise ConfigError("RELAY_CONFIG is not set")
