--- a/corkdeal/net/operators.py
+++ b/corkdeal/net/operators.py
@@ -1,6 +1,6 @@
-"""What operators ask of a gateway and tell it: state, figures, standby, backends out by hand.
+"""Operators' control of a gateway: its state and metrics, standby, and backends held out by an operator.
 
-`ops.py` speaks HTTP for it; nothing here waits for anything.
+`ops.py` offers it over HTTP. Nothing here blocks or waits.
 """
 
 from __future__ import annotations
@@ -13,20 +13,20 @@
 
 
 class Operators:
-    """The operators' word on one gateway, and the figures they read."""
+    """Operators' commands to one gateway, and the metrics that they read."""
 
     def __init__(self, gateway: Any, backends: Backends) -> None:
         self.gateway, self.backends, self.overrides = gateway, backends, backends.overrides
-        self.standby = False  # PING turns and client connections close as they fall idle
-        self.tally: Counter[str] = Counter()  # answers by kind, attempts and reloads
+        self.standby = False  # if set, PING gets an error, and client connections close as they become idle
+        self.tally: Counter[str] = Counter()  # answers by kind, attempts, reloads and peer messages
 
     @property
     def ready(self) -> bool:
-        """Whether this process wants new clients: it serves, and neither drains nor stands by."""
+        """Whether new clients should come here: it is serving, and neither draining nor on standby."""
         return self.gateway.started and not (self.gateway.draining or self.standby)
 
     def state(self) -> str:
-        """In a word."""
+        """The gateway's state as one word."""
         return (
             "ending"
             if self.gateway.draining
@@ -38,7 +38,7 @@
         )
 
     def figures(self) -> dict[str, int]:
-        """Answers by kind since the start, and the backends as listed now."""
+        """Metrics: counters since the start, and gauges of open requests, backends and loop lateness."""
         listed, down = self.backends.counts()
         tally = {k: self.tally[k] for k in ("success", "busy", "failure", "backend_calls")}
         return {
@@ -52,7 +52,7 @@
         }
 
     def stand_by(self) -> bool:
-        """Drain without ending: PING says no, idle clients' connections close. Whether that is news."""
+        """Enter standby: PING fails, and idle client connections close. Returns whether it is a change."""
         if self.standby:
             return False
         self.standby = True
@@ -64,7 +64,7 @@
         return True
 
     def stand_up(self) -> bool:
-        """End a standby; new client connections stay open again. Whether that is news."""
+        """End standby; new client connections stay open again. Returns whether it is a change."""
         if not self.standby:
             return False
         self.standby = False
@@ -72,24 +72,30 @@
         return True
 
     def follow(self) -> None:
-        """Take on what operators told another life of this gateway, while both serve."""
+        """Apply overrides made at the predecessor or successor, while both processes are running."""
         for server in sorted(self.overrides.follow()) if self.overrides is not None else ():
             logs.event("held_elsewhere", server=server, out=server in self.overrides.out)
             self.backends.retell(server)
 
     def hold_out(self, server: str) -> bool | None:
-        """Send that backend nothing new, whatever the list says; None for an id that nobody has."""
+        """Hold a backend out, whatever its state in the endpoint list.
+
+        Returns whether it is a change; None for an unknown id.
+        """
         assert self.overrides is not None
         if not self.backends.known(server):
             return None
-        self.follow()  # so that what is written holds all that was told
+        self.follow()  # first, so that the file written next keeps overrides made at another process
         new = self.overrides.enter(server)
         logs.event("held_out", server=server, new=new)
         self.backends.retell(server)
         return new
 
     def let_back(self, server: str) -> bool | None:
-        """Take that backend back, as one just started; None for an id that nobody has."""
+        """Return a backend to service as one that has just started.
+
+        Returns whether it was held out; None for an unknown id.
+        """
         assert self.overrides is not None
         if not self.backends.known(server):
             return None
--- a/corkdeal/net/ops.py
+++ b/corkdeal/net/ops.py
@@ -1,18 +1,19 @@
-"""The operations address: HTTP/1.1 for operators, on Twisted's web server, one call a connection.
-
-Every call is answered in the turn of the reactor in which it came whole: nothing here waits for a backend,
-discovery or a peer, so an answer is as late as the reactor is busy and no later. A caller that sends
-nothing, or half a call, holds one descriptor until `IDLE` and delays nobody. Yes is 200, no is 4xx or 5xx;
-bodies are JSON.
-
-    GET /status                     200 while ready to serve, 503 before that, on standby or while ending
-    GET /status/metrics             the figures below, as one JSON object
-    PUT /maintenance/enter/ID       hold backend ID out (404 for an id that no list names and none holds out)
-    PUT /maintenance/exit/ID        let it back, as a cold backend (404 where it was not held out)
-    PUT /standby                    drain: PING turns, client connections close as they fall idle
-    PUT /active                     end the drain; without a restart
-
-Unknown paths get 404, a known path with the wrong method 405; what is no HTTP gets Twisted's 400. None of
+"""The operations address: an HTTP/1.1 server for operators, on Twisted's web server.
+
+Each connection carries one request. It is answered in the reactor iteration in which it was received
+completely, because no handler waits for a backend, discovery or a peer; only a busy reactor delays an answer.
+A caller that sends nothing, or part of a request, holds one descriptor for at most `IDLE` s and delays no
+other. Success is 200, failure 4xx or 5xx; bodies are JSON.
+
+    GET /status                     200 while ready to serve; 503 before, on standby and during shutdown
+    GET /status/metrics             the gateway's metrics, as one JSON object
+    PUT /maintenance/enter/ID       hold backend ID out (404 for an id neither listed nor held out)
+    PUT /maintenance/exit/ID        return it to service as a cold backend (404 for an id neither listed nor
+                                    held out)
+    PUT /standby                    drain: PING gets an error, client connections close as they become idle
+    PUT /active                     end the drain without a restart
+
+Unknown paths get 404, a known path with the wrong method 405; malformed HTTP gets Twisted's 400. None of
 these changes anything.
 """
 
@@ -30,15 +31,15 @@
 from .config import text_of
 from .invariants import count
 
-IDLE = 5.0  # s that a connection may stay without a whole call; callers are known to stay 4 s
-CALLERS_MOST = 8  # connections at a time; their descriptors come out of what is kept for the process itself
-PREFIX = "app_"  # of the figures' names
+IDLE = 5.0  # s that a connection may stay open without a complete request; callers are known to take 4 s
+CALLERS_MOST = 8  # concurrent connections; they use descriptors reserved for the process itself
+PREFIX = "app_"  # of the metrics' names
 PUT_CALLS = ("standby", "active")
 HOLD_CALLS = ("enter", "exit")
 
 
 def reply(request: Any, code: int, body: dict[str, Any]) -> bytes:
-    """A JSON answer; the connection ends after it."""
+    """Set status and headers of a JSON response, and return its body; the connection closes after it."""
     request.setResponseCode(code)
     request.setHeader(b"content-type", b"application/json")
     request.setHeader(b"connection", b"close")
@@ -46,7 +47,7 @@
 
 
 class Calls(resource.Resource):
-    """The six calls, on one gateway."""
+    """The HTTP resource with the six operations on one gateway."""
 
     isLeaf = True
 
@@ -55,19 +56,19 @@
         self.operators = operators
 
     def path(self, request: Any) -> list[str]:
-        """The path's parts, decoded; an empty part at the end is no part."""
+        """The decoded segments of the path, without an empty last one."""
         parts = [urllib.parse.unquote(p.decode("latin-1")) for p in request.postpath]
         return parts[:-1] if parts and not parts[-1] else parts
 
     def render(self, request: Any) -> bytes:
-        """Methods other than these three are a no of the caller's, 405, not Twisted's 501."""
+        """Answer other methods than these three with 405; Twisted would answer 501."""
         if request.method not in (b"GET", b"HEAD", b"PUT"):
             request.setHeader(b"allow", b"GET, HEAD, PUT")
             return reply(request, 405, {"word": "NO", "error": "method not allowed"})
         return super().render(request)
 
     def render_GET(self, request: Any) -> bytes:
-        """Status and figures."""
+        """Answer requests for status and metrics."""
         parts = self.path(request)
         if parts == ["status"]:
             ready = self.operators.ready
@@ -81,7 +82,7 @@
         return self.not_here(request, parts, "GET")
 
     def render_PUT(self, request: Any) -> bytes:
-        """Maintenance, standby and active."""
+        """Carry out maintenance, standby and active."""
         parts, word = self.path(request), self.operators
         if len(parts) == 3 and parts[0] == "maintenance" and parts[1] in HOLD_CALLS and parts[2]:
             done = word.hold_out(parts[2]) if parts[1] == "enter" else word.let_back(parts[2])
@@ -94,11 +95,11 @@
         return self.not_here(request, parts, "PUT")
 
     def render_HEAD(self, request: Any) -> bytes:
-        """As GET, without the body; Twisted leaves the body out."""
+        """Answer as for GET; Twisted omits the body."""
         return self.render_GET(request)
 
     def not_here(self, request: Any, parts: list[str], method: str) -> bytes:
-        """405 for a path that the other method knows, else 404."""
+        """Answer 405 for a path that exists for another method, else 404."""
         gets = parts in (["status"], ["status", "metrics"])
         puts = (len(parts) == 1 and parts[0] in PUT_CALLS) or (
             len(parts) == 3 and parts[0] == "maintenance" and parts[1] in HOLD_CALLS
@@ -110,24 +111,25 @@
 
 
 class Site(server.Site):
-    """Twisted's site, quiet, with a short patience for callers that don't finish."""
+    """Twisted's site without its own log lines."""
 
     noisy = False
 
     def log(self, request: Any) -> None:
-        """No access log: calls are few and the gateway's own log says what they changed."""
+        """Write no access log: requests are few, and the gateway logs what they change."""
 
 
 class FewCallers(WrappingFactory):
-    """Takes so many callers at a time; beyond that the one goes that has been connected for longest.
+    """Limits the number of concurrent connections by closing the oldest one for a new one.
 
-    An answer is written in the turn in which its call came, so that one has hardly made a whole call.
+    An answer is written in the reactor iteration in which its request was received, so the oldest connection
+    hardly ever has a complete request.
     """
 
     noisy = False
 
     def buildProtocol(self, addr: Any) -> Any:
-        """Take a caller; Twisted's own `protocols` holds those that are connected, the oldest first."""
+        """Accept a connection; Twisted's own `protocols` holds the open ones, the oldest first."""
         if len(self.protocols) >= CALLERS_MOST:
             count("ops_caller_closed_for_another")
             next(iter(self.protocols)).transport.connectionLost(Failure(ConnectionAborted()))
@@ -135,7 +137,7 @@
 
 
 def listen(reactor: Any, at: tuple[str, int], operators: Any) -> Any:
-    """Open the operations address, on this address only."""
+    """Listen on the operations address, and on no other interface."""
     from .. import logs
 
     port = reactor.listenTCP(at[1], FewCallers(Site(Calls(operators), timeout=IDLE)), interface=at[0])
