--- a/corkdeal/net/backends.py
+++ b/corkdeal/net/backends.py
@@ -1,6 +1,7 @@
-"""The backends as discovery lists them, under the operators' word: what the decisions and the pool are told.
+"""The endpoint list with the operators' overrides applied, as given to the decisions and the pool.
 
-A backend held out by hand is told as draining, whatever the list says, and one let back as just started.
+A backend held out by an operator is reported as draining, whatever the list says, and one returned to service
+as just started.
 """
 
 from __future__ import annotations
@@ -14,10 +15,10 @@
 
 
 class Backends:
-    """The discovery snapshot as it stands.
+    """The current endpoint list.
 
-    `lead` puts an event into the decisions' next batch, and `pump` has that batch taken. The list is told
-    before the pool ends anything, so it leads its batch, and nothing is sent again to what drains.
+    `lead` adds an event to the decisions' next batch, and `pump` hands that batch to them. An update is added
+    before the pool ends any attempt, so it comes first in its batch and no retry goes to a draining backend.
     """
 
     def __init__(
@@ -33,7 +34,7 @@
         self.revision = 0
 
     def take(self, result: DiscoverySnapshot, kind: UpdateKind) -> None:
-        """Follow a discovery snapshot."""
+        """Apply an endpoint list or delta from discovery."""
         if kind is not UpdateKind.DELTA:
             self.listed, self.at = {}, {}
         for entry in result.entries:
@@ -54,7 +55,7 @@
         self.pump()
 
     def retell(self, server: str) -> None:
-        """Tell one listed backend anew, under the operators' word."""
+        """Report one listed backend again after its override changed."""
         if server not in self.listed or self.overrides is None:
             return
         entry = self.overrides.entry(self.listed[server])
@@ -63,11 +64,11 @@
         self.pump()
 
     def known(self, server: str) -> bool:
-        """Whether there is a backend of that id: the list names it, or it is held out."""
+        """Whether the id is known: it is in the endpoint list, or held out."""
         return server in self.listed or (self.overrides is not None and server in self.overrides.out)
 
     def counts(self) -> tuple[int, int]:
-        """How many are listed, and how many of them are not ready or held out by hand."""
+        """How many backends are listed, and how many of those are not ready or held out by an operator."""
         held = self.overrides.out if self.overrides else set()
         down = sum(1 for e in self.listed.values() if e.state is not EndpointState.READY or e.backend in held)
         return len(self.listed), down
--- a/corkdeal/net/rpc.py
+++ b/corkdeal/net/rpc.py
@@ -1,4 +1,4 @@
-"""An RPC: how a command becomes the module's request, and how it is written out again to a backend."""
+"""RPCs: parsing a client's command into a request for the decisions, and encoding it for a backend."""
 
 from __future__ import annotations
 
@@ -12,13 +12,13 @@
 
 MOST_CUSTOMER = 1 << 33
 READ, WRITE = b"API.READ", b"API.WRITE"
-CUSTOMER, ID, PARAMS = 2, 3, 4  # items of the frame; the array's head is 0 and the command's name 1
-CLIENT_WAY = 0.001  # s that a request has been on its way when it arrives, as far as one can guess
-# Python's own int() and float() also take signs, blanks and underscores, which a backend need not read alike.
+CUSTOMER, ID, PARAMS = 2, 3, 4  # indexes into the frame's items; 0 is the array's head, 1 the command's name
+CLIENT_WAY = 0.001  # s; estimated time that a request spent on its way from the client
+# int() and float() also accept signs, blanks and underscores, which a backend may read differently.
 HEX = re.compile(rb"[0-9a-fA-F]{16}").fullmatch
 WHOLE = re.compile(rb"[0-9]{1,7}").fullmatch
 DECIMAL = re.compile(rb"[0-9]{1,6}(?:\.[0-9]{1,6})?").fullmatch
-KEY = re.compile(rb"[!-+\--<>-~]{1,64}").fullmatch  # visible, and neither a comma nor an equals sign
+KEY = re.compile(rb"[!-+\--<>-~]{1,64}").fullmatch  # printable ASCII without blank, comma and equals sign
 FLAG = re.compile(rb"[01]").fullmatch
 FORMS = {
     b"c": None,
@@ -34,31 +34,31 @@
 
 
 class BadRequest(ValueError):
-    """A command that can't be served; the text goes to the client."""
+    """The command can't be served; the message is sent to the client."""
 
 
 @dataclass(slots=True, eq=False)
 class RPC:
-    """One request taken, until its final answer is on its way."""
+    """One accepted request, until its final answer is being sent."""
 
     request: Request
-    id: int  # the client's, which no other open RPC may have
+    id: int  # chosen by the client; unique among the open RPCs
     frame: Frame
-    wait_at: int  # offsets of the value of `d` in the parameters
+    wait_at: int  # start and end of the value of `d` in the parameters
     wait_stop: int
     deadline: float
     client_connection: Any = None
-    attempt: Any = None  # the attempt that is out
-    attempts: int = 0
+    attempt: Any = None  # the attempt in flight
+    attempts: int = 0  # started so far
     ran_since: float | None = None  # when the first attempt that may have run was decided on
-    done: bool = False  # answered, or nobody waits for it
-    left: bool = False  # its client sends no more, so nothing more is begun for it
-    reply: list[Any] | None = None  # the answer, or what has come of it, while it waits for those before it
-    response_stream: Any = None  # what passes on an answer with a long value
-    body: Any = None  # the command's own long value
+    done: bool = False  # answered, or no answer is wanted
+    left: bool = False  # its client sends no more, so no further attempt is started
+    reply: list[Any] | None = None  # the answer, or the part received so far, until it may be sent
+    response_stream: Any = None  # forwards an answer with a long value
+    body: Any = None  # the command's long value, if it has one
 
     def parts(self, wait: float) -> list[bytes | memoryview]:
-        """The command for a backend connection: all as it came, but `d` says how long this gateway waits."""
+        """The command for a backend: unchanged, except that `d` is how long this gateway waits (`wait` s)."""
         buf, params = memoryview(self.frame.buf), self.frame.items[PARAMS]
         first, last = self.frame.items[0], self.frame.items[-1]
         left = buf[params.start : params.start + self.wait_at]
@@ -70,27 +70,28 @@
         return [*head, buf[params.stop : last.end]]
 
     def release(self) -> None:
-        """Let go of a long value once it can't be sent again."""
+        """Free the command's long value once no attempt can need it any more."""
         if self.body is not None and self.done and self.attempt is None:
             self.body.drop()
 
 
 class Reader:
-    """Reads commands into RPCs by the names that the settings give classes and plans."""
+    """Parses commands into RPCs, with the names of classes and plans from the settings."""
 
     def __init__(self, settings: Settings) -> None:
         self.settings = settings
         self.classes = {c.name.encode(): i for i, c in enumerate(settings.classes)}
         self.plans = {p.name.encode(): i for i, p in enumerate(settings.plans)}
-        self.number = 0
-        self.open: set[int] = set()  # the ids of RPCs without an answer
+        self.number = 0  # RPCs so far; each gets the next number as its request id
+        self.open: set[int] = set()  # clients' ids of the unanswered RPCs
 
     def read(self, frame: Frame, now: float, waited: float = 0.0) -> RPC:
-        """One API command that has come whole; its wait counts from its last byte, as a request's time does.
+        """Parse one complete API command; its timeout counts from the arrival of its last byte.
 
-        `waited` is how long that byte has lain here, in s, where this process stood still.
+        `waited` is how long that byte lay unread in s, if the process was stalled.
 
-        All is checked here: what is wrong would spoil a customer's quota, or be held against a backend.
+        Everything is checked here: an invalid request would distort a customer's quota or count against a
+        backend.
         """
         write = frame.text(1).upper() == WRITE
         if not PARAMS < len(frame.items) <= PARAMS + 1 + write:
@@ -151,7 +152,7 @@
         )
 
     def read_head(self, frame: Frame, left: int, now: float) -> RPC:
-        """A command that has come up to its long value, with `left` items still to come behind that."""
+        """Parse a command received up to its long value, after which `left` more items follow."""
         top, words = frame.items[0], frame.items[1:]
         if top.kind != ARRAY or not all(i.kind == BULK and i.size >= 0 for i in words):
             raise Malformed("expected an array of bulk strings")
@@ -160,7 +161,7 @@
         return self.read(frame, now)
 
     def fields(self, raw: bytes) -> dict[bytes, bytes]:
-        """The parameters, each once and in its form; names that are not known here go through as they are."""
+        """Parse the parameters; each may occur once. Unknown ones are allowed and forwarded as they are."""
         pairs = fields_of(raw)
         given = dict(pairs)
         if len(given) != raw.count(b",") + 1 or b"" in given or b"d" not in given:
