--- a/corkdeal/logs/__init__.py
+++ b/corkdeal/logs/__init__.py
@@ -1,7 +1,7 @@
-"""Structured logs: one event's name and its pairs a line.
+"""Structured logging: each line has the name of an event and its fields.
 
-`event` is all that the rest of the program uses. Without a `log` node in the operators' file the lines go
-through Twisted's text observer, which is loaded anyway; with one, `structured` writes them by structlog.
+The rest of the program calls `event` only. Without a `log` node in the options file, lines go through
+Twisted's text observer, which is loaded anyway; with one, `structured` writes them with structlog.
 """
 
 from __future__ import annotations
@@ -17,25 +17,25 @@
 
 
 def configure(sink: Sink | None, level: str = "info") -> None:
-    """Send lines of that level and above to the sink; None is Twisted's logger."""
+    """Send events of `level` and above to the sink; None stands for Twisted's logger."""
     global _sink, _least
     _sink, _least = sink, LEVELS[level]
 
 
 def on(name: str) -> bool:
-    """Whether such a line would be written; for callers whose pairs cost something to make."""
+    """Whether the event's level is enabled, for callers whose fields are costly to compute."""
     return EVENTS[name][0] >= _least
 
 
 def event(name: str, /, **pairs: Any) -> None:
-    """One line, if its level is on. An event that `events` does not name is a bug."""
+    """Log an event if its level is enabled; a name that is not in `EVENTS` raises KeyError."""
     level = EVENTS[name][0]
     if level >= _least:
         (_sink or _twisted)(level, name, pairs)
 
 
 def shown(value: Any) -> str:
-    """A value in a line of text: quoted where it would not stand as one word."""
+    """Format a value for a line of text; it is quoted unless it is a single word."""
     text = str(value)
     return text if text and text.isprintable() and not set(text) & set(' ="') else repr(text)
 
--- a/corkdeal/logs/structured.py
+++ b/corkdeal/logs/structured.py
@@ -1,4 +1,4 @@
-"""Log lines by structlog: JSON for machines, logfmt for people. Imported only if the operators ask for it."""
+"""Log lines by structlog, as JSON or logfmt. Imported only if the options file has a `log` node."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
 
 
 def renderer(form: str) -> Any:
-    """The last processor: it makes the bytes of a line."""
+    """The last structlog processor, which encodes a line as bytes."""
     if form == "json":
         return structlog.processors.JSONRenderer(lambda pairs, default, **_: orjson.dumps(pairs, default=str))
     logfmt = structlog.processors.LogfmtRenderer(key_order=["timestamp", "level", "event"], drop_missing=True)
@@ -27,12 +27,12 @@
 
 
 def readable(value: Any) -> Any:
-    """A value as logfmt can hold it, on one line."""
+    """Convert a value for logfmt; the renderer escapes line feeds, but not carriage returns."""
     return value if isinstance(value, int | float | bool) else str(value).replace("\r", "\\r")
 
 
 def sink(form: str, name: str, out: BinaryIO | None = None) -> Any:
-    """Where lines go, for `logs.configure`; each line names the gateway."""
+    """Create a sink for `logs.configure`; each line has the gateway's name."""
     logger = structlog.wrap_logger(
         structlog.BytesLogger(out or sys.stdout.buffer),
         processors=[
@@ -53,7 +53,7 @@
 
 
 def from_library(entry: dict[str, Any]) -> None:
-    """A Twisted observer: its warnings and errors become events of ours."""
+    """A Twisted log observer that logs warnings and errors of libraries as the event `library`."""
     if entry.get("log_level", LogLevel.info) >= LogLevel.warn:
         text = formatEvent(entry)
         if (failure := entry.get("log_failure")) is not None:
