--- a/tests/test_layout.py
+++ b/tests/test_layout.py
@@ -1,4 +1,4 @@
-"""Which package may import which, read from the syntax tree; and what the ordinary path does not import."""
+"""Import rules between packages, checked on the syntax tree; disabled subsystems must not be imported."""
 
 import ast
 import pathlib
@@ -6,7 +6,7 @@
 import sys
 
 ROOT = pathlib.Path(__file__).parents[1]
-PARTS = {  # module of the decisions -> those of the decisions that it may import
+PARTS = {  # module of corkdeal.decisions -> modules of that package that it may import
     "__init__": set(),
     "settings": set(),
     "events": set(),
@@ -39,7 +39,7 @@
     | {"peer_protocol", "persisted_state", "retries"},
 }
 PARTS["gateway"] = set(PARTS) - {"__init__", "settings_parser", "tree_routes", "deadline_timers", "records"}
-MAY = {  # package -> those that it may import
+MAY = {  # package -> packages that it may import
     "errors": set(),
     "decisions": {"errors"},
     "recovery": {"decisions", "errors"},
@@ -69,11 +69,11 @@
 }
 PERSISTENCE_PURE |= {"quota_handover"}
 NET_PURE = {"discovery_snapshot", "discovery_retry"}
-DOING = {"os", "socket", "threading", "subprocess", "queue", "fcntl", "twisted", "asyncio"}  # what does I/O
+DOING = {"os", "socket", "threading", "subprocess", "queue", "fcntl", "twisted", "asyncio"}  # perform I/O
 
 
 def imports(path):
-    """Absolute names of all that a file imports, and whether that is at its top level."""
+    """Yield the absolute name of everything that a file imports."""
     package = path.relative_to(ROOT).with_suffix("").parts
     for node in ast.walk(ast.parse(path.read_text())):
         if isinstance(node, ast.Import):
--- a/tests/test_lint_exceptions.py
+++ b/tests/test_lint_exceptions.py
@@ -1,4 +1,4 @@
-"""The list of files that fall short of a lint rule only shrinks: each entry must still be needed."""
+"""Each per-file lint exception in pyproject.toml must still be needed, so that the list only shrinks."""
 
 import json
 import pathlib
@@ -11,14 +11,14 @@
 
 
 def listed_exceptions():
-    """Pairs of file and rule that pyproject.toml excuses; the pattern for all tests is a rule of its own."""
+    """Pairs of file and rule that pyproject.toml exempts, without the pattern for all tests."""
     config = tomllib.loads((ROOT / "pyproject.toml").read_text())
     entries = config["tool"]["ruff"]["lint"]["per-file-ignores"]
     return {(name, rule) for name, rules in entries.items() if "*" not in name for rule in rules}
 
 
 def found_faults():
-    """Pairs of file and rule that ruff reports with no file excused."""
+    """Pairs of file and rule that ruff reports without any exceptions."""
     checked = subprocess.run(
         [
             *(sys.executable, "-m", "ruff", "check", "--no-cache", "--output-format", "json"),
--- a/tests/test_logs.py
+++ b/tests/test_logs.py
@@ -1,4 +1,4 @@
-"""Log lines: one event and its pairs, as JSON or text, and nothing while a level is off."""
+"""Log lines: one event with its fields, as JSON or text, and no work for disabled levels."""
 
 import io
 import json
--- a/tests/test_loop_lateness.py
+++ b/tests/test_loop_lateness.py
@@ -1,4 +1,4 @@
-"""The lateness of the loop as a figure, what is shed by it, and how many connections one turn takes in."""
+"""The event loop's lateness as a metric, load shedding by it, and the limit on accepts per iteration."""
 
 import http.client
 import json
@@ -25,7 +25,7 @@
     lateness.fired(100.4, 100.45, 0.0)
     assert round(lateness.most, 3) == 0.3
     lateness.fired(100.3 + KEPT, 100.31 + KEPT, 0.0)
-    assert round(lateness.most, 3) == 0.3  # of the period before
+    assert round(lateness.most, 3) == 0.3  # from the previous period
     lateness.fired(100.4 + 2 * KEPT, 100.42 + 2 * KEPT, 0.0)
     assert round(lateness.most, 3) == 0.02
     lateness.fired(200.0, 199.9, 0.0)
@@ -50,12 +50,12 @@
     shed = connect(made)
     assert shed.transport.value() == b"-ERR max number of clients reached\r\n"
     assert made.client_connections == {kept}
-    made.draining = True  # what this machine accepted counts as taken then
+    made.draining = True  # connections that the kernel has accepted must be served then
     assert connect(made) in made.client_connections
 
 
 class Accepting(ServerFactory):
-    """Counts what is accepted, and keeps it open."""
+    """Records accepted connections and keeps them open."""
 
     noisy = False
 
@@ -88,7 +88,7 @@
 
 
 class Figure(Moments):
-    """On the real program."""
+    """The metric of the real gateway process."""
 
     build = ("-O",)
 
@@ -105,5 +105,5 @@
         self.thaw(after=0.5, since=time.monotonic())
         until = time.monotonic() + PATIENCE
         while self.late_ms() < 300 and time.monotonic() < until:
-            time.sleep(0.01)  # the timer fires within its period
+            time.sleep(0.01)  # until the periodic timer has fired
         self.assertGreaterEqual(self.late_ms(), 300)
--- a/tests/test_net_closing.py
+++ b/tests/test_net_closing.py
@@ -1,6 +1,6 @@
-"""Bytes that come in the very instant in which the gateway closes a connection or shuts down.
+"""Race conditions between arriving bytes and the gateway's closing of a connection or its shutdown.
 
-tests/test_net_moments.py explains how a stopped gateway makes a bad order come every time.
+tests/test_net_moments.py explains how stopping the gateway reproduces a critical order in every run.
 """
 
 import copy
@@ -20,10 +20,10 @@
 
 
 class Closing(Moments):
-    """What these tests have in common."""
+    """Helpers of these tests."""
 
     def all_served(self, clients):
-        """What each of these has asked is served."""
+        """Serve one request of each client, and check the answers."""
         for _ in clients:
             self.world.next().conn.send(served())
         for client in clients:
@@ -31,7 +31,7 @@
 
 
 class Resting(Closing):
-    """A request on a client connection that rested until now."""
+    """A request arrives on an idle client connection just as the gateway closes it."""
 
     def test_as_the_gateway_ends_them_on_a_shutdown(self):
         self.start(a={})
@@ -41,14 +41,14 @@
         stopped = self.freeze()
         for rid, client in enumerate(clients):
             self.ask(client, b"pay", rid=rid, body=b"x")
-        self.thaw(after=0.6, since=stopped)  # closing those that are idle comes first now
+        self.thaw(after=0.6, since=stopped)  # the timer that closes idle connections expires first
         self.all_served(clients)
         for client in clients:
             self.assertIsNone(client.read())
         self.assertEqual(self.process.wait(PATIENCE), 0)
 
     def test_as_its_time_to_rest_is_over(self):
-        self.start(config={"limits": {"sockets": 33}}, a={})  # so few that two clients are many
+        self.start(config={"limits": {"sockets": 33}}, a={})  # two clients shorten the idle timeout
         clients = self.pinged(2)
         stopped = self.freeze()
         for rid, client in enumerate(clients):
@@ -76,7 +76,7 @@
         for client in (ended, shut):
             self.assertEqual(client.read(), [b"OK"])
             self.assertIsNone(client.read())
-        shut.send(request)  # its answer could not come back any more
+        shut.send(request)  # after QUIT, an answer could not be sent any more
         self.assertEqual(self.serve(other, 2).words[2], b"%016x" % 2)
         self.process.send_signal(signal.SIGTERM)
         self.assertEqual(self.process.wait(PATIENCE), 0)
@@ -84,10 +84,10 @@
 
 
 class HalfALine(Closing):
-    """Half a line that a backend writes on a connection that was kept answers no later request."""
+    """An incomplete line that a backend writes on an idle connection must not spoil a later answer."""
 
     def kept(self, **settings):
-        """A backend's connection that is kept, and the client that used it."""
+        """Serve one request; returns its client and the `Asked` of its backend connection, now idle."""
         self.start(config={"settings": settings} if settings else None, a={})
         client = self.client()
         return client, self.serve(client, 1)
@@ -97,9 +97,9 @@
             with self.subTest(half):
                 client, warm = self.kept()
                 stopped = self.freeze()
-                self.ask(client, b"pay", rid=2, body=b"x")  # read first, as the other bytes lie there unread
+                self.ask(client, b"pay", rid=2, body=b"x")  # handled before the bytes below are read
                 warm.conn.send(half)
-                self.thaw(after=0.1, since=stopped)  # the connection has rested for long enough to be used
+                self.thaw(after=0.1, since=stopped)  # idle for long enough to be reused
                 asked = self.world.next()
                 self.assertIsNot(asked.conn, warm.conn)
                 self.assertTrue(warm.ended.wait(PATIENCE))
@@ -131,16 +131,16 @@
 
 
 class Signals(Closing):
-    """A reload at once followed by what else may come."""
+    """A reload that is immediately followed by another event."""
 
     def reload_to(self, other):
-        """Have discovery move."""
+        """Reload the configuration with another discovery address."""
         self.config["discovery"] = f"127.0.0.1:{other.http.server_port}"
         self.path.write_text(json.dumps(self.config))
         self.process.send_signal(signal.SIGHUP)
 
     def moved(self):
-        """Another discovery, with the same backends."""
+        """Another discovery service, with the same backends."""
         other = World()
         self.addCleanup(other.close)
         other.backends, other.asked, other.revision = dict(self.world.backends), self.world.asked, 7
@@ -150,7 +150,7 @@
         self.start(a={}, b={})
         client, other = self.client(), self.moved()
         self.reload_to(other)
-        self.assertEqual(other.calls.get(timeout=PATIENCE), -1)  # it has the list in which both are ready
+        self.assertEqual(other.calls.get(timeout=PATIENCE), -1)  # for the list in which both are ready
         other.tell(a="Terminating")
         self.assertEqual({self.serve(client, rid).backend.name for rid in range(8)}, {"b"})
 
@@ -174,10 +174,10 @@
 
 
 class Unbuffered(unittest.TestCase):
-    """A small write leaves at once: what the system held back would be lost with a reset."""
+    """TCP_NODELAY is set: bytes that Nagle's algorithm holds back would be lost with a reset."""
 
     def transport(self, protocol):
-        """Twisted's own transport over a real connection."""
+        """Connect a protocol to Twisted's transport on a real socket; returns the socket's TCP_NODELAY."""
         with socket.create_server(("127.0.0.1", 0)) as listener:
             far = socket.create_connection(listener.getsockname(), PATIENCE)
             near = listener.accept()[0]
--- a/tests/test_net_moments.py
+++ b/tests/test_net_moments.py
@@ -1,7 +1,8 @@
-"""Rare moments, forced on real connections: a signal or bytes that come between two lines.
+"""Race conditions, forced on real connections: a signal or bytes that arrive between two steps of a gateway.
 
-A gateway that is stopped (SIGSTOP) while it waits finds all that came meanwhile in one turn: overdue timers
-first, then the connections in the order in which they had something. So each bad order comes every time.
+A gateway that is stopped by SIGSTOP while it waits for events handles all that arrived meanwhile in one
+reactor iteration: overdue timers first, then the connections in the order in which they became ready. So each
+critical order is reproduced in every run.
 """
 
 import copy
@@ -25,7 +26,7 @@
 
 
 class Ends(Moments):
-    """A planned end loses nothing that came, and is over before the process is killed."""
+    """A shutdown loses no request that arrived, and ends before the process would be killed."""
 
     def test_connections_that_wait_in_the_kernel_are_served(self):
         self.start(a={})
@@ -36,7 +37,7 @@
         clients = [self.client() for _ in range(4)]
         for rid, client in enumerate(clients):
             self.ask(client, rid=rid)
-        self.thaw(after=0.6, since=stopped)  # closing the port comes first now
+        self.thaw(after=0.6, since=stopped)  # the timer that closes the port expires first
         for _ in clients:
             self.world.next().conn.send(served())
         for client in clients:
@@ -51,7 +52,7 @@
         self.ask(client, d=4000)
         asked = self.world.next()
         self.process.send_signal(signal.SIGTERM)
-        self.assertIsNone(idle.read())  # closed as it was idle: from here on the other closes when it is
+        self.assertIsNone(idle.read())  # idle, so closed; the other connection will be closed when it is idle
         self.freeze()
         asked.conn.send(served(b"first"))
         self.ask(client, rid=2)
@@ -65,20 +66,20 @@
     def test_what_is_still_open_is_answered_before_the_kill(self):
         settings = copy.deepcopy(SETTINGS)
         for each in settings["classes"]:
-            each.update(aim_us=600_000, deadline_us=600_000)  # so the kill is due 1.3 s after SIGTERM
+            each.update(aim_us=600_000, deadline_us=600_000)  # so SIGKILL is due 1.3 s after SIGTERM
         self.start(config={"settings": settings}, a={}, b={}, c={}, d={})
         client, waiting, idle = self.client(), self.client(), self.client()
         idle.send(command(b"PING"))
         self.assertEqual(idle.read(), [b"PONG"])
         self.ask(client, b"pay", d=80000, body=b"x")
         self.ask(waiting, b"pay", d=80000, rid=2, body=b"y")
-        first, second = self.world.next(), self.world.next()  # and both backends hang
+        first, second = self.world.next(), self.world.next()  # neither is answered
         self.process.send_signal(signal.SIGTERM)
         self.line("draining")
         self.assertIsNone(idle.read())
-        self.ask(client, b"pay", d=80000, rid=3, body=b"z")  # on a client connection that stays open
+        self.ask(client, b"pay", d=80000, rid=3, body=b"z")  # on a connection that is still open
         third = self.world.next()
-        self.assertLess(int(third.params[b"d"]), 1300)  # it has not so long as its client says
+        self.assertLess(int(third.params[b"d"]), 1300)  # less than its client asked for
         self.assertEqual(client.read(), [GONE])
         self.assertEqual(client.read(), [GONE])
         self.assertEqual(waiting.read(), [GONE])
@@ -99,27 +100,27 @@
 
 
 class EarlySignals(Moments):
-    """A reload is asked for before there is a gateway that could be told."""
+    """SIGHUP arrives before the gateway object exists."""
 
     def run_program(self):
-        """Its configuration comes by a pipe, and changes once it is under way there."""
+        """Start it with its configuration in a pipe; change the file and send SIGHUP while it reads that."""
         self.other = World()
         self.addCleanup(self.other.close)
         first = self.path.read_text()
         self.path.unlink()
         os.mkfifo(self.path)
         super().run_program()
-        with open(self.path, "w") as pipe:  # returns as the program opens its end
+        with open(self.path, "w") as pipe:  # returns once the gateway opens its end
             pipe.write(first)
             pipe.flush()
             self.path.unlink()
             self.config["discovery"] = f"127.0.0.1:{self.other.http.server_port}"
-            self.path.write_text(json.dumps(self.config))  # what a reload finds
+            self.path.write_text(json.dumps(self.config))  # for the reload
             self.process.send_signal(signal.SIGHUP)
             self.handled(signal.SIGHUP)
 
     def handled(self, number):
-        """Wait until the kernel has handed the signal to the program, or the program ignores it."""
+        """Wait until the signal is no longer pending: it was delivered, or the process ignores it."""
         status = pathlib.Path(f"/proc/{self.process.pid}/status")
         while True:
             masks = dict(line.split(":\t") for line in status.read_text().splitlines() if ":\t" in line)
@@ -134,12 +135,12 @@
 
 
 class Deployed(unittest.TestCase):
-    """What stands before the program in deploy/balancer.toml."""
+    """The shell command with which deploy/balancer.toml starts the gateway."""
 
     def test_a_reload_asked_for_before_python_runs_ends_nothing(self):
         run = tomllib.loads((ROOT / "deploy" / "balancer.toml").read_text())["run"]
         with tempfile.TemporaryDirectory() as folder:
-            stub = pathlib.Path(folder, "env")  # stands where `run` begins to become the program
+            stub = pathlib.Path(folder, "env")  # first in PATH, so `run` executes it, not the gateway
             stub.write_text("#!/bin/sh\nkill -HUP $$\necho lives\n")
             stub.chmod(0o755)
             done = subprocess.run(
@@ -154,18 +155,18 @@
 
 
 class ReloadBeforeTheStart(Moments):
-    """SIGHUP comes while a new life waits for what the life before it gives; that one never does."""
+    """SIGHUP arrives while a successor waits for a handover that its predecessor never makes."""
 
     build = ("-O",)
 
     def run_program(self):
-        """Another life holds its lock, and the signal comes while this one waits for it."""
+        """Hold a predecessor's lock, and send the signal while the gateway waits for the handover."""
         folder = store.gateway_folder(os.path.join(self.folder.name, "corkdeal-lives"), "n0")
         self.lives = handover_files.HandoverFiles(folder)
         self.lives.join()
         self.addCleanup(self.lives.close)
         super().run_program()
-        while self.lives.successor() is None:  # it has asked by then
+        while self.lives.successor() is None:  # until it waits for the handover
             time.sleep(0.001)
         self.freeze()
         self.process.send_signal(signal.SIGHUP)
@@ -183,7 +184,7 @@
         self.world.backends["a"].entry["phase"] = "Terminating"
         self.world.revision = 2
         self.start(known=known, config={"listen": f"127.0.0.1:{listener.getsockname()[1]}"})
-        self.seen("handover_none")  # it has started without that life
+        self.seen("handover_none")  # it has started without a handover
         client = self.client()
         for rid in range(4):
             self.ask(client, rid=rid)
@@ -194,10 +195,10 @@
 
 
 class Idle(Moments):
-    """A client connection is not closed over bytes that have come and were not read yet."""
+    """A client connection with unread bytes is not closed as idle."""
 
     def quiet(self, many, spoken):
-        """Client connections that are idle, or silent."""
+        """Open client connections; with `spoken`, each has sent a PING, otherwise nothing."""
         clients = [self.client() for _ in range(many)]
         for client in clients if spoken else ():
             client.send(command(b"PING"))
@@ -207,7 +208,7 @@
     def test_a_silent_client_connection_whose_first_command_has_come(self):
         self.start(a={})
         probe = self.client()
-        clients = self.quiet(40, spoken=False)  # so many that silent ones are closed soon
+        clients = self.quiet(40, spoken=False)  # enough to shorten the timeout of silent connections
         probe.send(command(b"PING"))
         self.assertEqual(probe.read(), [b"PONG"])
         self.freeze()
@@ -231,11 +232,11 @@
 
     def test_one_that_would_be_closed_for_another(self):
         self.start(config={"limits": {"sockets": 33}}, a={})
-        clients = self.quiet(8, spoken=True)  # no more may be open beside one for a backend
+        clients = self.quiet(8, spoken=True)  # all that may be open beside one backend connection
         self.freeze()
         stopped = time.monotonic()
-        other = self.client()  # wants the place of one that is idle
-        clients[0].send(command(b"ECHO", b"still here"))  # the one that has been idle for longest
+        other = self.client()  # needs an idle connection to be closed
+        clients[0].send(command(b"ECHO", b"still here"))  # idle for longest, but with unread bytes
         self.thaw(after=0.4, since=stopped)
         self.assertEqual(clients[0].read(), [b"still here"])
         self.assertIsNone(clients[1].read())
--- a/tests/test_net_ops.py
+++ b/tests/test_net_ops.py
@@ -1,4 +1,4 @@
-"""The operations address: its calls by table, what is held out by hand, and the program on real sockets."""
+"""The operations address: its operations as a table, held-out backends, and the gateway on real sockets."""
 
 import contextlib
 import http.client
@@ -20,7 +20,7 @@
 
 
 class FakeGateway:
-    """What the calls ask of a gateway, and a record of what they changed."""
+    """A fake of the gateway's operator interface that records the changes made through it."""
 
     ready = True
 
@@ -35,7 +35,7 @@
         return None if "nobody" in what else True
 
 
-CALLS = [  # method, path, code, what changes
+CALLS = [  # method, path, status code, recorded changes
     (b"GET", "status", 200, []),
     (b"GET", "status/metrics", 200, []),
     (b"PUT", "maintenance/enter/s-1", 200, [("out", "s-1")]),
@@ -71,9 +71,9 @@
 
 def test_held_out_drains_whatever_the_list_says_and_comes_back_cold(tmp_path):
     held = manual_overrides.ManualOverrides("n0", str(tmp_path))
-    assert held.enter("a") and not held.enter("a")  # two calls out
+    assert held.enter("a") and not held.enter("a")  # held out twice
     assert held.overlay([entry("a"), entry("b")]) == (entry("a", EndpointState.DRAINING), entry("b"))
-    assert held.exit("a", 50.0) and not held.exit("a", 60.0)  # one call back ends both
+    assert held.exit("a", 50.0) and not held.exit("a", 60.0)  # one exit ends both
     assert held.overlay([entry("a"), entry("a", started=70.0)]) == (
         entry("a", started=50.0),
         entry("a", started=70.0),
@@ -91,7 +91,7 @@
     other = manual_overrides.ManualOverrides("n1", str(tmp_path))
     other.load()
     assert other.out == set()
-    with open(other.path, "wb") as file:  # a file that can't be read holds nothing out, and is counted
+    with open(other.path, "wb") as file:  # an invalid file is ignored and counted
         file.write(b'{"format":1,"out":[3],"back":{}}')
     before, lines = counts["held_out_unreadable"], []
     logs.configure(lambda level, name, pairs: lines.append((name, pairs["file"])))
@@ -111,13 +111,13 @@
     new.enter("b")
     new.exit("a", 7.0)
     assert (old.follow(), old.out, old.back) == ({"a", "b"}, {"b"}, {"a": 7.0})
-    with open(old.path, "wb") as file:  # damaged: what is held goes on
+    with open(old.path, "wb") as file:  # damaged: the backends stay held out
         file.write(b"{")
     assert (old.follow(), old.out) == (set(), {"b"})
 
 
 class Calling:
-    """A program with an operations address, and calls of it."""
+    """Starts a gateway with an operations address, and sends requests to it."""
 
     build = ("-O",)
 
@@ -134,7 +134,7 @@
         return answer.status, json.loads(answer.read())
 
     def wait_for_list(self, count):
-        """Wait until so many backends are listed: clients are let in soon, whether or not a list has come."""
+        """Wait until `count` backends are listed, since clients may be accepted before the first list."""
         until = time.monotonic() + PATIENCE
         while self.call("GET", "/status/metrics")[1]["app_hosts_listed"] < count:
             self.assertLess(time.monotonic(), until)
@@ -169,7 +169,7 @@
         crowd = [socket.create_connection((host, int(port)), PATIENCE) for _ in range(40)]
         for each in crowd:
             self.addCleanup(each.close)
-        self.assertEqual(self.call("GET", "/status")[0], 200)  # behind them in the queue
+        self.assertEqual(self.call("GET", "/status")[0], 200)  # queued behind them
         self.assertLessEqual(len(os.listdir(folder)), before + ops.CALLERS_MOST)
         with contextlib.suppress(ConnectionResetError):
             self.assertEqual(crowd[0].recv(10), b"")
@@ -181,17 +181,17 @@
         self.assertEqual(self.call("PUT", "/maintenance/enter/a")[0], 200)
         client = self.client()
         self.assertEqual({self.serve_one(client, rid) for rid in range(6)}, {"b"})
-        self.world.tell()  # a new list that names a as ready changes nothing
+        self.world.tell()  # a new endpoint list with `a` as ready changes nothing
         self.assertEqual({self.serve_one(client, rid) for rid in range(6, 12)}, {"b"})
         self.process.kill()
         self.process.wait()
-        self.run_program()  # the same TMPDIR, as in an upgrade
+        self.run_program()  # with the same TMPDIR, as in an upgrade
         self.line("serving ")
         client = self.client()
         self.assertEqual({self.serve_one(client, rid) for rid in range(12, 18)}, {"b"})
         self.assertEqual(self.call("GET", "/status/metrics")[1]["app_hosts_down"], 1)
         self.assertEqual(self.call("PUT", "/maintenance/exit/a")[0], 200)
-        self.assertEqual(self.call("PUT", "/maintenance/enter/b")[0], 200)  # so that a, cold, is the one left
+        self.assertEqual(self.call("PUT", "/maintenance/enter/b")[0], 200)  # so only `a`, now cold, is left
         self.assertEqual({self.serve_one(client, rid) for rid in range(18, 22)}, {"a"})
 
     def test_a_backend_held_out_at_the_old_process_gets_nothing_from_the_new_one(self):
@@ -206,7 +206,7 @@
         self.config["ops"] = self.ops = reserve_address()
         self.path.write_text(json.dumps(self.config))
         self.run_program()
-        self.line("serving ")  # the new one has read what was held out, and that was nothing
+        self.line("serving ")  # the new process has loaded the overrides, of which there are none
         self.ops, at_new = at_old, self.ops
         self.assertEqual(self.call("PUT", "/maintenance/enter/a")[0], 200)
         old.kill()
@@ -217,7 +217,7 @@
         client = self.client()
         self.assertEqual({self.serve_one(client, rid) for rid in range(6)}, {"b"})
         self.assertEqual(self.call("GET", "/status/metrics")[1]["app_hosts_down"], 1)
-        self.assertEqual(self.call("PUT", "/maintenance/exit/a")[0], 200)  # and the call back may come here
+        self.assertEqual(self.call("PUT", "/maintenance/exit/a")[0], 200)  # the new process accepts the exit
 
     def test_standby_turns_ping_closes_idle_client_connections_and_active_brings_it_back(self):
         self.start_ops(a={})
@@ -226,9 +226,9 @@
         asked = self.world.next()
         self.assertEqual(self.call("PUT", "/standby")[0], 200)
         self.assertEqual(self.call("GET", "/status")[0], 503)
-        self.assertIsNone(idle.read())  # closed, being idle
+        self.assertIsNone(idle.read())  # closed, because it is idle
         asked.conn.send(served())
-        self.assertEqual(busy.read(), [b"v"])  # what was taken is answered, then the client connection ends
+        self.assertEqual(busy.read(), [b"v"])  # answered before the connection closes
         self.assertIsNone(busy.read())
         late = self.client()
         late.send(b"*1\r\n$4\r\nPING\r\n")
@@ -243,11 +243,11 @@
 
 
 class OpsAddress(Calling, Program):
-    """The release build with an operations address."""
+    """These tests on the release build."""
 
 
 class Inherited(Program):
-    """A listening socket handed down, as the platform does for an upgrade; its address is bound already."""
+    """A listening socket inherited from the parent, as in an upgrade; its address is already bound."""
 
     build = ("-O",)
 
--- a/tests/test_net_rules.py
+++ b/tests/test_net_rules.py
@@ -1,4 +1,4 @@
-"""One test with real sockets for each rule; all of them run on the debug and on the release build."""
+"""Tests with real sockets, one for each rule that clients rely on; run on the debug and the release build."""
 
 import contextlib
 import json
@@ -13,7 +13,7 @@
 
 
 class DebugBuild(Program):
-    """The program with its invariants asserted."""
+    """The gateway with its invariants asserted."""
 
     def test_answer_comes_in_time_and_a_late_one_reaches_nobody(self):
         self.start(a={})
@@ -36,7 +36,7 @@
         client, body = self.client(), bytes(range(256)) * 256
         words = self.words(b"note", rid=2**63 + 5, more=b",k=5c0f6e1a2b3d4c59", body=body)
         whole = command(*words)
-        client.send(whole[:90])  # in two pieces, so that the head has to wait
+        client.send(whole[:90])  # in two pieces, so that the head arrives incomplete
         client.send(whole[90:])
         asked = self.world.next()
         self.assertEqual(asked.words[:3] + asked.words[4:], words[:3] + words[4:])
@@ -56,7 +56,7 @@
                 if cls == b"pay":
                     self.assertEqual(client.read(), [b"ERR failed"])
                     continue
-                if stays and first.backend.name == "b":  # alone in its cell: nowhere else to go
+                if stays and first.backend.name == "b":  # the only backend of its cell
                     again = self.world.next()
                     self.assertEqual(again.backend.name, "b")
                 else:
@@ -72,7 +72,7 @@
         self.start(a={}, b={})
         client = self.client()
         self.ask(client)
-        first, second = self.world.next(), self.world.next()  # the first hangs, so it is moved
+        first, second = self.world.next(), self.world.next()  # the first hangs, so there is a retry
         self.assertTrue(first.ended.wait(20))
         self.assertIsNot(first.backend, second.backend)
         second.conn.send(served())
@@ -105,7 +105,7 @@
         self.start(a={})
         while self.world.calls.get(timeout=20) != self.world.revision:
             pass
-        self.world.silent = True  # as where its connection died: waiting for long hides every change
+        self.world.silent = True  # as if the connection had died, where a long wait would hide every change
         while not self.world.calls.empty():
             self.world.calls.get()
         _, took = self.timed(lambda: self.world.calls.get(timeout=20))
@@ -119,8 +119,8 @@
             self.ask(clients[rid], rid=rid, d=900)
         refused = {rid for rid, client in enumerate(clients) if client.read()[0].startswith(b"BUSY")}
         sent = [int(self.world.next().words[2], 16) for _ in range(self.world.asked.qsize())]
-        self.assertEqual(len(set(sent)), len(sent))  # none twice
-        # One that was sent and got no answer in time is refused as well: a read may be asked again.
+        self.assertEqual(len(set(sent)), len(sent))  # no request was sent twice
+        # Requests that were sent and not answered in time are rejected too, because a read may be retried.
         self.assertEqual(refused | set(sent), set(range(60)))
         self.assertGreater(len(refused - set(sent)), 30)
 
@@ -202,7 +202,7 @@
 
     def test_a_long_pipeline_is_served_to_its_end(self):
         self.start(a={})
-        client = self.client()  # more than a client connection may have waiting at once
+        client = self.client()  # sends more commands than a connection may have unanswered
         client.send(b"".join(command(*self.words(b"look", customer=1, rid=rid)) for rid in range(600)))
         for _ in range(2):
             self.world.next().conn.send(served())
@@ -214,7 +214,7 @@
         self.start(a={})
         client, sent = self.client(), 0
         client.sock.settimeout(1.0)
-        with self.assertRaises(TimeoutError):  # else its answers would fill the gateway's memory
+        with self.assertRaises(TimeoutError):  # otherwise its answers would fill the gateway's memory
             while sent < 200_000_000:
                 sent += client.sock.send(command(b"ECHO", b"x" * WHOLE))
         other = self.client()
@@ -251,7 +251,7 @@
         for backend in self.world.backends.values():
             if backend is not warm.backend:
                 backend.stop_listening()
-        for rid in range(2, 10):  # `pay` may be sent again only because nothing of it ran
+        for rid in range(2, 10):  # `pay` may be retried only because it did not run
             self.ask(client, b"pay", rid=rid, body=b"x")
             asked = self.world.next()
             self.assertIs(asked.backend, warm.backend)
@@ -259,7 +259,7 @@
             self.assertEqual(client.read(), [b"v"])
 
     def test_reload_moves_the_watch_and_disturbs_no_rpc(self):
-        self.start(a={})  # without a handler SIGHUP ends the process, and all that it had taken is lost
+        self.start(a={})  # without a handler, SIGHUP would end the process and lose accepted requests
         other, client = World(), self.client()
         self.addCleanup(other.close)
         other.add("b")
@@ -272,7 +272,7 @@
         self.path.write_text(json.dumps(moved))
         self.process.send_signal(signal.SIGHUP)
         self.assertIn("at_next_start=name", self.line("reloaded"))
-        self.assertEqual(other.calls.get(timeout=20), -1)  # the whole list first, then changes
+        self.assertEqual(other.calls.get(timeout=20), -1)  # the complete list first, then deltas
         self.assertEqual(other.calls.get(timeout=20), other.revision)
         asked.conn.send(served(b"old"))
         self.assertEqual(client.read(), [b"old"])
@@ -294,7 +294,7 @@
         second = self.world.next()
         second.conn.send(served(b"late"))
         self.assertEqual(late.read(), [b"late"])
-        self.assertIsNone(late.read())  # closed as it fell idle
+        self.assertIsNone(late.read())  # closed when it became idle
         asked.conn.send(served())
         self.assertEqual(client.read(), [b"v"])
         self.assertEqual(self.process.wait(20), 0)
@@ -322,13 +322,13 @@
 
 
 class ReleaseBuild(DebugBuild):
-    """The program as deploy/balancer.toml runs it."""
+    """The gateway as deploy/balancer.toml runs it."""
 
     build = ("-O",)
 
 
 class Taken(Moments):
-    """An address that another process still has."""
+    """An address that another process still uses when the gateway starts."""
 
     def run_program(self):
         super().run_program()
@@ -336,7 +336,7 @@
         self.holder.close()
 
     def held(self, kind):
-        """An address that is in use."""
+        """Reserve an address that is in use until `holder` is closed."""
         self.holder = socket.socket(type=kind)
         self.addCleanup(self.holder.close)
         self.holder.bind(("127.0.0.1", reserve_port(kind)))
@@ -354,7 +354,7 @@
         client.send(command(*words))
         self.world.next().conn.send(served())
         self.assertEqual(client.read(), [b"v"])
-        _, sender = self.peer.recvfrom(2048)  # what it tells comes from the port that it has by now
+        _, sender = self.peer.recvfrom(2048)  # sent from the port that it has got by now
         self.assertEqual(f"{sender[0]}:{sender[1]}", at)
 
     def test_an_operators_address_in_use_keeps_no_client_out(self):
@@ -369,7 +369,7 @@
     def test_an_address_in_use_is_told_and_had_once_it_is_free(self):
         self.holder = socket.create_server(("127.0.0.1", reserve_port()))
         at = f"127.0.0.1:{self.holder.getsockname()[1]}"
-        self.start(config={"listen": at}, a={})  # waits for `serving`
+        self.start(config={"listen": at}, a={})  # returns after the log event `serving`
         host, port = at.split(":")
         with socket.create_connection((host, int(port)), 20) as client:
             client.sendall(b"*1\r\n$4\r\nPING\r\n")
--- a/tests/test_start.py
+++ b/tests/test_start.py
@@ -1,4 +1,4 @@
-"""What a start by the deploy file's command loads and does before it serves; starts in bad conditions."""
+"""Startup by the deploy file's command: what it does before it serves, and starts in adverse conditions."""
 
 import json
 import os
@@ -13,7 +13,7 @@
 from tests.ports import reserve_address
 
 PROBE = ROOT / "tests" / "start_probe"
-LATE = (  # packages and modules for which the first answer does not wait
+LATE = (  # packages and modules that must not be loaded before the first answer
     *("blake3", "click", "msgspec", "netaddr", "numpy", "radix", "structlog", "zstandard"),
     *("twisted.web.resource", "twisted.web.server", "twisted.web.static"),
     *("corkdeal.cli", "corkdeal.emulator", "corkdeal.experiment", "corkdeal.halls", "corkdeal.persistence"),
@@ -27,7 +27,7 @@
 
 
 class Start(Program):
-    """The program started by `run` from a copy of the tree."""
+    """Runs the deploy file's `run` command in a copy of the source tree."""
 
     is_built = True
     has_library_bytecode = True
@@ -47,7 +47,7 @@
             self.make_build()
 
     def make_build(self):
-        """`make build`, on the virtual environment that there is."""
+        """Run `make build` with the existing virtual environment."""
         done = subprocess.run(
             ["make", "-s", "-o", ".venv/built", "build"],
             cwd=self.tree,
@@ -58,12 +58,12 @@
         self.assertEqual(done.returncode, 0, done.stderr)
 
     def lose_times(self):
-        """All sources look changed, as in a copy that does not keep their times."""
+        """Change the modification time of all sources, as a copy without timestamps does."""
         for source in self.tree.glob("corkdeal/**/*.py"):
             os.utime(source, (1, 1))
 
     def keep_bytecode_out(self):
-        """No bytecode can be written beside a source, whatever this process may do: a file has its place."""
+        """Put a file where each `__pycache__` would be, so that no bytecode can be written, even by root."""
         for folder in {source.parent for source in self.tree.glob("corkdeal/**/*.py")}:
             (folder / "__pycache__").touch()
 
@@ -87,7 +87,7 @@
         )
 
     def started(self):
-        """Start it and wait for its first answer; what the probe told before it."""
+        """Start it and wait for its first answer; returns what the startup probe reported."""
         self.start(config={"listen": reserve_address()}, a={})
         client = self.client()
         client.send(b"*1\r\n$4\r\nPING\r\n")
@@ -97,16 +97,16 @@
         return json.loads(told[0].removeprefix("start_probe "))
 
     def compiled_here(self, told):
-        """Sources of the package that this start compiled."""
+        """The package's sources that this start compiled."""
         return [name for name in told["compiled"] if name.startswith(str(self.tree / "corkdeal"))]
 
 
 class Usual(Start):
-    """A start from a tree that was built."""
+    """A start after `make build`."""
 
     def test_what_the_first_answer_does_not_need_is_not_loaded_before_it(self):
         told = self.started()
-        self.assertIn("corkdeal.net.recovery", told["modules"])  # `run` switches it on
+        self.assertIn("corkdeal.net.recovery", told["modules"])  # enabled by `run`
         late = [m for m in told["modules"] if any(m == name or m.startswith(name + ".") for name in LATE)]
         self.assertEqual(late, [])
 
@@ -129,7 +129,7 @@
 
 
 class ReadOnly(Start):
-    """The package was not compiled, and nothing can be written beside it."""
+    """A start without compiled bytecode, which can't be written either."""
 
     is_built = False
 
@@ -139,7 +139,7 @@
 
 
 class WithoutBytecode(Start):
-    """Nothing was compiled, of the libraries either, and nothing that is compiled can be kept."""
+    """A start without bytecode of the package and its libraries; none can be written."""
 
     is_built = False
     has_library_bytecode = False
@@ -151,7 +151,7 @@
 
 
 class FullDisk(Start):
-    """No file can grow: neither the log nor bytecode can be written."""
+    """A start on a full disk, without compiled bytecode."""
 
     is_built = False
     disk_full = True
@@ -162,7 +162,7 @@
 
 
 class FullDiskBuilt(Start):
-    """The usual start, on a full disk."""
+    """A start after `make build`, on a full disk."""
 
     disk_full = True
 
