--- a/corkdeal/net/config.py
+++ b/corkdeal/net/config.py
@@ -14,7 +14,7 @@
 from .discovery_snapshot import DiscoverySnapshot, ListError, parse_list
 
 Address = tuple[str, int]
-MOST_PORT = 65535
+MAX_PORT = 65535
 
 
 class ConfigError(ValueError):
@@ -40,7 +40,7 @@
     inherited: int | None = None  # descriptor of a listening socket for clients, from the parent process
 
 
-def address(raw: object, key: str) -> Address:
+def parse_address(raw: object, key: str) -> Address:
     """Parse an IPv4 address with a port; host names are rejected."""
     host, _, port = raw.rpartition(":") if isinstance(raw, str) else ("", "", "")
     parts = host.split(".")
@@ -48,30 +48,30 @@
         len(parts) != 4
         or not all(p.isdecimal() and int(p) < 256 for p in parts)
         or not port.isdecimal()
-        or not 0 < int(port) <= MOST_PORT
+        or not 0 < int(port) <= MAX_PORT
     ):
         raise ConfigError(f"{key} must be an IPv4 address and a port, not {raw!r:.60}")
     return host, int(port)
 
 
-def text_of(at: Address) -> str:
+def format_address(at: Address) -> str:
     """Format an address as host:port."""
     return f"{at[0]}:{at[1]}"
 
 
-def flatten(value: Any, path: str, into: dict[str, str]) -> None:
+def flatten(value: Any, path: str, flat: dict[str, str]) -> None:
     """Flatten nested settings into text by dotted path, as in the simulator's first message."""
     if isinstance(value, dict):
         for key, inner in value.items():
-            flatten(inner, f"{path}.{key}" if path else key, into)
+            flatten(inner, f"{path}.{key}" if path else key, flat)
     elif isinstance(value, list) and any(isinstance(x, dict) for x in value):
-        into[f"{path}.count"] = str(len(value))
+        flat[f"{path}.count"] = str(len(value))
         for i, inner in enumerate(value):
-            flatten(inner, f"{path}.{i}", into)
+            flatten(inner, f"{path}.{i}", flat)
     elif isinstance(value, list):
-        into[path] = ",".join(map(str, value))
+        flat[path] = ",".join(map(str, value))
     elif value is not None:
-        into[path] = str(value).lower() if isinstance(value, bool) else str(value)
+        flat[path] = str(value).lower() if isinstance(value, bool) else str(value)
 
 
 def settings_of(raw: object) -> Settings:
@@ -81,15 +81,17 @@
     pairs: dict[str, str] = {}
     flatten(raw, "", pairs)
     try:
-        made = parse_settings(pairs)
+        settings = parse_settings(pairs)
     except SettingsError as error:
         raise ConfigError(f"settings: {error}") from error
-    if made.gateway_index >= made.gateway_count:
-        raise ConfigError(f"settings: me is {made.gateway_index}, but balancers is {made.gateway_count}")
-    return made
+    if settings.gateway_index >= settings.gateway_count:
+        raise ConfigError(
+            f"settings: me is {settings.gateway_index}, but balancers is {settings.gateway_count}"
+        )
+    return settings
 
 
-def seed_of(raw: object) -> int:
+def parse_seed(raw: object) -> int:
     """Parse the seed, given as hexadecimal digits."""
     try:
         return int(raw, 16)  # type: ignore[call-overload]
@@ -97,7 +99,7 @@
         raise ConfigError(f"seed must be a string of hexadecimal digits, not {raw!r:.60}") from None
 
 
-def inherited_of(raw: object) -> int | None:
+def parse_inherited_fd(raw: object) -> int | None:
     """Parse RELAY_INHERITED_FD, the descriptor of an inherited listening socket; None if unset or empty."""
     if raw in (None, ""):
         return None
@@ -134,18 +136,18 @@
         raise ConfigError(f"known: {error}") from None
     return Config(
         name=str(raw.get("name") or env.get("RELAY_NAME") or "gateway"),
-        listen=address(raw.get("listen") or env.get("RELAY_LISTEN"), "listen"),
-        discovery=address(raw.get("discovery") or env.get("RELAY_DISCOVERY"), "discovery"),
-        seed=seed_of(raw.get("seed", "0")),
+        listen=parse_address(raw.get("listen") or env.get("RELAY_LISTEN"), "listen"),
+        discovery=parse_address(raw.get("discovery") or env.get("RELAY_DISCOVERY"), "discovery"),
+        seed=parse_seed(raw.get("seed", "0")),
         settings=settings,
-        peer_listen=address(raw["peer_listen"], "peer_listen") if raw.get("peer_listen") else None,
-        peers=tuple(address(p, f"peers.{i}") for i, p in enumerate(peers)),
-        peers_all=address(raw["peers_all"], "peers_all") if raw.get("peers_all") else None,
+        peer_listen=parse_address(raw["peer_listen"], "peer_listen") if raw.get("peer_listen") else None,
+        peers=tuple(parse_address(p, f"peers.{i}") for i, p in enumerate(peers)),
+        peers_all=parse_address(raw["peers_all"], "peers_all") if raw.get("peers_all") else None,
         known=known,
         sockets=sockets,
         memory=int(memory * (1 << 20)),
-        ops=address(ops, "ops") if (ops := raw.get("ops") or env.get("RELAY_OPS")) else None,
-        inherited=inherited_of(env.get("RELAY_INHERITED_FD")),
+        ops=parse_address(ops, "ops") if (ops := raw.get("ops") or env.get("RELAY_OPS")) else None,
+        inherited=parse_inherited_fd(env.get("RELAY_INHERITED_FD")),
     )
 
 
--- a/corkdeal/net/gateway.py
+++ b/corkdeal/net/gateway.py
@@ -48,7 +48,7 @@
 from .backend_connection import Attempt, Pool, Reply
 from .backends import Backends
 from .budget import Budget, budget_for
-from .config import Config, ConfigError, load, text_of
+from .config import Config, ConfigError, format_address, load
 from .descriptors import Descriptors
 from .discovery_snapshot import DiscoverySnapshot
 from .discovery_watch import Watch
@@ -185,7 +185,7 @@
     def taken(self, what: str, at: tuple[str, int], error: CannotListenError) -> None:
         """Count an address that another process uses; it is logged the first time, and callers retry."""
         if not invariants.counts[what]:
-            logs.event("listen_failed", at=text_of(at), error=str(error.socketError))
+            logs.event("listen_failed", at=format_address(at), error=str(error.socketError))
         count(what)
 
     def hear(self) -> None:
@@ -227,7 +227,7 @@
             logs.event(
                 "serving",
                 name=self.config.name,
-                at=text_of(self.config.listen),
+                at=format_address(self.config.listen),
                 inherited=self.config.inherited is not None,
             )
 
@@ -267,7 +267,7 @@
         ]
         self.config = dataclasses.replace(self.config, discovery=new.discovery)
         self.watch_again()
-        logs.event("reloaded", discovery=text_of(new.discovery), at_next_start=",".join(late))
+        logs.event("reloaded", discovery=format_address(new.discovery), at_next_start=",".join(late))
 
     def drain(self) -> None:
         """Shut down: accept connections for STAY_UP s, then close client connections as they become idle."""
--- a/corkdeal/net/ops.py
+++ b/corkdeal/net/ops.py
@@ -28,7 +28,7 @@
 from twisted.python.failure import Failure
 from twisted.web import resource, server
 
-from .config import text_of
+from .config import format_address
 from .invariants import count
 
 IDLE = 5.0  # s that a connection may stay open without a complete request; callers are known to take 4 s
@@ -141,5 +141,5 @@
     from .. import logs
 
     port = reactor.listenTCP(at[1], FewCallers(Site(Calls(operators), timeout=IDLE)), interface=at[0])
-    logs.event("ops_listening", at=text_of(at))
+    logs.event("ops_listening", at=format_address(at))
     return port
