--- a/corkdeal/net/gateway.py
+++ b/corkdeal/net/gateway.py
@@ -67,18 +67,18 @@
     from .recovery import Recovery
     from .upgrade import Succession
 
-START_WAIT = 0.25  # s that a start waits for discovery's first endpoint list before it accepts clients
-STAY_UP = 0.5  # s after SIGTERM in which connections are accepted; new ones keep arriving for 0.4 s
-# SIGKILL follows SIGTERM after the longest deadline of the request classes (at most LONGEST_MOST s) plus
-# KILL_WAIT s.
-LONGEST_MOST, KILL_WAIT = 3.0, 0.7
-LAST_WORD = 0.15  # s before SIGKILL by which each open request gets its final answer
-PROBE_TIMEOUT = 0.25  # s for a health check
-SWEEP_EVERY = 0.1  # s between sweeps of expired connections, and between attempts to listen
-REPORT_EVERY = 10.0  # s between log lines with the counters
-FAILED = b"-ERR failed\r\n"
+FIRST_LIST_TIMEOUT = 0.25  # s that a start waits for discovery's first list before it accepts clients
+DRAIN_ACCEPT_TIME = 0.5  # s after SIGTERM in which connections are accepted; new ones keep arriving for 0.4 s
+# SIGKILL follows SIGTERM after the longest deadline of the request classes (MAX_CLASS_DEADLINE s at most)
+# plus KILL_DELAY s.
+MAX_CLASS_DEADLINE, KILL_DELAY = 3.0, 0.7
+FINAL_ANSWER_MARGIN = 0.15  # s before SIGKILL by which each open request gets its final answer
+HEALTH_CHECK_TIMEOUT = 0.25  # s for a health check
+SWEEP_INTERVAL = 0.1  # s between sweeps of expired connections, and between attempts to listen
+REPORT_INTERVAL = 10.0  # s between log lines with the counters
+FAILURE_REPLY = b"-ERR failed\r\n"
 # Not reported as pending after a reload: `discovery` is applied at once, the others matter to a start only.
-AT_START = ("discovery", "known", "seed")
+NOT_PENDING_AFTER_RELOAD = ("discovery", "known", "seed")
 
 
 class Gateway:
@@ -86,7 +86,7 @@
 
     def __init__(self, reactor: Any, config: Config) -> None:
         self.reactor, self.config, self.settings = reactor, config, config.settings
-        self.epoch = time.time() - time.monotonic()  # wall time at the start; later steps don't matter
+        self.clock_offset = time.time() - time.monotonic()  # wall time at the start; later steps don't matter
         self.decisions = Decisions(self.settings, config.seed)
         self.reader = Reader(self.settings)
         self.client_connections: set[client_connection.ClientConnection] = set()
@@ -98,63 +98,67 @@
             self.settings,
             config.sockets // 2,
             self.now,
-            self.finished,
+            self.attempt_ended,
             self.descriptors.for_backend_connection,
-            self.passing,
-            self.may_write,
+            self.response_started,
+            self.may_start,
             self.budget,
         )
         self.descriptors.pool = self.pool
-        self.peering = Peering(self.settings.gateway_index, config.peers, config.peers_all, self.heard)
-        self.watch = self.watch_at(config.discovery, config.known)
+        self.peering = Peering(
+            self.settings.gateway_index, config.peers, config.peers_all, self.peer_message_received
+        )
+        self.watch = self.make_watch(config.discovery, config.known)
         self.report_names = {f: f for f in self.settings.report_fields}
         self.rpcs: dict[int, RPC] = {}  # accepted and not yet answered, by request id
         self.out: dict[tuple[int, int], Attempt] = {}  # in flight, by request id and attempt number
-        self.events: list[Event] = []  # not yet handed to the decisions
-        self.busy = False  # whether `pump` is running
-        self.timers = Timers(reactor, self.now, self.due)
+        self.queued_events: list[Event] = []  # not yet handed to the decisions
+        self.is_processing = False  # whether `process_events` is running
+        self.timers = Timers(reactor, self.now, self.timers_expired)
         self.port: Any = None
-        self.opening: Any = None  # the delayed call that retries listening
-        self.begun = self.started = self.draining = self.ending = False
-        self.last_at = math.inf  # while draining: when all must be answered
+        self.listen_retry: Any = None  # the delayed call that retries listening
+        self.begun = self.is_serving = self.draining = self.ending = False
+        self.answer_deadline = math.inf  # while draining: when all must be answered
         self.peer_port: Any = None
-        self.mute = False  # whether the successor now communicates with the peers
+        self.peering_stopped = False  # whether the successor now communicates with the peers
         self.recovery: Recovery | None = None  # handles starts and stalls, if enabled
         self.membership: Membership | None = None  # tracks the tier's running gateways, if enabled
         self.succession: Succession | None = None  # quota handover, with an inherited socket
         self.before_end: list[Any] = []  # their `stop(done)` is called after the last answer, before exit
-        self.reported = ""  # counters as last logged
-        self.refused = 0  # rejections as last logged
+        self.logged_counters = ""
+        self.logged_rejections = 0
         self.ops_port: Any = None
         overrides = ManualOverrides(config.name) if config.ops else None
         if overrides:
             overrides.load()
-        self.backends = Backends(self.pool, overrides, lambda event: self.events.append(event), self.pump)
+        self.backends = Backends(
+            self.pool, overrides, lambda event: self.queued_events.append(event), self.process_events
+        )
         self.operators = Operators(self, self.backends)
         self.tally = self.operators.tally
-        self.act = {
-            StartAttempt: self.send,
-            Reject: self.refuse,
+        self.action_handlers = {
+            StartAttempt: self.start_attempt,
+            Reject: self.reject,
             Fail: self.fail,
-            CancelAttempt: self.cancel,
+            CancelAttempt: self.cancel_attempt,
             SetTimer: self.set_timer,
-            CheckHealth: self.probe,
+            CheckHealth: self.check_health,
             CloseIdleConnections: self.close_idle,
             SendToPeer: self.tell,
             Log: self.write_log,
-            WatchEndpoints: self.subscribe,
-            FetchEndpoints: self.fetch_list,
-            IncrementCounter: self.count,
+            WatchEndpoints: self.watch_endpoints,
+            FetchEndpoints: self.fetch_endpoints,
+            IncrementCounter: self.increment_counter,
         }
 
     def now(self) -> float:
         """The clock of the decisions: wall time at the start plus monotonic time since."""
-        return self.epoch + time.monotonic()
+        return self.clock_offset + time.monotonic()
 
     # Start and shutdown
 
     def start(self) -> None:
-        """Start with the configured endpoint list; accept clients after discovery's answer or START_WAIT."""
+        """Start with the configured endpoint list; accept clients after discovery's answer or a timeout."""
         self.begun = True
         known = self.config.known
         if self.recovery is not None:
@@ -163,14 +167,14 @@
             self.backends.take(known, UpdateKind.CACHED)
         else:
             self.feed(EndpointUpdate(UpdateKind.CACHED))
-        self.hear_operators()
+        self.listen_for_operators()
         self.hear()
         self.watch.run()
-        self.reactor.callLater(START_WAIT, self.open)
-        self.sweep_later()
-        self.reactor.callLater(REPORT_EVERY, self.report)
+        self.reactor.callLater(FIRST_LIST_TIMEOUT, self.accept_clients)
+        self.schedule_sweep()
+        self.reactor.callLater(REPORT_INTERVAL, self.log_counters)
 
-    def hear_operators(self) -> None:
+    def listen_for_operators(self) -> None:
         """Open the operations address, if configured; while it is in use, retry without delaying clients."""
         if not self.config.ops or self.ending:
             return
@@ -179,40 +183,40 @@
         try:
             self.ops_port = ops.listen(self.reactor, self.config.ops, self.operators)
         except CannotListenError as error:
-            self.taken("ops_port_taken", self.config.ops, error)
-            self.reactor.callLater(SWEEP_EVERY, self.hear_operators)
+            self.address_in_use("ops_port_taken", self.config.ops, error)
+            self.reactor.callLater(SWEEP_INTERVAL, self.listen_for_operators)
 
-    def taken(self, what: str, at: tuple[str, int], error: CannotListenError) -> None:
+    def address_in_use(self, counter: str, address: tuple[str, int], error: CannotListenError) -> None:
         """Count an address that another process uses; it is logged the first time, and callers retry."""
-        if not invariants.counts[what]:
-            logs.event("listen_failed", at=format_address(at), error=str(error.socketError))
-        count(what)
+        if not invariants.counts[counter]:
+            logs.event("listen_failed", at=format_address(address), error=str(error.socketError))
+        count(counter)
 
     def hear(self) -> None:
         """Listen for the peers' datagrams. During an upgrade, the predecessor has the port until it ends."""
         waits = self.succession is not None and self.succession.waits
-        if not self.config.peer_listen or self.mute or waits:
+        if not self.config.peer_listen or self.peering_stopped or waits:
             return
         host, port = self.config.peer_listen
         try:
             self.peer_port = self.reactor.listenUDP(port, self.peering, interface=host, maxPacketSize=1024)
         except CannotListenError as error:
-            self.taken("peer_port_taken", self.config.peer_listen, error)
-            self.reactor.callLater(SWEEP_EVERY, self.hear)
+            self.address_in_use("peer_port_taken", self.config.peer_listen, error)
+            self.reactor.callLater(SWEEP_INTERVAL, self.hear)
 
     def be_silent(self) -> None:
         """Stop communicating with peers for good: the successor does from now on."""
-        self.mute = True
+        self.peering_stopped = True
         if self.peer_port is not None:
             port, self.peer_port = self.peer_port, None
             port.stopListening()
 
-    def open(self) -> None:
+    def accept_clients(self) -> None:
         """Accept clients; from here on PING is answered. An inherited listening socket is used as it is.
 
         An address in use is retried until it is free, since the process that has it may be shutting down.
         """
-        if not self.started and not self.draining:
+        if not self.is_serving and not self.draining:
             clients = client_connection.ClientConnections(self)
             try:
                 if self.config.inherited is not None:
@@ -220,10 +224,12 @@
                 else:
                     self.port = client_port.listen(self.reactor, self.config.listen, clients)
             except CannotListenError as error:
-                self.taken("listen_failed", self.config.listen, error)
-                self.opening = self.opening or self.reactor.callLater(SWEEP_EVERY, self.open_again)
+                self.address_in_use("listen_failed", self.config.listen, error)
+                self.listen_retry = self.listen_retry or self.reactor.callLater(
+                    SWEEP_INTERVAL, self.retry_accept_clients
+                )
                 return
-            self.started = True
+            self.is_serving = True
             logs.event(
                 "serving",
                 name=self.config.name,
@@ -231,54 +237,64 @@
                 inherited=self.config.inherited is not None,
             )
 
-    def open_again(self) -> None:
+    def retry_accept_clients(self) -> None:
         """Retry listening."""
-        self.opening = None
-        self.open()
+        self.listen_retry = None
+        self.accept_clients()
 
-    def watch_at(self, at: tuple[str, int], held: DiscoverySnapshot | None = None) -> Watch:
+    def make_watch(self, address: tuple[str, int], held: DiscoverySnapshot | None = None) -> Watch:
         """Create a watch of the discovery service; without a `held` list it fetches a complete one first."""
-        return Watch(self.reactor, at, self.settings, self.told, held, random.Random(self.config.seed))
+        return Watch(
+            self.reactor,
+            address,
+            self.settings,
+            self.endpoints_received,
+            held,
+            random.Random(self.config.seed),
+        )
 
     def watch_again(self) -> None:
         """Restart the watch, beginning with the complete list."""
         self.watch.stop()
         if self.begun:
-            self.watch = self.watch_at(self.config.discovery)
+            self.watch = self.make_watch(self.config.discovery)
             self.watch.run()
         else:  # `start` has not been called yet, and will run it
-            self.watch = self.watch_at(self.config.discovery, self.config.known)
+            self.watch = self.make_watch(self.config.discovery, self.config.known)
 
     def reload(self) -> None:
         """Reload the configuration (SIGHUP). If it is valid, restart the watch; requests are not affected."""
         if self.ending:
             return  # the watch has been stopped for good
         try:
-            new = load()
+            new_config = load()
         except ConfigError as error:
             count("reload_refused")
             self.tally["reconfig_failed"] += 1
             return logs.event("reload_refused", error=str(error))
         self.tally["reconfig_ok"] += 1
-        late = [
+        pending = [
             f.name
-            for f in dataclasses.fields(new)
-            if f.name not in AT_START and getattr(new, f.name) != getattr(self.config, f.name)
+            for f in dataclasses.fields(new_config)
+            if f.name not in NOT_PENDING_AFTER_RELOAD
+            and getattr(new_config, f.name) != getattr(self.config, f.name)
         ]
-        self.config = dataclasses.replace(self.config, discovery=new.discovery)
+        self.config = dataclasses.replace(self.config, discovery=new_config.discovery)
         self.watch_again()
-        logs.event("reloaded", discovery=format_address(new.discovery), at_next_start=",".join(late))
+        logs.event(
+            "reloaded", discovery=format_address(new_config.discovery), at_next_start=",".join(pending)
+        )
 
     def drain(self) -> None:
-        """Shut down: accept connections for STAY_UP s, then close client connections as they become idle."""
+        """Shut down: accept connections for a while, then close client connections as they become idle."""
         if not self.draining:
             self.draining = True
             logs.event("draining", open=len(self.rpcs))
-            longest = min(LONGEST_MOST, max(c.deadline for c in self.settings.classes))
-            left = max(STAY_UP, longest + KILL_WAIT - LAST_WORD)
-            self.last_at = self.now() + left
-            self.reactor.callLater(STAY_UP, self.close)
-            self.reactor.callLater(left, self.last_call)
+            longest = min(MAX_CLASS_DEADLINE, max(c.deadline for c in self.settings.classes))
+            time_left = max(DRAIN_ACCEPT_TIME, longest + KILL_DELAY - FINAL_ANSWER_MARGIN)
+            self.answer_deadline = self.now() + time_left
+            self.reactor.callLater(DRAIN_ACCEPT_TIME, self.close)
+            self.reactor.callLater(time_left, self.answer_open_rpcs)
 
     def close(self) -> None:
         """Stop accepting connections; requests on accepted ones are still answered."""
@@ -292,7 +308,7 @@
             each.close_when_idle()
         self.client_connection_ended()
 
-    def last_call(self) -> None:
+    def answer_open_rpcs(self) -> None:
         """Answer all requests that are still open, because the process will be killed soon."""
         for rpc in list(self.rpcs.values()):
             count("unserved_at_last_call")
@@ -303,7 +319,7 @@
         rpc.left = True
         self.feed(ClientDisconnected(rpc.request.id))
         if rpc.attempt is None:
-            self.refuse(Reject(rpc.request.id, 0.0))
+            self.reject(Reject(rpc.request.id, 0.0))
         else:
             self.pool.give_up(rpc.attempt, Status.CANCELLED if rpc.attempt.whole else Status.ABANDONED)
 
@@ -317,72 +333,72 @@
         ):
             self.ending = True
             self.watch.stop()
-            self.end(self.before_end[:])
+            self.stop_subsystems(self.before_end[:])
 
-    def end(self, left: list[Any]) -> None:
+    def stop_subsystems(self, remaining: list[Any]) -> None:
         """Stop the given subsystems one after another, then the reactor."""
-        if left:
-            return left.pop().stop(lambda: self.end(left))
-        self.report()
+        if remaining:
+            return remaining.pop().stop(lambda: self.stop_subsystems(remaining))
+        self.log_counters()
         self.reactor.stop()
 
-    def sweep_later(self) -> None:
+    def schedule_sweep(self) -> None:
         """Schedule the next sweep."""
-        self.reactor.callLater(SWEEP_EVERY, self.sweep, self.now() + SWEEP_EVERY)
+        self.reactor.callLater(SWEEP_INTERVAL, self.sweep, self.now() + SWEEP_INTERVAL)
 
     def sweep(self, due: float) -> None:
         """Close expired connections, and apply manual overrides that were made at another process."""
         self.lateness.fired(due, self.now(), time.process_time())
-        self.sweep_later()  # first, so that an exception below does not end the sweeps
+        self.schedule_sweep()  # first, so that an exception below does not end the sweeps
         self.operators.follow()
         self.pool.sweep()
         self.descriptors.sweep()
 
-    def report(self) -> None:
+    def log_counters(self) -> None:
         """Log the counters and the rejections by cause, if they changed."""
-        if (line := invariants.report()) != self.reported:
-            self.reported = line
+        if (line := invariants.report()) != self.logged_counters:
+            self.logged_counters = line
             logs.event("counts", **dict(sorted(invariants.counts.items())))
-        if (total := self.decisions.requests.rejection_causes.total()) != self.refused:
-            self.refused = total
+        if (total := self.decisions.requests.rejection_causes.total()) != self.logged_rejections:
+            self.logged_rejections = total
             logs.event("refused", **dict(sorted(self.decisions.requests.rejection_causes.items())))
-        self.reactor.callLater(REPORT_EVERY, self.report)
+        self.reactor.callLater(REPORT_INTERVAL, self.log_counters)
 
     # Events
 
     def feed(self, event: Event) -> None:
         """Queue an event and hand it to the decisions; events caused by actions go into the next batch."""
-        self.events.append(event)
-        if not self.busy:
-            self.pump()
+        self.queued_events.append(event)
+        if not self.is_processing:
+            self.process_events()
 
-    def pump(self) -> None:
+    def process_events(self) -> None:
         """Hand queued events to the decisions and carry out the returned actions until the queue is empty."""
         if self.recovery is not None:
             self.recovery.check_stall(self.now())
-        self.busy = True
+        self.is_processing = True
         try:
-            while self.events:
-                events, self.events = self.events, []
+            while self.queued_events:
+                events, self.queued_events = self.queued_events, []
                 try:
                     actions = self.decisions.handle(self.now(), events)
                 except Exception:  # only the RPCs of these events fail
                     count("module_failed")
                     logs.event("module_failed", events=events, trace=traceback.format_exc())
-                    actions = self.decisions.actions + self.orphans(events)
+                    actions = self.decisions.actions + self.failures_for(events)
                 for action in actions:
                     try:
-                        self.act[type(action)](action)
+                        self.action_handlers[type(action)](action)
                     except Exception:
                         count("action_failed")
                         logs.event("action_failed", action=action, trace=traceback.format_exc())
                         if (rpc := self.rpcs.get(getattr(action, "id", -1))) is not None and not rpc.attempt:
                             self.fail(Fail(rpc.request.id))
         finally:
-            self.busy = False
+            self.is_processing = False
         self.timers.arm()
 
-    def orphans(self, events: list[Event]) -> list[Action]:
+    def failures_for(self, events: list[Event]) -> list[Action]:
         """Failures for the RPCs of these events, except those for which an attempt was just started."""
         sent = {a.id for a in self.decisions.actions if isinstance(a, StartAttempt)}
         ids = {e.id for e in events if isinstance(e, Request | AttemptEnded)} - sent
@@ -391,20 +407,22 @@
     def take(self, rpc: RPC) -> None:
         """Accept an RPC that was received completely; it is rejected at once if its time is over."""
         self.rpcs[rpc.request.id] = rpc
-        if self.draining and rpc.deadline > self.last_at:
-            rpc.deadline = self.last_at
-            rpc.request = dataclasses.replace(rpc.request, timeout=max(0.0, self.last_at - self.now()))
+        if self.draining and rpc.deadline > self.answer_deadline:
+            rpc.deadline = self.answer_deadline
+            rpc.request = dataclasses.replace(
+                rpc.request, timeout=max(0.0, self.answer_deadline - self.now())
+            )
         if (self.recovery is not None or self.draining) and rpc.request.timeout <= 0:
             count("request_too_old")
-            return self.refuse(Reject(rpc.request.id, 0.0))
+            return self.reject(Reject(rpc.request.id, 0.0))
         self.feed(rpc.request)
 
-    def turned_down(self, rpc: RPC, after: float) -> bytes:
+    def turned_down(self, rpc: RPC, retry_after: float) -> bytes:
         """Reject an RPC before it is handed to the decisions; returns the encoded answer."""
         rpc.done = True
         self.reader.open.discard(rpc.id)
         self.tally["busy"] += 1
-        return self.rejection(min(after, self.settings.max_retry_after))
+        return self.encode_rejection(min(retry_after, self.settings.max_retry_after))
 
     def beyond_quota(self, request: Request) -> float | None:
         """Seconds to wait before a retry if a command can be rejected by its head alone, else None."""
@@ -417,7 +435,7 @@
 
     def gone(self, rpc: RPC) -> None:
         """The client has disconnected: an attempt that is not written completely is given up."""
-        if self.settle(rpc.request.id) is not None:
+        if self.close_rpc(rpc.request.id) is not None:
             self.feed(ClientDisconnected(rpc.request.id))
             if rpc.attempt is not None and not rpc.attempt.whole:
                 self.pool.give_up(rpc.attempt, Status.ABANDONED)
@@ -433,7 +451,7 @@
         rpc.left = True
         self.feed(ClientDisconnected(rpc.request.id))
 
-    def let_go(self, rpc: RPC) -> None:
+    def end_unstarted(self, rpc: RPC) -> None:
         """End an RPC whose attempt can't begin any more because the client has left."""
         count("attempt_not_begun")
         if rpc.client_connection.is_reset:
@@ -441,7 +459,7 @@
         else:
             self.left(rpc)
 
-    def may_write(self, attempt: Attempt) -> bool:
+    def may_start(self, attempt: Attempt) -> bool:
         """Whether an attempt may be written on its newly opened connection; if not, it is given up."""
         rpc = attempt.rpc
         if rpc is None:
@@ -451,10 +469,10 @@
             return False
         if rpc.client_connection.may_begin(self.now()):
             return True
-        self.let_go(rpc)
+        self.end_unstarted(rpc)
         return False
 
-    def finished(self, attempt: Attempt, reply: Reply) -> None:
+    def attempt_ended(self, attempt: Attempt, reply: Reply) -> None:
         """An attempt ended: send a value to the client, then notify the decisions."""
         if self.recovery is not None:
             self.recovery.check_stall(self.now())
@@ -474,20 +492,20 @@
             self.tally["success"] += 1
             self.answer(rid, [reply.value])
         elif rpc.left:  # the decisions have dropped it
-            never = rpc.attempts == 1 and reply.status in NEVER_RAN
-            self.refuse(Reject(rid, 0.0)) if never else self.fail(Fail(rid))
+            has_never_run = rpc.attempts == 1 and reply.status in NEVER_RAN
+            self.reject(Reject(rid, 0.0)) if has_never_run else self.fail(Fail(rid))
         if self.decisions.admission_ramp is not None:
             self.decisions.admission_ramp.record_outcome(reply.status is Status.OK)
         self.feed(
             AttemptEnded(rid, attempt.number, attempt.server, reply.status, elapsed, rpc.done, report=report)
         )
 
-    def passing(self, attempt: Attempt, response_stream: ResponseStream) -> bool:
+    def response_started(self, attempt: Attempt, response_stream: ResponseStream) -> bool:
         """A long answer has begun, which makes it final; returns whether the RPC still waits for one.
 
         The decisions get the time until now, because the rest depends on how fast the client reads.
         """
-        if (rpc := self.settle(attempt.rpc.request.id)) is None:
+        if (rpc := self.close_rpc(attempt.rpc.request.id)) is None:
             return False
         attempt.first = max(0.0, self.now() - attempt.sent_at)
         self.tally["success"] += 1
@@ -495,32 +513,32 @@
         self.feed(StreamStarted(rpc.request.id, attempt.number, attempt.server, attempt.first))
         return True
 
-    def heard(self, peer: int, payload: bytes) -> None:
+    def peer_message_received(self, peer: int, payload: bytes) -> None:
         """Handle a peer's datagram; one that may have arrived during a stall is dropped as outdated."""
         self.tally["heard"] += 1
         if self.decisions.is_endpoint_list_stale:
             return count("datagram_old")
         self.feed(PeerMessage(peer, payload))
 
-    def told(self, result: DiscoverySnapshot) -> None:
+    def endpoints_received(self, result: DiscoverySnapshot) -> None:
         """Apply an endpoint list or delta from discovery, and accept clients."""
         if self.recovery is not None:
             self.recovery.discovery_answered()
             self.recovery.backends_known(len(result.entries))
         self.backends.take(result, UpdateKind.COMPLETE if result.complete else UpdateKind.DELTA)
-        self.open()
+        self.accept_clients()
 
-    def timer(self, due: float, what: int | Attempt) -> None:
+    def add_timer(self, due: float, target: int | Attempt) -> None:
         """Set a timer that returns a token to the decisions, or ends an attempt, at `due`."""
-        self.timers.at(due, what)
-        if not self.busy:
+        self.timers.at(due, target)
+        if not self.is_processing:
             self.timers.arm()
 
-    def due(self, tokens: list[int], late: list[Attempt]) -> None:
+    def timers_expired(self, tokens: list[int], expired: list[Attempt]) -> None:
         """Timers expired: hand the decisions' tokens over in one batch, then time attempts out."""
-        self.events += [TimerExpired(token) for token in tokens]
-        self.pump()
-        for attempt in late:
+        self.queued_events += [TimerExpired(token) for token in tokens]
+        self.process_events()
+        for attempt in expired:
             if attempt.first is None:  # an answer that has begun may take longer
                 self.pool.give_up(attempt, Status.TIMEOUT)
 
@@ -528,10 +546,10 @@
 
     def answer(self, rid: int, reply: list[Any]) -> None:
         """Send an RPC's one final answer, unless it has one or its client has disconnected."""
-        if (rpc := self.settle(rid)) is not None:
+        if (rpc := self.close_rpc(rid)) is not None:
             rpc.client_connection.answer(rpc, reply)
 
-    def settle(self, rid: int) -> RPC | None:
+    def close_rpc(self, rid: int) -> RPC | None:
         """Remove an RPC from the open ones, for its final answer; None if it is not open."""
         if (rpc := self.rpcs.pop(rid, None)) is not None:
             rpc.done = True
@@ -539,86 +557,92 @@
             rpc.release()
         return rpc
 
-    def send(self, a: StartAttempt) -> None:
+    def start_attempt(self, action: StartAttempt) -> None:
         """Start an attempt; it ends at the client's deadline at the latest."""
-        rpc, now = self.rpcs.get(a.id), self.now()
+        rpc, now = self.rpcs.get(action.id), self.now()
         if rpc is None or not holds(rpc.attempt is None, "two_attempts_at_once"):
             number = rpc.attempts if rpc else 0
-            return self.feed(AttemptEnded(a.id, number, a.backend, Status.ABANDONED, 0.0, rpc is None))
+            return self.feed(
+                AttemptEnded(action.id, number, action.backend, Status.ABANDONED, 0.0, rpc is None)
+            )
         if not rpc.client_connection.may_begin(now):
-            self.let_go(rpc)
-            return self.feed(AttemptEnded(a.id, rpc.attempts, a.backend, Status.ABANDONED, 0.0, True))
-        until = min(rpc.deadline, now + a.timeout) if a.timeout > 0 else rpc.deadline
-        attempt = Attempt(rpc, rpc.attempts, a.backend, now, until, rpc.parts(until - now))
-        attempt.decided_at, attempt.write_by = now, self.window_end(rpc)
-        self.out[a.id, attempt.number] = rpc.attempt = attempt
+            self.end_unstarted(rpc)
+            return self.feed(
+                AttemptEnded(action.id, rpc.attempts, action.backend, Status.ABANDONED, 0.0, True)
+            )
+        until = min(rpc.deadline, now + action.timeout) if action.timeout > 0 else rpc.deadline
+        attempt = Attempt(rpc, rpc.attempts, action.backend, now, until, rpc.parts(until - now))
+        attempt.decided_at, attempt.write_by = now, self.deduplication_end(rpc)
+        self.out[action.id, attempt.number] = rpc.attempt = attempt
         rpc.attempts += 1
         self.tally["backend_calls"] += 1
-        self.timer(until, attempt)
+        self.add_timer(until, attempt)
         self.pool.send(attempt)
         self.pool.limit_write(attempt)
 
-    def window_end(self, rpc: RPC) -> float:
+    def deduplication_end(self, rpc: RPC) -> float:
         """End of the deduplication window of an RPC that may have run; infinite if there is none.
 
         A retry must be written by then, for the backend would run it again later. The decisions start no
         attempt after it, but the connection may come up, or accept the last byte, later.
         """
-        cls = self.settings.classes[rpc.request.request_class]
-        if cls.effect is not Effect.IDEMPOTENCY_KEY or rpc.ran_since is None:
+        request_class = self.settings.classes[rpc.request.request_class]
+        if request_class.effect is not Effect.IDEMPOTENCY_KEY or rpc.ran_since is None:
             return math.inf
-        return rpc.ran_since + cls.deduplication_window
+        return rpc.ran_since + request_class.deduplication_window
 
-    def refuse(self, a: Reject) -> None:
+    def reject(self, action: Reject) -> None:
         """Reject a request, with a retry-after time where the settings allow one."""
-        self.tally["busy"] += a.id in self.rpcs
-        self.answer(a.id, [self.rejection(a.retry_after)])
+        self.tally["busy"] += action.id in self.rpcs
+        self.answer(action.id, [self.encode_rejection(action.retry_after)])
 
-    def rejection(self, after: float) -> bytes:
+    def encode_rejection(self, retry_after: float) -> bytes:
         """The encoded rejection; `after` is the retry-after time in s."""
-        wait = math.ceil(after * 1000) if self.settings.may_send_retry_after else 0
+        wait = math.ceil(retry_after * 1000) if self.settings.may_send_retry_after else 0
         return b"-BUSY %d\r\n" % wait if wait > 0 else b"-BUSY\r\n"
 
-    def fail(self, a: Fail) -> None:
+    def fail(self, action: Fail) -> None:
         """Answer that a request failed; it may or may not have run."""
-        self.tally["failure"] += a.id in self.rpcs
-        self.answer(a.id, [FAILED])
+        self.tally["failure"] += action.id in self.rpcs
+        self.answer(action.id, [FAILURE_REPLY])
 
-    def cancel(self, a: CancelAttempt) -> None:
+    def cancel_attempt(self, action: CancelAttempt) -> None:
         """Cancel an attempt."""
-        if (attempt := self.out.get((a.id, a.attempt))) is not None:
+        if (attempt := self.out.get((action.id, action.attempt))) is not None:
             self.pool.give_up(attempt, Status.CANCELLED)
 
-    def set_timer(self, a: SetTimer) -> None:
+    def set_timer(self, action: SetTimer) -> None:
         """Set a timer of the decisions."""
-        self.timer(self.now() + a.delay, a.token)
+        self.add_timer(self.now() + action.delay, action.token)
 
-    def probe(self, a: CheckHealth) -> None:
+    def check_health(self, action: CheckHealth) -> None:
         """Send a health check, which asks a backend for its load."""
         now = self.now()
-        attempt = Attempt(None, 0, a.backend, now, now + PROBE_TIMEOUT, [command(b"INFO", b"load")])
-        self.timer(attempt.until, attempt)
+        attempt = Attempt(
+            None, 0, action.backend, now, now + HEALTH_CHECK_TIMEOUT, [command(b"INFO", b"load")]
+        )
+        self.add_timer(attempt.until, attempt)
         self.pool.send(attempt)
 
-    def close_idle(self, a: CloseIdleConnections) -> None:
+    def close_idle(self, action: CloseIdleConnections) -> None:
         """Close a backend's idle connections."""
-        self.pool.close_idle(a.backend)
+        self.pool.close_idle(action.backend)
 
-    def tell(self, a: SendToPeer) -> None:
+    def tell(self, action: SendToPeer) -> None:
         """Send a datagram to a peer, or to all of them."""
         self.tally["told"] += 1
-        self.peering.tell(a.peer, a.payload)
+        self.peering.tell(action.peer, action.payload)
 
-    def write_log(self, a: Log) -> None:
+    def write_log(self, action: Log) -> None:
         """Write a log line of the decisions."""
-        logs.event("module_says", text=a.text)
+        logs.event("module_says", text=action.text)
 
-    def subscribe(self, a: WatchEndpoints) -> None:
+    def watch_endpoints(self, action: WatchEndpoints) -> None:
         """Nothing to do: the watch always runs."""
 
-    def fetch_list(self, a: FetchEndpoints) -> None:
+    def fetch_endpoints(self, action: FetchEndpoints) -> None:
         """Nothing to do: the watch holds the latest list."""
 
-    def count(self, a: IncrementCounter) -> None:
+    def increment_counter(self, action: IncrementCounter) -> None:
         """Report a failed increment: there is no counter service outside the simulator."""
-        self.feed(CounterResult(a.name, 0.0, Status.CONNECT_FAILED, 0.0))
+        self.feed(CounterResult(action.name, 0.0, Status.CONNECT_FAILED, 0.0))
--- a/corkdeal/net/operators.py
+++ b/corkdeal/net/operators.py
@@ -23,7 +23,7 @@
     @property
     def ready(self) -> bool:
         """Whether new clients should come here: it is serving, and neither draining nor on standby."""
-        return self.gateway.started and not (self.gateway.draining or self.standby)
+        return self.gateway.is_serving and not (self.gateway.draining or self.standby)
 
     def state(self) -> str:
         """The gateway's state as one word."""
@@ -33,7 +33,7 @@
             else "standby"
             if self.standby
             else "serving"
-            if self.gateway.started
+            if self.gateway.is_serving
             else "starting"
         )
 
