--- a/corkdeal/net/gateway.py
+++ b/corkdeal/net/gateway.py
@@ -350,7 +350,7 @@
         """Close expired connections, and apply manual overrides that were made at another process."""
         self.lateness.fired(due, self.now(), time.process_time())
         self.schedule_sweep()  # first, so that an exception below does not end the sweeps
-        self.operators.follow()
+        self.operators.sync_overrides()
         self.pool.sweep()
         self.descriptors.sweep()
 
--- a/corkdeal/net/operators.py
+++ b/corkdeal/net/operators.py
@@ -37,7 +37,7 @@
             else "starting"
         )
 
-    def figures(self) -> dict[str, int]:
+    def metrics(self) -> dict[str, int]:
         """Metrics: counters since the start, and gauges of open requests, backends and loop lateness."""
         listed, down = self.backends.counts()
         tally = {k: self.tally[k] for k in ("success", "busy", "failure", "backend_calls")}
@@ -51,7 +51,7 @@
             "loop_late_ms": round(1000 * self.gateway.lateness.most),
         }
 
-    def stand_by(self) -> bool:
+    def enter_standby(self) -> bool:
         """Enter standby: PING fails, and idle client connections close. Returns whether it is a change."""
         if self.standby:
             return False
@@ -59,11 +59,11 @@
         logs.event(
             "standby", open=len(self.gateway.rpcs), client_connections=len(self.gateway.client_connections)
         )
-        for each in list(self.gateway.client_connections):
-            each.close_when_idle()
+        for connection in list(self.gateway.client_connections):
+            connection.close_when_idle()
         return True
 
-    def stand_up(self) -> bool:
+    def end_standby(self) -> bool:
         """End standby; new client connections stay open again. Returns whether it is a change."""
         if not self.standby:
             return False
@@ -71,7 +71,7 @@
         logs.event("active")
         return True
 
-    def follow(self) -> None:
+    def sync_overrides(self) -> None:
         """Apply overrides made at the predecessor or successor, while both processes are running."""
         for server in sorted(self.overrides.follow()) if self.overrides is not None else ():
             logs.event("held_elsewhere", server=server, out=server in self.overrides.out)
@@ -85,13 +85,13 @@
         assert self.overrides is not None
         if not self.backends.known(server):
             return None
-        self.follow()  # first, so that the file written next keeps overrides made at another process
-        new = self.overrides.enter(server)
-        logs.event("held_out", server=server, new=new)
+        self.sync_overrides()  # first, so that the file written next keeps overrides made at another process
+        is_change = self.overrides.enter(server)
+        logs.event("held_out", server=server, new=is_change)
         self.backends.retell(server)
-        return new
+        return is_change
 
-    def let_back(self, server: str) -> bool | None:
+    def return_to_service(self, server: str) -> bool | None:
         """Return a backend to service as one that has just started.
 
         Returns whether it was held out; None for an unknown id.
@@ -99,8 +99,8 @@
         assert self.overrides is not None
         if not self.backends.known(server):
             return None
-        self.follow()
-        back = self.overrides.exit(server, self.gateway.now())
-        logs.event("let_back", server=server, new=back)
+        self.sync_overrides()
+        was_held_out = self.overrides.exit(server, self.gateway.now())
+        logs.event("let_back", server=server, new=was_held_out)
         self.backends.retell(server)
-        return back
+        return was_held_out
--- a/corkdeal/net/ops.py
+++ b/corkdeal/net/ops.py
@@ -78,19 +78,19 @@
                 {"word": "YES" if ready else "NO", "state": self.operators.state()},
             )
         if parts == ["status", "metrics"]:
-            return reply(request, 200, {PREFIX + k: v for k, v in self.operators.figures().items()})
+            return reply(request, 200, {PREFIX + k: v for k, v in self.operators.metrics().items()})
         return self.not_here(request, parts, "GET")
 
     def render_PUT(self, request: Any) -> bytes:
         """Carry out maintenance, standby and active."""
         parts, word = self.path(request), self.operators
         if len(parts) == 3 and parts[0] == "maintenance" and parts[1] in HOLD_CALLS and parts[2]:
-            done = word.hold_out(parts[2]) if parts[1] == "enter" else word.let_back(parts[2])
+            done = word.hold_out(parts[2]) if parts[1] == "enter" else word.return_to_service(parts[2])
             if done is None:
                 return reply(request, 404, {"word": "NO", "error": "no backend of that id"})
             return reply(request, 200, {"word": "YES", "id": parts[2], "changed": done})
         if len(parts) == 1 and parts[0] in PUT_CALLS:
-            changed = word.stand_by() if parts[0] == "standby" else word.stand_up()
+            changed = word.enter_standby() if parts[0] == "standby" else word.end_standby()
             return reply(request, 200, {"word": "YES", "changed": changed, "state": word.state()})
         return self.not_here(request, parts, "PUT")
 
--- a/tests/test_net_ops.py
+++ b/tests/test_net_ops.py
@@ -26,9 +26,12 @@
 
     def __init__(self):
         self.changes = []
-        self.state, self.figures = lambda: "serving", lambda: {"success": 3, "inflight": 1}
-        self.hold_out, self.let_back = lambda s: self.change("out", s), lambda s: self.change("back", s)
-        self.stand_by, self.stand_up = lambda: self.change("standby"), lambda: self.change("active")
+        self.state, self.metrics = lambda: "serving", lambda: {"success": 3, "inflight": 1}
+        self.hold_out, self.return_to_service = (
+            lambda s: self.change("out", s),
+            lambda s: self.change("back", s),
+        )
+        self.enter_standby, self.end_standby = lambda: self.change("standby"), lambda: self.change("active")
 
     def change(self, *what):
         self.changes.append(what)
