--- a/corkdeal/net/ops.py
+++ b/corkdeal/net/ops.py
@@ -2,8 +2,8 @@
 
 Each connection carries one request. It is answered in the reactor iteration in which it was received
 completely, because no handler waits for a backend, discovery or a peer; only a busy reactor delays an answer.
-A caller that sends nothing, or part of a request, holds one descriptor for at most `IDLE` s and delays no
-other. Success is 200, failure 4xx or 5xx; bodies are JSON.
+A caller that sends nothing, or part of a request, holds one descriptor for at most REQUEST_TIMEOUT s and
+delays no other. Success is 200, failure 4xx or 5xx; bodies are JSON.
 
     GET /status                     200 while ready to serve; 503 before, on standby and during shutdown
     GET /status/metrics             the gateway's metrics, as one JSON object
@@ -31,14 +31,14 @@
 from .config import format_address
 from .invariants import count
 
-IDLE = 5.0  # s that a connection may stay open without a complete request; callers are known to take 4 s
-CALLERS_MOST = 8  # concurrent connections; they use descriptors reserved for the process itself
-PREFIX = "app_"  # of the metrics' names
-PUT_CALLS = ("standby", "active")
-HOLD_CALLS = ("enter", "exit")
+REQUEST_TIMEOUT = 5.0  # s to receive a complete request; callers are known to take 4 s
+MAX_CONNECTIONS = 8  # concurrent connections; they use descriptors reserved for the process itself
+METRIC_PREFIX = "app_"  # of the metrics' names
+PUT_PATHS = ("standby", "active")
+MAINTENANCE_ACTIONS = ("enter", "exit")
 
 
-def reply(request: Any, code: int, body: dict[str, Any]) -> bytes:
+def json_response(request: Any, code: int, body: dict[str, Any]) -> bytes:
     """Set status and headers of a JSON response, and return its body; the connection closes after it."""
     request.setResponseCode(code)
     request.setHeader(b"content-type", b"application/json")
@@ -46,7 +46,7 @@
     return orjson.dumps(body)
 
 
-class Calls(resource.Resource):
+class OperationsResource(resource.Resource):
     """The HTTP resource with the six operations on one gateway."""
 
     isLeaf = True
@@ -55,7 +55,7 @@
         super().__init__()
         self.operators = operators
 
-    def path(self, request: Any) -> list[str]:
+    def path_segments(self, request: Any) -> list[str]:
         """The decoded segments of the path, without an empty last one."""
         parts = [urllib.parse.unquote(p.decode("latin-1")) for p in request.postpath]
         return parts[:-1] if parts and not parts[-1] else parts
@@ -64,50 +64,56 @@
         """Answer other methods than these three with 405; Twisted would answer 501."""
         if request.method not in (b"GET", b"HEAD", b"PUT"):
             request.setHeader(b"allow", b"GET, HEAD, PUT")
-            return reply(request, 405, {"word": "NO", "error": "method not allowed"})
+            return json_response(request, 405, {"word": "NO", "error": "method not allowed"})
         return super().render(request)
 
     def render_GET(self, request: Any) -> bytes:
         """Answer requests for status and metrics."""
-        parts = self.path(request)
+        parts = self.path_segments(request)
         if parts == ["status"]:
             ready = self.operators.ready
-            return reply(
+            return json_response(
                 request,
                 200 if ready else 503,
                 {"word": "YES" if ready else "NO", "state": self.operators.state()},
             )
         if parts == ["status", "metrics"]:
-            return reply(request, 200, {PREFIX + k: v for k, v in self.operators.metrics().items()})
-        return self.not_here(request, parts, "GET")
+            return json_response(
+                request, 200, {METRIC_PREFIX + k: v for k, v in self.operators.metrics().items()}
+            )
+        return self.reject_path(request, parts, "GET")
 
     def render_PUT(self, request: Any) -> bytes:
         """Carry out maintenance, standby and active."""
-        parts, word = self.path(request), self.operators
-        if len(parts) == 3 and parts[0] == "maintenance" and parts[1] in HOLD_CALLS and parts[2]:
-            done = word.hold_out(parts[2]) if parts[1] == "enter" else word.return_to_service(parts[2])
-            if done is None:
-                return reply(request, 404, {"word": "NO", "error": "no backend of that id"})
-            return reply(request, 200, {"word": "YES", "id": parts[2], "changed": done})
-        if len(parts) == 1 and parts[0] in PUT_CALLS:
-            changed = word.enter_standby() if parts[0] == "standby" else word.end_standby()
-            return reply(request, 200, {"word": "YES", "changed": changed, "state": word.state()})
-        return self.not_here(request, parts, "PUT")
+        parts, operators = self.path_segments(request), self.operators
+        if len(parts) == 3 and parts[0] == "maintenance" and parts[1] in MAINTENANCE_ACTIONS and parts[2]:
+            changed = (
+                operators.hold_out(parts[2]) if parts[1] == "enter" else operators.return_to_service(parts[2])
+            )
+            if changed is None:
+                return json_response(request, 404, {"word": "NO", "error": "no backend of that id"})
+            return json_response(request, 200, {"word": "YES", "id": parts[2], "changed": changed})
+        if len(parts) == 1 and parts[0] in PUT_PATHS:
+            changed = operators.enter_standby() if parts[0] == "standby" else operators.end_standby()
+            return json_response(
+                request, 200, {"word": "YES", "changed": changed, "state": operators.state()}
+            )
+        return self.reject_path(request, parts, "PUT")
 
     def render_HEAD(self, request: Any) -> bytes:
         """Answer as for GET; Twisted omits the body."""
         return self.render_GET(request)
 
-    def not_here(self, request: Any, parts: list[str], method: str) -> bytes:
+    def reject_path(self, request: Any, parts: list[str], method: str) -> bytes:
         """Answer 405 for a path that exists for another method, else 404."""
         gets = parts in (["status"], ["status", "metrics"])
-        puts = (len(parts) == 1 and parts[0] in PUT_CALLS) or (
-            len(parts) == 3 and parts[0] == "maintenance" and parts[1] in HOLD_CALLS
+        puts = (len(parts) == 1 and parts[0] in PUT_PATHS) or (
+            len(parts) == 3 and parts[0] == "maintenance" and parts[1] in MAINTENANCE_ACTIONS
         )
         if (gets and method != "GET") or (puts and method != "PUT"):
             request.setHeader(b"allow", b"GET, HEAD" if gets else b"PUT")
-            return reply(request, 405, {"word": "NO", "error": f"{method} is not allowed here"})
-        return reply(request, 404, {"word": "NO", "error": "no such call"})
+            return json_response(request, 405, {"word": "NO", "error": f"{method} is not allowed here"})
+        return json_response(request, 404, {"word": "NO", "error": "no such call"})
 
 
 class Site(server.Site):
@@ -119,7 +125,7 @@
         """Write no access log: requests are few, and the gateway logs what they change."""
 
 
-class FewCallers(WrappingFactory):
+class ConnectionLimiter(WrappingFactory):
     """Limits the number of concurrent connections by closing the oldest one for a new one.
 
     An answer is written in the reactor iteration in which its request was received, so the oldest connection
@@ -130,7 +136,7 @@
 
     def buildProtocol(self, addr: Any) -> Any:
         """Accept a connection; Twisted's own `protocols` holds the open ones, the oldest first."""
-        if len(self.protocols) >= CALLERS_MOST:
+        if len(self.protocols) >= MAX_CONNECTIONS:
             count("ops_caller_closed_for_another")
             next(iter(self.protocols)).transport.connectionLost(Failure(ConnectionAborted()))
         return super().buildProtocol(addr)
@@ -140,6 +146,10 @@
     """Listen on the operations address, and on no other interface."""
     from .. import logs
 
-    port = reactor.listenTCP(at[1], FewCallers(Site(Calls(operators), timeout=IDLE)), interface=at[0])
+    port = reactor.listenTCP(
+        at[1],
+        ConnectionLimiter(Site(OperationsResource(operators), timeout=REQUEST_TIMEOUT)),
+        interface=at[0],
+    )
     logs.event("ops_listening", at=format_address(at))
     return port
--- a/tests/test_net_ops.py
+++ b/tests/test_net_ops.py
@@ -60,7 +60,7 @@
     gateway = FakeGateway()
     request = DummyRequest([p.encode() for p in path.split("/")] if path else [])
     request.method = method
-    body = ops.Calls(gateway).render(request)
+    body = ops.OperationsResource(gateway).render(request)
     assert request.responseCode == code
     assert gateway.changes == changes
     assert json.loads(body).get("word", "YES") == ("YES" if code < 300 else "NO")
@@ -173,7 +173,7 @@
         for each in crowd:
             self.addCleanup(each.close)
         self.assertEqual(self.call("GET", "/status")[0], 200)  # queued behind them
-        self.assertLessEqual(len(os.listdir(folder)), before + ops.CALLERS_MOST)
+        self.assertLessEqual(len(os.listdir(folder)), before + ops.MAX_CONNECTIONS)
         with contextlib.suppress(ConnectionResetError):
             self.assertEqual(crowd[0].recv(10), b"")
 
