--- a/corkdeal/net/figures.py
+++ b/corkdeal/net/figures.py
@@ -28,7 +28,7 @@
         tally = {k: g.tally[k] for k in ("success", "busy", "failure", "backend_calls", "told", "heard")}
         members = d.membership.metrics() if d.membership is not None else {}
         return {
-            "asked": g.reader.number,
+            "asked": g.reader.request_count,
             **tally,
             "opened": g.pool.opened,
             **d.requests.rejection_causes,
--- a/corkdeal/net/gateway.py
+++ b/corkdeal/net/gateway.py
@@ -485,8 +485,8 @@
         rid = rpc.request.id
         self.out.pop((rid, attempt.number), None)
         rpc.attempt = None
-        if rpc.ran_since is None and reply.status not in NEVER_RAN:
-            rpc.ran_since = attempt.decided_at
+        if rpc.first_run_at is None and reply.status not in NEVER_RAN:
+            rpc.first_run_at = attempt.decided_at
         rpc.release()
         if reply.status is Status.OK and not rpc.done:
             self.tally["success"] += 1
@@ -587,9 +587,9 @@
         attempt after it, but the connection may come up, or accept the last byte, later.
         """
         request_class = self.settings.classes[rpc.request.request_class]
-        if request_class.effect is not Effect.IDEMPOTENCY_KEY or rpc.ran_since is None:
+        if request_class.effect is not Effect.IDEMPOTENCY_KEY or rpc.first_run_at is None:
             return math.inf
-        return rpc.ran_since + request_class.deduplication_window
+        return rpc.first_run_at + request_class.deduplication_window
 
     def reject(self, action: Reject) -> None:
         """Reject a request, with a retry-after time where the settings allow one."""
--- a/corkdeal/net/rpc.py
+++ b/corkdeal/net/rpc.py
@@ -10,27 +10,29 @@
 from ..decisions.settings import Effect, Settings
 from .resp import ARRAY, BULK, Frame, Malformed, fields_of
 
-MOST_CUSTOMER = 1 << 33
+CUSTOMER_LIMIT = 1 << 33
 READ, WRITE = b"API.READ", b"API.WRITE"
 CUSTOMER, ID, PARAMS = 2, 3, 4  # indexes into the frame's items; 0 is the array's head, 1 the command's name
-CLIENT_WAY = 0.001  # s; estimated time that a request spent on its way from the client
+CLIENT_LATENCY = 0.001  # s; estimated time that a request spent on its way from the client
 # int() and float() also accept signs, blanks and underscores, which a backend may read differently.
-HEX = re.compile(rb"[0-9a-fA-F]{16}").fullmatch
-WHOLE = re.compile(rb"[0-9]{1,7}").fullmatch
-DECIMAL = re.compile(rb"[0-9]{1,6}(?:\.[0-9]{1,6})?").fullmatch
-KEY = re.compile(rb"[!-+\--<>-~]{1,64}").fullmatch  # printable ASCII without blank, comma and equals sign
-FLAG = re.compile(rb"[01]").fullmatch
-FORMS = {
+match_hex_id = re.compile(rb"[0-9a-fA-F]{16}").fullmatch
+match_integer = re.compile(rb"[0-9]{1,7}").fullmatch
+match_decimal = re.compile(rb"[0-9]{1,6}(?:\.[0-9]{1,6})?").fullmatch
+match_key = re.compile(
+    rb"[!-+\--<>-~]{1,64}"
+).fullmatch  # printable ASCII without blank, comma and equals sign
+match_flag = re.compile(rb"[01]").fullmatch
+PARAMETER_FORMATS = {
     b"c": None,
     b"t": None,
-    b"d": WHOLE,
-    b"k": KEY,
-    b"r": FLAG,
-    b"units": DECIMAL,
-    b"spread": WHOLE,
-    b"first": WHOLE,
+    b"d": match_integer,
+    b"k": match_key,
+    b"r": match_flag,
+    b"units": match_decimal,
+    b"spread": match_integer,
+    b"first": match_integer,
 }
-DEFAULTS = {b"c": b"", b"t": b"", b"units": b"1", b"spread": b"1", b"first": b"0"}
+PARAMETER_DEFAULTS = {b"c": b"", b"t": b"", b"units": b"1", b"spread": b"1", b"first": b"0"}
 
 
 class BadRequest(ValueError):
@@ -44,27 +46,27 @@
     request: Request
     id: int  # chosen by the client; unique among the open RPCs
     frame: Frame
-    wait_at: int  # start and end of the value of `d` in the parameters
-    wait_stop: int
+    timeout_start: int  # start and end of the value of `d` in the parameters
+    timeout_stop: int
     deadline: float
     client_connection: Any = None
     attempt: Any = None  # the attempt in flight
     attempts: int = 0  # started so far
-    ran_since: float | None = None  # when the first attempt that may have run was decided on
+    first_run_at: float | None = None  # when the first attempt that may have run was decided on
     done: bool = False  # answered, or no answer is wanted
     left: bool = False  # its client sends no more, so no further attempt is started
     reply: list[Any] | None = None  # the answer, or the part received so far, until it may be sent
     response_stream: Any = None  # forwards an answer with a long value
     body: Any = None  # the command's long value, if it has one
 
-    def parts(self, wait: float) -> list[bytes | memoryview]:
-        """The command for a backend: unchanged, except that `d` is how long this gateway waits (`wait` s)."""
+    def parts(self, timeout: float) -> list[bytes | memoryview]:
+        """The command for a backend: unchanged but for `d`, the time that this gateway waits, `timeout` s."""
         buf, params = memoryview(self.frame.buf), self.frame.items[PARAMS]
         first, last = self.frame.items[0], self.frame.items[-1]
-        left = buf[params.start : params.start + self.wait_at]
-        right = buf[params.start + self.wait_stop : params.stop]
-        text = b"%b%d%b" % (left, max(1, int(wait * 1000)), right)
-        head = [buf[first.head : params.head], b"$%d\r\n%b" % (len(text), text)]
+        left = buf[params.start : params.start + self.timeout_start]
+        right = buf[params.start + self.timeout_stop : params.stop]
+        new_params = b"%b%d%b" % (left, max(1, int(timeout * 1000)), right)
+        head = [buf[first.head : params.head], b"$%d\r\n%b" % (len(new_params), new_params)]
         if self.body is not None:
             return [*head, buf[params.stop : last.start], *self.body.pieces]
         return [*head, buf[params.stop : last.end]]
@@ -82,7 +84,7 @@
         self.settings = settings
         self.classes = {c.name.encode(): i for i, c in enumerate(settings.classes)}
         self.plans = {p.name.encode(): i for i, p in enumerate(settings.plans)}
-        self.number = 0  # RPCs so far; each gets the next number as its request id
+        self.request_count = 0  # RPCs so far; each gets the next number as its request id
         self.open: set[int] = set()  # clients' ids of the unanswered RPCs
 
     def read(self, frame: Frame, now: float, waited: float = 0.0) -> RPC:
@@ -96,58 +98,58 @@
         write = frame.text(1).upper() == WRITE
         if not PARAMS < len(frame.items) <= PARAMS + 1 + write:
             raise BadRequest("wrong number of arguments")
-        raw, s = frame.text(PARAMS), self.settings
-        given = self.fields(raw)
-        cls, plan = self.classes.get(given[b"c"]), self.plans.get(given[b"t"])
-        if cls is None or plan is None:
+        raw, settings = frame.text(PARAMS), self.settings
+        parameters = self.parse_parameters(raw)
+        class_index, plan_index = self.classes.get(parameters[b"c"]), self.plans.get(parameters[b"t"])
+        if class_index is None or plan_index is None:
             raise BadRequest("unknown class or plan")
-        effect = s.classes[cls].effect
+        effect = settings.classes[class_index].effect
         if write is (effect is Effect.IDEMPOTENT):
             raise BadRequest("this class is served by the other command")
-        if effect is Effect.IDEMPOTENCY_KEY and b"k" not in given:
+        if effect is Effect.IDEMPOTENCY_KEY and b"k" not in parameters:
             raise BadRequest("this class needs a key")
-        if not HEX(frame.text(CUSTOMER)) or not HEX(frame.text(ID)):
+        if not match_hex_id(frame.text(CUSTOMER)) or not match_hex_id(frame.text(ID)):
             raise BadRequest("customer and id must be 16 hexadecimal digits")
         customer, rid = int(frame.text(CUSTOMER), 16), int(frame.text(ID), 16)
-        wait, units, spread, first = (
-            int(given[b"d"]),
-            float(given[b"units"]),
-            int(given[b"spread"]),
-            int(given[b"first"]),
+        timeout_ms, units, member_count, first_gateway = (
+            int(parameters[b"d"]),
+            float(parameters[b"units"]),
+            int(parameters[b"spread"]),
+            int(parameters[b"first"]),
         )
         if not (
-            customer < MOST_CUSTOMER
-            and wait
-            and 0 < units <= s.max_units
-            and 0 < spread <= s.gateway_count
-            and first < s.gateway_count
+            customer < CUSTOMER_LIMIT
+            and timeout_ms
+            and 0 < units <= settings.max_units
+            and 0 < member_count <= settings.gateway_count
+            and first_gateway < settings.gateway_count
         ):
             raise BadRequest("parameters out of range")
         if rid in self.open:
             raise BadRequest("an open request has this id")
         self.open.add(rid)
-        at = 2 if raw.startswith(b"d=") else raw.index(b",d=") + 3
-        stop = raw.find(b",", at)
-        deadline = now - waited + wait / 1000 - CLIENT_WAY
-        self.number += 1
+        timeout_start = 2 if raw.startswith(b"d=") else raw.index(b",d=") + 3
+        timeout_stop = raw.find(b",", timeout_start)
+        deadline = now - waited + timeout_ms / 1000 - CLIENT_LATENCY
+        self.request_count += 1
         return RPC(
             Request(
-                self.number,
+                self.request_count,
                 customer,
-                plan,
-                cls,
+                plan_index,
+                class_index,
                 units,
-                first,
-                spread,
+                first_gateway,
+                member_count,
                 max(0.0, deadline - now),
-                given.get(b"r") == b"1",
+                parameters.get(b"r") == b"1",
                 write,
                 waited,
             ),
             rid,
             frame,
-            at,
-            stop if stop >= 0 else len(raw),
+            timeout_start,
+            timeout_stop if timeout_stop >= 0 else len(raw),
             deadline,
         )
 
@@ -160,13 +162,13 @@
             raise BadRequest("only the last argument of API.WRITE may be so long")
         return self.read(frame, now)
 
-    def fields(self, raw: bytes) -> dict[bytes, bytes]:
+    def parse_parameters(self, raw: bytes) -> dict[bytes, bytes]:
         """Parse the parameters; each may occur once. Unknown ones are allowed and forwarded as they are."""
         pairs = fields_of(raw)
-        given = dict(pairs)
-        if len(given) != raw.count(b",") + 1 or b"" in given or b"d" not in given:
+        parameters = dict(pairs)
+        if len(parameters) != raw.count(b",") + 1 or b"" in parameters or b"d" not in parameters:
             raise BadRequest("bad parameters")
         for name, value in pairs:
-            if (form := FORMS.get(name)) and not form(value):
+            if (matches := PARAMETER_FORMATS.get(name)) and not matches(value):
                 raise BadRequest("bad parameters")
-        return DEFAULTS | given
+        return PARAMETER_DEFAULTS | parameters
