--- a/corkdeal/net/budget.py
+++ b/corkdeal/net/budget.py
@@ -14,15 +14,15 @@
 
 from .resp import MOST_VALUE
 
-LOW_PART = 0.75  # of the high mark; waiting holders resume at or below it
-LEAST = 2 * MOST_VALUE  # bytes; with less, one long value would block all others
-OWN = 48 << 20  # bytes that the process uses without long values, at usual loads
-PART = 0.5  # of the rest of the limit is for long values; the allocator and transports need some
+LOW_MARK_FRACTION = 0.75  # of the high mark; waiting holders resume at or below it
+MIN_BUDGET = 2 * MOST_VALUE  # bytes; with less, one long value would block all others
+BASE_MEMORY = 48 << 20  # bytes that the process uses without long values, at usual loads
+LONG_VALUE_FRACTION = 0.5  # of the rest of the limit; the allocator and transports need some, too
 
 
 def budget_for(limit: int) -> int:
     """The budget in bytes, given the memory limit of the process."""
-    return max(LEAST, int((limit - OWN) * PART))
+    return max(MIN_BUDGET, int((limit - BASE_MEMORY) * LONG_VALUE_FRACTION))
 
 
 class Holder(Protocol):
@@ -46,9 +46,9 @@
 
     def __init__(self, most: int) -> None:
         self.most, self.high = most, most - MOST_VALUE
-        self.low = int(self.high * LOW_PART)
+        self.low = int(self.high * LOW_MARK_FRACTION)
         self.total = 0
-        self.coming: dict[Waiter, None] = {}  # incomplete bodies, the oldest first
+        self.incomplete_bodies: dict[Waiter, None] = {}  # the oldest first
         self.waiting: deque[Waiter] = deque()
 
     @property
@@ -58,37 +58,39 @@
 
     def join(self, body: Waiter) -> None:
         """Add a body that is beginning to arrive; without free space it has to wait."""
-        self.coming[body] = None
+        self.incomplete_bodies[body] = None
         if self.full:
             self.keep_out(body)
 
     def whole(self, body: Waiter) -> None:
         """Remove a body that is complete or no longer wanted; the next oldest one may then grow."""
-        if body in self.coming:
-            del self.coming[body]
+        if body in self.incomplete_bodies:
+            del self.incomplete_bodies[body]
             self.forget(body)
-            if self.coming:
-                self.let_on(next(iter(self.coming)))
+            if self.incomplete_bodies:
+                self.resume(next(iter(self.incomplete_bodies)))
 
     def hold(self, holder: Holder, size: int) -> None:
         """Set the number of bytes that a holder has."""
-        was, self.total = self.full, self.total + size - holder.kept
+        was_full, self.total = self.full, self.total + size - holder.kept
         holder.kept = size
-        if self.full and not was:
-            for body in list(self.coming):
+        if self.full and not was_full:
+            for body in list(self.incomplete_bodies):
                 self.keep_out(body)
-        elif self.full and holder in self.coming:
+        elif self.full and holder in self.incomplete_bodies:
             self.keep_out(holder)
         while self.waiting and self.total <= self.low:
             self.waiting.popleft().go_on()
 
     def keep_out(self, holder: Waiter) -> None:
         """Make a holder wait for free space, unless it is the oldest body."""
-        if holder not in self.waiting and not (self.coming and holder is next(iter(self.coming))):
+        if holder not in self.waiting and not (
+            self.incomplete_bodies and holder is next(iter(self.incomplete_bodies))
+        ):
             self.waiting.append(holder)
             holder.hold_back()
 
-    def let_on(self, holder: Waiter) -> None:
+    def resume(self, holder: Waiter) -> None:
         """Resume a holder, if it is waiting."""
         if holder in self.waiting:
             self.waiting.remove(holder)
