--- a/corkdeal/net/backends.py
+++ b/corkdeal/net/backends.py
@@ -17,58 +17,66 @@
 class Backends:
     """The current endpoint list.
 
-    `lead` adds an event to the decisions' next batch, and `pump` hands that batch to them. An update is added
-    before the pool ends any attempt, so it comes first in its batch and no retry goes to a draining backend.
+    `queue_event` adds an event to the decisions' next batch, and `process_events` hands that batch to them.
+    An update is added before the pool ends any attempt, so it comes first in its batch and no retry goes to a
+    draining backend.
     """
 
     def __init__(
         self,
         pool: Pool,
         overrides: ManualOverrides | None,
-        lead: Callable[[Event], None],
-        pump: Callable[[], None],
+        queue_event: Callable[[Event], None],
+        process_events: Callable[[], None],
     ) -> None:
-        self.pool, self.overrides, self.lead, self.pump = pool, overrides, lead, pump
+        self.pool, self.overrides, self.queue_event, self.process_events = (
+            pool,
+            overrides,
+            queue_event,
+            process_events,
+        )
         self.listed: dict[str, Endpoint] = {}
-        self.at: dict[str, tuple[str, int]] = {}
+        self.addresses: dict[str, tuple[str, int]] = {}
         self.revision = 0
 
-    def take(self, result: DiscoverySnapshot, kind: UpdateKind) -> None:
+    def apply(self, result: DiscoverySnapshot, kind: UpdateKind) -> None:
         """Apply an endpoint list or delta from discovery."""
         if kind is not UpdateKind.DELTA:
-            self.listed, self.at = {}, {}
+            self.listed, self.addresses = {}, {}
         for entry in result.entries:
             if entry.state is EndpointState.GONE:
                 self.listed.pop(entry.backend, None)
-                self.at.pop(entry.backend, None)
+                self.addresses.pop(entry.backend, None)
             else:
                 self.listed[entry.backend] = entry
-                self.at[entry.backend] = result.addresses[entry.backend]
+                self.addresses[entry.backend] = result.addresses[entry.backend]
         self.revision = result.revision
         entries = self.overrides.overlay(result.entries) if self.overrides else result.entries
-        self.lead(EndpointUpdate(kind, entries, result.revision))
+        self.queue_event(EndpointUpdate(kind, entries, result.revision))
         for entry in entries:
             self.pool.told(entry.backend, entry.state is EndpointState.READY, result.addresses[entry.backend])
         if kind is UpdateKind.COMPLETE:
             for server in self.pool.addresses.keys() - result.addresses.keys():
                 self.pool.told(server, False, self.pool.addresses[server])
-        self.pump()
+        self.process_events()
 
-    def retell(self, server: str) -> None:
+    def update_override(self, server: str) -> None:
         """Report one listed backend again after its override changed."""
         if server not in self.listed or self.overrides is None:
             return
         entry = self.overrides.entry(self.listed[server])
-        self.lead(EndpointUpdate(UpdateKind.DELTA, (entry,), self.revision))
-        self.pool.told(server, entry.state is EndpointState.READY, self.at[server])
-        self.pump()
+        self.queue_event(EndpointUpdate(UpdateKind.DELTA, (entry,), self.revision))
+        self.pool.told(server, entry.state is EndpointState.READY, self.addresses[server])
+        self.process_events()
 
-    def known(self, server: str) -> bool:
+    def is_known(self, server: str) -> bool:
         """Whether the id is known: it is in the endpoint list, or held out."""
         return server in self.listed or (self.overrides is not None and server in self.overrides.out)
 
-    def counts(self) -> tuple[int, int]:
+    def count_listed(self) -> tuple[int, int]:
         """How many backends are listed, and how many of those are not ready or held out by an operator."""
-        held = self.overrides.out if self.overrides else set()
-        down = sum(1 for e in self.listed.values() if e.state is not EndpointState.READY or e.backend in held)
+        held_out = self.overrides.out if self.overrides else set()
+        down = sum(
+            1 for e in self.listed.values() if e.state is not EndpointState.READY or e.backend in held_out
+        )
         return len(self.listed), down
--- a/corkdeal/net/gateway.py
+++ b/corkdeal/net/gateway.py
@@ -164,7 +164,7 @@
         if self.recovery is not None:
             self.recovery.backends_known(len(known.entries) if known else 0)
         if known:
-            self.backends.take(known, UpdateKind.CACHED)
+            self.backends.apply(known, UpdateKind.CACHED)
         else:
             self.feed(EndpointUpdate(UpdateKind.CACHED))
         self.listen_for_operators()
@@ -525,7 +525,7 @@
         if self.recovery is not None:
             self.recovery.discovery_answered()
             self.recovery.backends_known(len(result.entries))
-        self.backends.take(result, UpdateKind.COMPLETE if result.complete else UpdateKind.DELTA)
+        self.backends.apply(result, UpdateKind.COMPLETE if result.complete else UpdateKind.DELTA)
         self.accept_clients()
 
     def add_timer(self, due: float, target: int | Attempt) -> None:
--- a/corkdeal/net/operators.py
+++ b/corkdeal/net/operators.py
@@ -39,7 +39,7 @@
 
     def metrics(self) -> dict[str, int]:
         """Metrics: counters since the start, and gauges of open requests, backends and loop lateness."""
-        listed, down = self.backends.counts()
+        listed, down = self.backends.count_listed()
         tally = {k: self.tally[k] for k in ("success", "busy", "failure", "backend_calls")}
         return {
             **tally,
@@ -75,7 +75,7 @@
         """Apply overrides made at the predecessor or successor, while both processes are running."""
         for server in sorted(self.overrides.follow()) if self.overrides is not None else ():
             logs.event("held_elsewhere", server=server, out=server in self.overrides.out)
-            self.backends.retell(server)
+            self.backends.update_override(server)
 
     def hold_out(self, server: str) -> bool | None:
         """Hold a backend out, whatever its state in the endpoint list.
@@ -83,12 +83,12 @@
         Returns whether it is a change; None for an unknown id.
         """
         assert self.overrides is not None
-        if not self.backends.known(server):
+        if not self.backends.is_known(server):
             return None
         self.sync_overrides()  # first, so that the file written next keeps overrides made at another process
         is_change = self.overrides.enter(server)
         logs.event("held_out", server=server, new=is_change)
-        self.backends.retell(server)
+        self.backends.update_override(server)
         return is_change
 
     def return_to_service(self, server: str) -> bool | None:
@@ -97,10 +97,10 @@
         Returns whether it was held out; None for an unknown id.
         """
         assert self.overrides is not None
-        if not self.backends.known(server):
+        if not self.backends.is_known(server):
             return None
         self.sync_overrides()
         was_held_out = self.overrides.exit(server, self.gateway.now())
         logs.event("let_back", server=server, new=was_held_out)
-        self.backends.retell(server)
+        self.backends.update_override(server)
         return was_held_out
