--- a/corkdeal/net/gateway.py
+++ b/corkdeal/net/gateway.py
@@ -530,7 +530,7 @@
 
     def add_timer(self, due: float, target: int | Attempt) -> None:
         """Set a timer that returns a token to the decisions, or ends an attempt, at `due`."""
-        self.timers.at(due, target)
+        self.timers.add(due, target)
         if not self.is_processing:
             self.timers.arm()
 
