--- a/corkdeal/net/gateway.py
+++ b/corkdeal/net/gateway.py
@@ -348,7 +348,7 @@
 
     def sweep(self, due: float) -> None:
         """Close expired connections, and apply manual overrides that were made at another process."""
-        self.lateness.fired(due, self.now(), time.process_time())
+        self.lateness.record_firing(due, self.now(), time.process_time())
         self.schedule_sweep()  # first, so that an exception below does not end the sweeps
         self.operators.sync_overrides()
         self.pool.sweep()
--- a/corkdeal/net/loop_lateness.py
+++ b/corkdeal/net/loop_lateness.py
@@ -2,40 +2,45 @@
 
 from __future__ import annotations
 
-KEPT = 10.0  # s for which the greatest lateness is reported at least; it is reported twice as long at most
-OVERLOAD = 0.1  # s; a loop that is this late twice in a row can't keep up with its work
+MIN_RETENTION = 10.0  # s for which the greatest lateness is reported, or up to twice as long
+OVERLOAD_LATENESS = 0.1  # s; a loop that is this late twice in a row can't keep up with its work
 # CPU time as a fraction of the time between two firings; a process that used less had to wait for the CPU, so
 # its own work isn't the cause.
-OWN_PART = 0.3
+MIN_CPU_FRACTION = 0.3
 
 
 class LoopLateness:
     """The lateness of the loop in the last seconds; times are in s, of any steady clock."""
 
     def __init__(self) -> None:
-        self.fired_at = self.cpu_time = 0.0
-        self.late_by_work = 0  # consecutive firings that were late because of the process's own work
-        self.period_began = 0.0
-        self.most_now = self.most_before = 0.0  # greatest lateness in this period of `KEPT` s and the last
+        self.last_fired_at = self.last_cpu_time = 0.0
+        self.consecutive_late_firings = 0  # only those that are due to the process's own work
+        self.period_start = 0.0  # of the present period of MIN_RETENTION s
+        self.period_maximum = self.previous_maximum = 0.0  # greatest lateness in this period and the last
 
-    def fired(self, due: float, now: float, cpu_time: float) -> None:
+    def record_firing(self, due: float, now: float, cpu_time: float) -> None:
         """Record that the timer due at `due` fired at `now`; `cpu_time` is the process's CPU time so far."""
         late = max(0.0, now - due)
-        is_own = cpu_time - self.cpu_time >= OWN_PART * (now - self.fired_at)
-        self.late_by_work = self.late_by_work + 1 if late >= OVERLOAD and is_own else 0
-        self.fired_at, self.cpu_time = now, cpu_time
-        if now - self.period_began >= KEPT:
-            is_next = now - self.period_began < 2 * KEPT
-            self.most_before, self.most_now = self.most_now if is_next else 0.0, 0.0
-            self.period_began = now
-        self.most_now = max(self.most_now, late)
+        is_cpu_bound = cpu_time - self.last_cpu_time >= MIN_CPU_FRACTION * (now - self.last_fired_at)
+        self.consecutive_late_firings = (
+            self.consecutive_late_firings + 1 if late >= OVERLOAD_LATENESS and is_cpu_bound else 0
+        )
+        self.last_fired_at, self.last_cpu_time = now, cpu_time
+        if now - self.period_start >= MIN_RETENTION:
+            is_consecutive_period = now - self.period_start < 2 * MIN_RETENTION
+            self.previous_maximum, self.period_maximum = (
+                self.period_maximum if is_consecutive_period else 0.0,
+                0.0,
+            )
+            self.period_start = now
+        self.period_maximum = max(self.period_maximum, late)
 
     @property
-    def most(self) -> float:
-        """The greatest lateness in the last `KEPT` to 2 * `KEPT` seconds."""
-        return max(self.most_now, self.most_before)
+    def max_lateness(self) -> float:
+        """The greatest lateness in the last MIN_RETENTION to 2 * MIN_RETENTION seconds."""
+        return max(self.period_maximum, self.previous_maximum)
 
     @property
     def is_overloaded(self) -> bool:
         """Whether the loop can't keep up. One late firing may be due to events that piled up in a stall."""
-        return self.late_by_work >= 2
+        return self.consecutive_late_firings >= 2
--- a/corkdeal/net/operators.py
+++ b/corkdeal/net/operators.py
@@ -48,7 +48,7 @@
             "hosts_down": down,
             "reconfig_ok": self.tally["reconfig_ok"],
             "reconfig_failed": self.tally["reconfig_failed"],
-            "loop_late_ms": round(1000 * self.gateway.lateness.most),
+            "loop_late_ms": round(1000 * self.gateway.lateness.max_lateness),
         }
 
     def enter_standby(self) -> bool:
--- a/tests/test_loop_lateness.py
+++ b/tests/test_loop_lateness.py
@@ -10,7 +10,7 @@
 from twisted.internet.testing import MemoryReactorClock
 
 from corkdeal.net import client_port
-from corkdeal.net.loop_lateness import KEPT, OVERLOAD, LoopLateness
+from corkdeal.net.loop_lateness import MIN_RETENTION, OVERLOAD_LATENESS, LoopLateness
 
 from .net_fakes import connect
 from .net_world import PATIENCE
@@ -21,32 +21,32 @@
 
 def test_the_greatest_lateness_is_told_for_a_while():
     lateness = LoopLateness()
-    lateness.fired(100.0, 100.3, 0.0)
-    lateness.fired(100.4, 100.45, 0.0)
-    assert round(lateness.most, 3) == 0.3
-    lateness.fired(100.3 + KEPT, 100.31 + KEPT, 0.0)
-    assert round(lateness.most, 3) == 0.3  # from the previous period
-    lateness.fired(100.4 + 2 * KEPT, 100.42 + 2 * KEPT, 0.0)
-    assert round(lateness.most, 3) == 0.02
-    lateness.fired(200.0, 199.9, 0.0)
-    assert lateness.most == 0.0
+    lateness.record_firing(100.0, 100.3, 0.0)
+    lateness.record_firing(100.4, 100.45, 0.0)
+    assert round(lateness.max_lateness, 3) == 0.3
+    lateness.record_firing(100.3 + MIN_RETENTION, 100.31 + MIN_RETENTION, 0.0)
+    assert round(lateness.max_lateness, 3) == 0.3  # from the previous period
+    lateness.record_firing(100.4 + 2 * MIN_RETENTION, 100.42 + 2 * MIN_RETENTION, 0.0)
+    assert round(lateness.max_lateness, 3) == 0.02
+    lateness.record_firing(200.0, 199.9, 0.0)
+    assert lateness.max_lateness == 0.0
 
 
 @pytest.mark.parametrize(("own_part", "overloaded"), [(1.0, True), (0.4, True), (0.1, False), (0.0, False)])
 def test_two_late_looks_in_a_row_are_an_overload_where_the_process_worked_meanwhile(own_part, overloaded):
     lateness, now, cpu_time = LoopLateness(), 1.0, 0.5
-    lateness.fired(now, now, cpu_time)
-    for turn, late in enumerate((OVERLOAD, OVERLOAD, OVERLOAD / 2)):
+    lateness.record_firing(now, now, cpu_time)
+    for turn, late in enumerate((OVERLOAD_LATENESS, OVERLOAD_LATENESS, OVERLOAD_LATENESS / 2)):
         due, now = now + 0.1, now + 0.1 + late * 1.001
         cpu_time += own_part * (late + 0.1)
-        lateness.fired(due, now, cpu_time)
+        lateness.record_firing(due, now, cpu_time)
         assert lateness.is_overloaded is (overloaded and turn == 1)
 
 
 def test_new_connections_are_shed_while_the_loop_is_late_and_not_while_it_ends():
     made, _ = made_gateway()
     kept = connect(made)
-    made.lateness.late_by_work = 2
+    made.lateness.consecutive_late_firings = 2
     shed = connect(made)
     assert shed.transport.value() == b"-ERR max number of clients reached\r\n"
     assert made.client_connections == {kept}
