--- a/corkdeal/net/application.py
+++ b/corkdeal/net/application.py
@@ -120,7 +120,7 @@
         from ..logs import structured
 
         logs.configure(structured.sink(options.log.format, name), options.log.level)
-        observer: Any = structured.from_library
+        observer: Any = structured.observe_library_event
     else:
         logs.configure(None)
         levels = LogLevelFilterPredicate(defaultLogLevel=LogLevel.warn)
--- a/tests/test_logs.py
+++ b/tests/test_logs.py
@@ -54,7 +54,7 @@
             raise AssertionError("formatted")
 
     logs.event("serving", name=Costly())
-    assert not out.getvalue() and not logs.on("serving") and logs.on("module_failed")
+    assert not out.getvalue() and not logs.is_enabled("serving") and logs.is_enabled("module_failed")
     with pytest.raises(KeyError):
         logs.event("no such event")
 
@@ -72,8 +72,8 @@
     from twisted.logger import LogLevel
 
     logs.configure(structured.sink("json", "n0", out))
-    structured.from_library({"log_level": LogLevel.info, "log_format": "quiet"})
-    structured.from_library(
+    structured.observe_library_event({"log_level": LogLevel.info, "log_format": "quiet"})
+    structured.observe_library_event(
         {"log_level": LogLevel.warn, "log_format": "odd {x}", "x": 3, "log_namespace": "twisted"}
     )
     (line,) = map(json.loads, out.getvalue().splitlines())
