--- a/corkdeal/net/__main__.py
+++ b/corkdeal/net/__main__.py
@@ -8,19 +8,20 @@
 import sys
 
 GC_EVERY = 5000  # allocations in excess of deallocations; requests create few reference cycles
-OPTIONS = "CORKDEAL_OPTIONS"  # names the options file; without one, all optional subsystems are off
+OPTIONS_VARIABLE = "CORKDEAL_OPTIONS"  # names the options file; without one, all optional subsystems are off
 
 
 def main() -> int:
     """Serve until shutdown. If the configuration is invalid, print one line per error and return 2."""
     gc.disable()  # startup creates almost no garbage, and collections took up to a fifth of its CPU time
-    early: list[int] = []  # SIGHUPs received before the gateway exists
-    signal.signal(signal.SIGHUP, lambda number, _: early.append(number))  # the default ends the process
+    early_signals: list[int] = []  # SIGHUPs received before the gateway exists
+    # The default action of SIGHUP ends the process.
+    signal.signal(signal.SIGHUP, lambda number, _: early_signals.append(number))
     from . import config
 
-    options, path = None, os.environ.get(OPTIONS, "")
+    options, path = None, os.environ.get(OPTIONS_VARIABLE, "")
     try:
-        given = config.load()
+        gateway_config = config.load()
         if path:
             from ..options import load
 
@@ -31,14 +32,14 @@
         return 2
     from twisted.internet import reactor
 
-    from .application import Application, log_to
+    from .application import Application, configure_logging
 
-    log_to(options, given.name)
-    application = Application(reactor, given, options, path)
-    for each in (signal.SIGTERM, signal.SIGINT):
-        signal.signal(each, lambda *_: reactor.callFromThread(application.gateway.drain))
+    configure_logging(options, gateway_config.name)
+    application = Application(reactor, gateway_config, options, path)
+    for signal_number in (signal.SIGTERM, signal.SIGINT):
+        signal.signal(signal_number, lambda *_: reactor.callFromThread(application.gateway.drain))
     signal.signal(signal.SIGHUP, lambda *_: reactor.callFromThread(application.reload))
-    if early:  # the old file may have been read before the signal; the handler above has all later ones
+    if early_signals:  # the old file may have been read before them; the handler above has all later ones
         reactor.callFromThread(application.reload)
     reactor.callWhenRunning(application.start)
     gc.freeze()  # objects loaded so far are permanent; exclude them from later collections
--- a/corkdeal/net/application.py
+++ b/corkdeal/net/application.py
@@ -41,17 +41,17 @@
         if self.gateway.membership is not None:
             self.gateway.membership.start()
         if self.options and self.options.figures:
-            from .figures import Figures
+            from .figures import MetricsLogger
 
-            Figures(self.reactor, self.gateway, self.options.figures.every).start()
+            MetricsLogger(self.reactor, self.gateway, self.options.figures.every).start()
         if self.config.inherited is None:
             self.gateway.start()
         else:
-            self.succeed()
+            self.start_as_successor()
         if self.snapshot_writer:
             self.snapshot_writer.start()
 
-    def succeed(self) -> None:
+    def start_as_successor(self) -> None:
         """Start as the successor of a running process, if there is one, with the quota it hands over."""
         from .upgrade import Succession
 
@@ -80,19 +80,23 @@
         from ..options import OptionsError, load
 
         try:
-            new = load(self.options_path)
+            new_options = load(self.options_path)
         except OptionsError as error:
             count("options_refused")
             return logs.event("reload_refused", error=str(error))
-        old, self.options = self.options, new
-        changed = [name for name in vars(new) if getattr(new, name) != getattr(old, name, None)]
+        old_options, self.options = self.options, new_options
+        changed = [
+            name
+            for name in vars(new_options)
+            if getattr(new_options, name) != getattr(old_options, name, None)
+        ]
         if "log" in changed:
-            log_to(new, self.config.name)
+            configure_logging(new_options, self.config.name)
         if "knowledge" in changed:
-            self.reload_knowledge(new)
+            self.reload_snapshot_writer(new_options)
         logs.event("options_reloaded", changed=",".join(changed))
 
-    def reload_knowledge(self, options: Options) -> None:
+    def reload_snapshot_writer(self, options: Options) -> None:
         """Enable, disable or reconfigure the snapshot writer."""
         if self.snapshot_writer and options.knowledge:
             self.snapshot_writer.reload(options.knowledge)
@@ -104,7 +108,7 @@
             self.make_snapshot_writer(options).start()
 
 
-def log_to(options: Options | None, name: str) -> None:
+def configure_logging(options: Options | None, name: str) -> None:
     """Configure logging from the options file; without a `log` node, use Twisted's text observer."""
     from twisted.logger import (
         FilteringLogObserver,
@@ -115,7 +119,7 @@
     )
 
     global _observer
-    first = _observer is None
+    is_first_call = _observer is None
     if options and options.log:
         from ..logs import structured
 
@@ -126,7 +130,7 @@
         levels = LogLevelFilterPredicate(defaultLogLevel=LogLevel.warn)
         levels.setLogLevelForNamespace("corkdeal", LogLevel.info)
         observer = FilteringLogObserver(textFileLogObserver(sys.stdout), [levels])
-    if first:
+    if is_first_call:
         globalLogBeginner.beginLoggingTo([lambda entry: _observer(entry)], redirectStandardIO=False)
     _observer = observer
 
--- a/corkdeal/net/figures.py
+++ b/corkdeal/net/figures.py
@@ -11,34 +11,38 @@
 from .invariants import counts
 
 
-class Figures:
+class MetricsLogger:
     """Writes the log event `figures` every `every` seconds."""
 
-    def __init__(self, reactor: Any, gateway: Any, every: float) -> None:
-        self.reactor, self.gateway, self.every = reactor, gateway, every
+    def __init__(self, reactor: Any, gateway: Any, interval: float) -> None:
+        self.reactor, self.gateway, self.interval = reactor, gateway, interval
 
     def start(self) -> None:
         """Write one line now and schedule the next one."""
-        logs.event("figures", **self.totals())
-        self.reactor.callLater(self.every, self.start)
+        logs.event("figures", **self.metrics())
+        self.reactor.callLater(self.interval, self.start)
 
-    def totals(self) -> dict[str, Any]:
+    def metrics(self) -> dict[str, Any]:
         """Counters since the start, and gauges (`now_...`) with their present values."""
-        g, d = self.gateway, self.gateway.decisions
-        tally = {k: g.tally[k] for k in ("success", "busy", "failure", "backend_calls", "told", "heard")}
-        members = d.membership.metrics() if d.membership is not None else {}
+        gateway, decisions = self.gateway, self.gateway.decisions
+        counters = {
+            k: gateway.tally[k] for k in ("success", "busy", "failure", "backend_calls", "told", "heard")
+        }
+        membership_metrics = decisions.membership.metrics() if decisions.membership is not None else {}
         return {
-            "asked": g.reader.request_count,
-            **tally,
-            "opened": g.pool.opened,
-            **d.requests.rejection_causes,
+            "asked": gateway.reader.request_count,
+            **counters,
+            "opened": gateway.pool.opened,
+            **decisions.requests.rejection_causes,
             **counts,
-            "now_open": len(g.rpcs),
-            "now_servers": len(d.backends.records),
-            "now_slow": round(d.latency_model.fleet_slowness, 3),
-            "now_ejected": sum(s.is_ejected for s in d.backends.records.values()),
-            "now_accounts": len(d.accounts),
-            "now_demand": round(sum(a.demand for a in d.accounts.values()), 2),
-            "now_slices": round(sum(a.base_share() for a in d.accounts.values() if not a.is_aggregated), 3),
-            **members,
+            "now_open": len(gateway.rpcs),
+            "now_servers": len(decisions.backends.records),
+            "now_slow": round(decisions.latency_model.fleet_slowness, 3),
+            "now_ejected": sum(s.is_ejected for s in decisions.backends.records.values()),
+            "now_accounts": len(decisions.accounts),
+            "now_demand": round(sum(a.demand for a in decisions.accounts.values()), 2),
+            "now_slices": round(
+                sum(a.base_share() for a in decisions.accounts.values() if not a.is_aggregated), 3
+            ),
+            **membership_metrics,
         }
