--- a/tests/test_layout.py
+++ b/tests/test_layout.py
@@ -6,7 +6,7 @@
 import sys
 
 ROOT = pathlib.Path(__file__).parents[1]
-PARTS = {  # module of corkdeal.decisions -> modules of that package that it may import
+DECISIONS_IMPORTS = {  # module of corkdeal.decisions -> modules of that package that it may import
     "__init__": set(),
     "settings": set(),
     "events": set(),
@@ -38,8 +38,14 @@
     "state_transfer": {"settings", "events", "accounts", "backends", "extensions", "latency_model"}
     | {"peer_protocol", "persisted_state", "retries"},
 }
-PARTS["gateway"] = set(PARTS) - {"__init__", "settings_parser", "tree_routes", "deadline_timers", "records"}
-MAY = {  # package -> packages that it may import
+DECISIONS_IMPORTS["gateway"] = set(DECISIONS_IMPORTS) - {
+    "__init__",
+    "settings_parser",
+    "tree_routes",
+    "deadline_timers",
+    "records",
+}
+ALLOWED_IMPORTS = {  # package -> packages that it may import
     "errors": set(),
     "decisions": {"errors"},
     "recovery": {"decisions", "errors"},
@@ -56,7 +62,7 @@
     "__main__": {"cli"},
     "__init__": {"decisions"},
 }
-PERSISTENCE_PURE = {
+PURE_PERSISTENCE_MODULES = {
     "clock",
     "expiry",
     "restore",
@@ -67,9 +73,18 @@
     "envelope",
     "errors",
 }
-PERSISTENCE_PURE |= {"quota_handover"}
-NET_PURE = {"discovery_snapshot", "discovery_retry"}
-DOING = {"os", "socket", "threading", "subprocess", "queue", "fcntl", "twisted", "asyncio"}  # perform I/O
+PURE_PERSISTENCE_MODULES |= {"quota_handover"}
+PURE_NET_MODULES = {"discovery_snapshot", "discovery_retry"}
+IO_MODULES = {
+    "os",
+    "socket",
+    "threading",
+    "subprocess",
+    "queue",
+    "fcntl",
+    "twisted",
+    "asyncio",
+}  # perform I/O
 
 
 def imports(path):
@@ -96,16 +111,16 @@
         for name in imports(path):
             parts = name.split(".")
             inner = len(parts) > 1 and parts[0] == "corkdeal" and parts[1]
-            if inner and inner not in MAY[home] | {home, "__version__", "Gateway"}:
+            if inner and inner not in ALLOWED_IMPORTS[home] | {home, "__version__", "Gateway"}:
                 wrong.append(f"{path.relative_to(ROOT)} imports {name}")
             if home == "decisions" and inner == "decisions" and len(parts) > 2:
-                allowed = PARTS[path.stem] | {path.stem}
-                if parts[2] in PARTS and parts[2] not in allowed:
+                allowed = DECISIONS_IMPORTS[path.stem] | {path.stem}
+                if parts[2] in DECISIONS_IMPORTS and parts[2] not in allowed:
                     wrong.append(f"{path.relative_to(ROOT)} imports {name}")
             pure = home in ("decisions", "recovery", "membership")
-            pure = pure or (home == "persistence" and path.stem in PERSISTENCE_PURE)
-            pure = pure or (home == "net" and path.stem in NET_PURE)
-            if pure and parts[0] in DOING:
+            pure = pure or (home == "persistence" and path.stem in PURE_PERSISTENCE_MODULES)
+            pure = pure or (home == "net" and path.stem in PURE_NET_MODULES)
+            if pure and parts[0] in IO_MODULES:
                 wrong.append(f"{path.relative_to(ROOT)} decides and imports {name}")
     assert not wrong
 
--- a/tests/test_loop_lateness.py
+++ b/tests/test_loop_lateness.py
@@ -54,7 +54,7 @@
     assert connect(made) in made.client_connections
 
 
-class Accepting(ServerFactory):
+class RecordingFactory(ServerFactory):
     """Records accepted connections and keeps them open."""
 
     noisy = False
@@ -68,7 +68,7 @@
 
 
 def test_a_turn_takes_some_of_the_connections_that_wait_and_an_end_takes_all():
-    reactor, factory = MemoryReactorClock(), Accepting()
+    reactor, factory = MemoryReactorClock(), RecordingFactory()
     port = client_port.listen(reactor, ("127.0.0.1", 0), factory)
     clients = [socket.create_connection(("127.0.0.1", port.getHost().port)) for _ in range(60)]
     try:
@@ -87,7 +87,7 @@
         port.socket.close()
 
 
-class Figure(Moments):
+class ProcessMetric(Moments):
     """The metric of the real gateway process."""
 
     build = ("-O",)
--- a/tests/test_net_closing.py
+++ b/tests/test_net_closing.py
@@ -22,7 +22,7 @@
 class Closing(Moments):
     """Helpers of these tests."""
 
-    def all_served(self, clients):
+    def serve_all(self, clients):
         """Serve one request of each client, and check the answers."""
         for _ in clients:
             self.world.next().conn.send(served())
@@ -30,7 +30,7 @@
             self.assertEqual(client.read(), [b"v"])
 
 
-class Resting(Closing):
+class RequestDuringClose(Closing):
     """A request arrives on an idle client connection just as the gateway closes it."""
 
     def test_as_the_gateway_ends_them_on_a_shutdown(self):
@@ -42,7 +42,7 @@
         for rid, client in enumerate(clients):
             self.ask(client, b"pay", rid=rid, body=b"x")
         self.thaw(after=0.6, since=stopped)  # the timer that closes idle connections expires first
-        self.all_served(clients)
+        self.serve_all(clients)
         for client in clients:
             self.assertIsNone(client.read())
         self.assertEqual(self.process.wait(PATIENCE), 0)
@@ -54,7 +54,7 @@
         for rid, client in enumerate(clients):
             self.ask(client, b"pay", rid=rid, body=b"x")
         self.thaw(after=2.2, since=stopped)
-        self.all_served(clients)
+        self.serve_all(clients)
 
     def test_sent_right_after_an_accept_and_a_signal_to_end(self):
         self.start(a={})
@@ -64,7 +64,7 @@
         for rid, client in enumerate(clients):
             self.ask(client, b"pay", rid=rid, body=b"x")
         self.thaw()
-        self.all_served(clients)
+        self.serve_all(clients)
         self.assertEqual(self.process.wait(PATIENCE), 0)
 
     def test_behind_the_end_of_its_connection_is_not_sent_on(self):
@@ -83,10 +83,10 @@
         self.assertTrue(self.world.asked.empty())
 
 
-class HalfALine(Closing):
+class IncompleteAnswer(Closing):
     """An incomplete line that a backend writes on an idle connection must not spoil a later answer."""
 
-    def kept(self, **settings):
+    def start_with_idle_connection(self, **settings):
         """Serve one request; returns its client and the `Asked` of its backend connection, now idle."""
         self.start(config={"settings": settings} if settings else None, a={})
         client = self.client()
@@ -95,7 +95,7 @@
     def test_as_the_connection_is_used(self):
         for half in (b"*3\r\n$5\r\nab", b"-ER"):
             with self.subTest(half):
-                client, warm = self.kept()
+                client, warm = self.start_with_idle_connection()
                 stopped = self.freeze()
                 self.ask(client, b"pay", rid=2, body=b"x")  # handled before the bytes below are read
                 warm.conn.send(half)
@@ -108,7 +108,7 @@
                 self.stop()
 
     def test_before_the_connection_is_used(self):
-        client, warm = self.kept()
+        client, warm = self.start_with_idle_connection()
         stopped = self.freeze()
         warm.conn.send(b"*3\r\n$5\r\nab")
         self.ask(client, b"pay", rid=2, body=b"x")
@@ -122,7 +122,7 @@
     def test_as_the_connection_is_retired(self):
         settings = copy.deepcopy(SETTINGS)
         settings["policy_limits"]["conn_idle_us"] = 500_000
-        client, warm = self.kept(**settings)
+        client, warm = self.start_with_idle_connection(**settings)
         stopped = self.freeze()
         warm.conn.send(b"*3\r\n$5\r\nab")
         self.thaw(after=0.6, since=stopped)
@@ -130,7 +130,7 @@
         self.assertIsNot(self.serve(client, 2).conn, warm.conn)
 
 
-class Signals(Closing):
+class ReloadFollowedByEvent(Closing):
     """A reload that is immediately followed by another event."""
 
     def reload_to(self, other):
@@ -139,7 +139,7 @@
         self.path.write_text(json.dumps(self.config))
         self.process.send_signal(signal.SIGHUP)
 
-    def moved(self):
+    def start_other_discovery(self):
         """Another discovery service, with the same backends."""
         other = World()
         self.addCleanup(other.close)
@@ -148,7 +148,7 @@
 
     def test_a_drain_of_a_backend_told_by_the_new_discovery(self):
         self.start(a={}, b={})
-        client, other = self.client(), self.moved()
+        client, other = self.client(), self.start_other_discovery()
         self.reload_to(other)
         self.assertEqual(other.calls.get(timeout=PATIENCE), -1)  # for the list in which both are ready
         other.tell(a="Terminating")
@@ -156,7 +156,7 @@
 
     def test_a_shutdown(self):
         self.start(a={})
-        client, other = self.client(), self.moved()
+        client, other = self.client(), self.start_other_discovery()
         self.ask(client, b"pay", body=b"x")
         asked = self.world.next()
         self.freeze()
@@ -173,7 +173,7 @@
         self.line("reloaded")
 
 
-class Unbuffered(unittest.TestCase):
+class NoDelay(unittest.TestCase):
     """TCP_NODELAY is set: bytes that Nagle's algorithm holds back would be lost with a reset."""
 
     def transport(self, protocol):
--- a/tests/test_net_moments.py
+++ b/tests/test_net_moments.py
@@ -25,7 +25,7 @@
 GONE = b"ERR failed"
 
 
-class Ends(Moments):
+class Shutdown(Moments):
     """A shutdown loses no request that arrived, and ends before the process would be killed."""
 
     def test_connections_that_wait_in_the_kernel_are_served(self):
@@ -91,15 +91,15 @@
         client = self.client()
         self.ask(client, d=4000)
         asked = self.world.next()
-        for sign in (signal.SIGTERM, signal.SIGHUP, signal.SIGTERM, signal.SIGINT, signal.SIGHUP):
-            self.process.send_signal(sign)
+        for number in (signal.SIGTERM, signal.SIGHUP, signal.SIGTERM, signal.SIGINT, signal.SIGHUP):
+            self.process.send_signal(number)
         self.line("reloaded")
         asked.conn.send(served())
         self.assertEqual(client.read(), [b"v"])
         self.assertEqual(self.process.wait(PATIENCE), 0)
 
 
-class EarlySignals(Moments):
+class EarlyReload(Moments):
     """SIGHUP arrives before the gateway object exists."""
 
     def run_program(self):
@@ -117,9 +117,9 @@
             self.config["discovery"] = f"127.0.0.1:{self.other.http.server_port}"
             self.path.write_text(json.dumps(self.config))  # for the reload
             self.process.send_signal(signal.SIGHUP)
-            self.handled(signal.SIGHUP)
+            self.wait_until_delivered(signal.SIGHUP)
 
-    def handled(self, number):
+    def wait_until_delivered(self, number):
         """Wait until the signal is no longer pending: it was delivered, or the process ignores it."""
         status = pathlib.Path(f"/proc/{self.process.pid}/status")
         while True:
@@ -134,7 +134,7 @@
         self.assertIsNotNone(self.other.calls.get(timeout=PATIENCE))
 
 
-class Deployed(unittest.TestCase):
+class DeployCommand(unittest.TestCase):
     """The shell command with which deploy/balancer.toml starts the gateway."""
 
     def test_a_reload_asked_for_before_python_runs_ends_nothing(self):
@@ -154,7 +154,7 @@
         self.assertEqual((done.returncode, done.stdout), (0, "lives\n"))
 
 
-class ReloadBeforeTheStart(Moments):
+class ReloadDuringHandoverWait(Moments):
     """SIGHUP arrives while a successor waits for a handover that its predecessor never makes."""
 
     build = ("-O",)
@@ -162,11 +162,11 @@
     def run_program(self):
         """Hold a predecessor's lock, and send the signal while the gateway waits for the handover."""
         folder = store.gateway_folder(os.path.join(self.folder.name, "corkdeal-lives"), "n0")
-        self.lives = handover_files.HandoverFiles(folder)
-        self.lives.join()
-        self.addCleanup(self.lives.close)
+        self.handover_files = handover_files.HandoverFiles(folder)
+        self.handover_files.join()
+        self.addCleanup(self.handover_files.close)
         super().run_program()
-        while self.lives.successor() is None:  # until it waits for the handover
+        while self.handover_files.successor() is None:  # until it waits for the handover
             time.sleep(0.001)
         self.freeze()
         self.process.send_signal(signal.SIGHUP)
@@ -194,10 +194,10 @@
             self.assertEqual(client.read(), [b"v"])
 
 
-class Idle(Moments):
+class UnreadBytes(Moments):
     """A client connection with unread bytes is not closed as idle."""
 
-    def quiet(self, many, spoken):
+    def open_clients(self, many, spoken):
         """Open client connections; with `spoken`, each has sent a PING, otherwise nothing."""
         clients = [self.client() for _ in range(many)]
         for client in clients if spoken else ():
@@ -208,7 +208,7 @@
     def test_a_silent_client_connection_whose_first_command_has_come(self):
         self.start(a={})
         probe = self.client()
-        clients = self.quiet(40, spoken=False)  # enough to shorten the timeout of silent connections
+        clients = self.open_clients(40, spoken=False)  # enough to shorten the timeout of silent connections
         probe.send(command(b"PING"))
         self.assertEqual(probe.read(), [b"PONG"])
         self.freeze()
@@ -232,7 +232,7 @@
 
     def test_one_that_would_be_closed_for_another(self):
         self.start(config={"limits": {"sockets": 33}}, a={})
-        clients = self.quiet(8, spoken=True)  # all that may be open beside one backend connection
+        clients = self.open_clients(8, spoken=True)  # all that may be open beside one backend connection
         self.freeze()
         stopped = time.monotonic()
         other = self.client()  # needs an idle connection to be closed
@@ -244,7 +244,7 @@
         self.assertEqual(other.read(), [b"PONG"])
 
 
-class ReleaseEnds(Ends):
+class ReleaseShutdown(Shutdown):
     build = ("-O",)
 
 
--- a/tests/test_net_ops.py
+++ b/tests/test_net_ops.py
@@ -19,7 +19,7 @@
 from .ports import reserve_address
 
 
-class FakeGateway:
+class FakeOperators:
     """A fake of the gateway's operator interface that records the changes made through it."""
 
     ready = True
@@ -38,7 +38,7 @@
         return None if "nobody" in what else True
 
 
-CALLS = [  # method, path, status code, recorded changes
+OPERATIONS = [  # method, path, status code, recorded changes
     (b"GET", "status", 200, []),
     (b"GET", "status/metrics", 200, []),
     (b"PUT", "maintenance/enter/s-1", 200, [("out", "s-1")]),
@@ -55,14 +55,14 @@
 ]
 
 
-@pytest.mark.parametrize(("method", "path", "code", "changes"), CALLS)
+@pytest.mark.parametrize(("method", "path", "code", "changes"), OPERATIONS)
 def test_each_call_answers_and_only_good_ones_change_anything(method, path, code, changes):
-    gateway = FakeGateway()
+    operators = FakeOperators()
     request = DummyRequest([p.encode() for p in path.split("/")] if path else [])
     request.method = method
-    body = ops.OperationsResource(gateway).render(request)
+    body = ops.OperationsResource(operators).render(request)
     assert request.responseCode == code
-    assert gateway.changes == changes
+    assert operators.changes == changes
     assert json.loads(body).get("word", "YES") == ("YES" if code < 300 else "NO")
     if path == "status/metrics":
         assert json.loads(body) == {"app_success": 3, "app_inflight": 1}
@@ -119,7 +119,7 @@
     assert (old.follow(), old.out) == (set(), {"b"})
 
 
-class Calling:
+class OperationsTests:
     """Starts a gateway with an operations address, and sends requests to it."""
 
     build = ("-O",)
@@ -245,7 +245,7 @@
         self.assertEqual(self.serve_one(again, 2), "a")
 
 
-class OpsAddress(Calling, Program):
+class OpsAddress(OperationsTests, Program):
     """These tests on the release build."""
 
 
--- a/tests/test_net_rules.py
+++ b/tests/test_net_rules.py
@@ -327,7 +327,7 @@
     build = ("-O",)
 
 
-class Taken(Moments):
+class AddressInUse(Moments):
     """An address that another process still uses when the gateway starts."""
 
     def run_program(self):
@@ -335,7 +335,7 @@
         self.line("listen_failed")
         self.holder.close()
 
-    def held(self, kind):
+    def occupy_address(self, kind):
         """Reserve an address that is in use until `holder` is closed."""
         self.holder = socket.socket(type=kind)
         self.addCleanup(self.holder.close)
@@ -345,7 +345,7 @@
         return f"127.0.0.1:{self.holder.getsockname()[1]}"
 
     def test_clients_are_served_and_peers_heard_once_their_port_is_free(self):
-        at = self.held(socket.SOCK_DGRAM)
+        at = self.occupy_address(socket.SOCK_DGRAM)
         peers = [at, f"127.0.0.1:{self.peer.getsockname()[1]}"]
         self.start(config={"peer_listen": at, "peers": peers}, a={})
         client = self.client()
@@ -358,7 +358,7 @@
         self.assertEqual(f"{sender[0]}:{sender[1]}", at)
 
     def test_an_operators_address_in_use_keeps_no_client_out(self):
-        at = self.held(socket.SOCK_STREAM)
+        at = self.occupy_address(socket.SOCK_STREAM)
         self.start(config={"ops": at}, a={})
         self.seen("ops_listening")  # before `serving` or after it
         client = self.client()
--- a/tests/test_start.py
+++ b/tests/test_start.py
@@ -13,7 +13,7 @@
 from tests.ports import reserve_address
 
 PROBE = ROOT / "tests" / "start_probe"
-LATE = (  # packages and modules that must not be loaded before the first answer
+NOT_BEFORE_FIRST_ANSWER = (  # packages and modules that must not be loaded before the first answer
     *("blake3", "click", "msgspec", "netaddr", "numpy", "radix", "structlog", "zstandard"),
     *("twisted.web.resource", "twisted.web.server", "twisted.web.static"),
     *("corkdeal.cli", "corkdeal.emulator", "corkdeal.experiment", "corkdeal.halls", "corkdeal.persistence"),
@@ -57,12 +57,12 @@
         )
         self.assertEqual(done.returncode, 0, done.stderr)
 
-    def lose_times(self):
+    def change_source_times(self):
         """Change the modification time of all sources, as a copy without timestamps does."""
         for source in self.tree.glob("corkdeal/**/*.py"):
             os.utime(source, (1, 1))
 
-    def keep_bytecode_out(self):
+    def block_bytecode(self):
         """Put a file where each `__pycache__` would be, so that no bytecode can be written, even by root."""
         for folder in {source.parent for source in self.tree.glob("corkdeal/**/*.py")}:
             (folder / "__pycache__").touch()
@@ -86,46 +86,50 @@
             preexec_fn=lambda: limit_files(0, True) if self.disk_full else None,
         )
 
-    def started(self):
+    def start_and_report(self):
         """Start it and wait for its first answer; returns what the startup probe reported."""
         self.start(config={"listen": reserve_address()}, a={})
         client = self.client()
         client.send(b"*1\r\n$4\r\nPING\r\n")
         self.assertEqual(client.read(), [b"PONG"])
-        told = [line for line in self.lines if line.startswith("start_probe ")]
-        self.assertEqual(len(told), 1, self.lines)
-        return json.loads(told[0].removeprefix("start_probe "))
+        report = [line for line in self.lines if line.startswith("start_probe ")]
+        self.assertEqual(len(report), 1, self.lines)
+        return json.loads(report[0].removeprefix("start_probe "))
 
-    def compiled_here(self, told):
+    def compiled_sources(self, report):
         """The package's sources that this start compiled."""
-        return [name for name in told["compiled"] if name.startswith(str(self.tree / "corkdeal"))]
+        return [name for name in report["compiled"] if name.startswith(str(self.tree / "corkdeal"))]
 
 
-class Usual(Start):
+class Built(Start):
     """A start after `make build`."""
 
     def test_what_the_first_answer_does_not_need_is_not_loaded_before_it(self):
-        told = self.started()
-        self.assertIn("corkdeal.net.recovery", told["modules"])  # enabled by `run`
-        late = [m for m in told["modules"] if any(m == name or m.startswith(name + ".") for name in LATE)]
+        report = self.start_and_report()
+        self.assertIn("corkdeal.net.recovery", report["modules"])  # enabled by `run`
+        late = [
+            m
+            for m in report["modules"]
+            if any(m == name or m.startswith(name + ".") for name in NOT_BEFORE_FIRST_ANSWER)
+        ]
         self.assertEqual(late, [])
 
     def test_no_time_is_spent_on_looking_for_garbage_before_the_first_answer(self):
-        self.assertEqual(self.started()["collected"], [])
+        self.assertEqual(self.start_and_report()["collected"], [])
 
     def test_nothing_of_it_is_compiled(self):
-        self.assertEqual(self.compiled_here(self.started()), [])
+        self.assertEqual(self.compiled_sources(self.start_and_report()), [])
 
     def test_a_copy_that_lost_the_times_of_its_files_is_not_compiled_again(self):
-        self.lose_times()
-        self.assertEqual(self.compiled_here(self.started()), [])
+        self.change_source_times()
+        self.assertEqual(self.compiled_sources(self.start_and_report()), [])
 
     def test_a_source_that_was_changed_after_the_build_is_what_runs(self):
         source = self.tree / "corkdeal" / "net" / "__init__.py"
         source.write_text(source.read_text() + "\nimport colorsys\n")
-        told = self.started()
-        self.assertIn("colorsys", told["modules"])
-        self.assertEqual(self.compiled_here(told), [str(source)])
+        report = self.start_and_report()
+        self.assertIn("colorsys", report["modules"])
+        self.assertEqual(self.compiled_sources(report), [str(source)])
 
 
 class ReadOnly(Start):
@@ -134,8 +138,8 @@
     is_built = False
 
     def test_it_becomes_ready(self):
-        self.keep_bytecode_out()
-        self.assertTrue(self.compiled_here(self.started()))
+        self.block_bytecode()
+        self.assertTrue(self.compiled_sources(self.start_and_report()))
 
 
 class WithoutBytecode(Start):
@@ -145,9 +149,9 @@
     has_library_bytecode = False
 
     def test_it_becomes_ready(self):
-        told = self.started()
-        self.assertTrue(self.compiled_here(told))
-        self.assertTrue([name for name in told["compiled"] if "/twisted/" in name])
+        report = self.start_and_report()
+        self.assertTrue(self.compiled_sources(report))
+        self.assertTrue([name for name in report["compiled"] if "/twisted/" in name])
 
 
 class FullDisk(Start):
@@ -157,7 +161,7 @@
     disk_full = True
 
     def test_it_becomes_ready(self):
-        self.assertTrue(self.compiled_here(self.started()))
+        self.assertTrue(self.compiled_sources(self.start_and_report()))
         self.assertEqual([*self.tree.glob("corkdeal/**/*.pyc")], [])
 
 
@@ -167,4 +171,4 @@
     disk_full = True
 
     def test_it_becomes_ready(self):
-        self.assertEqual(self.compiled_here(self.started()), [])
+        self.assertEqual(self.compiled_sources(self.start_and_report()), [])
