--- a/corkdeal/net/gateway.py
+++ b/corkdeal/net/gateway.py
@@ -73,7 +73,7 @@
 # plus KILL_DELAY s.
 MAX_CLASS_DEADLINE, KILL_DELAY = 3.0, 0.7
 FINAL_ANSWER_MARGIN = 0.15  # s before SIGKILL by which each open request gets its final answer
-HEALTH_CHECK_TIMEOUT = 0.25  # s for a health check
+HEALTH_CHECK_TIMEOUT = 0.25  # s
 SWEEP_INTERVAL = 0.1  # s between sweeps of expired connections, and between attempts to listen
 REPORT_INTERVAL = 10.0  # s between log lines with the counters
 FAILURE_REPLY = b"-ERR failed\r\n"
@@ -597,7 +597,7 @@
         self.answer(action.id, [self.encode_rejection(action.retry_after)])
 
     def encode_rejection(self, retry_after: float) -> bytes:
-        """The encoded rejection; `after` is the retry-after time in s."""
+        """Encode a rejection; `retry_after` is in s, and 0 stands for none."""
         wait = math.ceil(retry_after * 1000) if self.settings.may_send_retry_after else 0
         return b"-BUSY %d\r\n" % wait if wait > 0 else b"-BUSY\r\n"
 
--- a/tests/test_net_closing.py
+++ b/tests/test_net_closing.py
@@ -20,7 +20,7 @@
 
 
 class Closing(Moments):
-    """Helpers of these tests."""
+    """Base class with helpers."""
 
     def serve_all(self, clients):
         """Serve one request of each client, and check the answers."""
@@ -140,7 +140,7 @@
         self.process.send_signal(signal.SIGHUP)
 
     def start_other_discovery(self):
-        """Another discovery service, with the same backends."""
+        """Start another discovery service, with the same backends."""
         other = World()
         self.addCleanup(other.close)
         other.backends, other.asked, other.revision = dict(self.world.backends), self.world.asked, 7
