--- a/tests/test_logs.py
+++ b/tests/test_logs.py
@@ -20,7 +20,7 @@
     logs.configure(None)
 
 
-def test_a_json_line_is_one_document_however_odd_its_pairs(out):
+def test_a_json_line_is_one_document_however_odd_its_fields(out):
     logs.configure(structured.sink("json", "n0", out))
     logs.event("serving", name="n0", at="127.0.0.1:1")
     logs.event("reload_refused", error='two\nlines \u00e4 "quoted"')
--- a/tests/test_loop_lateness.py
+++ b/tests/test_loop_lateness.py
@@ -19,7 +19,7 @@
 from .test_net_moments import Moments
 
 
-def test_the_greatest_lateness_is_told_for_a_while():
+def test_the_greatest_lateness_is_reported_for_a_while():
     lateness = LoopLateness()
     lateness.record_firing(100.0, 100.3, 0.0)
     lateness.record_firing(100.4, 100.45, 0.0)
@@ -33,7 +33,7 @@
 
 
 @pytest.mark.parametrize(("own_part", "overloaded"), [(1.0, True), (0.4, True), (0.1, False), (0.0, False)])
-def test_two_late_looks_in_a_row_are_an_overload_where_the_process_worked_meanwhile(own_part, overloaded):
+def test_two_late_firings_in_a_row_are_an_overload_if_the_process_used_the_cpu(own_part, overloaded):
     lateness, now, cpu_time = LoopLateness(), 1.0, 0.5
     lateness.record_firing(now, now, cpu_time)
     for turn, late in enumerate((OVERLOAD_LATENESS, OVERLOAD_LATENESS, OVERLOAD_LATENESS / 2)):
@@ -67,7 +67,7 @@
         return self.accepted[-1]
 
 
-def test_a_turn_takes_some_of_the_connections_that_wait_and_an_end_takes_all():
+def test_an_iteration_accepts_some_waiting_connections_and_a_shutdown_all():
     reactor, factory = MemoryReactorClock(), RecordingFactory()
     port = client_port.listen(reactor, ("127.0.0.1", 0), factory)
     clients = [socket.create_connection(("127.0.0.1", port.getHost().port)) for _ in range(60)]
@@ -99,7 +99,7 @@
         conn.request("GET", "/status/metrics")
         return json.loads(conn.getresponse().read())["app_loop_late_ms"]
 
-    def test_a_process_that_stood_still_shows_it(self):
+    def test_a_stalled_process_reports_its_lateness(self):
         self.start(config={"ops": reserve_address()}, a={})
         self.freeze()
         self.thaw(after=0.5, since=time.monotonic())
--- a/tests/test_net_closing.py
+++ b/tests/test_net_closing.py
@@ -33,7 +33,7 @@
 class RequestDuringClose(Closing):
     """A request arrives on an idle client connection just as the gateway closes it."""
 
-    def test_as_the_gateway_ends_them_on_a_shutdown(self):
+    def test_arriving_as_a_shutdown_closes_idle_connections_is_served(self):
         self.start(a={})
         clients = self.pinged(4)
         self.process.send_signal(signal.SIGTERM)
@@ -47,7 +47,7 @@
             self.assertIsNone(client.read())
         self.assertEqual(self.process.wait(PATIENCE), 0)
 
-    def test_as_its_time_to_rest_is_over(self):
+    def test_arriving_as_the_idle_timeout_expires_is_served(self):
         self.start(config={"limits": {"sockets": 33}}, a={})  # two clients shorten the idle timeout
         clients = self.pinged(2)
         stopped = self.freeze()
@@ -56,7 +56,7 @@
         self.thaw(after=2.2, since=stopped)
         self.serve_all(clients)
 
-    def test_sent_right_after_an_accept_and_a_signal_to_end(self):
+    def test_arriving_right_after_accept_and_sigterm_is_served(self):
         self.start(a={})
         self.freeze()
         clients = [self.client() for _ in range(4)]
@@ -67,7 +67,7 @@
         self.serve_all(clients)
         self.assertEqual(self.process.wait(PATIENCE), 0)
 
-    def test_behind_the_end_of_its_connection_is_not_sent_on(self):
+    def test_arriving_after_quit_is_not_forwarded(self):
         self.start(a={})
         ended, shut, other = self.client(), self.client(), self.client()
         request = command(*self.words(b"pay", rid=1, body=b"of nobody"))
@@ -92,7 +92,7 @@
         client = self.client()
         return client, self.serve(client, 1)
 
-    def test_as_the_connection_is_used(self):
+    def test_arriving_as_the_connection_is_reused(self):
         for half in (b"*3\r\n$5\r\nab", b"-ER"):
             with self.subTest(half):
                 client, warm = self.start_with_idle_connection()
@@ -107,7 +107,7 @@
                 self.assertEqual(client.read(), [b"own"])
                 self.stop()
 
-    def test_before_the_connection_is_used(self):
+    def test_arriving_before_the_connection_is_reused(self):
         client, warm = self.start_with_idle_connection()
         stopped = self.freeze()
         warm.conn.send(b"*3\r\n$5\r\nab")
@@ -119,7 +119,7 @@
         asked.conn.send(served(b"own"))
         self.assertEqual(client.read(), [b"own"])
 
-    def test_as_the_connection_is_retired(self):
+    def test_arriving_as_the_connection_is_retired(self):
         settings = copy.deepcopy(SETTINGS)
         settings["policy_limits"]["conn_idle_us"] = 500_000
         client, warm = self.start_with_idle_connection(**settings)
@@ -146,7 +146,7 @@
         other.backends, other.asked, other.revision = dict(self.world.backends), self.world.asked, 7
         return other
 
-    def test_a_drain_of_a_backend_told_by_the_new_discovery(self):
+    def test_followed_by_a_backend_draining_in_the_new_discovery(self):
         self.start(a={}, b={})
         client, other = self.client(), self.start_other_discovery()
         self.reload_to(other)
@@ -154,7 +154,7 @@
         other.tell(a="Terminating")
         self.assertEqual({self.serve(client, rid).backend.name for rid in range(8)}, {"b"})
 
-    def test_a_shutdown(self):
+    def test_followed_by_a_shutdown(self):
         self.start(a={})
         client, other = self.client(), self.start_other_discovery()
         self.ask(client, b"pay", body=b"x")
--- a/tests/test_net_moments.py
+++ b/tests/test_net_moments.py
@@ -44,7 +44,7 @@
             self.assertEqual(client.read(), [b"v"])
         self.assertEqual(self.process.wait(PATIENCE), 0)
 
-    def test_a_request_that_comes_in_the_turn_of_the_last_answer_is_served(self):
+    def test_a_request_in_the_reactor_iteration_of_the_last_answer_is_served(self):
         self.start(a={})
         client, idle = self.client(), self.client()
         idle.send(command(b"PING"))
@@ -128,7 +128,7 @@
                 return
             time.sleep(0.001)
 
-    def test_it_is_carried_out_once_there_is_one(self):
+    def test_the_reload_is_carried_out_once_the_gateway_exists(self):
         self.start(a={})
         self.seen("reloaded")
         self.assertIsNotNone(self.other.calls.get(timeout=PATIENCE))
--- a/tests/test_net_ops.py
+++ b/tests/test_net_ops.py
@@ -106,7 +106,7 @@
     assert lines == [("held_out_unreadable", other.path)]  # the line names the file
 
 
-def test_two_lives_follow_what_either_was_told(tmp_path):
+def test_two_processes_apply_overrides_made_at_either(tmp_path):
     old, new = (manual_overrides.ManualOverrides("n0", str(tmp_path)) for _ in range(2))
     assert old.follow() == new.follow() == set()  # no file yet
     old.enter("a")
--- a/tests/test_net_rules.py
+++ b/tests/test_net_rules.py
@@ -101,7 +101,7 @@
         self.world.next().conn.send(served())
         self.assertEqual(client.read(), [b"v"])
 
-    def test_a_watch_that_hears_nothing_soon_asks_again(self):
+    def test_a_watch_without_an_answer_soon_asks_again(self):
         self.start(a={})
         while self.world.calls.get(timeout=20) != self.world.revision:
             pass
@@ -111,7 +111,7 @@
         _, took = self.timed(lambda: self.world.calls.get(timeout=20))
         self.assertLess(took, 15.0)
 
-    def test_cold_backend_is_not_pushed_over(self):
+    def test_cold_backend_is_not_overloaded(self):
         self.start(a={"up_since_ms": int(time.time() * 1000)})
         clients = []
         for rid in range(60):
@@ -124,7 +124,7 @@
         self.assertEqual(refused | set(sent), set(range(60)))
         self.assertGreater(len(refused - set(sent)), 30)
 
-    def test_quota_is_kept_and_refusals_come_at_once_with_advice(self):
+    def test_quota_is_enforced_by_immediate_rejections_with_retry_after(self):
         self.start(a={})
         client = self.client()
         for rid in range(2):
@@ -137,7 +137,7 @@
         self.assertLess(took, 1.5)
         self.assertTrue(self.world.asked.empty())
 
-    def test_peers_are_told_and_strange_datagrams_dropped(self):
+    def test_peers_get_updates_and_malformed_datagrams_are_dropped(self):
         self.start(a={})
         client = self.client()
         client.send(command(*self.words(b"look")[:3], b"c=look,t=large,d=900,units=1,spread=2,first=0"))
@@ -366,7 +366,7 @@
         self.world.next().conn.send(served())
         self.assertEqual(client.read(), [b"v"])
 
-    def test_an_address_in_use_is_told_and_had_once_it_is_free(self):
+    def test_an_address_in_use_is_logged_and_taken_once_it_is_free(self):
         self.holder = socket.create_server(("127.0.0.1", reserve_port()))
         at = f"127.0.0.1:{self.holder.getsockname()[1]}"
         self.start(config={"listen": at}, a={})  # returns after the log event `serving`
