--- a/corkdeal/net/application.py
+++ b/corkdeal/net/application.py
@@ -1,4 +1,4 @@
-"""Wires one gateway and the subsystems that the operators' file switches on; what is off is not imported."""
+"""Creates the gateway and the optional subsystems that are enabled; disabled ones are not imported."""
 
 from __future__ import annotations
 
@@ -16,14 +16,14 @@
 
 
 class Application:
-    """The gateway, the file that its subsystems are set by, and their common life."""
+    """Owns the gateway and its optional subsystems: starts them, and reloads configuration and options."""
 
     def __init__(self, reactor: Any, config: Config, options: Options | None, options_path: str) -> None:
         self.reactor, self.config, self.options_path = reactor, config, options_path
         self.options = options
         self.gateway = Gateway(reactor, config)
         self.snapshot_writer: SnapshotWriter | None = None
-        if options and options.recovery:  # before the store is read: neighbours are asked as well
+        if options and options.recovery:  # before the load: restored accounts also ask ring neighbours
             from .recovery import Recovery
 
             self.gateway.recovery = Recovery(reactor, self.gateway)
@@ -35,24 +35,24 @@
             self.make_snapshot_writer(options).load()
 
     def start(self) -> None:
-        """Begin to serve; knowledge is in force by now."""
+        """Start the subsystems and the gateway; persisted state has been restored by now."""
         if self.gateway.recovery is not None:
             self.gateway.recovery.start()
         if self.gateway.membership is not None:
             self.gateway.membership.start()
         if self.options and self.options.figures:
-            from .figures import Figures
+            from .figures import MetricsLogger
 
-            Figures(self.reactor, self.gateway, self.options.figures.every).start()
+            MetricsLogger(self.reactor, self.gateway, self.options.figures.every).start()
         if self.config.inherited is None:
             self.gateway.start()
         else:
-            self.succeed()
+            self.start_as_successor()
         if self.snapshot_writer:
             self.snapshot_writer.start()
 
-    def succeed(self) -> None:
-        """Begin beside the process before this one, if there is one, with what it gives."""
+    def start_as_successor(self) -> None:
+        """Start as the successor of a running process, if there is one, with the quota it hands over."""
         from .upgrade import Succession
 
         try:
@@ -65,7 +65,7 @@
             self.gateway.start()
 
     def make_snapshot_writer(self, options: Options) -> SnapshotWriter:
-        """Make the writer of snapshots."""
+        """Create the snapshot writer and have it stopped at shutdown."""
         from ..persistence.snapshot_writer import SnapshotWriter
 
         self.snapshot_writer = SnapshotWriter(self.reactor, self.gateway, options.knowledge, counts)
@@ -73,27 +73,31 @@
         return self.snapshot_writer
 
     def reload(self) -> None:
-        """SIGHUP: the configuration and the operators' file, each whole or not at all."""
+        """Reload the configuration and the options file (SIGHUP); each is applied as a whole or rejected."""
         self.gateway.reload()
         if not self.options_path:
             return
         from ..options import OptionsError, load
 
         try:
-            new = load(self.options_path)
+            new_options = load(self.options_path)
         except OptionsError as error:
             count("options_refused")
             return logs.event("reload_refused", error=str(error))
-        old, self.options = self.options, new
-        changed = [name for name in vars(new) if getattr(new, name) != getattr(old, name, None)]
+        old_options, self.options = self.options, new_options
+        changed = [
+            name
+            for name in vars(new_options)
+            if getattr(new_options, name) != getattr(old_options, name, None)
+        ]
         if "log" in changed:
-            log_to(new, self.config.name)
+            configure_logging(new_options, self.config.name)
         if "knowledge" in changed:
-            self.reload_knowledge(new)
+            self.reload_snapshot_writer(new_options)
         logs.event("options_reloaded", changed=",".join(changed))
 
-    def reload_knowledge(self, options: Options) -> None:
-        """Switch keeping on or off, or change how."""
+    def reload_snapshot_writer(self, options: Options) -> None:
+        """Enable, disable or reconfigure the snapshot writer."""
         if self.snapshot_writer and options.knowledge:
             self.snapshot_writer.reload(options.knowledge)
         elif self.snapshot_writer:
@@ -104,8 +108,8 @@
             self.make_snapshot_writer(options).start()
 
 
-def log_to(options: Options | None, name: str) -> None:
-    """Have lines written as the operators' file says; without it by Twisted's text observer."""
+def configure_logging(options: Options | None, name: str) -> None:
+    """Configure logging from the options file; without a `log` node, use Twisted's text observer."""
     from twisted.logger import (
         FilteringLogObserver,
         LogLevel,
@@ -115,18 +119,18 @@
     )
 
     global _observer
-    first = _observer is None
+    is_first_call = _observer is None
     if options and options.log:
         from ..logs import structured
 
         logs.configure(structured.sink(options.log.format, name), options.log.level)
-        observer: Any = structured.from_library
+        observer: Any = structured.observe_library_event
     else:
         logs.configure(None)
         levels = LogLevelFilterPredicate(defaultLogLevel=LogLevel.warn)
         levels.setLogLevelForNamespace("corkdeal", LogLevel.info)
         observer = FilteringLogObserver(textFileLogObserver(sys.stdout), [levels])
-    if first:
+    if is_first_call:
         globalLogBeginner.beginLoggingTo([lambda entry: _observer(entry)], redirectStandardIO=False)
     _observer = observer
 
--- a/corkdeal/net/operators.py
+++ b/corkdeal/net/operators.py
@@ -1,6 +1,6 @@
-"""What operators ask of a gateway and tell it: state, figures, standby, backends out by hand.
+"""Operators' control of a gateway: its state and metrics, standby, and backends held out by an operator.
 
-`ops.py` speaks HTTP for it; nothing here waits for anything.
+`ops.py` offers it over HTTP. Nothing here blocks or waits.
 """
 
 from __future__ import annotations
@@ -13,33 +13,33 @@
 
 
 class Operators:
-    """The operators' word on one gateway, and the figures they read."""
+    """Operators' commands to one gateway, and the metrics that they read."""
 
     def __init__(self, gateway: Any, backends: Backends) -> None:
         self.gateway, self.backends, self.overrides = gateway, backends, backends.overrides
-        self.standby = False  # PING turns and client connections close as they fall idle
-        self.tally: Counter[str] = Counter()  # answers by kind, attempts and reloads
+        self.standby = False  # if set, PING gets an error, and client connections close as they become idle
+        self.tally: Counter[str] = Counter()  # answers by kind, attempts, reloads and peer messages
 
     @property
     def ready(self) -> bool:
-        """Whether this process wants new clients: it serves, and neither drains nor stands by."""
-        return self.gateway.started and not (self.gateway.draining or self.standby)
+        """Whether new clients should come here: it is serving, and neither draining nor on standby."""
+        return self.gateway.is_serving and not (self.gateway.draining or self.standby)
 
     def state(self) -> str:
-        """In a word."""
+        """The gateway's state as one word."""
         return (
             "ending"
             if self.gateway.draining
             else "standby"
             if self.standby
             else "serving"
-            if self.gateway.started
+            if self.gateway.is_serving
             else "starting"
         )
 
-    def figures(self) -> dict[str, int]:
-        """Answers by kind since the start, and the backends as listed now."""
-        listed, down = self.backends.counts()
+    def metrics(self) -> dict[str, int]:
+        """Metrics: counters since the start, and gauges of open requests, backends and loop lateness."""
+        listed, down = self.backends.count_listed()
         tally = {k: self.tally[k] for k in ("success", "busy", "failure", "backend_calls")}
         return {
             **tally,
@@ -48,53 +48,59 @@
             "hosts_down": down,
             "reconfig_ok": self.tally["reconfig_ok"],
             "reconfig_failed": self.tally["reconfig_failed"],
-            "loop_late_ms": round(1000 * self.gateway.lateness.most),
+            "loop_late_ms": round(1000 * self.gateway.lateness.max_lateness),
         }
 
-    def stand_by(self) -> bool:
-        """Drain without ending: PING says no, idle clients' connections close. Whether that is news."""
+    def enter_standby(self) -> bool:
+        """Enter standby: PING fails, and idle client connections close. Returns whether it is a change."""
         if self.standby:
             return False
         self.standby = True
         logs.event(
             "standby", open=len(self.gateway.rpcs), client_connections=len(self.gateway.client_connections)
         )
-        for each in list(self.gateway.client_connections):
-            each.close_when_idle()
+        for connection in list(self.gateway.client_connections):
+            connection.close_when_idle()
         return True
 
-    def stand_up(self) -> bool:
-        """End a standby; new client connections stay open again. Whether that is news."""
+    def end_standby(self) -> bool:
+        """End standby; new client connections stay open again. Returns whether it is a change."""
         if not self.standby:
             return False
         self.standby = False
         logs.event("active")
         return True
 
-    def follow(self) -> None:
-        """Take on what operators told another life of this gateway, while both serve."""
+    def sync_overrides(self) -> None:
+        """Apply overrides made at the predecessor or successor, while both processes are running."""
         for server in sorted(self.overrides.follow()) if self.overrides is not None else ():
             logs.event("held_elsewhere", server=server, out=server in self.overrides.out)
-            self.backends.retell(server)
+            self.backends.update_override(server)
 
     def hold_out(self, server: str) -> bool | None:
-        """Send that backend nothing new, whatever the list says; None for an id that nobody has."""
+        """Hold a backend out, whatever its state in the endpoint list.
+
+        Returns whether it is a change; None for an unknown id.
+        """
         assert self.overrides is not None
-        if not self.backends.known(server):
+        if not self.backends.is_known(server):
             return None
-        self.follow()  # so that what is written holds all that was told
-        new = self.overrides.enter(server)
-        logs.event("held_out", server=server, new=new)
-        self.backends.retell(server)
-        return new
-
-    def let_back(self, server: str) -> bool | None:
-        """Take that backend back, as one just started; None for an id that nobody has."""
+        self.sync_overrides()  # first, so that the file written next keeps overrides made at another process
+        is_change = self.overrides.enter(server)
+        logs.event("held_out", server=server, new=is_change)
+        self.backends.update_override(server)
+        return is_change
+
+    def return_to_service(self, server: str) -> bool | None:
+        """Return a backend to service as one that has just started.
+
+        Returns whether it was held out; None for an unknown id.
+        """
         assert self.overrides is not None
-        if not self.backends.known(server):
+        if not self.backends.is_known(server):
             return None
-        self.follow()
-        back = self.overrides.exit(server, self.gateway.now())
-        logs.event("let_back", server=server, new=back)
-        self.backends.retell(server)
-        return back
+        self.sync_overrides()
+        was_held_out = self.overrides.exit(server, self.gateway.now())
+        logs.event("let_back", server=server, new=was_held_out)
+        self.backends.update_override(server)
+        return was_held_out
--- a/corkdeal/net/rpc.py
+++ b/corkdeal/net/rpc.py
@@ -1,4 +1,4 @@
-"""An RPC: how a command becomes the module's request, and how it is written out again to a backend."""
+"""RPCs: parsing a client's command into a request for the decisions, and encoding it for a backend."""
 
 from __future__ import annotations
 
@@ -10,148 +10,151 @@
 from ..decisions.settings import Effect, Settings
 from .resp import ARRAY, BULK, Frame, Malformed, fields_of
 
-MOST_CUSTOMER = 1 << 33
+CUSTOMER_LIMIT = 1 << 33
 READ, WRITE = b"API.READ", b"API.WRITE"
-CUSTOMER, ID, PARAMS = 2, 3, 4  # items of the frame; the array's head is 0 and the command's name 1
-CLIENT_WAY = 0.001  # s that a request has been on its way when it arrives, as far as one can guess
-# Python's own int() and float() also take signs, blanks and underscores, which a backend need not read alike.
-HEX = re.compile(rb"[0-9a-fA-F]{16}").fullmatch
-WHOLE = re.compile(rb"[0-9]{1,7}").fullmatch
-DECIMAL = re.compile(rb"[0-9]{1,6}(?:\.[0-9]{1,6})?").fullmatch
-KEY = re.compile(rb"[!-+\--<>-~]{1,64}").fullmatch  # visible, and neither a comma nor an equals sign
-FLAG = re.compile(rb"[01]").fullmatch
-FORMS = {
+CUSTOMER, ID, PARAMS = 2, 3, 4  # indexes into the frame's items; 0 is the array's head, 1 the command's name
+CLIENT_LATENCY = 0.001  # s; estimated time that a request spent on its way from the client
+# int() and float() also accept signs, blanks and underscores, which a backend may read differently.
+match_hex_id = re.compile(rb"[0-9a-fA-F]{16}").fullmatch
+match_integer = re.compile(rb"[0-9]{1,7}").fullmatch
+match_decimal = re.compile(rb"[0-9]{1,6}(?:\.[0-9]{1,6})?").fullmatch
+match_key = re.compile(
+    rb"[!-+\--<>-~]{1,64}"
+).fullmatch  # printable ASCII without blank, comma and equals sign
+match_flag = re.compile(rb"[01]").fullmatch
+PARAMETER_FORMATS = {
     b"c": None,
     b"t": None,
-    b"d": WHOLE,
-    b"k": KEY,
-    b"r": FLAG,
-    b"units": DECIMAL,
-    b"spread": WHOLE,
-    b"first": WHOLE,
+    b"d": match_integer,
+    b"k": match_key,
+    b"r": match_flag,
+    b"units": match_decimal,
+    b"spread": match_integer,
+    b"first": match_integer,
 }
-DEFAULTS = {b"c": b"", b"t": b"", b"units": b"1", b"spread": b"1", b"first": b"0"}
+PARAMETER_DEFAULTS = {b"c": b"", b"t": b"", b"units": b"1", b"spread": b"1", b"first": b"0"}
 
 
 class BadRequest(ValueError):
-    """A command that can't be served; the text goes to the client."""
+    """The command can't be served; the message is sent to the client."""
 
 
 @dataclass(slots=True, eq=False)
 class RPC:
-    """One request taken, until its final answer is on its way."""
+    """One accepted request, until its final answer is being sent."""
 
     request: Request
-    id: int  # the client's, which no other open RPC may have
+    id: int  # chosen by the client; unique among the open RPCs
     frame: Frame
-    wait_at: int  # offsets of the value of `d` in the parameters
-    wait_stop: int
+    timeout_start: int  # start and end of the value of `d` in the parameters
+    timeout_stop: int
     deadline: float
     client_connection: Any = None
-    attempt: Any = None  # the attempt that is out
-    attempts: int = 0
-    ran_since: float | None = None  # when the first attempt that may have run was decided on
-    done: bool = False  # answered, or nobody waits for it
-    left: bool = False  # its client sends no more, so nothing more is begun for it
-    reply: list[Any] | None = None  # the answer, or what has come of it, while it waits for those before it
-    response_stream: Any = None  # what passes on an answer with a long value
-    body: Any = None  # the command's own long value
-
-    def parts(self, wait: float) -> list[bytes | memoryview]:
-        """The command for a backend connection: all as it came, but `d` says how long this gateway waits."""
+    attempt: Any = None  # the attempt in flight
+    attempts: int = 0  # started so far
+    first_run_at: float | None = None  # when the first attempt that may have run was decided on
+    done: bool = False  # answered, or no answer is wanted
+    left: bool = False  # its client sends no more, so no further attempt is started
+    reply: list[Any] | None = None  # the answer, or the part received so far, until it may be sent
+    response_stream: Any = None  # forwards an answer with a long value
+    body: Any = None  # the command's long value, if it has one
+
+    def parts(self, timeout: float) -> list[bytes | memoryview]:
+        """The command for a backend: unchanged but for `d`, the time that this gateway waits, `timeout` s."""
         buf, params = memoryview(self.frame.buf), self.frame.items[PARAMS]
         first, last = self.frame.items[0], self.frame.items[-1]
-        left = buf[params.start : params.start + self.wait_at]
-        right = buf[params.start + self.wait_stop : params.stop]
-        text = b"%b%d%b" % (left, max(1, int(wait * 1000)), right)
-        head = [buf[first.head : params.head], b"$%d\r\n%b" % (len(text), text)]
+        left = buf[params.start : params.start + self.timeout_start]
+        right = buf[params.start + self.timeout_stop : params.stop]
+        new_params = b"%b%d%b" % (left, max(1, int(timeout * 1000)), right)
+        head = [buf[first.head : params.head], b"$%d\r\n%b" % (len(new_params), new_params)]
         if self.body is not None:
             return [*head, buf[params.stop : last.start], *self.body.pieces]
         return [*head, buf[params.stop : last.end]]
 
     def release(self) -> None:
-        """Let go of a long value once it can't be sent again."""
+        """Free the command's long value once no attempt can need it any more."""
         if self.body is not None and self.done and self.attempt is None:
             self.body.drop()
 
 
 class Reader:
-    """Reads commands into RPCs by the names that the settings give classes and plans."""
+    """Parses commands into RPCs, with the names of classes and plans from the settings."""
 
     def __init__(self, settings: Settings) -> None:
         self.settings = settings
         self.classes = {c.name.encode(): i for i, c in enumerate(settings.classes)}
         self.plans = {p.name.encode(): i for i, p in enumerate(settings.plans)}
-        self.number = 0
-        self.open: set[int] = set()  # the ids of RPCs without an answer
+        self.request_count = 0  # RPCs so far; each gets the next number as its request id
+        self.open: set[int] = set()  # clients' ids of the unanswered RPCs
 
     def read(self, frame: Frame, now: float, waited: float = 0.0) -> RPC:
-        """One API command that has come whole; its wait counts from its last byte, as a request's time does.
+        """Parse one complete API command; its timeout counts from the arrival of its last byte.
 
-        `waited` is how long that byte has lain here, in s, where this process stood still.
+        `waited` is how long that byte lay unread in s, if the process was stalled.
 
-        All is checked here: what is wrong would spoil a customer's quota, or be held against a backend.
+        Everything is checked here: an invalid request would distort a customer's quota or count against a
+        backend.
         """
         write = frame.text(1).upper() == WRITE
         if not PARAMS < len(frame.items) <= PARAMS + 1 + write:
             raise BadRequest("wrong number of arguments")
-        raw, s = frame.text(PARAMS), self.settings
-        given = self.fields(raw)
-        cls, plan = self.classes.get(given[b"c"]), self.plans.get(given[b"t"])
-        if cls is None or plan is None:
+        raw, settings = frame.text(PARAMS), self.settings
+        parameters = self.parse_parameters(raw)
+        class_index, plan_index = self.classes.get(parameters[b"c"]), self.plans.get(parameters[b"t"])
+        if class_index is None or plan_index is None:
             raise BadRequest("unknown class or plan")
-        effect = s.classes[cls].effect
+        effect = settings.classes[class_index].effect
         if write is (effect is Effect.IDEMPOTENT):
             raise BadRequest("this class is served by the other command")
-        if effect is Effect.IDEMPOTENCY_KEY and b"k" not in given:
+        if effect is Effect.IDEMPOTENCY_KEY and b"k" not in parameters:
             raise BadRequest("this class needs a key")
-        if not HEX(frame.text(CUSTOMER)) or not HEX(frame.text(ID)):
+        if not match_hex_id(frame.text(CUSTOMER)) or not match_hex_id(frame.text(ID)):
             raise BadRequest("customer and id must be 16 hexadecimal digits")
         customer, rid = int(frame.text(CUSTOMER), 16), int(frame.text(ID), 16)
-        wait, units, spread, first = (
-            int(given[b"d"]),
-            float(given[b"units"]),
-            int(given[b"spread"]),
-            int(given[b"first"]),
+        timeout_ms, units, member_count, first_gateway = (
+            int(parameters[b"d"]),
+            float(parameters[b"units"]),
+            int(parameters[b"spread"]),
+            int(parameters[b"first"]),
         )
         if not (
-            customer < MOST_CUSTOMER
-            and wait
-            and 0 < units <= s.max_units
-            and 0 < spread <= s.gateway_count
-            and first < s.gateway_count
+            customer < CUSTOMER_LIMIT
+            and timeout_ms
+            and 0 < units <= settings.max_units
+            and 0 < member_count <= settings.gateway_count
+            and first_gateway < settings.gateway_count
         ):
             raise BadRequest("parameters out of range")
         if rid in self.open:
             raise BadRequest("an open request has this id")
         self.open.add(rid)
-        at = 2 if raw.startswith(b"d=") else raw.index(b",d=") + 3
-        stop = raw.find(b",", at)
-        deadline = now - waited + wait / 1000 - CLIENT_WAY
-        self.number += 1
+        timeout_start = 2 if raw.startswith(b"d=") else raw.index(b",d=") + 3
+        timeout_stop = raw.find(b",", timeout_start)
+        deadline = now - waited + timeout_ms / 1000 - CLIENT_LATENCY
+        self.request_count += 1
         return RPC(
             Request(
-                self.number,
+                self.request_count,
                 customer,
-                plan,
-                cls,
+                plan_index,
+                class_index,
                 units,
-                first,
-                spread,
+                first_gateway,
+                member_count,
                 max(0.0, deadline - now),
-                given.get(b"r") == b"1",
+                parameters.get(b"r") == b"1",
                 write,
                 waited,
             ),
             rid,
             frame,
-            at,
-            stop if stop >= 0 else len(raw),
+            timeout_start,
+            timeout_stop if timeout_stop >= 0 else len(raw),
             deadline,
         )
 
     def read_head(self, frame: Frame, left: int, now: float) -> RPC:
-        """A command that has come up to its long value, with `left` items still to come behind that."""
+        """Parse a command received up to its long value, after which `left` more items follow."""
         top, words = frame.items[0], frame.items[1:]
         if top.kind != ARRAY or not all(i.kind == BULK and i.size >= 0 for i in words):
             raise Malformed("expected an array of bulk strings")
@@ -159,13 +162,13 @@
             raise BadRequest("only the last argument of API.WRITE may be so long")
         return self.read(frame, now)
 
-    def fields(self, raw: bytes) -> dict[bytes, bytes]:
-        """The parameters, each once and in its form; names that are not known here go through as they are."""
+    def parse_parameters(self, raw: bytes) -> dict[bytes, bytes]:
+        """Parse the parameters; each may occur once. Unknown ones are allowed and forwarded as they are."""
         pairs = fields_of(raw)
-        given = dict(pairs)
-        if len(given) != raw.count(b",") + 1 or b"" in given or b"d" not in given:
+        parameters = dict(pairs)
+        if len(parameters) != raw.count(b",") + 1 or b"" in parameters or b"d" not in parameters:
             raise BadRequest("bad parameters")
         for name, value in pairs:
-            if (form := FORMS.get(name)) and not form(value):
+            if (matches := PARAMETER_FORMATS.get(name)) and not matches(value):
                 raise BadRequest("bad parameters")
-        return DEFAULTS | given
+        return PARAMETER_DEFAULTS | parameters
--- a/corkdeal/net/timers.py
+++ b/corkdeal/net/timers.py
@@ -1,7 +1,7 @@
-"""The gateway's timers: one heap and one call of the reactor's for all of them.
+"""The gateway's timers: one heap, with one delayed call of the reactor for all of them.
 
-What is due together is told together, so the decisions hear of it in one call. An attempt that is over needs
-no timer any more and is passed over.
+Timers that are due together expire together, so that the decisions handle them in one batch. An attempt that
+has ended needs no timer any more and is skipped.
 """
 
 from __future__ import annotations
@@ -13,56 +13,58 @@
 
 from .backend_connection import Attempt
 
-LATE_LEAST = 0.01  # s by which a turn has to be late to be told of; less would cost one more turn each time
+LATE_LEAST = 0.01  # s; a smaller lateness isn't reported, since each report costs a reactor iteration
 
 
 class Timers:
-    """Tokens and attempts by when they are due, in s of the gateway's clock; `due` hears of both.
+    """Tokens and attempts by when they are due, in s of the gateway's clock; `on_expired` receives both.
 
-    `late` tells for the rest of a turn of the reactor by how many s its timers, and so the turn, came late.
+    Until the end of a reactor iteration, `late` is by how many s its timers, and so all of it, ran late.
     """
 
     def __init__(
-        self, reactor: Any, now: Callable[[], float], due: Callable[[list[int], list[Attempt]], None]
+        self, reactor: Any, now: Callable[[], float], on_expired: Callable[[list[int], list[Attempt]], None]
     ) -> None:
-        self.reactor, self.now, self.due = reactor, now, due
+        self.reactor, self.now, self.on_expired = reactor, now, on_expired
         self.heap: list[tuple[float, int, Any]] = []  # due, order, and a token or an attempt
-        self.number = 0
-        self.wake: Any = None
-        self.wake_at = math.inf
+        self.sequence = 0
+        self.delayed_call: Any = None
+        self.delayed_call_at = math.inf
         self.late = 0.0
 
-    def at(self, due: float, what: int | Attempt) -> None:
-        """Have a token announced, or an attempt ended, at a time; `arm` has to follow."""
-        self.number += 1
-        heapq.heappush(self.heap, (due, self.number, what))
+    def add(self, due: float, target: int | Attempt) -> None:
+        """Add a timer that returns a token or ends an attempt at `due`; `arm` must be called afterwards."""
+        self.sequence += 1
+        heapq.heappush(self.heap, (due, self.sequence, target))
 
     def arm(self) -> None:
-        """Wake for the earliest timer; attempts that are over need none."""
+        """Schedule the delayed call for the earliest timer; drop timers of attempts that have ended."""
         heap = self.heap
         while heap and type(heap[0][2]) is Attempt and heap[0][2].over:
             heapq.heappop(heap)
-        if heap and heap[0][0] < self.wake_at:
-            if self.wake is not None:
-                self.wake.cancel()
-            self.wake_at = heap[0][0]
-            self.wake = self.reactor.callLater(max(0.0, self.wake_at - self.now()), self.ring)
+        if heap and heap[0][0] < self.delayed_call_at:
+            if self.delayed_call is not None:
+                self.delayed_call.cancel()
+            self.delayed_call_at = heap[0][0]
+            self.delayed_call = self.reactor.callLater(
+                max(0.0, self.delayed_call_at - self.now()), self.expire
+            )
 
-    def ring(self) -> None:
-        """Tell all that is due, at once."""
+    def expire(self) -> None:
+        """Expire all timers that are due, in one batch."""
         now = self.now()
-        if (late := now - self.wake_at) > LATE_LEAST:
+        if (late := now - self.delayed_call_at) > LATE_LEAST:
             self.late = late
-            self.reactor.callLater(0, self.turn_over)
-        self.wake, self.wake_at = None, math.inf
+            self.reactor.callLater(0, self.reset_lateness)
+        self.delayed_call, self.delayed_call_at = None, math.inf
         tokens: list[int] = []
         expired: list[Attempt] = []
         while self.heap and self.heap[0][0] <= now:
-            what = heapq.heappop(self.heap)[2]
-            (expired if type(what) is Attempt else tokens).append(what)
-        self.due(tokens, expired)
+            target = heapq.heappop(self.heap)[2]
+            (expired if type(target) is Attempt else tokens).append(target)
+        self.on_expired(tokens, expired)
         self.arm()
 
-    def turn_over(self) -> None:
-        """The next turn has begun, after the sockets that were ready in the last one."""
+    def reset_lateness(self) -> None:
+        """Reset the lateness: the late iteration and its socket events are over, and the next has begun."""
         self.late = 0.0
--- a/tests/test_net_closing.py
+++ b/tests/test_net_closing.py
@@ -1,6 +1,6 @@
-"""Bytes that come in the very instant in which the gateway closes a connection or shuts down.
+"""Race conditions between arriving bytes and the gateway's closing of a connection or its shutdown.
 
-tests/test_net_moments.py explains how a stopped gateway makes a bad order come every time.
+tests/test_net_moments.py explains how stopping the gateway reproduces a critical order in every run.
 """
 
 import copy
@@ -20,20 +20,20 @@
 
 
 class Closing(Moments):
-    """What these tests have in common."""
+    """Base class with helpers."""
 
-    def all_served(self, clients):
-        """What each of these has asked is served."""
+    def serve_all(self, clients):
+        """Serve one request of each client, and check the answers."""
         for _ in clients:
             self.world.next().conn.send(served())
         for client in clients:
             self.assertEqual(client.read(), [b"v"])
 
 
-class Resting(Closing):
-    """A request on a client connection that rested until now."""
+class RequestDuringClose(Closing):
+    """A request arrives on an idle client connection just as the gateway closes it."""
 
-    def test_as_the_gateway_ends_them_on_a_shutdown(self):
+    def test_arriving_as_a_shutdown_closes_idle_connections_is_served(self):
         self.start(a={})
         clients = self.pinged(4)
         self.process.send_signal(signal.SIGTERM)
@@ -41,22 +41,22 @@
         stopped = self.freeze()
         for rid, client in enumerate(clients):
             self.ask(client, b"pay", rid=rid, body=b"x")
-        self.thaw(after=0.6, since=stopped)  # closing those that are idle comes first now
-        self.all_served(clients)
+        self.thaw(after=0.6, since=stopped)  # the timer that closes idle connections expires first
+        self.serve_all(clients)
         for client in clients:
             self.assertIsNone(client.read())
         self.assertEqual(self.process.wait(PATIENCE), 0)
 
-    def test_as_its_time_to_rest_is_over(self):
-        self.start(config={"limits": {"sockets": 33}}, a={})  # so few that two clients are many
+    def test_arriving_as_the_idle_timeout_expires_is_served(self):
+        self.start(config={"limits": {"sockets": 33}}, a={})  # two clients shorten the idle timeout
         clients = self.pinged(2)
         stopped = self.freeze()
         for rid, client in enumerate(clients):
             self.ask(client, b"pay", rid=rid, body=b"x")
         self.thaw(after=2.2, since=stopped)
-        self.all_served(clients)
+        self.serve_all(clients)
 
-    def test_sent_right_after_an_accept_and_a_signal_to_end(self):
+    def test_arriving_right_after_accept_and_sigterm_is_served(self):
         self.start(a={})
         self.freeze()
         clients = [self.client() for _ in range(4)]
@@ -64,10 +64,10 @@
         for rid, client in enumerate(clients):
             self.ask(client, b"pay", rid=rid, body=b"x")
         self.thaw()
-        self.all_served(clients)
+        self.serve_all(clients)
         self.assertEqual(self.process.wait(PATIENCE), 0)
 
-    def test_behind_the_end_of_its_connection_is_not_sent_on(self):
+    def test_arriving_after_quit_is_not_forwarded(self):
         self.start(a={})
         ended, shut, other = self.client(), self.client(), self.client()
         request = command(*self.words(b"pay", rid=1, body=b"of nobody"))
@@ -76,30 +76,30 @@
         for client in (ended, shut):
             self.assertEqual(client.read(), [b"OK"])
             self.assertIsNone(client.read())
-        shut.send(request)  # its answer could not come back any more
+        shut.send(request)  # after QUIT, an answer could not be sent any more
         self.assertEqual(self.serve(other, 2).words[2], b"%016x" % 2)
         self.process.send_signal(signal.SIGTERM)
         self.assertEqual(self.process.wait(PATIENCE), 0)
         self.assertTrue(self.world.asked.empty())
 
 
-class HalfALine(Closing):
-    """Half a line that a backend writes on a connection that was kept answers no later request."""
+class IncompleteAnswer(Closing):
+    """An incomplete line that a backend writes on an idle connection must not spoil a later answer."""
 
-    def kept(self, **settings):
-        """A backend's connection that is kept, and the client that used it."""
+    def start_with_idle_connection(self, **settings):
+        """Serve one request; returns its client and the `Asked` of its backend connection, now idle."""
         self.start(config={"settings": settings} if settings else None, a={})
         client = self.client()
         return client, self.serve(client, 1)
 
-    def test_as_the_connection_is_used(self):
+    def test_arriving_as_the_connection_is_reused(self):
         for half in (b"*3\r\n$5\r\nab", b"-ER"):
             with self.subTest(half):
-                client, warm = self.kept()
+                client, warm = self.start_with_idle_connection()
                 stopped = self.freeze()
-                self.ask(client, b"pay", rid=2, body=b"x")  # read first, as the other bytes lie there unread
+                self.ask(client, b"pay", rid=2, body=b"x")  # handled before the bytes below are read
                 warm.conn.send(half)
-                self.thaw(after=0.1, since=stopped)  # the connection has rested for long enough to be used
+                self.thaw(after=0.1, since=stopped)  # idle for long enough to be reused
                 asked = self.world.next()
                 self.assertIsNot(asked.conn, warm.conn)
                 self.assertTrue(warm.ended.wait(PATIENCE))
@@ -107,8 +107,8 @@
                 self.assertEqual(client.read(), [b"own"])
                 self.stop()
 
-    def test_before_the_connection_is_used(self):
-        client, warm = self.kept()
+    def test_arriving_before_the_connection_is_reused(self):
+        client, warm = self.start_with_idle_connection()
         stopped = self.freeze()
         warm.conn.send(b"*3\r\n$5\r\nab")
         self.ask(client, b"pay", rid=2, body=b"x")
@@ -119,10 +119,10 @@
         asked.conn.send(served(b"own"))
         self.assertEqual(client.read(), [b"own"])
 
-    def test_as_the_connection_is_retired(self):
+    def test_arriving_as_the_connection_is_retired(self):
         settings = copy.deepcopy(SETTINGS)
         settings["policy_limits"]["conn_idle_us"] = 500_000
-        client, warm = self.kept(**settings)
+        client, warm = self.start_with_idle_connection(**settings)
         stopped = self.freeze()
         warm.conn.send(b"*3\r\n$5\r\nab")
         self.thaw(after=0.6, since=stopped)
@@ -130,33 +130,33 @@
         self.assertIsNot(self.serve(client, 2).conn, warm.conn)
 
 
-class Signals(Closing):
-    """A reload at once followed by what else may come."""
+class ReloadFollowedByEvent(Closing):
+    """A reload that is immediately followed by another event."""
 
     def reload_to(self, other):
-        """Have discovery move."""
+        """Reload the configuration with another discovery address."""
         self.config["discovery"] = f"127.0.0.1:{other.http.server_port}"
         self.path.write_text(json.dumps(self.config))
         self.process.send_signal(signal.SIGHUP)
 
-    def moved(self):
-        """Another discovery, with the same backends."""
+    def start_other_discovery(self):
+        """Start another discovery service, with the same backends."""
         other = World()
         self.addCleanup(other.close)
         other.backends, other.asked, other.revision = dict(self.world.backends), self.world.asked, 7
         return other
 
-    def test_a_drain_of_a_backend_told_by_the_new_discovery(self):
+    def test_followed_by_a_backend_draining_in_the_new_discovery(self):
         self.start(a={}, b={})
-        client, other = self.client(), self.moved()
+        client, other = self.client(), self.start_other_discovery()
         self.reload_to(other)
-        self.assertEqual(other.calls.get(timeout=PATIENCE), -1)  # it has the list in which both are ready
+        self.assertEqual(other.calls.get(timeout=PATIENCE), -1)  # for the list in which both are ready
         other.tell(a="Terminating")
         self.assertEqual({self.serve(client, rid).backend.name for rid in range(8)}, {"b"})
 
-    def test_a_shutdown(self):
+    def test_followed_by_a_shutdown(self):
         self.start(a={})
-        client, other = self.client(), self.moved()
+        client, other = self.client(), self.start_other_discovery()
         self.ask(client, b"pay", body=b"x")
         asked = self.world.next()
         self.freeze()
@@ -173,11 +173,11 @@
         self.line("reloaded")
 
 
-class Unbuffered(unittest.TestCase):
-    """A small write leaves at once: what the system held back would be lost with a reset."""
+class NoDelay(unittest.TestCase):
+    """TCP_NODELAY is set: bytes that Nagle's algorithm holds back would be lost with a reset."""
 
     def transport(self, protocol):
-        """Twisted's own transport over a real connection."""
+        """Connect a protocol to Twisted's transport on a real socket; returns the socket's TCP_NODELAY."""
         with socket.create_server(("127.0.0.1", 0)) as listener:
             far = socket.create_connection(listener.getsockname(), PATIENCE)
             near = listener.accept()[0]
--- a/tests/test_start.py
+++ b/tests/test_start.py
@@ -1,4 +1,4 @@
-"""What a start by the deploy file's command loads and does before it serves; starts in bad conditions."""
+"""Startup by the deploy file's command: what it does before it serves, and starts in adverse conditions."""
 
 import json
 import os
@@ -13,7 +13,7 @@
 from tests.ports import reserve_address
 
 PROBE = ROOT / "tests" / "start_probe"
-LATE = (  # packages and modules for which the first answer does not wait
+NOT_BEFORE_FIRST_ANSWER = (  # packages and modules that must not be loaded before the first answer
     *("blake3", "click", "msgspec", "netaddr", "numpy", "radix", "structlog", "zstandard"),
     *("twisted.web.resource", "twisted.web.server", "twisted.web.static"),
     *("corkdeal.cli", "corkdeal.emulator", "corkdeal.experiment", "corkdeal.zones", "corkdeal.persistence"),
@@ -27,7 +27,7 @@
 
 
 class Start(Program):
-    """The program started by `run` from a copy of the tree."""
+    """Runs the deploy file's `run` command in a copy of the source tree."""
 
     is_built = True
     has_library_bytecode = True
@@ -47,7 +47,7 @@
             self.make_build()
 
     def make_build(self):
-        """`make build`, on the virtual environment that there is."""
+        """Run `make build` with the existing virtual environment."""
         done = subprocess.run(
             ["make", "-s", "-o", ".venv/built", "build"],
             cwd=self.tree,
@@ -57,13 +57,13 @@
         )
         self.assertEqual(done.returncode, 0, done.stderr)
 
-    def lose_times(self):
-        """All sources look changed, as in a copy that does not keep their times."""
+    def change_source_times(self):
+        """Change the modification time of all sources, as a copy without timestamps does."""
         for source in self.tree.glob("corkdeal/**/*.py"):
             os.utime(source, (1, 1))
 
-    def keep_bytecode_out(self):
-        """No bytecode can be written beside a source, whatever this process may do: a file has its place."""
+    def block_bytecode(self):
+        """Put a file where each `__pycache__` would be, so that no bytecode can be written, even by root."""
         for folder in {source.parent for source in self.tree.glob("corkdeal/**/*.py")}:
             (folder / "__pycache__").touch()
 
@@ -86,85 +86,89 @@
             preexec_fn=lambda: limit_files(0, True) if self.disk_full else None,
         )
 
-    def started(self):
-        """Start it and wait for its first answer; what the probe told before it."""
+    def start_and_report(self):
+        """Start it and wait for its first answer; returns what the startup probe reported."""
         self.start(config={"listen": reserve_address()}, a={})
         client = self.client()
         client.send(b"*1\r\n$4\r\nPING\r\n")
         self.assertEqual(client.read(), [b"PONG"])
-        told = [line for line in self.lines if line.startswith("start_probe ")]
-        self.assertEqual(len(told), 1, self.lines)
-        return json.loads(told[0].removeprefix("start_probe "))
+        report = [line for line in self.lines if line.startswith("start_probe ")]
+        self.assertEqual(len(report), 1, self.lines)
+        return json.loads(report[0].removeprefix("start_probe "))
 
-    def compiled_here(self, told):
-        """Sources of the package that this start compiled."""
-        return [name for name in told["compiled"] if name.startswith(str(self.tree / "corkdeal"))]
+    def compiled_sources(self, report):
+        """The package's sources that this start compiled."""
+        return [name for name in report["compiled"] if name.startswith(str(self.tree / "corkdeal"))]
 
 
-class Usual(Start):
-    """A start from a tree that was built."""
+class Built(Start):
+    """A start after `make build`."""
 
     def test_what_the_first_answer_does_not_need_is_not_loaded_before_it(self):
-        told = self.started()
-        self.assertIn("corkdeal.net.recovery", told["modules"])  # `run` switches it on
-        late = [m for m in told["modules"] if any(m == name or m.startswith(name + ".") for name in LATE)]
+        report = self.start_and_report()
+        self.assertIn("corkdeal.net.recovery", report["modules"])  # enabled by `run`
+        late = [
+            m
+            for m in report["modules"]
+            if any(m == name or m.startswith(name + ".") for name in NOT_BEFORE_FIRST_ANSWER)
+        ]
         self.assertEqual(late, [])
 
     def test_no_time_is_spent_on_looking_for_garbage_before_the_first_answer(self):
-        self.assertEqual(self.started()["collected"], [])
+        self.assertEqual(self.start_and_report()["collected"], [])
 
     def test_nothing_of_it_is_compiled(self):
-        self.assertEqual(self.compiled_here(self.started()), [])
+        self.assertEqual(self.compiled_sources(self.start_and_report()), [])
 
     def test_a_copy_that_lost_the_times_of_its_files_is_not_compiled_again(self):
-        self.lose_times()
-        self.assertEqual(self.compiled_here(self.started()), [])
+        self.change_source_times()
+        self.assertEqual(self.compiled_sources(self.start_and_report()), [])
 
     def test_a_source_that_was_changed_after_the_build_is_what_runs(self):
         source = self.tree / "corkdeal" / "net" / "__init__.py"
         source.write_text(source.read_text() + "\nimport colorsys\n")
-        told = self.started()
-        self.assertIn("colorsys", told["modules"])
-        self.assertEqual(self.compiled_here(told), [str(source)])
+        report = self.start_and_report()
+        self.assertIn("colorsys", report["modules"])
+        self.assertEqual(self.compiled_sources(report), [str(source)])
 
 
 class ReadOnly(Start):
-    """The package was not compiled, and nothing can be written beside it."""
+    """A start without compiled bytecode, which can't be written either."""
 
     is_built = False
 
     def test_it_becomes_ready(self):
-        self.keep_bytecode_out()
-        self.assertTrue(self.compiled_here(self.started()))
+        self.block_bytecode()
+        self.assertTrue(self.compiled_sources(self.start_and_report()))
 
 
 class WithoutBytecode(Start):
-    """Nothing was compiled, of the libraries either, and nothing that is compiled can be kept."""
+    """A start without bytecode of the package and its libraries; none can be written."""
 
     is_built = False
     has_library_bytecode = False
 
     def test_it_becomes_ready(self):
-        told = self.started()
-        self.assertTrue(self.compiled_here(told))
-        self.assertTrue([name for name in told["compiled"] if "/twisted/" in name])
+        report = self.start_and_report()
+        self.assertTrue(self.compiled_sources(report))
+        self.assertTrue([name for name in report["compiled"] if "/twisted/" in name])
 
 
 class FullDisk(Start):
-    """No file can grow: neither the log nor bytecode can be written."""
+    """A start on a full disk, without compiled bytecode."""
 
     is_built = False
     disk_full = True
 
     def test_it_becomes_ready(self):
-        self.assertTrue(self.compiled_here(self.started()))
+        self.assertTrue(self.compiled_sources(self.start_and_report()))
         self.assertEqual([*self.tree.glob("corkdeal/**/*.pyc")], [])
 
 
 class FullDiskBuilt(Start):
-    """The usual start, on a full disk."""
+    """A start after `make build`, on a full disk."""
 
     disk_full = True
 
     def test_it_becomes_ready(self):
-        self.assertEqual(self.compiled_here(self.started()), [])
+        self.assertEqual(self.compiled_sources(self.start_and_report()), [])
