--- a/corkdeal/decisions/gateway.py
+++ b/corkdeal/decisions/gateway.py
@@ -296,9 +296,9 @@
         return self.account_table.ring_neighbours
 
     @property
-    def peer_last_heard(self) -> dict[int, float]:
+    def peer_last_received_at(self) -> dict[int, float]:
         """Time at which the last message of each peer was received, in seconds."""
-        return self.quota_exchange.peer_last_heard
+        return self.quota_exchange.peer_last_received_at
 
     @property
     def last_exchange_at(self) -> float:
--- a/corkdeal/decisions/peer_protocol.py
+++ b/corkdeal/decisions/peer_protocol.py
@@ -80,7 +80,7 @@
             self._send_correction(peer)
             return False
         self._advance_incarnation(own_incarnation)
-        self.quota_exchange.peer_last_heard[peer] = self.host.now
+        self.quota_exchange.peer_last_received_at[peer] = self.host.now
         if incarnation != known:
             self._report_totals(peer)
         return True
--- a/corkdeal/decisions/quota_exchange.py
+++ b/corkdeal/decisions/quota_exchange.py
@@ -58,14 +58,14 @@
         self.accounts = accounts
         self.quotas = quotas
         self.last_exchange_at = 0.0  # s
-        self.peer_last_heard: dict[int, float] = {}  # s
+        self.peer_last_received_at: dict[int, float] = {}  # s
 
     def is_silent(self, peer: int, now: float) -> bool:
         """Whether nothing was received from a peer for SILENCE_TIMEOUT.
 
         For a peer that never sent anything, the time counts from the first call.
         """
-        return now - self.peer_last_heard.setdefault(peer, now) > SILENCE_TIMEOUT
+        return now - self.peer_last_received_at.setdefault(peer, now) > SILENCE_TIMEOUT
 
     def share_with_loan(self, account: Account, now: float) -> float:
         """Return the account's share plus that of a silent ring predecessor, which is borrowed."""
@@ -163,7 +163,7 @@
         if not self.settings.may_message_peers or not self.is_silent(predecessor, now):
             return False
         return self.settings.gateway_count == 2 or any(
-            not self.is_silent(peer, now) for peer in self.peer_last_heard if peer != predecessor
+            not self.is_silent(peer, now) for peer in self.peer_last_received_at if peer != predecessor
         )
 
     def _reconcile_totals(self, ledger: PeerLedger, peer: int, update: AccountUpdate) -> None:
--- a/corkdeal/net/recovery.py
+++ b/corkdeal/net/recovery.py
@@ -77,7 +77,7 @@
         """Return how many ring neighbours have sent a message since the start or stall."""
         decisions = self.gateway.decisions
         return sum(
-            decisions.peer_last_heard.get(peer, 0.0) > self.readiness.began_at
+            decisions.peer_last_received_at.get(peer, 0.0) > self.readiness.began_at
             and peer in decisions.peer_incarnations
             for peer in decisions.ring_neighbours
         )
--- a/corkdeal/net/upgrade.py
+++ b/corkdeal/net/upgrade.py
@@ -106,7 +106,7 @@
 
         Until then the predecessor exchanges messages with the peers, so their silence here has no meaning.
         """
-        self.decisions.quota_exchange.peer_last_heard = dict.fromkeys(
+        self.decisions.quota_exchange.peer_last_received_at = dict.fromkeys(
             self.decisions.ring_neighbours, self.gateway.now()
         )
         has_ended = not self.files.is_running(predecessor)  # before the read: it may write, then end
--- a/corkdeal/recovery/host.py
+++ b/corkdeal/recovery/host.py
@@ -51,7 +51,7 @@
         """All accounts by customer."""
 
     @property
-    def peer_last_heard(self) -> MutableMapping[int, float]:
+    def peer_last_received_at(self) -> MutableMapping[int, float]:
         """By peer: when its last message was received, in seconds."""
 
     @property
--- a/corkdeal/recovery/resume.py
+++ b/corkdeal/recovery/resume.py
@@ -28,8 +28,8 @@
     """
     for account in host.accounts.values():
         _adjust_account(account, now, stall_time)
-    for peer in host.peer_last_heard:
-        host.peer_last_heard[peer] = now
+    for peer in host.peer_last_received_at:
+        host.peer_last_received_at[peer] = now
     for backend in host.backends.records.values():
         _adjust_backend(backend, now, stall_time)
     if host.membership is not None:
--- a/tests/decisions/test_defences.py
+++ b/tests/decisions/test_defences.py
@@ -150,7 +150,7 @@
     a = g.account(7, 0, 0, 3)
     a.level, a.refilled_at = 0.0, 101.0
     assert not g.admission.is_within_quota(a, 2.0, 1 / 3, g.now)
-    g.now, g.peer_last_heard[1] = 101.0, 101.0
+    g.now, g.peer_last_received_at[1] = 101.0, 101.0
     a.ledgers[1].peer_level, a.ledgers[1].peer_state_at = 8.0, 101.0
     assert g.admission.is_within_quota(a, 2.0, 1 / 3, g.now)
     a.ledgers[1].peer_state_at = 50.0
--- a/tests/decisions/test_quota_exchange.py
+++ b/tests/decisions/test_quota_exchange.py
@@ -326,9 +326,9 @@
     one = StandaloneExchange(0, gateway_count=3)
     one.account.ledgers[2].peer_share = 0.2
     assert one.account.predecessor == 2
-    one.exchange.peer_last_heard = {1: 100.0, 2: 100.0}
+    one.exchange.peer_last_received_at = {1: 100.0, 2: 100.0}
     own = one.account.base_share()
     assert one.exchange.share_with_loan(one.account, 100.0 + SILENCE_TIMEOUT) == own
     assert one.exchange.share_with_loan(one.account, 100.1 + SILENCE_TIMEOUT) == own  # cut off from all peers
-    one.exchange.peer_last_heard[1] = 101.0
+    one.exchange.peer_last_received_at[1] = 101.0
     assert one.exchange.share_with_loan(one.account, 100.1 + SILENCE_TIMEOUT) == own + 0.2
--- a/tests/recovery/test_resume.py
+++ b/tests/recovery/test_resume.py
@@ -38,7 +38,7 @@
         last_exchange_at=99.0,
         last_poll_at=98.0,
         accounts={7: account},
-        peer_last_heard={0: 99.0, 2: 50.0},
+        peer_last_received_at={0: 99.0, 2: 50.0},
         backends=SimpleNamespace(records={"a": backend}),
         membership=None,
     )
@@ -61,7 +61,7 @@
 def test_no_peer_is_silent_and_no_backend_hung_for_the_stall(host):
     resume_after_stall(host, NOW, STALL_TIME)
     backend = host.backends.records["a"]
-    assert host.peer_last_heard == {0: NOW, 2: NOW}
+    assert host.peer_last_received_at == {0: NOW, 2: NOW}
     assert backend.in_flight == {1: (159.0, 2.0)}
     assert (backend.last_answer_at, backend.last_attempt_at) == (NOW, 159.0)
     assert (host.last_exchange_at, host.last_poll_at) == (NOW, NOW)
