--- a/corkdeal/net/figures.py
+++ b/corkdeal/net/figures.py
@@ -33,7 +33,7 @@
             "asked": gateway.reader.request_count,
             **counters,
             "opened": gateway.pool.opened,
-            **decisions.requests.rejection_causes,
+            **decisions.requests.rejection_counts,
             **counts,
             "now_open": len(gateway.rpcs),
             "now_servers": len(decisions.backends.records),
--- a/corkdeal/net/gateway.py
+++ b/corkdeal/net/gateway.py
@@ -359,9 +359,9 @@
         if (line := invariants.report()) != self.logged_counters:
             self.logged_counters = line
             logs.event("counts", **dict(sorted(invariants.counts.items())))
-        if (total := self.decisions.requests.rejection_causes.total()) != self.logged_rejections:
+        if (total := self.decisions.requests.rejection_counts.total()) != self.logged_rejections:
             self.logged_rejections = total
-            logs.event("refused", **dict(sorted(self.decisions.requests.rejection_causes.items())))
+            logs.event("refused", **dict(sorted(self.decisions.requests.rejection_counts.items())))
         self.reactor.callLater(REPORT_INTERVAL, self.log_counters)
 
     # Events
--- a/corkdeal/net/recovery.py
+++ b/corkdeal/net/recovery.py
@@ -77,14 +77,14 @@
         """Return how many ring neighbours have sent a message since the start or stall."""
         decisions = self.gateway.decisions
         return sum(
-            decisions.peer_last_heard.get(peer, 0.0) > self.readiness.began_at
+            decisions.peer_last_received_at.get(peer, 0.0) > self.readiness.began_at
             and peer in decisions.peer_incarnations
             for peer in decisions.ring_neighbours
         )
 
     def _count_unserved(self) -> int:
         """Return how many requests inside quotas have ended unserved so far."""
-        causes = self.gateway.decisions.requests.rejection_causes
+        causes = self.gateway.decisions.requests.rejection_counts
         return sum(number for cause, number in causes.items() if cause.startswith("inside"))
 
     def apply(self, transition: Transition) -> None:
