--- a/corkdeal/experiment/__init__.py
+++ b/corkdeal/experiment/__init__.py
@@ -1,1 +1,1 @@
-"""Experiments on stand-ins: runs, tables and charts. Long runs; results lie under docs/reports."""
+"""Experiments with fake services, and simulations. They run long; docs/reports keeps their results."""
--- a/corkdeal/experiment/arms.py
+++ b/corkdeal/experiment/arms.py
@@ -1,4 +1,7 @@
-"""Runs of one schedule, by seed and by program, each in a process of its own; their table and chart."""
+"""Runs a schedule for each seed and each variant of the program; table and chart of the results.
+
+A variant is this checkout or another one whose gateways run instead.
+"""
 
 from __future__ import annotations
 
@@ -16,7 +19,11 @@
 def play_all(
     path: str, seeds: list[int], programs: list[str], out: str, together: int
 ) -> list[dict[str, Any]]:
-    """All runs; a schedule with faults is refused before any. Results stand in `out` as JSON."""
+    """Run every combination of seed and program, at most `together` at a time, each in its own process.
+
+    The results are also saved in `out`. Raises `OptionsError` before the first run if the schedule is
+    invalid.
+    """
     schedules.load(path)
     os.makedirs(out, exist_ok=True)
     jobs = [(seed, program) for seed in seeds for program in programs]
@@ -49,10 +56,10 @@
             said, _ = process.communicate()
             running.pop(0)
             if process.returncode:
-                raise RuntimeError(f"seed {seed}: exit code {process.returncode}")
+                raise RuntimeError(f"run with seed {seed} failed with exit code {process.returncode}")
             runs.append({"arm": os.path.basename(program.rstrip("/")), **json.loads(said)})
     finally:
-        for _, _, process in running:  # its gateways end with it
+        for _, _, process in running:  # killing a run also kills its gateways (PR_SET_PDEATHSIG)
             process.kill()
             process.wait()
     name = os.path.splitext(os.path.basename(path))[0]
@@ -62,12 +69,12 @@
 
 
 def folder_of(out: str, seed: int, program: str) -> str:
-    """A run's own folder, for logs and stored state."""
+    """The folder of one run, for its logs and persisted state."""
     return os.path.abspath(os.path.join(out, f"{seed}-{os.path.basename(program.rstrip('/')) or 'here'}"))
 
 
 def figures(run: dict[str, Any]) -> dict[str, float]:
-    """The figures that runs are compared by."""
+    """The metrics by which runs are compared, by their label in the table."""
     never = run["full_after"] is None
     return {
         "time to full service, s": run["curve_s"] if never else run["full_after"],
@@ -84,7 +91,7 @@
 
 
 def table(runs: list[dict[str, Any]]) -> str:
-    """Means with their 95% intervals by arm, and the worst."""
+    """A Markdown table with mean, 95% confidence interval and maximum of each metric by variant."""
     names = list(dict.fromkeys(run["arm"] for run in runs))
     by_arm = {arm: [figures(r) for r in runs if r["arm"] == arm] for arm in names}
     lines = ["| | " + " | ".join(arm or "here" for arm in names) + " |", "| --- |" + " --- |" * len(names)]
@@ -126,7 +133,7 @@
 
 
 def report(path: str, runs: list[dict[str, Any]]) -> None:
-    """What docs/reports keeps of the runs: all figures, and broken rules by their number."""
+    """Write the fields in `KEPT` of all runs, and their violations by rule, for docs/reports."""
     kept = []
     for run in runs:
         broken: dict[str, int] = {}
@@ -139,7 +146,7 @@
 
 
 def chart(path: str, runs: list[dict[str, Any]], title: str) -> None:
-    """Worth served in time of what was asked inside quotas: mean and range over an arm's seeds."""
+    """Plot the worth served in time, relative to the worth requested within quotas, for each variant."""
     import matplotlib
 
     matplotlib.use("Agg")
@@ -166,7 +173,7 @@
 
 
 def main() -> None:
-    """One run, its results on standard output."""
+    """Run one schedule once, and print its results as JSON."""
     import asyncio
 
     from .tier import play
--- a/corkdeal/experiment/restarts.py
+++ b/corkdeal/experiment/restarts.py
@@ -1,9 +1,9 @@
-"""What restarts cost with and without knowledge: real gateways, stand-in servers of which a quarter are slow.
+"""Measures the cost of restarts with and without persisted state, on real gateways and fake backends.
 
-Three arms are asked exactly the same by the same seed: `calm` without restarts, `forgets` with restarts and
-no knowledge, `knows` with restarts and knowledge. What a restart costs in a window after it is the worth that
-calm serves in time there and the arm does not; over-admission is what the arm lets in beyond quotas there and
-calm does not.
+A quarter of the backends are slow. Three variants receive the same requests for the same seed: `calm` without
+restarts, `forgets` with restarts and without persisted state, `knows` with restarts and persisted state. The
+cost of a restart is the worth that `calm` serves in time in a window after it and the variant does not. The
+over-admission is the units beyond quotas that the variant admits in that window and `calm` does not.
 """
 
 from __future__ import annotations
@@ -24,13 +24,13 @@
 from ..standin.servers import Arrival, Model, Server, work_drawer
 
 ARMS = ("calm", "forgets", "knows")
-GATEWAYS, SERVERS = 3, 12  # as the brief has them
-LOADS = {"usual": 92.0, "high": 110.0}  # units a second inside quotas
-SLOW_AT, SLOW_PART, SLOW_TIMES = 3.0, 0.25, (3.5, 9.0)  # s, part of the servers, times slower
-RESTARTS = (13.0, 17.0, 21.0, 25.0, 29.0, 33.0)  # s; one gateway each in turn, killed
+GATEWAYS, SERVERS = 3, 12
+LOADS = {"usual": 92.0, "high": 110.0}  # units per second within quotas
+SLOW_AT, SLOW_PART, SLOW_TIMES = 3.0, 0.25, (3.5, 9.0)  # s, part of the backends, factor of slowdown
+RESTARTS = (13.0, 17.0, 21.0, 25.0, 29.0, 33.0)  # s; each time the next gateway in turn is killed
 SECONDS = 44.5
-IN_HAND = 2.0  # s before a death in which a request may be lost with its gateway, whatever anybody knows
-STARTED = 0.5  # s from the start of a process to the window: it is ready by then
+IN_HAND = 2.0  # s before a kill; a request sent then may be lost with its gateway in every variant
+STARTED = 0.5  # s from the start of a process, by when it is ready, to the start of the window
 WINDOWS = (5.0, 10.0)  # s after a restart
 
 
@@ -42,7 +42,7 @@
     load: str = "usual",
     program: pathlib.Path | None = None,
 ) -> dict[str, Any]:
-    """One run; returns what happened in each window."""
+    """Run one variant once; returns its totals and those of each window after a restart."""
     chance = random.Random(seed)
     who = clients.customers(chance, LOADS[load], GATEWAYS)
     asks = clients.arrivals(chance, who, SECONDS, GATEWAYS)
@@ -103,7 +103,7 @@
             s.die()
     names = {s.model.name for s in slow}
     booked = clients.books(seen, {c.id: c for c in who})
-    # What a death itself costs is left out in every arm: requests for a gateway that is down or about to die.
+    # Excludes, in every variant, requests for a gateway that is down or about to be killed.
     away = [
         (number, moment - IN_HAND, moment + down + STARTED)
         for moment, down, number in zip(RESTARTS, downs, order, strict=True)
@@ -158,12 +158,12 @@
 
 
 def worth(asks: list[clients.Ask], outcome: str = "") -> float:
-    """The worth of those requests, or of those with that outcome."""
+    """The total worth of the requests, or of those with that outcome."""
     return round(sum(a.worth for a in asks if not outcome or a.outcome == outcome), 3)
 
 
 def play_alone(seed: int, arm: str, every: float, load: str) -> dict[str, Any]:
-    """One run in a folder of its own, for a process of its own."""
+    """Run one variant once in a temporary folder; the entry point of a child process."""
     folder = pathlib.Path(tempfile.mkdtemp(prefix="restarts-"))
     try:
         return asyncio.run(play(seed, arm, folder, every, load))
@@ -174,7 +174,7 @@
 def play_all(
     seeds: list[int], arms: list[str], every: float, load: str, together: int
 ) -> list[dict[str, Any]]:
-    """All runs, so many together, each in a process of its own."""
+    """Run every combination of seed and variant, each in its own process, at most `together` at a time."""
     jobs = [(seed, arm) for seed in seeds for arm in arms]
     running: list[tuple[int, str, subprocess.Popen[str]]] = []
     results = []
@@ -195,7 +195,7 @@
         seed, arm, process = running.pop(0)
         said, _ = process.communicate()
         if process.returncode:
-            raise RuntimeError(f"seed {seed}, {arm}: exit code {process.returncode}")
+            raise RuntimeError(f"run with seed {seed} of {arm} failed with exit code {process.returncode}")
         results.append(json.loads(said))
     return results
 
--- a/corkdeal/experiment/summary.py
+++ b/corkdeal/experiment/summary.py
@@ -1,4 +1,4 @@
-"""Tables and charts of an experiment's runs: paired differences by seed, with their intervals."""
+"""Tables and charts of an experiment's runs: differences paired by seed, with confidence intervals."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 
 
 def mean_and_half(values: Iterable[float]) -> tuple[float, float]:
-    """Mean and half of the 95% interval of Student's t; the interval is endless for one value."""
+    """Mean and half width of its 95% confidence interval (Student's t), infinite for a single value."""
     v = list(values)
     if len(v) < 2:
         return v[0] if v else math.nan, math.inf
@@ -21,7 +21,7 @@
 
 
 def by_seed(runs: list[dict[str, Any]]) -> dict[int, dict[str, dict[str, Any]]]:
-    """Runs by seed and arm."""
+    """Runs by seed and variant."""
     made: dict[int, dict[str, dict[str, Any]]] = {}
     for run in runs:
         made.setdefault(run["seed"], {})[run["arm"]] = run
@@ -29,7 +29,7 @@
 
 
 def restart_rows(runs: list[dict[str, Any]]) -> list[dict[str, Any]]:
-    """For each window length: what the arms lose against calm, and how much of that knowledge saves."""
+    """The loss of each variant against `calm` by window length, and how much of it persisted state saves."""
     rows = []
     for length in sorted({w["length"] for run in runs for w in run["windows"]}):
         for what, key, asked in (
@@ -68,9 +68,9 @@
 
 
 def markdown(rows: list[dict[str, Any]]) -> str:
-    """Rows as a table for a page."""
+    """The rows as a Markdown table."""
     lines = [
-        "| window | what is lost or let in more than calm | forgets | knows | saved | share |",
+        "| window | lost, or admitted in addition, compared with calm | forgets | knows | saved | share |",
         "| --- | --- | --- | --- | --- | --- |",
     ]
     for r in rows:
@@ -83,7 +83,7 @@
 
 
 def chart(rows: list[dict[str, Any]], path: str, title: str) -> None:
-    """Bars with intervals, as SVG or PNG by the path's ending."""
+    """Draw a bar chart with confidence intervals, as SVG or PNG by the extension of the path."""
     import matplotlib
 
     matplotlib.use("Agg")
