--- a/corkdeal/experiment/explore.py
+++ b/corkdeal/experiment/explore.py
@@ -1,9 +1,9 @@
-"""Every order of crash, start, message, loss and tick, to a depth, on the decisions of three gateways alone.
+"""Explores all sequences of crash, start, message, loss and tick up to a depth, on three gateways' decisions.
 
-From a ring that has traded, each state reachable in so many steps is followed by a time without faults,
-after which all are up again. Then the total of slices must be that of the design, both ends of each pair
-must hold the same totals, and what was let in must lie within the quota and the stated bound.
-Deterministic; no sockets, no clock.
+The exploration begins with a ring whose gateways have exchanged quota shares. Each state reached is followed
+by a period without faults, in which all gateways run. After it the quota shares must sum to 1, the ledgers at
+both ends of each pair must agree, and the units admitted must not exceed the quota by more than
+`measure.bound`. Deterministic; uses no sockets and no clock.
 """
 
 from __future__ import annotations
@@ -35,23 +35,23 @@
 GATEWAYS, CUSTOMER = 3, 7
 PLAN = Plan(rate=6.0, burst=30.0)
 CLASS = RequestClass(latency_objective=1.0, deadline=3.0)
-TICK = 0.3  # s: more than a trade, so each tick trades
-ASKS = (3, 1, 1)  # requests of one unit a tick, by gateway: more than the even share at the first
-TRADED, QUIET = 20, 30  # ticks before the exploration and after it
-BACK = -60.0  # s by which the clock of a start may be set
+TICK = 0.3  # s, longer than the exchange interval, so that each tick begins an exchange
+ASKS = (3, 1, 1)  # one-unit requests per tick by gateway; gateway 0 exceeds an even quota share
+TRADED, QUIET = 20, 30  # ticks without faults before the exploration and after each sequence
+BACK = -60.0  # s by which the clock may be set back at a start
 LIST = EndpointUpdate(UpdateKind.COMPLETE, tuple(Endpoint(n, EndpointState.READY) for n in "abc"))
 
 
 class Step(NamedTuple):
-    """One thing that may happen next."""
+    """One event that may happen next."""
 
-    kind: str  # tick, crash, start, start-back (with its clock set back), deliver, lose
+    kind: str  # tick, crash, start, start-back (a start with the clock set back), deliver, lose
     sender: int = 0
     to: int = 0
 
 
 def decisions(me: int, gateways: int) -> Gateway:
-    """A gateway's decisions as they start with nothing known, with slices taken up from neighbours."""
+    """The decisions of a gateway without persisted state that restores quota shares from ring neighbours."""
     settings = Settings(
         gateway_index=me,
         gateway_count=gateways,
@@ -67,7 +67,7 @@
 
 
 class World:
-    """Three gateways, what is under way between them, and what they let in."""
+    """Three gateways, the messages in flight between them, and the times at which they admitted requests."""
 
     def __init__(self) -> None:
         self.now, self.number = 1000.0, 0
@@ -75,24 +75,24 @@
         self.flight: dict[tuple[int, int], list[bytes]] = {}
         self.let_in: list[float] = []
         self.starts = 0
-        self.clock = dict.fromkeys(range(GATEWAYS), 0.0)  # s by which each one's is set
+        self.clock = dict.fromkeys(range(GATEWAYS), 0.0)  # offset of each gateway's clock, s
         for me in range(GATEWAYS):
             self.start(me)
         self.starts = 0
 
     def start(self, me: int, clock: float = 0.0) -> None:
-        """A gateway starts with nothing known."""
+        """Start a gateway without persisted state."""
         made = decisions(me, GATEWAYS)
         self.starts += 1
         self.up[me], self.clock[me] = made, clock
         self.take(me, self.tell(me, [LIST]))
 
     def tell(self, me: int, events: list[Event]) -> list[Action]:
-        """Have a gateway decide, at the time that it takes it to be."""
+        """Pass events to a gateway with the time of its own clock, and return its actions."""
         return self.up[me].handle(self.now + self.clock[me], events)
 
     def take(self, me: int, actions: list[Action]) -> None:
-        """Messages go under way; what is sent on is served at once."""
+        """Perform a gateway's actions: put its messages in flight, and answer its attempts at once."""
         for action in actions:
             if isinstance(action, SendToPeer) and action.peer is not None:
                 self.flight.setdefault((me, action.peer), []).append(action.payload)
@@ -102,7 +102,7 @@
                 self.take(me, self.tell(me, [served]))
 
     def tick(self) -> None:
-        """Time passes; clients ask."""
+        """Advance time by `TICK`; the timers expire and clients send their requests."""
         self.now += TICK
         for me in sorted(self.up):
             events: list[Event] = [TimerExpired(0)]
@@ -112,7 +112,11 @@
             self.take(me, self.tell(me, events))
 
     def options(self) -> list[Step]:
-        """What may happen next. Messages of one direction come in order; another order of them is a loss."""
+        """The steps that are possible next.
+
+        Messages of one direction are delivered in order, since the receiver ignores one that is overtaken, as
+        if lost.
+        """
         made = [Step("tick")]
         made += [Step("crash" if me in self.up else "start", me) for me in range(GATEWAYS)]
         made += [Step("start-back", me) for me in range(GATEWAYS) if me not in self.up]
@@ -122,7 +126,7 @@
         return made
 
     def do(self, step: Step) -> None:
-        """Have it happen."""
+        """Perform one step."""
         if step.kind == "tick":
             self.tick()
         elif step.kind == "crash":
@@ -137,7 +141,7 @@
                 self.take(step.to, self.tell(step.to, [PeerMessage(step.sender, payload)]))
 
     def calm(self, ticks: int) -> None:
-        """No faults: all start that are down, and every message comes."""
+        """Start all gateways that are down, then run so many ticks in which every message is delivered."""
         for me in range(GATEWAYS):
             if me not in self.up:
                 self.start(me)
@@ -149,12 +153,12 @@
                         self.do(Step("deliver", sender, to))
 
     def faults(self) -> list[str]:
-        """What does not hold after a calm time."""
+        """The invariants that are violated after a period without faults."""
         made = []
         accounts = {me: g.accounts[CUSTOMER] for me, g in self.up.items()}
         total = sum(a.base_share() for a in accounts.values())
         if abs(total - 1) > 1e-9:
-            made.append(f"slices add up to {total:.6f}")
+            made.append(f"quota shares sum to {total:.6f}")
         for me, a in accounts.items():
             for peer, pair in a.ledgers.items():
                 other = accounts[peer].ledgers[me]
@@ -163,25 +167,25 @@
                     or abs(pair.received_units + other.received_units) > 1e-6
                 ):
                     made.append(
-                        f"{me}, {peer} hold {pair.received_share}, {pair.received_units}; "
+                        f"{me}, {peer}: ledgers disagree, {pair.received_share}, {pair.received_units}; "
                         f"{other.received_share}, {other.received_units}"
                     )
         quota = PLAN.burst + PLAN.rate * (self.now - self.let_in[0]) if self.let_in else 0.0
         over = len(self.let_in) - quota - bound(PLAN.burst, GATEWAYS, self.starts)
         if over > 0:
-            made.append(f"{over:.2f} units over quota and bound")
+            made.append(f"{over:.2f} units admitted beyond quota and bound")
         return made
 
 
 def traded() -> World:
-    """A ring whose slices have followed the demand."""
+    """A ring whose quota shares have converged to the demand."""
     world = World()
     world.calm(TRADED)
     return world
 
 
 def walk(world: World, depth: int, path: tuple[Step, ...] = ()) -> Iterator[tuple[tuple[Step, ...], World]]:
-    """All states within so many steps, each with the way to it."""
+    """Yield all states within `depth` steps, each with the path that leads to it."""
     yield path, world
     if depth:
         for step in world.options():
@@ -191,7 +195,7 @@
 
 
 def judge(path: tuple[Step, ...], world: World) -> list[str]:
-    """What does not hold once faults stop after that way."""
+    """The invariants that are violated once the faults stop after that path."""
     after = copy.deepcopy(world)
     after.calm(QUIET)
     way = " ".join(f"{s.kind}:{s.sender}{s.to}" for s in path)
@@ -199,7 +203,10 @@
 
 
 def part(depth: int, first: int) -> tuple[int, list[str]]:
-    """The ways that begin with the first step of that number, so that several processes share the work."""
+    """Check the paths that begin with first step number `first`; returns their count and the violations.
+
+    Each process of the pool takes one first step.
+    """
     world = traded()
     steps = world.options()
     if first >= len(steps):
@@ -213,7 +220,7 @@
 
 
 def at_random(seed: int, walks: int, depth: int) -> tuple[int, list[str], Counter[str]]:
-    """Longer ways, drawn evenly from what may happen at each step."""
+    """Check `walks` longer paths, each step of which is drawn uniformly from the possible ones."""
     chance, faults, kinds = random.Random(seed), [], Counter()
     begin = traded()
     for _ in range(walks):
@@ -228,7 +235,7 @@
 
 
 def explore(depth: int, walks: int, seed: int, together: int) -> dict[str, object]:
-    """All ways of a depth, and longer ones at random; the first faults, if there are any."""
+    """Check all paths up to a depth and longer random ones; returns counts and the first violations."""
     import concurrent.futures
 
     with concurrent.futures.ProcessPoolExecutor(together) as pool:
--- a/tests/test_explore.py
+++ b/tests/test_explore.py
@@ -1,4 +1,4 @@
-"""Every order of crash, start, message, loss and tick to a small depth; the long run is a command."""
+"""The explorer of step sequences, to a small depth; `corkdeal experiment explore` goes deeper."""
 
 import pytest
 
@@ -21,8 +21,8 @@
 @pytest.mark.parametrize(
     ("broken", "said"),
     [
-        (lambda self, pair: PeerLedger(pair.received_share + 900, pair.received_units), "slices add up"),
-        (lambda self, pair: PeerLedger(pair.received_share, pair.received_units + 64), "hold"),
+        (lambda self, pair: PeerLedger(pair.received_share + 900, pair.received_units), "shares sum to"),
+        (lambda self, pair: PeerLedger(pair.received_share, pair.received_units + 64), "ledgers disagree"),
     ],
 )
 def test_a_ledger_kept_wrongly_is_found(monkeypatch, broken, said):
