--- a/corkdeal/experiment/cuts.py
+++ b/corkdeal/experiment/cuts.py
@@ -1,8 +1,7 @@
-"""Days with and without a cut, for the declaration of a lost hall: how often it is wrong, and how soon it
-comes.
+"""Simulates zone outages to measure the detector in `halls/loss.py`: false alarms and detection delay.
 
-A plain model in virtual time of what the decisions see: attempts at servers of three halls that answer after
-some time, are silent, or can't be connected to. No gateway and no sockets take part.
+A simple model in virtual time of what the decisions observe: attempts at backends in three zones that are
+answered after some time, get no reply, or fail to connect. It runs no gateway and opens no sockets.
 """
 
 from __future__ import annotations
@@ -12,17 +11,17 @@
 
 from ..halls.loss import Losses
 
-CONNECT_LATE = 0.25  # s until a connect to what is cut off is given up
-SILENT_TIMES = 4.0  # times the usual answer's time, after which an attempt counts as silent
+CONNECT_LATE = 0.25  # s until a connection attempt to an unreachable backend fails
+SILENT_TIMES = 4.0  # multiple of the mean response time after which an attempt counts as unanswered
 HALLS = ("north-hall", "east-hall", "south-hall")
 TROUBLES = ("calm", "slow quarter", "all slow", "dead server", "two dead in two halls")
 
 
 class Day:
-    """Attempts at random servers, so many a second, and what becomes of them."""
+    """One simulated period: attempts at random backends at a constant mean rate, and their outcomes."""
 
     def __init__(self, seed: int, rate: float = 30.0, per_hall: int = 4, usual: float = 0.2) -> None:
-        """`rate` in attempts a second of one gateway, `usual` the mean answer's time in s."""
+        """`rate` is the attempts per second of one gateway, `usual` the mean response time in seconds."""
         self.chance, self.rate, self.usual = random.Random(seed), rate, usual
         self.losses, self.at = Losses(), 0.0
         self.pending: list[tuple[float, str, str, str, float]] = []
@@ -34,7 +33,7 @@
         self.declared: list[tuple[float, str]] = []
 
     def trouble(self, kind: str) -> None:
-        """Begin one of `TROUBLES`."""
+        """Start one of the conditions in `TROUBLES`."""
         names = [server for _, server in self.servers]
         if kind == "slow quarter":
             self.slow = {s: self.chance.uniform(3.5, 9) for s in self.chance.sample(names, len(names) // 4)}
@@ -46,7 +45,7 @@
             self.dead = {names[0], names[-1]}
 
     def run(self, until: float) -> None:
-        """Let time pass; an attempt is told when it is answered, given up or silent for long."""
+        """Advance time to `until`; each attempt is reported when it is answered, fails or is overdue."""
         while self.at < until:
             self.at += self.chance.expovariate(self.rate)
             hall, server = self.chance.choice(self.servers)
@@ -63,13 +62,13 @@
             for when, what, its_hall, its_server, sent in due:
                 if what != "answered":
                     self.losses.failed(its_hall, its_server, when, what == "silent")
-                elif its_hall not in self.cut:  # an answer on its way when the cut began is lost with it
+                elif its_hall not in self.cut:  # a reply in flight when the outage begins is lost
                     self.losses.answered(its_hall, its_server, sent, when)
                 self.declared += [(when, h) for h in self.losses.look(when)]
 
 
 def false_alarms(days: int, seconds: float, rate: float) -> list[dict[str, Any]]:
-    """Declarations on days without a cut, by trouble."""
+    """Count the outages declared on days without one, by condition."""
     rows = []
     for kind in TROUBLES:
         wrong = 0
@@ -84,7 +83,7 @@
 
 
 def delays(days: int, rate: float, trouble: str = "calm") -> dict[str, Any]:
-    """Seconds from a cut until it is declared, over many days."""
+    """Seconds from the start of an outage until it is declared, over many days."""
     took, missed, others = [], 0, 0
     for seed in range(days):
         day = Day(seed, rate)
--- a/corkdeal/experiment/members.py
+++ b/corkdeal/experiment/members.py
@@ -1,8 +1,10 @@
-"""Membership on the decisions alone, in virtual time: how soon and how rightly deaths are seen, and every
-order of cuts and pauses to a depth. Deterministic by seed; no sockets, no clock.
+"""Simulates membership in virtual time, on the decisions alone. Deterministic by seed; no sockets, no clock.
 
-A message takes 1 to 30 ms; a gateway looks at its timers every STEP. One that stands still gets no message
-that came meanwhile where it notices (`recovery/stall_detector.py`), and gets them late where it does not.
+Measures detection delay and false alarms of the failure detector, and explores every sequence of partitions
+and pauses up to a depth.
+
+A message takes 1 to 30 ms; the timers of a gateway expire every STEP. A paused gateway that notices its pause
+(`recovery/stall_detector.py`) discards the messages that arrived in it; one that does not receives them late.
 """
 
 from __future__ import annotations
@@ -40,14 +42,14 @@
 STEP = 0.05  # s
 CUSTOMER = 7
 LIST = EndpointUpdate(UpdateKind.COMPLETE, (Endpoint("a", EndpointState.READY),))
-PAUSE_EVERY, PAUSE_LEAST, PAUSE_MOST = 10.0, 0.2, 1.9  # s, of one member, where pauses are played
-SETTLE = 5.0  # s before anything is looked at
-HELD, HEALED = 1.5, 8.0  # s that each step of an exploration lasts, and without faults after it
+PAUSE_EVERY, PAUSE_LEAST, PAUSE_MOST = 10.0, 0.2, 1.9  # s, interval and length of a member's pauses
+SETTLE = 5.0  # s before the first fault or observation
+HELD, HEALED = 1.5, 8.0  # s, length of each exploration step, and of the time without faults after it
 Pair = tuple[int, int]
 
 
 class World:
-    """A tier whose links and processes fail as they are told; each has one account of a ring."""
+    """A simulated tier whose links and processes can be made to fail."""
 
     def __init__(self, gateways: int, spread: int, seed: int, loss: float = 0.0) -> None:
         self.size, self.spread, self.loss = gateways, min(spread, gateways), loss
@@ -55,20 +57,20 @@
         self.up: dict[int, Gateway] = {}
         self.flight: list[tuple[float, int, int, int, bytes]] = []
         self.cut: frozenset[Pair] = frozenset()
-        self.still: dict[int, tuple[float, float]] = {}  # who stands still: since when, until when
+        self.still: dict[int, tuple[float, float]] = {}  # paused gateways: since when, until when
         self.sent = self.bytes = self.lost = 0
         for me in range(gateways):
             self.start(me)
 
     def start(self, me: int) -> None:
-        """A gateway starts with nothing known; a customer's ring begins at each."""
+        """Start a gateway without persisted state."""
         made = decisions(me, self.size)
         made.membership = Members(made, is_later)
         self.up[me] = made
         self.take(me, made.handle(self.now, [LIST]))
 
     def ask(self, me: int, first: int) -> None:
-        """One request of the ring that begins there."""
+        """Send one request to gateway `me`, for the customer whose ring begins at gateway `first`."""
         self.number += 1
         e = Request(self.number, CUSTOMER + first, 0, 0, 0.1, first, self.spread, 3.0)
         actions = self.up[me].handle(self.now, [e])
@@ -79,7 +81,7 @@
                 self.take(me, self.up[me].handle(self.now, [served]))
 
     def take(self, me: int, actions: Iterable[Action]) -> None:
-        """Messages go under way."""
+        """Put a gateway's messages in flight, unless they are lost."""
         for a in actions:
             if isinstance(a, SendToPeer) and a.peer is not None:
                 self.sent, self.bytes = self.sent + 1, self.bytes + len(a.payload)
@@ -91,11 +93,11 @@
                 heapq.heappush(self.flight, (due, self.number, me, a.peer, a.payload))
 
     def pause(self, me: int, seconds: float) -> None:
-        """A gateway stands still from now on."""
+        """Pause a gateway from now on."""
         self.still[me] = self.now, self.now + seconds
 
     def step(self) -> None:
-        """Time passes: messages come, those who stood still wake, all look at their timers."""
+        """Advance time by `STEP`: end pauses that are over, deliver messages, and run the timers."""
         self.now += STEP
         for me, (since, until) in list(self.still.items()):
             if self.now >= until:
@@ -119,18 +121,18 @@
                 self.take(me, g.handle(self.now, [TimerExpired(0)]))
 
     def run(self, seconds: float) -> None:
-        """Let time pass."""
+        """Advance time by so many seconds."""
         for _ in range(round(seconds / STEP)):
             self.step()
 
     def join(self) -> None:
-        """Every gateway asks for one customer of each ring that it is in: so neighbours know each other."""
+        """Send each gateway a request for every ring that it is in, so that it knows its neighbours."""
         for me in self.up:
             for back in range(self.spread):
                 self.ask(me, (me - back) % self.size)
 
     def gone(self, member: int) -> int:
-        """How many of the others hold it for gone."""
+        """The number of running gateways that consider a member dead."""
         seen = [
             g.membership.detector.members.get(member)
             for me, g in self.up.items()
@@ -139,7 +141,7 @@
         return sum(m is not None and m.state == MemberState.DEAD for m in seen)
 
     def twice(self) -> list[str]:
-        """Slices of which more than the whole may be spent at this moment."""
+        """Quota shares that their owner and a borrower may spend at the same time, beyond the whole share."""
         made = []
         for me, g in self.up.items():
             g.now = self.now
@@ -157,12 +159,15 @@
                         part := g.membership.shares.own_fraction(a)
                         + h.membership.shares.borrowed_fraction(h.accounts[key], me)
                     ) > 1 + 1e-9:
-                        made.append(f"{part:.2f} of {me}'s slice, with {i}, at {self.now - 1000:.2f} s")
+                        made.append(
+                            f"{part:.2f} of {me}'s quota share may be spent together with {i} "
+                            f"at {self.now - 1000:.2f} s"
+                        )
         return made
 
 
 def deaths(gateways: int, spread: int, seed: int, loss: float, dead: int) -> dict[str, Any]:
-    """Kill one after the other: seconds until 99% of the others know of each."""
+    """Kill `dead` members one after the other; seconds until 99% of the others detected each death."""
     world = World(gateways, spread, seed, loss)
     world.join()
     world.run(SETTLE)
@@ -190,7 +195,7 @@
 def alarms(
     gateways: int, spread: int, seed: int, loss: float, pauses: bool, seconds: float
 ) -> dict[str, Any]:
-    """Nobody dies: who is held for gone all the same, and what that costs in messages and time."""
+    """False alarms while no member dies, and the cost of membership in messages and CPU time."""
     world = World(gateways, spread, seed, loss)
     world.join()
     world.run(SETTLE)
@@ -234,7 +239,7 @@
 
 
 class Way(NamedTuple):
-    """What holds for HELD seconds."""
+    """One step of an exploration: the directed links cut and the gateways paused for HELD seconds."""
 
     name: str
     cut: frozenset[Pair]
@@ -242,7 +247,7 @@
 
 
 def ways(gateways: int) -> list[Way]:
-    """One-way cuts, pairs, who is heard by nobody, hears nobody or both, pauses; and nothing at all."""
+    """All steps: no fault; a link cut in one or both directions; a gateway cut off likewise, or paused."""
     everyone = range(gateways)
     made = [Way("clear", frozenset())]
     made += [Way(f"{i}>{j}", frozenset({(i, j)})) for i, j in itertools.permutations(everyone, 2)]
@@ -260,7 +265,7 @@
 
 
 def follow(world: World, way: Way) -> list[str]:
-    """Have it hold; what is spent twice in that time."""
+    """Apply one step; returns the quota shares that could be spent twice during it."""
     world.cut, made = way.cut, []
     for me in way.still:
         world.pause(me, HELD)
@@ -275,7 +280,10 @@
 
 
 def walk(world: World, depth: int, path: tuple[str, ...] = ()) -> Iterator[tuple[tuple[str, ...], list[str]]]:
-    """Every order of ways of that length, with what was wrong in its last step or after it healed."""
+    """Yield every sequence of up to `depth` steps, with the violations in its last step.
+
+    For sequences of full length they include those after the faults have ended.
+    """
     for way in ways(world.size):
         after = copy.deepcopy(world)
         faults = follow(after, way)
@@ -290,12 +298,18 @@
             g.now = after.now
             a = g.accounts[CUSTOMER]
             if not g.membership.is_share_exclusive(a) or g.membership.takeover.members or after.gone(me):
-                faults.append(f"{me} is unsure, has taken, or is held for gone after all healed")
+                faults.append(
+                    f"{me} holds no exclusive share, still borrows one, or counts as dead, "
+                    "although all faults have ended"
+                )
         yield here, faults
 
 
 def part(gateways: int, depth: int, first: int) -> tuple[int, list[str]]:
-    """The orders that begin with the way of that number, so that several processes share the work."""
+    """Check the sequences that begin with step number `first`; returns their count and the violations.
+
+    Each process of the pool takes one first step.
+    """
     world = World(gateways, 3, 1)
     for me in world.up:
         world.ask(me, 0)
@@ -309,7 +323,7 @@
 
 
 def explore(gateways: int, depth: int, together: int) -> dict[str, Any]:
-    """All orders of a depth; the first faults, if there are any."""
+    """Check all sequences of `depth` steps; returns counts and the first violations."""
     import concurrent.futures
 
     count = len(ways(gateways))
@@ -327,7 +341,11 @@
 
 
 def measure(sizes: list[int], hours: float, together: int) -> dict[str, Any]:
-    """Deaths and false alarms by size and loss; `hours` of all members together for each false alarm row."""
+    """Detection delays and false alarms by tier size and loss.
+
+    A row of false alarms covers `hours` member-hours, or a quarter of them above 20 gateways, where one seed
+    runs instead of four.
+    """
     import concurrent.futures
 
     with concurrent.futures.ProcessPoolExecutor(together) as pool:
@@ -345,7 +363,7 @@
 
 
 def added(rows: list[dict[str, Any]]) -> list[dict[str, Any]]:
-    """Rows of one size, loss and kind put together: counts added, rates averaged."""
+    """Merge the rows of equal size, loss and pauses: counts are summed, rates averaged."""
     groups: dict[tuple[Any, ...], list[dict[str, Any]]] = {}
     for row in rows:
         groups.setdefault((row["gateways"], row["loss"], row["pauses"]), []).append(row)
