--- a/corkdeal/experiment/quotas.py
+++ b/corkdeal/experiment/quotas.py
@@ -1,9 +1,9 @@
-"""Quotas of a whole fleet, on the decisions alone: what passes beyond them and what is lost inside.
+"""Simulates the quotas of a fleet, on the decisions alone: units admitted beyond and rejected within quotas.
 
-All gateways' decisions run in one process, in virtual time; messages come late, some are lost, and a gateway
-takes in only so many a second. Servers answer all they get. A judge sees every attempt at its moment and
-keeps each customer's true store and attempts out, as PROTOCOL counts them: it needs no word of the decisions.
-Deterministic by seed; no sockets, no clock.
+The decisions of all gateways run in one process in virtual time. Messages are delayed, some are lost, and a
+gateway accepts only a limited number per second. Backends answer every attempt. `Judge` observes each attempt
+when it is sent and keeps one exact token bucket and count of open attempts per customer; it uses no state of
+the decisions. Deterministic by seed; no sockets, no clock.
 """
 
 from __future__ import annotations
@@ -34,55 +34,55 @@
 from ..decisions.settings import Plan, RequestClass, Settings
 
 CALM, FULL, HEAVY, SPIKY = "calm", "full", "heavy", "spiky"
-KINDS = ((FULL, 0.18), (HEAVY, 0.09), (SPIKY, 0.18))  # shares of the customers; the others are calm
-USE = {CALM: (0.16, 0.46), FULL: (0.8, 1.0), HEAVY: (1.9, 4.5), SPIKY: (0.16, 0.46)}  # of the rate
-SPIKE_TIMES, SPIKE_LASTS, SPIKE_EVERY = (10.0, 23.0), (1.0, 4.0), (13.0, 22.0)  # of usual, s, s
-SHIFT_EVERY, SKEW = (8.0, 24.0), 0.7  # s between new weights of a customer's gateways; their spread
-COME_AGAIN, TRY_SHARE, BACKOFF = 3, 0.75, 0.2  # tries, share of clients that make them, s
-MESSAGE = (0.003, 0.032)  # s under way
-ANSWER = 0.25  # s for a unit, give or take half
-OPEN_USE = 0.5  # of a limit on attempts out, what a use of 1 keeps out
+KINDS = ((FULL, 0.18), (HEAVY, 0.09), (SPIKY, 0.18))  # fractions of the customers; the others are calm
+USE = {CALM: (0.16, 0.46), FULL: (0.8, 1.0), HEAVY: (1.9, 4.5), SPIKY: (0.16, 0.46)}  # demand / rate
+SPIKE_TIMES, SPIKE_LASTS, SPIKE_EVERY = (10.0, 23.0), (1.0, 4.0), (13.0, 22.0)  # rate multiple, s, s
+SHIFT_EVERY, SKEW = (8.0, 24.0), 0.7  # s between new weights of a customer's gateways; sigma of their log
+COME_AGAIN, TRY_SHARE, BACKOFF = 3, 0.75, 0.2  # retries, part of requests that make them, s
+MESSAGE = (0.003, 0.032)  # s, delay of a message
+ANSWER = 0.25  # s, mean response time per unit; drawn from 0.5 to 1.5 times that
+OPEN_USE = 0.5  # fraction of a limit on open attempts that is in use at a demand of 1
 
 
 @dataclass(slots=True, frozen=True)
 class Fleet:
-    """What is played: a tier, its plans and how many customers each has, and what messages meet."""
+    """What is simulated: the tier, its plans and their customers, and the limits and loss of messages."""
 
     plans: tuple[Plan, ...]
     customers: tuple[int, ...]  # of each plan
     gateways: int = 200
     seconds: float = 25.0
     loss: float = 0.05
-    intake: float = 100.0  # messages a second
-    units: tuple[float, ...] = (1.0, 2.0)  # of the classes
-    sets: tuple[float, float] = (0.5, 1.0)  # of the gateways, a customer's set
+    intake: float = 100.0  # messages per second that a gateway accepts
+    units: tuple[float, ...] = (1.0, 2.0)  # cost of a request by request class
+    sets: tuple[float, float] = (0.5, 1.0)  # range of the fraction of gateways that serve one customer
 
 
 @dataclass(slots=True)
 class Customer:
-    """One customer: its demand, its gateways, and its true store and attempts out."""
+    """One customer: its demand, its gateways, and the exact state of its token bucket and open attempts."""
 
     number: int
     plan: int
     first: int
     spread: int
     kind: str
-    rate: float  # units a second that it asks in usual times
+    rate: float  # units per second that it requests outside spikes
     weights: list[float] = field(default_factory=list)
-    times: float = 1.0  # in a spike
+    times: float = 1.0  # multiple of `rate` in a spike
     shift_at: float = 0.0
     spike_at: float = 0.0
     spike_until: float = 0.0
     store: float = 0.0
     at: float = 0.0
     out: int = 0
-    ideal: float = 0.0  # store of one gateway that saw all first tries
+    ideal: float = 0.0  # token bucket of a single gateway that receives all first attempts of requests
     ideal_at: float = 0.0
     ideal_out: list[float] = field(default_factory=list)
 
 
 class Judge:
-    """What the outside counts, in units by plan: offered, sent inside the quotas, sent beyond them."""
+    """Counts units by plan, independently of the decisions: offered, sent within quotas, sent beyond them."""
 
     def __init__(self, plans: tuple[Plan, ...]) -> None:
         self.plans = plans
@@ -91,7 +91,7 @@
         self.beyond: Counter[int] = Counter()
 
     def offer(self, c: Customer, now: float, units: float) -> None:
-        """A first try: offered if one gateway that saw all of them would let it in."""
+        """Count a first attempt as offered if a single gateway that receives all of them would admit it."""
         plan = self.plans[c.plan]
         c.ideal, c.ideal_at = min(plan.burst, c.ideal + plan.rate * (now - c.ideal_at)), now
         c.ideal_out = [x for x in c.ideal_out if x > now]
@@ -102,7 +102,7 @@
         self.offered[c.plan] += units
 
     def sent(self, c: Customer, now: float, units: float) -> None:
-        """An attempt comes to a server."""
+        """Count an attempt that reaches a backend."""
         plan = self.plans[c.plan]
         c.store, c.at = min(plan.burst, c.store + plan.rate * (now - c.at)), now
         good = (not plan.rate or c.store >= units) and (not plan.max_in_flight or c.out < plan.max_in_flight)
@@ -111,7 +111,7 @@
         (self.inside if good else self.beyond)[c.plan] += units
 
     def table(self) -> dict[str, Any]:
-        """Shares of the worth offered: sent inside, and what is paid for what went beyond."""
+        """The worth sent within quotas and the cost of units beyond them, relative to the worth offered."""
         whole = sum(p.price * self.offered[i] for i, p in enumerate(self.plans)) or 1.0
         paid = sum(p.price * p.over_quota_cost * self.beyond[i] for i, p in enumerate(self.plans))
         inside = sum(p.price * min(self.inside[i], self.offered[i]) for i, p in enumerate(self.plans))
@@ -123,7 +123,7 @@
 
 
 class World:
-    """A fleet in virtual time."""
+    """A simulated fleet in virtual time."""
 
     def __init__(self, fleet: Fleet, seed: int, make: Callable[[Settings, int], Gateway] = Gateway) -> None:
         self.fleet, self.chance, self.seed, self.make = fleet, random.Random(seed), seed, make
@@ -131,8 +131,8 @@
         self.number, self.judge = itertools.count(1), Judge(fleet.plans)
         self.agenda: list[tuple[float, int, Callable[[], None]]] = []
         self.sent = self.lost = self.bytes = self.first_tries = 0
-        self.got: Counter[int] = Counter()  # messages that came, by receiver
-        self.room: dict[int, tuple[float, float]] = {}  # by receiver: messages it may still take, since when
+        self.got: Counter[int] = Counter()  # messages that arrived, by receiver
+        self.room: dict[int, tuple[float, float]] = {}  # by receiver: messages it may accept, at which time
         self.requests: dict[int, tuple[Customer, int, int]] = {}
         self.customers: list[Customer] = []
         for plan, many in enumerate(fleet.customers):
@@ -149,7 +149,7 @@
             self.next_try(c)
 
     def start(self, me: int) -> None:
-        """A gateway starts with nothing known."""
+        """Start a gateway without persisted state."""
         f = self.fleet
         classes = tuple(
             RequestClass(latency_objective=1.0, deadline=4.0, name=f"c{i}") for i in range(len(f.units))
@@ -171,11 +171,11 @@
         self.give(me, self.list)
 
     def kill(self, me: int) -> None:
-        """A gateway is gone, with all it knew; its timers and answers find nobody."""
+        """Remove a gateway with its state; its timers and the replies to its attempts are dropped."""
         self.gateways.pop(me, None)
 
     def customer(self, plan_number: int) -> Customer:
-        """Draw one."""
+        """Draw a customer of a plan."""
         chance, plan, most = self.chance, self.fleet.plans[plan_number], self.fleet.gateways
         lot, kind = chance.random(), CALM
         for name, share in KINDS:
@@ -198,11 +198,11 @@
         return c
 
     def later(self, seconds: float, act: Callable[[], None]) -> None:
-        """Do it then."""
+        """Schedule a call after so many seconds."""
         heapq.heappush(self.agenda, (self.now + seconds, next(self.number), act))
 
     def next_try(self, c: Customer) -> None:
-        """The time of a customer's next request."""
+        """Draw and schedule a customer's next request."""
         chance, units = self.chance, sum(self.fleet.units) / len(self.fleet.units)
         if c.kind == SPIKY and self.now >= max(c.spike_at, c.spike_until):
             c.times, c.spike_until = chance.uniform(*SPIKE_TIMES), self.now + chance.uniform(*SPIKE_LASTS)
@@ -214,7 +214,7 @@
         self.later(wait, lambda: self.ask(c))
 
     def ask(self, c: Customer) -> None:
-        """A customer's request comes, and the next one follows."""
+        """Send a customer's request, and schedule its next one."""
         cls = self.chance.randrange(len(self.fleet.units))
         self.judge.offer(c, self.now, self.fleet.units[cls])
         self.first_tries += 1
@@ -222,7 +222,7 @@
         self.next_try(c)
 
     def gateway_for(self, c: Customer) -> int:
-        """One of its set, by weights that change now and then; another one where that is down."""
+        """One of the customer's gateways, drawn by changing weights; if it is down, the next that is up."""
         if self.now >= c.shift_at:
             c.shift_at = self.now + self.chance.uniform(*SHIFT_EVERY)
             drawn = [math.exp(self.chance.gauss(0.0, SKEW)) for _ in range(c.spread)]
@@ -232,7 +232,7 @@
         return next((me for me in ring if me in self.gateways), -1)
 
     def attempt(self, c: Customer, cls: int, again: int, retry: bool) -> None:
-        """One try at a gateway."""
+        """Send a request to a gateway; `again` is the number of retries left."""
         rid, me = next(self.number), self.gateway_for(c)
         if me in self.gateways:
             self.requests[rid] = c, cls, again
@@ -242,12 +242,12 @@
             )
 
     def give(self, me: int, event: Event) -> None:
-        """Hand a gateway an event and carry out what it says."""
+        """Pass an event to a gateway and perform its actions; nothing happens if it is down."""
         if me in self.gateways:
             self.take(me, self.gateways[me].handle(self.now, [event]))
 
     def take(self, me: int, actions: Iterable[Action]) -> None:
-        """Carry out a gateway's actions; a timer finds nobody but the life that set it."""
+        """Perform a gateway's actions; a timer only reaches the incarnation that set it."""
         life = self.gateways[me]
         for a in actions:
             if isinstance(a, SendToPeer):
@@ -271,7 +271,7 @@
                     )
 
     def tell(self, me: int, a: SendToPeer) -> None:
-        """A message goes under way, if it isn't lost."""
+        """Put a message in flight, unless it is lost."""
         self.sent += 1
         if self.chance.random() < self.fleet.loss:
             self.lost += 1
@@ -279,7 +279,7 @@
         self.later(self.chance.uniform(*MESSAGE), lambda: self.arrive(me, a.peer, a.payload))
 
     def arrive(self, sender: int, to: int, payload: bytes) -> None:
-        """It is taken in if there is room: `intake` a second, a second's worth at once."""
+        """Deliver a message if the receiver's token bucket of `intake` messages per second permits it."""
         self.got[to] += 1
         room, at = self.room.get(to, (self.fleet.intake, self.now))
         room = min(self.fleet.intake, room + self.fleet.intake * (self.now - at))
@@ -291,7 +291,7 @@
         self.give(to, PeerMessage(sender, payload))
 
     def send(self, me: int, a: StartAttempt) -> None:
-        """An attempt reaches its server, and is answered."""
+        """Count an attempt at its backend, and schedule its reply."""
         c, cls, _ = self.requests.pop(a.id)
         units = self.fleet.units[cls]
         self.judge.sent(c, self.now, units)
@@ -299,12 +299,12 @@
         self.later(lasts, lambda: self.answered(me, a, c, lasts))
 
     def answered(self, me: int, a: StartAttempt, c: Customer, lasts: float) -> None:
-        """The attempt is over."""
+        """Pass the reply to an attempt to its gateway."""
         c.out -= 1
         self.give(me, AttemptEnded(a.id, 0, a.backend, Status.OK, lasts, True))
 
     def run(self, seconds: float | None = None) -> dict[str, Any]:
-        """Play it to that second; what the judge counted and what was told."""
+        """Run until that second; returns the counts of `judge` and those of messages."""
         end = self.begun + (self.fleet.seconds if seconds is None else seconds)
         while self.agenda and self.agenda[0][0] <= end:
             self.now, _, act = heapq.heappop(self.agenda)
@@ -312,8 +312,8 @@
         whole = (end - self.begun) * self.fleet.gateways
         return {
             **self.judge.table(),
-            "messages": round(self.sent / whole, 1),  # a second and gateway
+            "messages": round(self.sent / whole, 1),  # per second and gateway
             "most_got": round(max(self.got.values(), default=0) / (end - self.begun), 1),
             "not_taken": round(self.lost / max(1, self.sent), 3),
             "peer": round(self.bytes / 256 / max(1, self.first_tries), 2),
-        }  # as the price counts them
+        }  # `peer` is in blocks of 256 bytes per request, the unit in which messages are priced
--- a/corkdeal/experiment/slow_start.py
+++ b/corkdeal/experiment/slow_start.py
@@ -1,10 +1,10 @@
-"""Cold starts before a whole fleet of gateways, in virtual time: does a started server fall, what does it do?
+"""Simulates the slow start of a backend behind a fleet, in virtual time: is it overloaded, or underused?
 
-One server starts. Each gateway that prefers it (`sharers`) holds a real `SlowStartBudget` and wants to send
-it every request that it gets, which is the most that a choice of servers can ask of the budget. The judge
-counts by the operators' rule: a cold server falls when it gets more than N + 2 sqrt(N) + 2 requests of mean
-work within `fall_window`, N being what the settings allow it at that moment, and the rule is broken if over
-two thirds of that came from gateways that had been told of the start.
+One backend starts. Each gateway that prefers it (`sharers`) has a `SlowStartBudget` of its own and attempts
+to send it every request, which is the highest demand that load balancing can put on the budget. `FallJudge`
+applies the operators' rule: a backend that warms up is overloaded by more than N + 2 sqrt(N) + 2 requests of
+mean work within `overload_window`, N being the number that the settings allow at that moment. The rule is
+broken if over two thirds of this work came from gateways that had been notified of the start.
 
 Deterministic by seed; no I/O, no clock.
 """
@@ -24,16 +24,16 @@
 from ..decisions.settings import Plan, RequestClass, Settings
 from ..decisions.slow_start import SlowStartBudget
 
-SETTLE = 12.0  # s of load before the start, so that gateways know what they serve
-TOLD_PART = 2 / 3  # of the work in the window, from which on a fall breaks the rule
-GIVEN_UP = 2.0  # s of work waiting at the cold server, above which its clients have gone
-MOST_PREFERRED, NARROW = 10, 8  # servers that a gateway prefers; gateways up to which each prefers all
-DOWN = 0.5  # s that a restarted gateway is away
+SETTLE = 12.0  # s of load before the start, in which gateways measure their usual rate
+TOLD_PART = 2 / 3  # of the work in the window; if notified gateways sent more, an overload is a violation
+GIVEN_UP = 2.0  # s of work queued at the started backend, above which its clients have timed out
+MOST_PREFERRED, NARROW = 10, 8  # most backends a gateway prefers; largest tier in which it prefers all
+DOWN = 0.5  # s for which a restarted gateway is down
 
 
 @dataclass(slots=True, frozen=True)
 class Burst:
-    """A spell in which the load is `times` the usual one; under 1 it is a lull."""
+    """A period in which the load is `times` the usual one; less than 1 makes it a lull."""
 
     at: float  # s after the start
     lasts: float  # s
@@ -42,28 +42,28 @@
 
 @dataclass(slots=True, frozen=True)
 class ColdStart:
-    """What is played: the fleet, its load, and what happens while one server warms up."""
+    """The input of a simulation: the fleet, its load, and bursts and restarts while one backend warms up."""
 
     settings: Settings
     servers: int
-    capacity: float  # s of work a second, a mean warm server's
-    size: float  # of the started server, in mean ones
-    works: tuple[float, ...]  # s of work that a request may be, all alike often
-    load: float  # of the warm servers' capacity
-    skew: float = 0.0  # exponent of Zipf's law by which gateways get the load
-    told_within: float = 0.0  # s after the start in which all gateways are told, one by one
-    returned: bool = False  # whether gateways not yet told take it for a warm server
+    capacity: float  # s of work per second of an average warm backend
+    size: float  # of the started backend, relative to the average
+    works: tuple[float, ...]  # s of work of a request, equally likely
+    load: float  # as a fraction of the warm backends' capacity
+    skew: float = 0.0  # exponent of the Zipf distribution of the load over gateways
+    told_within: float = 0.0  # s after the start in which gateways are notified, at uniform times
+    returned: bool = False  # whether gateways not yet notified send to it as to a warm backend
     bursts: tuple[Burst, ...] = ()
-    restarts: tuple[tuple[float, float], ...] = ()  # (s after the start, share of the gateways)
+    restarts: tuple[tuple[float, float], ...] = ()  # (s after the start, fraction of the gateways)
 
     @property
     def preferred(self) -> int:
-        """Servers that each gateway prefers."""
+        """The number of backends that each gateway prefers."""
         return self.servers if self.settings.gateway_count <= NARROW else min(MOST_PREFERRED, self.servers)
 
     @property
     def sharers(self) -> float:
-        """Gateways that prefer the started server."""
+        """The mean number of gateways that prefer the started backend."""
         return self.settings.gateway_count * self.preferred / self.servers
 
     @property
@@ -72,18 +72,18 @@
         return sum(self.works) / len(self.works)
 
     def warmth(self, age: float) -> float:
-        """Least part of its capacity that the settings allow at this age."""
+        """The fraction of its capacity that the settings assume at least at this age."""
         s = self.settings
         return min(1.0, s.initial_capacity + (1 - s.initial_capacity) * max(0.0, age) / s.warm_up_time)
 
     def allowed(self, age: float) -> float:
-        """N: requests of mean work in a fall window."""
+        """N: the requests of mean work that the settings allow within `overload_window` at this age."""
         s = self.settings
         able = s.overload_multiple * self.capacity * self.size * self.warmth(age) * s.overload_window
         return able / self.mean_work
 
     def segments(self) -> list[tuple[float, float, float]]:
-        """Load over time: (from, to, times the usual load), s after the start."""
+        """The load over time as (begin, end, multiple of the usual load), in s after the start."""
         marks = {-SETTLE, self.settings.warm_up_time}
         marks.update(x for b in self.bursts for x in (b.at, b.at + b.lasts) if x < self.settings.warm_up_time)
         return [
@@ -94,20 +94,20 @@
 
 @dataclass(slots=True)
 class Verdict:
-    """How one cold start went; work in s."""
+    """The result of one simulation; work in s."""
 
     fell: bool = False
-    broken: bool = False  # fell, mostly by gateways that had been told
+    broken: bool = False  # overloaded, mostly by gateways that had been notified
     sent: float = 0.0
-    allowed: float = 0.0  # by the settings, until it was warm or fell
-    done: float = 0.0  # what the started server could do of what it was sent
-    able: float = 0.0  # what it could have done
-    due: float = 0.0  # what it would have done at the load of the warm servers
-    worst: float = 0.0  # most that it got in a window, in terms of what makes it fall
+    allowed: float = 0.0  # by the settings, until it was warm or overloaded
+    done: float = 0.0  # work that the started backend completed
+    able: float = 0.0  # work that its capacity allowed
+    due: float = 0.0  # work that it would have done at the utilization of the warm backends
+    worst: float = 0.0  # most work within a window, relative to the limit of the rule
 
 
 class FallJudge:
-    """The operators' rule on one started server."""
+    """Applies the operators' overload rule to one started backend."""
 
     def __init__(self, start: ColdStart) -> None:
         self.start, self.recent = start, deque[tuple[float, float, bool]]()
@@ -115,7 +115,7 @@
         self.verdict = Verdict()
 
     def sent(self, age: float, work: float, told: bool) -> None:
-        """A request comes to the started server."""
+        """Count a request sent to the started backend."""
         self.recent.append((age, work, told))
         self.work += work
         self.told_work += work * told
@@ -131,7 +131,7 @@
 
 
 class Sharer:
-    """One gateway that prefers the started server: its budget, and when it was told of the start."""
+    """One gateway that prefers the started backend: its budget, and when it is notified of the start."""
 
     def __init__(self, start: ColdStart, told_at: float, seed: int) -> None:
         self.start, self.told_at, self.sharers = start, told_at, start.sharers
@@ -140,13 +140,13 @@
         self.server.endpoint = Endpoint("new", EndpointState.READY, started=1e-9)  # 0 means long ago
 
     def sends(self, age: float, work: float) -> bool:
-        """Whether this request goes to the started server, of whose start it was told."""
+        """Whether the budget permits this request to the started backend; spends the credit if so."""
         may = self.budget.has_credit(self.server, age, work, self.sharers)
         return may and self.budget.spend_credit(self.server, work)
 
 
 class Play:
-    """One cold start before all its sharers."""
+    """Simulates one slow start with all gateways that prefer the started backend."""
 
     def __init__(self, start: ColdStart, seed: int) -> None:
         self.start, self.chance, self.judge = start, random.Random(seed), FallJudge(start)
@@ -158,18 +158,18 @@
         self.back_at = [-math.inf] * count
 
     def gateway(self, told_at: float | None = None) -> Sharer:
-        """A gateway that begins now with no knowledge of what is served."""
+        """A gateway with a new budget that has measured no served work."""
         told_at = self.chance.uniform(0.0, self.start.told_within) if told_at is None else told_at
         return Sharer(self.start, told_at, next(self.seeds))
 
     def restart(self, age: float, share: float) -> None:
-        """That share of the gateways goes away and comes back with new budgets."""
+        """Restart a fraction of the gateways; they return after `DOWN` with new budgets."""
         for place in self.chance.sample(range(len(self.gateways)), round(share * len(self.gateways))):
             self.back_at[place] = age + DOWN
             self.gateways[place] = self.gateway(max(age + DOWN, self.gateways[place].told_at))
 
     def arrivals(self) -> Iterator[tuple[float, float, int]]:
-        """Requests of the sharers: s after the start, times the usual load, the gateway's place."""
+        """Yield the requests as (s after the start, multiple of the usual load, index of the gateway)."""
         start, chance = self.start, self.chance
         usual = start.load * start.capacity * start.preferred / start.mean_work
         for begin, end, times in start.segments():
@@ -178,7 +178,7 @@
                 yield age, times, bisect.bisect(self.weights, chance.random() * self.weights[-1])
 
     def advance(self, age: float, times: float) -> None:
-        """Let the started server work until then; the load was `times` the usual one."""
+        """Advance the started backend to `age`; the load meanwhile was `times` the usual one."""
         start, judge = self.start, self.judge
         past, self.at = age - self.at, age
         able = start.capacity * start.size * start.warmth(age) * past
@@ -190,7 +190,7 @@
         judge.verdict.allowed += start.allowed(age) * start.mean_work * past / start.settings.overload_window
 
     def send(self, age: float, work: float, told: bool) -> bool:
-        """Send to the started server; whether it will be answered in time."""
+        """Send a request to the started backend; returns whether it will be answered in time."""
         self.judge.sent(age, work, told)
         self.judge.verdict.sent += work
         in_time = self.backlog < GIVEN_UP * self.start.capacity * self.start.size * self.start.warmth(age)
@@ -198,7 +198,7 @@
         return in_time
 
     def run(self) -> Verdict:
-        """Play it until the server is warm or has fallen."""
+        """Simulate until the backend is warm or overloaded."""
         start, chance, verdict = self.start, self.chance, self.judge.verdict
         restarts = deque(sorted(start.restarts))
         for age, times, place in self.arrivals():
@@ -208,7 +208,7 @@
             if age < self.back_at[place]:
                 continue
             able = self.able(age)
-            warm = start.preferred - (age > 0)  # servers, which may be overloaded
+            warm = start.preferred - (age > 0)  # warm backends, which may be overloaded
             answered = chance.random() * start.load * times * start.preferred < warm
             if age > 0:
                 self.advance(age, times)
@@ -223,18 +223,18 @@
         return verdict
 
     def able(self, age: float) -> float:
-        """What a sharer's preferred servers can do, in warm ones."""
+        """The capacity of the backends that a gateway prefers, in warm backends."""
         return self.start.preferred - (1 - self.start.warmth(age) if age > 0 else 0.0)
 
     def unaware(self) -> bool:
-        """Whether a gateway that doesn't know of the start sends there: an even part of what it gets."""
+        """Whether a gateway not yet notified sends a request there: an even part of them if `returned`."""
         return self.start.returned and self.chance.random() * self.start.preferred < 1
 
 
 def draw(gateways: int, chance: random.Random) -> ColdStart:
-    """A cold start in a tier of that size: few servers or many, any load, bursts after lulls, restarts."""
+    """Draw the input of a simulation for a tier of that size: backends, load, lull and burst, restarts."""
     widest = max(12, 2 * gateways if gateways <= 200 else gateways // 2)
-    rate = math.exp(chance.uniform(math.log(4), math.log(40)))  # requests a second that a warm server can do
+    rate = math.exp(chance.uniform(math.log(4), math.log(40)))  # requests per second of a warm backend
     capacity = chance.choice((1, 2, 3, 4, 8)) * chance.uniform(0.7, 1.5)
     shape = chance.choice(((1.0,), (0.8, 1.0, 1.2), (0.5, 1.5), (0.4, 0.8, 1.8)))
     warm_within = chance.uniform(8.0, 18.0)
@@ -248,7 +248,7 @@
         initial_capacity=chance.uniform(0.15, 0.4),
         warm_up_time=warm_within,
     )
-    quiet = chance.uniform(0.3, warm_within - 4)  # s after the start, at which a lull begins
+    quiet = chance.uniform(0.3, warm_within - 4)  # s after the start at which a lull begins
     lull = chance.uniform(0.3, 2.0)
     bursts = (
         Burst(quiet, lull, chance.choice((0.0, 0.3, 1.0))),
--- a/tests/test_slow_start_judge.py
+++ b/tests/test_slow_start_judge.py
@@ -1,4 +1,4 @@
-"""The judge of cold starts: it must count by the rule, and see a budget that is too large or none at all."""
+"""The simulated slow start: the overload rule, and that budgets without limit or without credit show."""
 
 import random
 from dataclasses import replace
@@ -27,12 +27,12 @@
 @pytest.mark.parametrize(
     "sent, fell, broken",
     [
-        ([(0.0, 26, True)], False, False),  # N = 16 at the start: 26 requests and no more
+        ([(0.0, 26, True)], False, False),  # N = 16 at the start, so that up to 26 requests are allowed
         ([(0.0, 27, True)], True, True),
         ([(0.0, 20, True), (0.9, 20, True)], True, True),
-        ([(0.0, 20, True), (1.1, 20, True)], False, False),  # in windows of 1 s
-        ([(0.0, 17, True), (0.0, 10, False)], True, False),  # a third came from gateways that knew nothing
-        ([(16.0, 81, True)], False, False),  # N = 64 once warm
+        ([(0.0, 20, True), (1.1, 20, True)], False, False),  # not within one window of 1 s
+        ([(0.0, 17, True), (0.0, 10, False)], True, False),  # over a third from gateways not notified
+        ([(16.0, 81, True)], False, False),  # N = 64 once the backend is warm
         ([(16.0, 83, True)], True, True),
     ],
 )
@@ -46,14 +46,14 @@
 
 
 class AllIsSent:
-    """A budget that knows no bounds."""
+    """A budget without a limit."""
 
     def sends(self, age, work):
         return True
 
 
 class NothingIsSent:
-    """A budget that lets nothing through."""
+    """A budget without credit."""
 
     def sends(self, age, work):
         return False
