--- a/corkdeal/experiment/fleet.py
+++ b/corkdeal/experiment/fleet.py
@@ -1,7 +1,7 @@
-"""A fleet seen whole: the `figures` lines of all gateways' logs, added up by second and by cause.
+"""Sums the metrics of a fleet by second, from the `figures` lines in the logs of all its gateways.
 
-Needs nothing but the logs that the gateways wrote. A line holds running totals from a process's start;
-where they step back a new process began. What a process did after its last line is not seen.
+A line holds counters that run from the start of the process; where they decrease, a new process has started.
+What a process counted after its last line is not included.
 """
 
 from __future__ import annotations
@@ -15,11 +15,11 @@
 PAIR = re.compile(r"(\w+)=(-?[0-9.]+)")
 LEADING = re.compile(r"^([0-9]+\.[0-9]+) ")
 STAMP = re.compile(r"T(\d\d):(\d\d):(\d\d(?:\.\d+)?)")
-NOW = "now_"  # figures that are a state and no total
+NOW = "now_"  # prefix of gauges, which are averaged and not summed
 
 
 def line_of(text: str) -> tuple[float, dict[str, float]] | None:
-    """When a `figures` line was written, in s, and its pairs; None for any other line."""
+    """The time in seconds and the metrics of a `figures` line; None for any other line."""
     if "figures" not in text:
         return None
     if "{" in text and (raw := text[text.index("{") :].strip()).endswith("}"):
@@ -36,7 +36,7 @@
         if not rest or head.rstrip()[-1:] not in ("]", "="):
             return None
         values, stamp = {k: float(v) for k, v in PAIR.findall(rest)}, head
-    if leading := LEADING.match(text):  # the bench's own clock
+    if leading := LEADING.match(text):  # the benchmark writes its own clock, s, before the line
         return float(leading[1]), values
     if at := STAMP.search(stamp):
         return 3600 * int(at[1]) + 60 * int(at[2]) + float(at[3]), values
@@ -44,7 +44,11 @@
 
 
 def add_up(folder: pathlib.Path) -> dict[str, Any]:
-    """By second: what all gateways did in it, the states they last told, how many told, and their starts."""
+    """Sum the logs in a folder by second.
+
+    A row holds the increase of all counters, the mean of each gauge over the gateways that reported it in
+    that second, the number of those gateways, and the number of process starts.
+    """
     done: dict[int, Counter[str]] = defaultdict(Counter)
     states: dict[int, dict[str, dict[str, float]]] = defaultdict(lambda: defaultdict(dict))
     logs = sorted(folder.glob("*.log"))
@@ -66,7 +70,7 @@
                         done[second][key] += value - last.get(key, 0.0)
                 last = values
     seconds = sorted(done)
-    begin = seconds[0] if seconds and seconds[0] > 1000 else 0  # of a day's clock
+    begin = seconds[0] if seconds and seconds[0] > 1000 else 0  # the first row of a time of day
     rows = [
         {
             "second": s - begin,
@@ -107,7 +111,7 @@
 
 
 def table(seen: dict[str, Any]) -> str:
-    """Rows for a page; columns in which nothing stands are left out."""
+    """The rows as a Markdown table, without columns that are empty or zero throughout."""
     names = [c for c in COLUMNS if any(row.get(c) for row in seen["rows"])]
     lines = ["| s | " + " | ".join(names) + " |", "| --- |" + " --- |" * len(names)]
     lines += [
@@ -118,7 +122,7 @@
 
 
 def chart(seen: dict[str, Any], path: str, title: str) -> None:
-    """What became of what was asked, by second, and the messages."""
+    """Plot the outcomes of requests by second, and the messages between gateways."""
     import matplotlib
 
     matplotlib.use("Agg")
@@ -130,12 +134,12 @@
     figure, (upper, lower) = pyplot.subplots(2, 1, figsize=(8, 6), sharex=True)
     for key in ("asked", "success", "beyond_quota", "inside_late", "inside_deadline", "failure"):
         upper.plot(at, [row.get(key, 0) for row in rows], label=key.replace("_", " "))
-    upper.set_ylabel("requests a second, all gateways")
+    upper.set_ylabel("requests per second, all gateways")
     upper.legend(fontsize=8)
     for key in ("told", "heard", "opened"):
         lower.plot(at, [row.get(key, 0) / max(1, row["gateways"]) for row in rows], label=key)
     lower.plot(at, [row.get("now_slow", 0) * 10 for row in rows], label="slowness x 10", linestyle=":")
-    lower.set_ylabel("a second, a gateway")
+    lower.set_ylabel("per second and gateway")
     lower.set_xlabel("s")
     lower.legend(fontsize=8)
     figure.suptitle(title, fontsize=10)
--- a/corkdeal/experiment/kills.py
+++ b/corkdeal/experiment/kills.py
@@ -1,7 +1,8 @@
-"""Kills real gateways at random moments under load, hundreds of times, and looks at what each death left.
+"""Crash test: kills real gateways at random moments under load, then checks their persisted state.
 
-After every kill the folder is opened by the real loader: no file may be damaged, no generation may go back,
-every account must be readable. Then the gateway starts again and must say that it loaded what was found.
+After every kill the production loader opens the folder: no file may be damaged, the generation may not
+decrease, and every account must be decodable. The gateway is then started again. Its log may report no
+rejected snapshot, no failure to collect one and no exception in the decisions.
 """
 
 from __future__ import annotations
@@ -20,30 +21,33 @@
 from ..standin.discovery import Discovery
 from ..standin.servers import Model, Server, work_drawer
 
-LIFE = (0.05, 0.9)  # s that a gateway lives after it answered
-EVERY = 0.1  # s between writes: the more writes, the more kills fall into one
+LIFE = (0.05, 0.9)  # s between the first reply of a gateway and its kill, drawn uniformly
+EVERY = 0.1  # s between snapshots; frequent ones make a kill during a write likely
 
 
 class Broken(AssertionError):
-    """A death left what it must not."""
+    """A kill left an invalid state or log."""
 
 
 def looked_into(folder: str, least: int) -> tuple[int, int]:
-    """The newest generation and its accounts; `Broken` where a file is damaged or a generation went back."""
+    """Load the state in a folder; returns the newest generation and the number of its accounts.
+
+    Raises `Broken` if a file is damaged or the generation is below `least`, that of the previous check.
+    """
     store = SnapshotStore(folder)
     store.open()
     loaded = store.load()
     store.close()
     if loaded.rejected:
-        raise Broken(f"{folder}: {loaded.rejected}")
+        raise Broken(f"{folder}: the loader rejected {loaded.rejected}")
     if loaded.snapshot is None:
         if least:
-            raise Broken(f"{folder}: generation {least} is gone")
+            raise Broken(f"{folder}: no snapshot found, although generation {least} was written")
         return 0, 0
     named = match_snapshot_name(loaded.file)
     generation = int(named[1]) if named else 0
     if generation < least:
-        raise Broken(f"{folder}: generation {generation} after {least}")
+        raise Broken(f"{folder}: found generation {generation} after generation {least}")
     accounts = [decode_account(raw) for raw in loaded.snapshot.encoded_accounts().values()]
     return generation, len(accounts)
 
@@ -51,7 +55,7 @@
 async def one(
     gateway: fleet.Gateway, discovery: Discovery, folder: str, times: int, chance: random.Random
 ) -> dict[str, int]:
-    """Kill one gateway so often."""
+    """Start and kill one gateway `times` times, and check its state after each kill."""
     newest = written = loads = most = 0
     for _ in range(times):
         await gateway.start(discovery.document())
@@ -67,7 +71,7 @@
 
 
 async def play(kills: int, together: int, seed: int) -> dict[str, Any]:
-    """All kills, spread over so many gateways of one tier."""
+    """Kill `kills` times in all, spread evenly over a tier of `together` gateways."""
     folder, chance = pathlib.Path(tempfile.mkdtemp(prefix="kills-")), random.Random(seed)
     servers = [
         Server(Model(f"s-{i}", fleet.HALLS[i % 3]), work_drawer(chance, 0.02, 0.5), lambda a: None)
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -1,4 +1,4 @@
-"""A fleet's logs added up: totals by second over restarts, in both forms of a line."""
+"""Metrics summed over the logs of a fleet: by second, over restarts, in both log formats."""
 
 import io
 import pathlib
