--- a/corkdeal/experiment/measure.py
+++ b/corkdeal/experiment/measure.py
@@ -1,4 +1,4 @@
-"""What a tier's run came to, from the outside: time to full service, worth lost, peaks, units over quota."""
+"""Metrics of a tier's run, as seen by its clients and backends: time to full service, worth lost, peaks."""
 
 from __future__ import annotations
 
@@ -12,17 +12,18 @@
 from ..recovery.quota_restore import AGGREGATED_INITIAL_FILL
 from ..standin import clients
 
-FULL_FOR, FULL_PART = 2.0, 0.98  # s for which service must be at that part of before to be full
-IN_HAND = 1.5  # s before the first fault in which a request may still be caught by it
-STEP = 0.1  # s between looks
-WIDE_UNTOLD = 0.25  # of a wide ring's bursts, what members may spend before all have heard of it
-PEAK_S = 0.25  # s, the span that a peak is looked for in
+FULL_FOR, FULL_PART = 2.0, 0.98  # s for which both shares must reach that part of their former values
+IN_HAND = 1.5  # s before the first fault; a request sent then may still be affected by it
+STEP = 0.1  # s between evaluations
+WIDE_UNTOLD = 0.25  # of the sum of a wide ring's bursts, may be spent before all members are notified
+PEAK_S = 0.25  # s, width of the window in which a peak is counted
 
 
 def bound(burst: float, spread: int, starts: int) -> float:
-    """Units that may be let in beyond one customer's quota over any window; docs/recovery.md derives it.
+    """Units that may be admitted beyond a customer's quota in any window; docs/recovery.md derives the bound.
 
-    `starts` counts those of its gateways in and before the window, pauses not among them.
+    `spread` is the number of the customer's gateways; `starts` counts their starts before and within the
+    window, pauses not included.
     """
     if spread <= MAX_EXCHANGE_MEMBERS:
         return 2 * burst + burst / spread * starts
@@ -30,7 +31,7 @@
 
 
 def inside(asks: list[clients.Ask], who: dict[int, clients.Customer]) -> set[int]:
-    """Which requests, by place, one bucket for all gateways would let in; every customer asks one unit."""
+    """Indices of the requests that one token bucket per customer would admit; a request costs one unit."""
     stores: dict[int, tuple[float, float]] = {}
     made = set()
     for i, a in enumerate(asks):
@@ -45,7 +46,7 @@
 
 
 def shares(asks: list[clients.Ask], allowed: set[int], low: float, high: float) -> tuple[float, float]:
-    """Worth served in time of what was asked inside quotas, and quota used of what was asked inside."""
+    """The parts of worth served in time and of quota used, of the requests within quotas in [low, high)."""
     mine = [(i, a) for i, a in enumerate(asks) if low <= a.at < high and i in allowed]
     worth = sum(a.worth for _, a in mine)
     served = sum(a.worth for _, a in mine if a.outcome == "served")
@@ -62,10 +63,11 @@
     last: float,
     end: float,
 ) -> dict[str, Any]:
-    """Service before the first fault, the time to full service after the last one, and what was lost.
+    """Service before the first fault, the time to full service after the last one, and the worth lost.
 
-    `first` is the first fault, `last` when the last process was there again. Full is the first moment from
-    which, for FULL_FOR, both shares are at least FULL_PART of those before.
+    `first` is the time of the first fault, `last` that at which the last process had returned. Service is
+    full from the first moment on from which both shares are at least FULL_PART of those before the fault, for
+    FULL_FOR seconds.
     """
     allowed = inside(asks, who)
     before = shares(asks, allowed, min(settled, first - IN_HAND), first - IN_HAND)
@@ -98,7 +100,11 @@
 def peaks(
     kinds: dict[str, list[tuple[float, str]]], settled: float, first: float, end: float
 ) -> dict[str, Any]:
-    """The most of each kind in any PEAK_S from the first fault on, and the mean before it."""
+    """By kind of event: the mean count per PEAK_S before the first fault, and the maximum from it on.
+
+    `peak` covers all places together, `peak_one` any single place (a backend, for instance),
+    `steady_peak_one` the same before the fault.
+    """
     made = {}
     for kind, seen in kinds.items():
         steady = sum(settled <= at < first for at, _ in seen) / max(PEAK_S, first - settled) * PEAK_S
@@ -117,7 +123,7 @@
 
 
 def tail(values: list[float]) -> dict[str, float]:
-    """Median, 99th percentile and the most, in ms."""
+    """Median, 99th percentile and maximum, in ms."""
     if not values:
         return {}
     cuts = statistics.quantiles(values, n=100) if len(values) > 1 else values * 99
@@ -129,7 +135,7 @@
 
 
 def said_full(folder: pathlib.Path, gateways: int) -> list[list[float]]:
-    """When each gateway said of itself that it is in full service, in s from its start, by its log."""
+    """Seconds from each start of each gateway until it reported full recovery, read from its log."""
     made = []
     for i in range(gateways):
         log = folder / f"n{i}.log"
--- a/corkdeal/experiment/schedule.py
+++ b/corkdeal/experiment/schedule.py
@@ -1,4 +1,6 @@
-"""A tier's schedule, read from KDL: what it is made of, and which faults begin when. A fault tells its place.
+"""The schedule of an experiment on a tier, read from KDL: the size of the tier, and which faults occur when.
+
+Errors in a schedule are reported with their line and column.
 
     tier gateways=10 servers=20 load=0.7 seconds=40
     at 15.0 { kill "70%"; }
@@ -25,13 +27,16 @@
 
 
 def who(argument: int = 0) -> Any:
-    """`all`, `up`, `down`, `rest` (those not chosen last), numbers as `0,2`, or a share as `70%`."""
+    """A field that selects by `all`, numbers as in `0,2`, or a random percentage as in `70%`.
+
+    Gateways can also be selected by `up`, `down`, or `rest`: those that the last percentage did not select.
+    """
     return setting("all", argument=argument)
 
 
 @dataclass(frozen=True, kw_only=True)
 class Process:
-    """`kill`, `term`, `start`, `stop`, `continue`: a signal to some gateways, or their start."""
+    """`kill`, `term`, `start`, `stop`, `continue`: sends a signal to gateways or starts them."""
 
     gateways: str = who()
     place: Any = placed()
@@ -39,7 +44,7 @@
 
 @dataclass(frozen=True, kw_only=True)
 class Link:
-    """`link`: faults on datagrams from some gateways to others."""
+    """`link`: faults on datagrams between gateways."""
 
     sender: str = setting("all")
     to: str = setting("all")
@@ -49,14 +54,14 @@
     reorder: float = setting(0.0, least=0.0, most=1.0)
     double: float = setting(0.0, least=0.0, most=1.0)
     cut: bool = setting(False)
-    both: bool = setting(False)  # the other way as well
+    both: bool = setting(False)  # also in the opposite direction
     seconds: float = setting(MOST_SECONDS, least=0.0, most=MOST_SECONDS)
     place: Any = placed()
 
 
 @dataclass(frozen=True, kw_only=True)
 class Folders:
-    """`folders`: what happens to the stored state of some gateways."""
+    """`folders`: changes to the persisted state of gateways."""
 
     gateways: str = who()
     what: str = setting(choices=FOLDERS)
@@ -65,7 +70,7 @@
 
 @dataclass(frozen=True, kw_only=True)
 class Clock:
-    """`clock`: the wall clock that some gateways read from their next start on, set back or ahead."""
+    """`clock`: an offset of the wall clock of gateways, from their next start on."""
 
     gateways: str = who()
     by: float = setting(least=-86_400.0, most=86_400.0)  # s
@@ -74,26 +79,26 @@
 
 @dataclass(frozen=True, kw_only=True)
 class Door:
-    """`door`: faults on the TCP connections of some gateways to some servers, or to discovery."""
+    """`door`: faults on the TCP connections of gateways to backends or to discovery."""
 
     gateways: str = who()
-    servers: str = setting("all")  # as gateways are named, or `discovery`
+    servers: str = setting("all")  # a selection of backends, or `discovery`
     refuse: bool = setting(False)
     silent: bool = setting(False)
     reset: float = setting(0.0, least=0.0, most=1.0)
     slow: float = setting(0.0, least=0.0, most=10.0)
-    late: float = setting(0.0, least=0.0, most=60.0)  # s that discovery tells of a change later
+    late: float = setting(0.0, least=0.0, most=60.0)  # s by which discovery delays its updates
     seconds: float = setting(MOST_SECONDS, least=0.0, most=MOST_SECONDS)
     place: Any = placed()
 
 
 @dataclass(frozen=True, kw_only=True)
 class Servers:
-    """`servers`: what happens to some servers."""
+    """`servers`: changes to backends."""
 
     servers: str = who()
     what: str = setting(choices=SERVERS)
-    times: float = setting(4.0, least=1.0, most=100.0)  # slower
+    times: float = setting(4.0, least=1.0, most=100.0)  # factor for `slow`
     place: Any = placed()
 
 
@@ -113,7 +118,7 @@
 
 @dataclass(frozen=True, kw_only=True)
 class At:
-    """`at 15.0`: what happens then, in the order in which it stands."""
+    """`at 15.0`: the steps at that second, performed in the order of the file."""
 
     second: float = setting(least=0.0, most=MOST_SECONDS, argument=0)
     kill: tuple[Process, ...] = many(Process, "kill")
@@ -129,7 +134,7 @@
     place: Any = placed()
 
     def steps(self) -> Iterator[tuple[str, Any]]:
-        """Each step with its node's name, as they stand in the file."""
+        """Each step with the name of its node, in the order of the file."""
         made = [
             (step.place.at(), f.metadata["child"], step)
             for f in fields(self)
@@ -141,7 +146,7 @@
 
 @dataclass(frozen=True, kw_only=True)
 class Timeline:
-    """`timeline "name"`: moments counted from its beginning, once or again and again."""
+    """`timeline "name"`: steps at seconds after `begin`, run `repeat` times, `every` seconds apart."""
 
     name: str = setting(argument=0)
     begin: float = setting(0.0, least=0.0, most=MOST_SECONDS)
@@ -153,18 +158,18 @@
 
 @dataclass(frozen=True, kw_only=True)
 class Tier:
-    """`tier`: how many of what, and how much is asked."""
+    """`tier`: the size of the tier, its load and its options."""
 
     gateways: int = setting(5, least=2, most=MOST_GATEWAYS)
     servers: int = setting(12, least=1, most=MOST_SERVERS)
-    load: float = setting(0.7, least=0.01, most=3.0)  # of the servers' capacity, inside quotas
+    load: float = setting(0.7, least=0.01, most=3.0)  # requests within quotas / backends' capacity
     greedy: float = setting(0.1, least=0.0, most=1.0)  # part of customers far beyond their quotas
     seconds: float = setting(20.0, least=1.0, most=MOST_SECONDS)
-    knowledge: bool = setting(False)  # a folder a gateway, kept over its restarts
-    recovery: bool = setting(True)  # `recovery` in the operators' file, for programs that know it
-    membership: bool = setting(False)  # and `membership`
-    cold: float = setting(16.0, least=0.1, most=60.0)  # s in which a new server warms up
-    settled: float = setting(5.0, least=0.5, most=MOST_SECONDS)  # s from which on it counts as usual service
+    knowledge: bool = setting(False)  # whether gateways persist their state
+    recovery: bool = setting(True)  # whether the options have `recovery`, in programs that support it
+    membership: bool = setting(False)  # likewise for `membership`
+    cold: float = setting(16.0, least=0.1, most=60.0)  # s in which a started backend warms up
+    settled: float = setting(5.0, least=0.5, most=MOST_SECONDS)  # s after which service counts as steady
     place: Any = placed()
 
 
@@ -178,21 +183,21 @@
 
 
 class Step(NamedTuple):
-    """One thing that happens, and when."""
+    """One event of the run, and when it occurs."""
 
     second: float
-    line: str  # the time line that it belongs to
+    line: str  # name of its timeline; empty for a step outside of one
     kind: str
     what: Any
 
 
 def load(path: str) -> Schedule:
-    """Read a schedule's file; `OptionsError` holds every fault with its place."""
+    """Read a schedule from a file; raises `OptionsError` with all errors and their positions."""
     return parse(text_of(path), path)
 
 
 def parse(text: str, path: str = "schedule") -> Schedule:
-    """Check a schedule's text, and that its steps name gateways and servers that there are."""
+    """Parse and validate a schedule; its steps may only select existing gateways and backends."""
     schedule, faults = parse_as(Schedule, text, path), []
     tier = schedule.tier or Tier()
 
@@ -201,7 +206,7 @@
 
     for line in schedule.timelines:
         if line.repeat > 1 and not line.every:
-            fault(line.place, "timeline", "repeats, so `every` must say how many seconds apart")
+            fault(line.place, "timeline", "`repeat` above 1 needs `every`, the interval in seconds")
     for moment in (*schedule.at, *(at for line in schedule.timelines for at in line.at)):
         for kind, step in moment.steps():
             for name, most in (
@@ -214,9 +219,9 @@
                 if not (good(said, most) or (kind == "door" and said == "discovery")):
                     fault(step.place, f"{kind}.{name}", f"names nobody: {said!r:.40}; there are {most}")
             if kind == "folders" and not tier.knowledge:
-                fault(step.place, kind, "there are folders only with `tier knowledge=true`")
+                fault(step.place, kind, "gateways persist their state only with `tier knowledge=true`")
             if kind == "door" and step.late and step.servers != "discovery":
-                fault(step.place, "door.late", "only discovery tells late")
+                fault(step.place, "door.late", "only discovery can delay its updates")
     for step in steps(schedule):
         if step.second > tier.seconds:
             fault(
@@ -228,7 +233,7 @@
 
 
 def good(said: str, count: int) -> bool:
-    """Whether a choice can name anybody of so many."""
+    """Whether a selection is valid among `count` gateways or backends."""
     if said in ("all", "up", "down", "rest"):
         return True
     if said.endswith("%"):
@@ -237,7 +242,7 @@
 
 
 def steps(schedule: Schedule) -> list[Step]:
-    """All that happens, in the order of its time."""
+    """All steps of a schedule, with repeated timelines expanded, in order of time."""
     made = [Step(at.second, "", kind, step) for at in schedule.at for kind, step in at.steps()]
     for line in schedule.timelines:
         for turn in range(line.repeat):
--- a/corkdeal/experiment/tier.py
+++ b/corkdeal/experiment/tier.py
@@ -1,7 +1,7 @@
-"""A tier of real gateways with faults between them, by a schedule: what was seen of it, checked and measured.
+"""Runs a schedule of faults on a tier of real gateways, checks its history and measures the service.
 
-Servers, discovery, clients and the links live in this process, the gateways in processes of their own. All
-that was started ends with the run, after an exception and Ctrl-C too, or should this process be killed.
+The fake backends, discovery, the clients and the links run in this process, each gateway in a process of its
+own. All of them end with the run, also after an exception or Ctrl-C, or if this process is killed.
 """
 
 from __future__ import annotations
@@ -30,24 +30,24 @@
 WORK = 0.2  # s, mean work of a request
 CORES = 3
 BEGIN = 0.3  # s from the last start to the first request
-SLACK = 0.1  # s that the stand-ins themselves may be late
-LAST = 6.0  # s for answers after the last request
+SLACK = 0.1  # s by which the fake services themselves may be late
+LAST = 6.0  # s to wait for replies after the last request
 NEVER = 1e9
 
 
 class Asking(clients.Clients):
-    """Clients that write the history."""
+    """Clients that record their attempts in the history."""
 
     history: History
     clock: Callable[[], float]
 
     def asked(self, rid: int, ask: clients.Ask, gateway: int, planned: float, left: float) -> None:
-        """A try goes out."""
+        """Record an attempt that is sent."""
         now = self.clock()
         self.history.tries[rid] = Try(rid, ask.customer.id, gateway, ask.at, now, now + left)
 
     def answered(self, rid: int, first: str) -> None:
-        """Its answer."""
+        """Record the reply to an attempt, or that its connection ended without one."""
         if first:
             self.history.tries[rid].answers.append((self.clock(), first))
         else:
@@ -60,7 +60,7 @@
     def __init__(
         self, schedule: Schedule, seed: int, folder: pathlib.Path, program: pathlib.Path | None = None
     ) -> None:
-        """`program` is another checkout whose program to run."""
+        """`program` is another checkout whose gateways run instead of those of this one."""
         self.schedule, self.tier, self.seed = schedule, schedule.tier or Tier(), seed
         self.folder, self.program = folder, program
         self.chance = random.Random(seed)
@@ -71,22 +71,22 @@
         self.gone: set[str] = set()
         self.drained: set[str] = set()
         self.bad: set[str] = set()
-        self.chosen: set[int] = set()  # gateways that a step last chose by share
+        self.chosen: set[int] = set()  # gateways that a percentage last selected
         self.away: dict[int, float] = {}
         self.waiting: set[asyncio.Task[Any]] = set()
         self.open_attempts: dict[int, list[Arrival]] = {}
         self.connects: list[tuple[float, str]] = []
         self.datagrams: list[float] = []
-        self.ready: list[tuple[int, float, float]] = []  # gateway, when it answered, s from its start
+        self.ready: list[tuple[int, float, float]] = []  # gateway, time of its first reply, s since its start
 
     def clock(self) -> float:
         """Seconds since the run began."""
         return time.monotonic() - self.began
 
-    # The world
+    # Setup
 
     async def build(self) -> None:
-        """Make all but start no gateway."""
+        """Start the fake services and links, and create the gateways without starting them."""
         tier, chance = self.tier, self.chance
         for i in range(tier.servers):
             model = Model(
@@ -133,7 +133,7 @@
             self.gateways.append(fleet.Gateway(i, config, self.folder, options, self.program))
 
     def members(self, gateway: int) -> list[dict[str, Any]]:
-        """The list as that gateway is told it."""
+        """The endpoint list as that gateway receives it."""
         return [
             s.entry("Terminating" if s.model.name in self.drained else "Ready", gateway)
             for s in self.servers
@@ -141,12 +141,12 @@
         ]
 
     def told(self, gateway: int, members: list[dict[str, Any]]) -> None:
-        """A gateway was told a list."""
+        """Record the endpoint list that a gateway received."""
         ready = frozenset(m["id"] for m in members if m["phase"] == "Ready")
         self.history.told[gateway].append(Told(self.clock(), ready))
 
     def arrived(self, a: Arrival) -> None:
-        """A server took a command: whether one of the same request is still waited for elsewhere."""
+        """Record an attempt at a backend, with the backend of another open attempt of the same request."""
         others = self.open_attempts.setdefault(a.request, [])
         beside = next((o.server for o in others if o.live()), "")
         others.append(a)
@@ -157,7 +157,7 @@
     # Steps
 
     def pick(self, said: str, count: int, pool: Iterable[int] | None = None) -> list[int]:
-        """Those that a step names."""
+        """The members of a selection; a percentage draws from `pool`, by default from all."""
         everyone = list(range(count)) if pool is None else list(pool)
         if said.endswith("%"):
             size = max(1, round(count * int(said[:-1]) / 100))
@@ -165,7 +165,7 @@
         return everyone if said == "all" else [int(part) for part in said.split(",")]
 
     def which(self, said: str) -> list[int]:
-        """The gateways that a step names."""
+        """The gateways that a step selects."""
         up = {i for i, g in enumerate(self.gateways) if g.up}
         if said in ("up", "down", "rest"):
             others = set(range(len(self.gateways))) - (up if said == "down" else self.chosen)
@@ -176,24 +176,24 @@
         return made
 
     def spawn(self, job: Any) -> None:
-        """Run beside the schedule until the end."""
+        """Run a coroutine in the background; it is cancelled at the end of the run."""
         task = asyncio.ensure_future(job)
         self.waiting.add(task)
         task.add_done_callback(self.waiting.discard)
 
     async def later(self, seconds: float, undo: Callable[[], Any]) -> None:
-        """Undo a fault when its time is over."""
+        """Call `undo` after so many seconds, to end a fault."""
         await asyncio.sleep(seconds)
         if asyncio.iscoroutine(made := undo()):
             await made
 
     def back(self, i: int) -> None:
-        """A gateway is there again."""
+        """Record that a gateway is available again."""
         if (since := self.away.pop(i, None)) is not None:
             self.history.away.append(Away(i, since, self.clock()))
 
     async def start(self, i: int) -> None:
-        """Start a gateway; one that is killed meanwhile has not come back."""
+        """Start a gateway; one that is killed before its first reply does not count as available again."""
         before = self.history.told[i][-1] if self.history.told[i] else None
         known = self.discovery.document(i)
         if before is None:
@@ -204,7 +204,7 @@
             self.ready.append((i, self.clock(), took))
 
     async def process(self, kind: str, numbers: list[int]) -> None:
-        """Signals to gateways, and their starts."""
+        """Send signals to gateways, or start them."""
         for i in numbers:
             g = self.gateways[i]
             if kind == "start":
@@ -224,11 +224,11 @@
                 )
                 if kind == "continue":
                     self.back(i)
-        if kind == "kill":  # in the same moment all; then they are gone before the next step
+        if kind == "kill":  # all are killed at once; wait until they have ended before the next step
             await asyncio.gather(*(g.process.wait() for i in numbers if (g := self.gateways[i]).process))
 
     def link(self, step: Any) -> None:
-        """Faults on datagrams."""
+        """Apply a fault to datagrams."""
         count = len(self.gateways)
         pairs = {(i, j) for i in self.which(step.sender) for j in self.which(step.to) if i != j}
         if step.both:
@@ -240,7 +240,7 @@
         self.note(f"links {len(pairs)} of {count * (count - 1)}")
 
     async def door(self, step: Any) -> None:
-        """Faults on TCP."""
+        """Apply a fault to TCP connections."""
         fault = DoorFault(step.refuse, step.silent, step.reset, step.slow)
         doors = (
             [self.discovery.doors]
@@ -258,7 +258,7 @@
                     self.spawn(self.later(step.seconds, lambda each=each, i=i: each.put(i, OPEN)))
 
     async def change(self, step: Any) -> None:
-        """What happens to servers."""
+        """Change the state of backends."""
         for i in self.pick(step.servers, len(self.servers)):
             s = self.servers[i]
             name = s.model.name
@@ -274,7 +274,7 @@
             await self.discovery.publish()
 
     def folders(self, step: Any) -> None:
-        """What happens to stored state."""
+        """Change the persisted state of gateways."""
         for i in self.which(step.gateways):
             here, copy = self.folder / "state" / f"n{i}", self.folder / "copies" / f"n{i}"
             if step.what == "save":
@@ -285,7 +285,7 @@
                 shutil.rmtree(here, ignore_errors=True)
                 if (
                     step.what == "blocked"
-                ):  # as root no folder is read-only; a file in its place takes no write
+                ):  # a file in place of the folder; root could write to a read-only folder
                     here.parent.mkdir(exist_ok=True)
                     here.write_text("")
             elif step.what == "full":
@@ -308,11 +308,11 @@
                         older(file)
 
     def note(self, said: str) -> None:
-        """A line of history."""
+        """Record an event in the history."""
         self.history.events.append((self.clock(), said))
 
     async def step(self, step: Step) -> None:
-        """One step of the schedule."""
+        """Perform one step of the schedule."""
         what = step.what
         self.note(
             " ".join(
@@ -334,7 +334,7 @@
             await self.process(step.kind, self.which(what.gateways))
 
     async def script(self) -> None:
-        """All steps at their times."""
+        """Perform all steps at their times."""
         for step in steps(self.schedule):
             await asyncio.sleep(max(0.0, step.second - self.clock()))
             await self.step(step)
@@ -342,7 +342,7 @@
     # The run
 
     async def run(self) -> dict[str, Any]:
-        """Play it, end all that was started, and look at what was seen."""
+        """Run the schedule, stop everything, and evaluate the history."""
         tier = self.tier
         capacity = tier.servers * CORES / WORK
         who = clients.customers(self.chance, tier.load * capacity, tier.gateways, tier.greedy)
@@ -368,7 +368,7 @@
         return self.results(asks, end)
 
     def reset_clock(self) -> None:
-        """What was seen of the first starts is before the run."""
+        """Discard what was recorded during the first starts, before the run."""
         self.history.attempts.clear()
         self.history.told = {i: [Told(-BEGIN, lists[-1].ready)] for i, lists in self.history.told.items()}
         for kept in (self.connects, self.datagrams, self.ready, self.links.delays):
@@ -388,7 +388,7 @@
             self.links.close()
 
     def quotas(self) -> dict[int, Quota]:
-        """Customers whose quotas hold strictly, with the bound that docs/recovery.md states for this run."""
+        """Customers that may never exceed their quotas, with the bound of docs/recovery.md for this run."""
         made = {}
         for c in self.customers.values():
             plan = clients.PLANS[c.plan]
@@ -402,7 +402,7 @@
         return made
 
     def results(self, asks: list[clients.Ask], end: float) -> dict[str, Any]:
-        """What is kept of a run."""
+        """The results of a run, as they are saved."""
         quotas, firsts = self.quotas(), self.history.firsts()
         over = {
             w: [max(0.0, most_over(firsts.get(c, []), q, w)[0]) for c, q in quotas.items()]
@@ -450,14 +450,14 @@
 
 
 def replace(source: pathlib.Path, target: pathlib.Path) -> None:
-    """Put a copy of one folder in the place of another."""
+    """Replace a folder by a copy of another one, if that exists."""
     if source.exists():
         shutil.rmtree(target, ignore_errors=True)
         shutil.copytree(source, target)
 
 
 def older(file: pathlib.Path, seconds: float = 3600.0) -> None:
-    """Let an hour pass for a stored document."""
+    """Rewrite a snapshot file as if it were older by so many seconds."""
     from ..persistence import merge
     from ..persistence.codec import decode_snapshot, encode_page, encode_page_entry, encode_snapshot
 
@@ -470,5 +470,5 @@
 async def play(
     schedule: Schedule, seed: int, folder: pathlib.Path, program: pathlib.Path | None = None
 ) -> dict[str, Any]:
-    """One run in that folder."""
+    """Run a schedule once; `folder` receives the logs and persisted state."""
     return await Play(schedule, seed, folder, program).run()
