--- a/corkdeal/experiment/explore.py
+++ b/corkdeal/experiment/explore.py
@@ -3,7 +3,7 @@
 The exploration begins with a ring whose gateways have exchanged quota shares. Each state reached is followed
 by a period without faults, in which all gateways run. After it the quota shares must sum to 1, the ledgers at
 both ends of each pair must agree, and the units admitted must not exceed the quota by more than
-`measure.bound`. Deterministic; uses no sockets and no clock.
+`measure.over_admission_bound`. Deterministic; uses no sockets and no clock.
 """
 
 from __future__ import annotations
@@ -30,16 +30,19 @@
 from ..decisions.gateway import Gateway
 from ..decisions.settings import Plan, RequestClass, Settings
 from ..recovery.quota_restore import QuotaRestore
-from .measure import bound
+from .measure import over_admission_bound
 
 GATEWAYS, CUSTOMER = 3, 7
 PLAN = Plan(rate=6.0, burst=30.0)
 CLASS = RequestClass(latency_objective=1.0, deadline=3.0)
 TICK = 0.3  # s, longer than the exchange interval, so that each tick begins an exchange
-ASKS = (3, 1, 1)  # one-unit requests per tick by gateway; gateway 0 exceeds an even quota share
-TRADED, QUIET = 20, 30  # ticks without faults before the exploration and after each sequence
-BACK = -60.0  # s by which the clock may be set back at a start
-LIST = EndpointUpdate(UpdateKind.COMPLETE, tuple(Endpoint(n, EndpointState.READY) for n in "abc"))
+REQUESTS_PER_TICK = (3, 1, 1)  # one-unit requests per tick by gateway; gateway 0 exceeds an even quota share
+CONVERGENCE_TICKS, RECOVERY_TICKS = (
+    20,
+    30,
+)  # ticks without faults before the exploration and after each sequence
+CLOCK_SETBACK = -60.0  # s by which the clock may be set back at a start
+ENDPOINT_LIST = EndpointUpdate(UpdateKind.COMPLETE, tuple(Endpoint(n, EndpointState.READY) for n in "abc"))
 
 
 class Step(NamedTuple):
@@ -50,10 +53,10 @@
     to: int = 0
 
 
-def decisions(me: int, gateways: int) -> Gateway:
+def new_gateway(index: int, gateways: int) -> Gateway:
     """The decisions of a gateway without persisted state that restores quota shares from ring neighbours."""
     settings = Settings(
-        gateway_index=me,
+        gateway_index=index,
         gateway_count=gateways,
         classes=(CLASS,),
         plans=(PLAN,),
@@ -61,203 +64,207 @@
         may_message_peers=True,
         peer_message_rate=60.0,
     )
-    made = Gateway(settings, seed=me)
-    made.quota_restore = QuotaRestore(made)
-    return made
+    gateway = Gateway(settings, seed=index)
+    gateway.quota_restore = QuotaRestore(gateway)
+    return gateway
 
 
-class World:
+class Simulation:
     """Three gateways, the messages in flight between them, and the times at which they admitted requests."""
 
     def __init__(self) -> None:
-        self.now, self.number = 1000.0, 0
-        self.up: dict[int, Gateway] = {}
-        self.flight: dict[tuple[int, int], list[bytes]] = {}
-        self.let_in: list[float] = []
+        self.now, self.last_request_id = 1000.0, 0
+        self.running: dict[int, Gateway] = {}
+        self.in_flight: dict[tuple[int, int], list[bytes]] = {}
+        self.admitted_at: list[float] = []
         self.starts = 0
-        self.clock = dict.fromkeys(range(GATEWAYS), 0.0)  # offset of each gateway's clock, s
-        for me in range(GATEWAYS):
-            self.start(me)
+        self.clock_offsets = dict.fromkeys(range(GATEWAYS), 0.0)  # offset of each gateway's clock, s
+        for index in range(GATEWAYS):
+            self.start(index)
         self.starts = 0
 
-    def start(self, me: int, clock: float = 0.0) -> None:
+    def start(self, index: int, clock_offset: float = 0.0) -> None:
         """Start a gateway without persisted state."""
-        made = decisions(me, GATEWAYS)
+        gateway = new_gateway(index, GATEWAYS)
         self.starts += 1
-        self.up[me], self.clock[me] = made, clock
-        self.take(me, self.tell(me, [LIST]))
+        self.running[index], self.clock_offsets[index] = gateway, clock_offset
+        self.perform(index, self.handle_events(index, [ENDPOINT_LIST]))
 
-    def tell(self, me: int, events: list[Event]) -> list[Action]:
+    def handle_events(self, index: int, events: list[Event]) -> list[Action]:
         """Pass events to a gateway with the time of its own clock, and return its actions."""
-        return self.up[me].handle(self.now + self.clock[me], events)
+        return self.running[index].handle(self.now + self.clock_offsets[index], events)
 
-    def take(self, me: int, actions: list[Action]) -> None:
+    def perform(self, index: int, actions: list[Action]) -> None:
         """Perform a gateway's actions: put its messages in flight, and answer its attempts at once."""
         for action in actions:
             if isinstance(action, SendToPeer) and action.peer is not None:
-                self.flight.setdefault((me, action.peer), []).append(action.payload)
+                self.in_flight.setdefault((index, action.peer), []).append(action.payload)
             elif isinstance(action, StartAttempt):
-                self.let_in.append(self.now)
+                self.admitted_at.append(self.now)
                 served = AttemptEnded(action.id, 0, action.backend, Status.OK, 0.1, True)
-                self.take(me, self.tell(me, [served]))
+                self.perform(index, self.handle_events(index, [served]))
 
     def tick(self) -> None:
         """Advance time by `TICK`; the timers expire and clients send their requests."""
         self.now += TICK
-        for me in sorted(self.up):
+        for index in sorted(self.running):
             events: list[Event] = [TimerExpired(0)]
-            for _ in range(ASKS[me]):
-                self.number += 1
-                events.append(Request(self.number, CUSTOMER, 0, 0, 1.0, 0, GATEWAYS, 3.0))
-            self.take(me, self.tell(me, events))
+            for _ in range(REQUESTS_PER_TICK[index]):
+                self.last_request_id += 1
+                events.append(Request(self.last_request_id, CUSTOMER, 0, 0, 1.0, 0, GATEWAYS, 3.0))
+            self.perform(index, self.handle_events(index, events))
 
-    def options(self) -> list[Step]:
+    def possible_steps(self) -> list[Step]:
         """The steps that are possible next.
 
         Messages of one direction are delivered in order, since the receiver ignores one that is overtaken, as
         if lost.
         """
-        made = [Step("tick")]
-        made += [Step("crash" if me in self.up else "start", me) for me in range(GATEWAYS)]
-        made += [Step("start-back", me) for me in range(GATEWAYS) if me not in self.up]
-        for (sender, to), waiting in sorted(self.flight.items()):
-            if waiting:
-                made += [Step("deliver", sender, to), Step("lose", sender, to)]
-        return made
-
-    def do(self, step: Step) -> None:
+        steps = [Step("tick")]
+        steps += [Step("crash" if index in self.running else "start", index) for index in range(GATEWAYS)]
+        steps += [Step("start-back", index) for index in range(GATEWAYS) if index not in self.running]
+        for (sender, to), messages in sorted(self.in_flight.items()):
+            if messages:
+                steps += [Step("deliver", sender, to), Step("lose", sender, to)]
+        return steps
+
+    def apply(self, step: Step) -> None:
         """Perform one step."""
         if step.kind == "tick":
             self.tick()
         elif step.kind == "crash":
-            del self.up[step.sender]
-            for pair in [p for p in self.flight if p[1] == step.sender]:
-                del self.flight[pair]
+            del self.running[step.sender]
+            for pair in [p for p in self.in_flight if p[1] == step.sender]:
+                del self.in_flight[pair]
         elif step.kind in ("start", "start-back"):
-            self.start(step.sender, BACK if step.kind == "start-back" else 0.0)
+            self.start(step.sender, CLOCK_SETBACK if step.kind == "start-back" else 0.0)
         else:
-            payload = self.flight[step.sender, step.to].pop(0)
-            if step.kind == "deliver" and step.to in self.up:
-                self.take(step.to, self.tell(step.to, [PeerMessage(step.sender, payload)]))
+            payload = self.in_flight[step.sender, step.to].pop(0)
+            if step.kind == "deliver" and step.to in self.running:
+                self.perform(step.to, self.handle_events(step.to, [PeerMessage(step.sender, payload)]))
 
-    def calm(self, ticks: int) -> None:
+    def run_without_faults(self, ticks: int) -> None:
         """Start all gateways that are down, then run so many ticks in which every message is delivered."""
-        for me in range(GATEWAYS):
-            if me not in self.up:
-                self.start(me)
+        for index in range(GATEWAYS):
+            if index not in self.running:
+                self.start(index)
         for _ in range(ticks):
             self.tick()
-            while any(self.flight.values()):
-                for sender, to in sorted(self.flight):
-                    while self.flight[sender, to]:
-                        self.do(Step("deliver", sender, to))
+            while any(self.in_flight.values()):
+                for sender, to in sorted(self.in_flight):
+                    while self.in_flight[sender, to]:
+                        self.apply(Step("deliver", sender, to))
 
-    def faults(self) -> list[str]:
+    def violations(self) -> list[str]:
         """The invariants that are violated after a period without faults."""
-        made = []
-        accounts = {me: g.accounts[CUSTOMER] for me, g in self.up.items()}
+        violations = []
+        accounts = {index: g.accounts[CUSTOMER] for index, g in self.running.items()}
         total = sum(a.base_share() for a in accounts.values())
         if abs(total - 1) > 1e-9:
-            made.append(f"quota shares sum to {total:.6f}")
-        for me, a in accounts.items():
+            violations.append(f"quota shares sum to {total:.6f}")
+        for index, a in accounts.items():
             for peer, pair in a.ledgers.items():
-                other = accounts[peer].ledgers[me]
+                other = accounts[peer].ledgers[index]
                 if (
                     pair.received_share + other.received_share
                     or abs(pair.received_units + other.received_units) > 1e-6
                 ):
-                    made.append(
-                        f"{me}, {peer}: ledgers disagree, {pair.received_share}, {pair.received_units}; "
+                    violations.append(
+                        f"{index}, {peer}: ledgers disagree, {pair.received_share}, {pair.received_units}; "
                         f"{other.received_share}, {other.received_units}"
                     )
-        quota = PLAN.burst + PLAN.rate * (self.now - self.let_in[0]) if self.let_in else 0.0
-        over = len(self.let_in) - quota - bound(PLAN.burst, GATEWAYS, self.starts)
+        allowance = PLAN.burst + PLAN.rate * (self.now - self.admitted_at[0]) if self.admitted_at else 0.0
+        over = len(self.admitted_at) - allowance - over_admission_bound(PLAN.burst, GATEWAYS, self.starts)
         if over > 0:
-            made.append(f"{over:.2f} units admitted beyond quota and bound")
-        return made
+            violations.append(f"{over:.2f} units admitted beyond quota and bound")
+        return violations
 
 
-def traded() -> World:
+def converged_ring() -> Simulation:
     """A ring whose quota shares have converged to the demand."""
-    world = World()
-    world.calm(TRADED)
-    return world
+    simulation = Simulation()
+    simulation.run_without_faults(CONVERGENCE_TICKS)
+    return simulation
 
 
-def walk(world: World, depth: int, path: tuple[Step, ...] = ()) -> Iterator[tuple[tuple[Step, ...], World]]:
+def walk(
+    simulation: Simulation, depth: int, path: tuple[Step, ...] = ()
+) -> Iterator[tuple[tuple[Step, ...], Simulation]]:
     """Yield all states within `depth` steps, each with the path that leads to it."""
-    yield path, world
+    yield path, simulation
     if depth:
-        for step in world.options():
-            after = copy.deepcopy(world)
-            after.do(step)
-            yield from walk(after, depth - 1, (*path, step))
+        for step in simulation.possible_steps():
+            successor = copy.deepcopy(simulation)
+            successor.apply(step)
+            yield from walk(successor, depth - 1, (*path, step))
 
 
-def judge(path: tuple[Step, ...], world: World) -> list[str]:
+def violations_after(path: tuple[Step, ...], simulation: Simulation) -> list[str]:
     """The invariants that are violated once the faults stop after that path."""
-    after = copy.deepcopy(world)
-    after.calm(QUIET)
-    way = " ".join(f"{s.kind}:{s.sender}{s.to}" for s in path)
-    return [f"{fault} after {way}" for fault in after.faults()]
+    simulation_after = copy.deepcopy(simulation)
+    simulation_after.run_without_faults(RECOVERY_TICKS)
+    path_text = " ".join(f"{s.kind}:{s.sender}{s.to}" for s in path)
+    return [f"{violation} after {path_text}" for violation in simulation_after.violations()]
 
 
-def part(depth: int, first: int) -> tuple[int, list[str]]:
+def check_paths_from(depth: int, first: int) -> tuple[int, list[str]]:
     """Check the paths that begin with first step number `first`; returns their count and the violations.
 
     Each process of the pool takes one first step.
     """
-    world = traded()
-    steps = world.options()
+    simulation = converged_ring()
+    steps = simulation.possible_steps()
     if first >= len(steps):
         return 0, []
-    world.do(steps[first])
-    seen, faults = 0, []
-    for path, state in walk(world, depth - 1, (steps[first],)):
-        seen += 1
-        faults += judge(path, state)
-    return seen, faults
+    simulation.apply(steps[first])
+    count, violations = 0, []
+    for path, state in walk(simulation, depth - 1, (steps[first],)):
+        count += 1
+        violations += violations_after(path, state)
+    return count, violations
 
 
-def at_random(seed: int, walks: int, depth: int) -> tuple[int, list[str], Counter[str]]:
+def check_random_paths(seed: int, walks: int, depth: int) -> tuple[int, list[str], Counter[str]]:
     """Check `walks` longer paths, each step of which is drawn uniformly from the possible ones."""
-    chance, faults, kinds = random.Random(seed), [], Counter()
-    begin = traded()
+    rng, violations, kinds = random.Random(seed), [], Counter()
+    initial = converged_ring()
     for _ in range(walks):
-        world, path = copy.deepcopy(begin), ()
+        simulation, path = copy.deepcopy(initial), ()
         for _ in range(depth):
-            step = chance.choice(world.options())
+            step = rng.choice(simulation.possible_steps())
             kinds[step.kind] += 1
-            world.do(step)
+            simulation.apply(step)
             path = (*path, step)
-        faults += judge(path, world)
-    return walks, faults, kinds
+        violations += violations_after(path, simulation)
+    return walks, violations, kinds
 
 
-def explore(depth: int, walks: int, seed: int, together: int) -> dict[str, object]:
+def explore(depth: int, walks: int, seed: int, processes: int) -> dict[str, object]:
     """Check all paths up to a depth and longer random ones; returns counts and the first violations."""
     import concurrent.futures
 
-    with concurrent.futures.ProcessPoolExecutor(together) as pool:
-        firsts = list(pool.map(part, [depth] * 16, range(16)))
-        longer = list(
+    with concurrent.futures.ProcessPoolExecutor(processes) as pool:
+        exhaustive = list(pool.map(check_paths_from, [depth] * 16, range(16)))
+        random_walks = list(
             pool.map(
-                at_random,
-                range(seed, seed + together),
-                [walks // together] * together,
-                [depth * 8] * together,
+                check_random_paths,
+                range(seed, seed + processes),
+                [walks // processes] * processes,
+                [depth * 8] * processes,
             )
         )
-    faults = [f for _, found in firsts for f in found] + [f for _, found, _ in longer for f in found]
+    violations = [violation for _, found in exhaustive for violation in found] + [
+        violation for _, found, _ in random_walks for violation in found
+    ]
     kinds: Counter[str] = Counter()
-    for _, _, each in longer:
-        kinds += each
+    for _, _, step_counts in random_walks:
+        kinds += step_counts
     return {
         "depth": depth,
-        "states": sum(n for n, _ in firsts),
-        "walks": sum(n for n, _, _ in longer),
+        "states": sum(n for n, _ in exhaustive),
+        "walks": sum(n for n, _, _ in random_walks),
         "walk_depth": depth * 8,
         "walk_steps": dict(kinds),
-        "faults": len(faults),
-        "first": faults[:10],
+        "faults": len(violations),
+        "first": violations[:10],
     }
--- a/corkdeal/experiment/measure.py
+++ b/corkdeal/experiment/measure.py
@@ -19,7 +19,7 @@
 PEAK_S = 0.25  # s, width of the window in which a peak is counted
 
 
-def bound(burst: float, spread: int, starts: int) -> float:
+def over_admission_bound(burst: float, spread: int, starts: int) -> float:
     """Units that may be admitted beyond a customer's quota in any window; docs/recovery.md derives the bound.
 
     `spread` is the number of the customer's gateways; `starts` counts their starts before and within the
--- a/corkdeal/experiment/members.py
+++ b/corkdeal/experiment/members.py
@@ -37,7 +37,7 @@
 from ..membership.members import Members
 from ..recovery.resume import resume_after_stall
 from ..recovery.stall_detector import MIN_STALL
-from .explore import decisions
+from .explore import new_gateway
 
 STEP = 0.05  # s
 CUSTOMER = 7
@@ -64,7 +64,7 @@
 
     def start(self, me: int) -> None:
         """Start a gateway without persisted state."""
-        made = decisions(me, self.size)
+        made = new_gateway(me, self.size)
         made.membership = Members(made, is_later)
         self.up[me] = made
         self.take(me, made.handle(self.now, [LIST]))
--- a/corkdeal/experiment/tier.py
+++ b/corkdeal/experiment/tier.py
@@ -397,7 +397,7 @@
                 made[c.id] = Quota(
                     plan["quota_rate"],
                     plan["store_size"],
-                    measure.bound(plan["store_size"], c.spread, starts),
+                    measure.over_admission_bound(plan["store_size"], c.spread, starts),
                 )
         return made
 
