--- a/corkdeal/experiment/fleet.py
+++ b/corkdeal/experiment/fleet.py
@@ -12,34 +12,34 @@
 from collections import Counter, defaultdict
 from typing import Any
 
-PAIR = re.compile(r"(\w+)=(-?[0-9.]+)")
-LEADING = re.compile(r"^([0-9]+\.[0-9]+) ")
-STAMP = re.compile(r"T(\d\d):(\d\d):(\d\d(?:\.\d+)?)")
-NOW = "now_"  # prefix of gauges, which are averaged and not summed
+METRIC_PATTERN = re.compile(r"(\w+)=(-?[0-9.]+)")
+ELAPSED_PATTERN = re.compile(r"^([0-9]+\.[0-9]+) ")
+TIME_OF_DAY_PATTERN = re.compile(r"T(\d\d):(\d\d):(\d\d(?:\.\d+)?)")
+GAUGE_PREFIX = "now_"  # gauges are averaged over the gateways, counters are summed
 
 
-def line_of(text: str) -> tuple[float, dict[str, float]] | None:
+def parse_metrics_line(line: str) -> tuple[float, dict[str, float]] | None:
     """The time in seconds and the metrics of a `figures` line; None for any other line."""
-    if "figures" not in text:
+    if "figures" not in line:
         return None
-    if "{" in text and (raw := text[text.index("{") :].strip()).endswith("}"):
+    if "{" in line and (raw := line[line.index("{") :].strip()).endswith("}"):
         try:
-            pairs = json.loads(raw)
+            record = json.loads(raw)
         except ValueError:
             return None
-        if pairs.get("event") != "figures":
+        if record.get("event") != "figures":
             return None
-        values = {k: float(v) for k, v in pairs.items() if isinstance(v, int | float)}
-        stamp = str(pairs.get("timestamp", ""))
+        values = {k: float(v) for k, v in record.items() if isinstance(v, int | float)}
+        stamp = str(record.get("timestamp", ""))
     else:
-        head, _, rest = text.partition("figures ")
+        head, _, rest = line.partition("figures ")
         if not rest or head.rstrip()[-1:] not in ("]", "="):
             return None
-        values, stamp = {k: float(v) for k, v in PAIR.findall(rest)}, head
-    if leading := LEADING.match(text):  # the benchmark writes its own clock, s, before the line
-        return float(leading[1]), values
-    if at := STAMP.search(stamp):
-        return 3600 * int(at[1]) + 60 * int(at[2]) + float(at[3]), values
+        values, stamp = {k: float(v) for k, v in METRIC_PATTERN.findall(rest)}, head
+    if elapsed := ELAPSED_PATTERN.match(line):  # the benchmark writes its own clock, s, before the line
+        return float(elapsed[1]), values
+    if time_of_day := TIME_OF_DAY_PATTERN.search(stamp):
+        return 3600 * int(time_of_day[1]) + 60 * int(time_of_day[2]) + float(time_of_day[3]), values
     return None
 
 
@@ -49,40 +49,42 @@
     A row holds the increase of all counters, the mean of each gauge over the gateways that reported it in
     that second, the number of those gateways, and the number of process starts.
     """
-    done: dict[int, Counter[str]] = defaultdict(Counter)
-    states: dict[int, dict[str, dict[str, float]]] = defaultdict(lambda: defaultdict(dict))
+    increases: dict[int, Counter[str]] = defaultdict(Counter)
+    gauges: dict[int, dict[str, dict[str, float]]] = defaultdict(lambda: defaultdict(dict))
     logs = sorted(folder.glob("*.log"))
     for log in logs:
-        last: dict[str, float] = {}
+        previous: dict[str, float] = {}
         with open(log, errors="replace") as file:
-            for text in file:
-                if (found := line_of(text)) is None:
+            for line in file:
+                if (parsed := parse_metrics_line(line)) is None:
                     continue
-                at, values = found
-                second = int(at)
-                if values.get("asked", 0.0) < last.get("asked", 0.0) or not last:
-                    done[second]["starts"] += 1
-                    last = {}
+                time, values = parsed
+                second = int(time)
+                if values.get("asked", 0.0) < previous.get("asked", 0.0) or not previous:
+                    increases[second]["starts"] += 1
+                    previous = {}
                 for key, value in values.items():
-                    if key.startswith(NOW):
-                        states[second][key][log.name] = value
+                    if key.startswith(GAUGE_PREFIX):
+                        gauges[second][key][log.name] = value
                     else:
-                        done[second][key] += value - last.get(key, 0.0)
-                last = values
-    seconds = sorted(done)
-    begin = seconds[0] if seconds and seconds[0] > 1000 else 0  # the first row of a time of day
+                        increases[second][key] += value - previous.get(key, 0.0)
+                previous = values
+    seconds = sorted(increases)
+    first_second = (
+        seconds[0] if seconds and seconds[0] > 1000 else 0
+    )  # times of day are counted from the first row
     rows = [
         {
-            "second": s - begin,
-            "gateways": max((len(v) for v in states[s].values()), default=0),
-            **{k: round(v, 2) for k, v in sorted(done[s].items()) if v},
-            **{k: round(sum(v.values()) / len(v), 3) for k, v in sorted(states[s].items())},
+            "second": s - first_second,
+            "gateways": max((len(v) for v in gauges[s].values()), default=0),
+            **{k: round(v, 2) for k, v in sorted(increases[s].items()) if v},
+            **{k: round(sum(v.values()) / len(v), 3) for k, v in sorted(gauges[s].items())},
         }
         for s in seconds
     ]
     total: Counter[str] = Counter()
-    for each in done.values():
-        total.update(each)
+    for counters in increases.values():
+        total.update(counters)
     return {"logs": len(logs), "rows": rows, "total": {k: round(v, 2) for k, v in sorted(total.items()) if v}}
 
 
@@ -110,18 +112,18 @@
 )
 
 
-def table(seen: dict[str, Any]) -> str:
+def table(totals: dict[str, Any]) -> str:
     """The rows as a Markdown table, without columns that are empty or zero throughout."""
-    names = [c for c in COLUMNS if any(row.get(c) for row in seen["rows"])]
-    lines = ["| s | " + " | ".join(names) + " |", "| --- |" + " --- |" * len(names)]
+    columns = [c for c in COLUMNS if any(row.get(c) for row in totals["rows"])]
+    lines = ["| s | " + " | ".join(columns) + " |", "| --- |" + " --- |" * len(columns)]
     lines += [
-        "| " + " | ".join([str(row["second"]), *(f"{row.get(c, 0):g}" for c in names)]) + " |"
-        for row in seen["rows"]
+        "| " + " | ".join([str(row["second"]), *(f"{row.get(c, 0):g}" for c in columns)]) + " |"
+        for row in totals["rows"]
     ]
     return "\n".join(lines)
 
 
-def chart(seen: dict[str, Any], path: str, title: str) -> None:
+def chart(totals: dict[str, Any], path: str, title: str) -> None:
     """Plot the outcomes of requests by second, and the messages between gateways."""
     import matplotlib
 
@@ -129,19 +131,21 @@
     matplotlib.rcParams["svg.hashsalt"] = "corkdeal"
     from matplotlib import pyplot
 
-    rows = seen["rows"]
-    at = [row["second"] for row in rows]
-    figure, (upper, lower) = pyplot.subplots(2, 1, figsize=(8, 6), sharex=True)
+    rows = totals["rows"]
+    seconds = [row["second"] for row in rows]
+    figure, (requests_axis, messages_axis) = pyplot.subplots(2, 1, figsize=(8, 6), sharex=True)
     for key in ("asked", "success", "beyond_quota", "inside_late", "inside_deadline", "failure"):
-        upper.plot(at, [row.get(key, 0) for row in rows], label=key.replace("_", " "))
-    upper.set_ylabel("requests per second, all gateways")
-    upper.legend(fontsize=8)
+        requests_axis.plot(seconds, [row.get(key, 0) for row in rows], label=key.replace("_", " "))
+    requests_axis.set_ylabel("requests per second, all gateways")
+    requests_axis.legend(fontsize=8)
     for key in ("told", "heard", "opened"):
-        lower.plot(at, [row.get(key, 0) / max(1, row["gateways"]) for row in rows], label=key)
-    lower.plot(at, [row.get("now_slow", 0) * 10 for row in rows], label="slowness x 10", linestyle=":")
-    lower.set_ylabel("per second and gateway")
-    lower.set_xlabel("s")
-    lower.legend(fontsize=8)
+        messages_axis.plot(seconds, [row.get(key, 0) / max(1, row["gateways"]) for row in rows], label=key)
+    messages_axis.plot(
+        seconds, [row.get("now_slow", 0) * 10 for row in rows], label="slowness x 10", linestyle=":"
+    )
+    messages_axis.set_ylabel("per second and gateway")
+    messages_axis.set_xlabel("s")
+    messages_axis.legend(fontsize=8)
     figure.suptitle(title, fontsize=10)
     figure.tight_layout()
     figure.savefig(path, metadata={"Date": None} if path.endswith("svg") else None)
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -20,9 +20,9 @@
         ('{"event": "figures", "asked": 3', None),
     ],
 )
-def test_a_line_of_figures_is_told_from_others(text, expected):
-    found = fleet.line_of(text)
-    assert (found and (found[0], found[1]["asked"])) == expected
+def test_only_lines_of_the_figures_event_are_parsed(text, expected):
+    parsed = fleet.parse_metrics_line(text)
+    assert (parsed and (parsed[0], parsed[1]["asked"])) == expected
 
 
 def test_a_structured_line_is_read_as_well():
@@ -30,7 +30,7 @@
     logs.configure(structured.sink("json", "n0", out))
     logs.event("figures", asked=7, now_slow=1.5)
     logs.configure(None)
-    assert fleet.line_of(out.getvalue().decode())[1] == {"asked": 7.0, "now_slow": 1.5}
+    assert fleet.parse_metrics_line(out.getvalue().decode())[1] == {"asked": 7.0, "now_slow": 1.5}
 
 
 def test_all_gateways_add_up_by_second_and_a_restart_takes_nothing_back(tmp_path):
@@ -42,9 +42,9 @@
 
     write("n0.log", [(1.0, 0, 0, 1.0), (2.0, 10, 1, 1.0), (3.2, 2, 0, 2.0), (4.0, 5, 5, 2.0)])
     write("n1.log", [(1.5, 0, 0, 1.0), (2.5, 7, 0, 3.0)])
-    seen = fleet.add_up(tmp_path)
-    rows = {row["second"]: row for row in seen["rows"]}
+    totals = fleet.add_up(tmp_path)
+    rows = {row["second"]: row for row in totals["rows"]}
     assert rows[2] == {"second": 2, "gateways": 2, "asked": 17, "busy": 1, "now_slow": 2.0}
     assert rows[3] == {"second": 3, "gateways": 1, "asked": 2, "starts": 1, "now_slow": 2.0}
-    assert seen["total"] == {"asked": 22, "busy": 6, "starts": 3} and seen["logs"] == 2
-    assert fleet.table(seen).splitlines()[2] == "| 1 | 2 | 2 | 0 | 0 | 1 |"
+    assert totals["total"] == {"asked": 22, "busy": 6, "starts": 3} and totals["logs"] == 2
+    assert fleet.table(totals).splitlines()[2] == "| 1 | 2 | 2 | 0 | 0 | 1 |"
