--- a/corkdeal/experiment/kills.py
+++ b/corkdeal/experiment/kills.py
@@ -21,98 +21,109 @@
 from ..standin.discovery import Discovery
 from ..standin.servers import Model, Server, work_drawer
 
-LIFE = (0.05, 0.9)  # s between the first reply of a gateway and its kill, drawn uniformly
-EVERY = 0.1  # s between snapshots; frequent ones make a kill during a write likely
+UPTIME_RANGE = (0.05, 0.9)  # s between the first reply of a gateway and its kill, drawn uniformly
+SNAPSHOT_INTERVAL = 0.1  # s between snapshots; frequent ones make a kill during a write likely
 
 
-class Broken(AssertionError):
+class InvalidState(AssertionError):
     """A kill left an invalid state or log."""
 
 
-def looked_into(folder: str, least: int) -> tuple[int, int]:
+def check_state(state_folder: str, min_generation: int) -> tuple[int, int]:
     """Load the state in a folder; returns the newest generation and the number of its accounts.
 
     Raises `Broken` if a file is damaged or the generation is below `least`, that of the previous check.
     """
-    store = SnapshotStore(folder)
+    store = SnapshotStore(state_folder)
     store.open()
-    loaded = store.load()
+    result = store.load()
     store.close()
-    if loaded.rejected:
-        raise Broken(f"{folder}: the loader rejected {loaded.rejected}")
-    if loaded.snapshot is None:
-        if least:
-            raise Broken(f"{folder}: no snapshot found, although generation {least} was written")
+    if result.rejected:
+        raise InvalidState(f"{state_folder}: the loader rejected {result.rejected}")
+    if result.snapshot is None:
+        if min_generation:
+            raise InvalidState(
+                f"{state_folder}: no snapshot found, although generation {min_generation} was written"
+            )
         return 0, 0
-    named = match_snapshot_name(loaded.file)
-    generation = int(named[1]) if named else 0
-    if generation < least:
-        raise Broken(f"{folder}: found generation {generation} after generation {least}")
-    accounts = [decode_account(raw) for raw in loaded.snapshot.encoded_accounts().values()]
+    match = match_snapshot_name(result.file)
+    generation = int(match[1]) if match else 0
+    if generation < min_generation:
+        raise InvalidState(f"{state_folder}: found generation {generation} after generation {min_generation}")
+    accounts = [decode_account(encoded) for encoded in result.snapshot.encoded_accounts().values()]
     return generation, len(accounts)
 
 
-async def one(
-    gateway: fleet.Gateway, discovery: Discovery, folder: str, times: int, chance: random.Random
+async def kill_repeatedly(
+    gateway: fleet.Gateway, discovery: Discovery, state_folder: str, kill_count: int, rng: random.Random
 ) -> dict[str, int]:
     """Start and kill one gateway `times` times, and check its state after each kill."""
-    newest = written = loads = most = 0
-    for _ in range(times):
+    generation = generation_count = load_count = max_accounts = 0
+    for _ in range(kill_count):
         await gateway.start(discovery.document())
-        await asyncio.sleep(chance.uniform(*LIFE))
+        await asyncio.sleep(rng.uniform(*UPTIME_RANGE))
         await gateway.end()
-        found, accounts = looked_into(folder, newest)
-        written, newest, most = written + found - newest, found, max(most, accounts)
+        new_generation, account_count = check_state(state_folder, generation)
+        generation_count, generation, max_accounts = (
+            generation_count + new_generation - generation,
+            new_generation,
+            max(max_accounts, account_count),
+        )
     for line in gateway.log.read_text().splitlines():
-        loads += "knowledge_loaded" in line
+        load_count += "knowledge_loaded" in line
         if "knowledge_refused" in line or "module_failed" in line or "collect_failed" in line:
-            raise Broken(line)
-    return {"kills": times, "generations": written, "loads": loads, "most_accounts": most}
+            raise InvalidState(line)
+    return {
+        "kills": kill_count,
+        "generations": generation_count,
+        "loads": load_count,
+        "most_accounts": max_accounts,
+    }
 
 
-async def play(kills: int, together: int, seed: int) -> dict[str, Any]:
+async def play(kill_count: int, gateway_count: int, seed: int) -> dict[str, Any]:
     """Kill `kills` times in all, spread evenly over a tier of `together` gateways."""
-    folder, chance = pathlib.Path(tempfile.mkdtemp(prefix="kills-")), random.Random(seed)
+    folder, rng = pathlib.Path(tempfile.mkdtemp(prefix="kills-")), random.Random(seed)
     servers = [
-        Server(Model(f"s-{i}", fleet.HALLS[i % 3]), work_drawer(chance, 0.02, 0.5), lambda a: None)
+        Server(Model(f"s-{i}", fleet.HALLS[i % 3]), work_drawer(rng, 0.02, 0.5), lambda a: None)
         for i in range(6)
     ]
-    for s in servers:
-        await s.start()
-    discovery = Discovery(lambda: [s.entry() for s in servers])
+    for server in servers:
+        await server.start()
+    discovery = Discovery(lambda: [server.entry() for server in servers])
     await discovery.start()
-    options = f'knowledge path="{folder}/state" every={EVERY} read-wait=10\n'
-    gateways = fleet.tier(together, discovery.port, folder, clients.PLANS, options)
-    who = clients.customers(chance, 60.0, together)
-    began = time.monotonic()
-    asks = clients.arrivals(chance, who, 2.5 * kills / together + 10, together)
-    front = clients.Clients(gateways, asks, chance)
-    load = asyncio.ensure_future(front.run(began))
+    options = f'knowledge path="{folder}/state" every={SNAPSHOT_INTERVAL} read-wait=10\n'
+    gateways = fleet.tier(gateway_count, discovery.port, folder, clients.PLANS, options)
+    customers = clients.customers(rng, 60.0, gateway_count)
+    started_at = time.monotonic()
+    requests = clients.arrivals(rng, customers, 2.5 * kill_count / gateway_count + 10, gateway_count)
+    load_generator = clients.Clients(gateways, requests, rng)
+    load_task = asyncio.ensure_future(load_generator.run(started_at))
     try:
-        done = await asyncio.gather(
+        results = await asyncio.gather(
             *(
-                one(
-                    g,
+                kill_repeatedly(
+                    gateway,
                     discovery,
-                    gateway_folder(f"{folder}/state", g.config["name"]),
-                    kills // together,
-                    random.Random(f"{seed}-{g.number}"),
+                    gateway_folder(f"{folder}/state", gateway.config["name"]),
+                    kill_count // gateway_count,
+                    random.Random(f"{seed}-{gateway.number}"),
                 )
-                for g in gateways
+                for gateway in gateways
             )
         )
     finally:
-        load.cancel()
-        for g in gateways:
-            await g.end()
-        for s in servers:
-            s.die()
+        load_task.cancel()
+        for gateway in gateways:
+            await gateway.end()
+        for server in servers:
+            server.die()
         shutil.rmtree(folder, ignore_errors=True)
-    total = {key: sum(d[key] for d in done) for key in ("kills", "generations", "loads")}
+    totals = {key: sum(result[key] for result in results) for key in ("kills", "generations", "loads")}
     return {
-        **total,
-        "most_accounts": max(d["most_accounts"] for d in done),
+        **totals,
+        "most_accounts": max(result["most_accounts"] for result in results),
         "damaged": 0,
         "lost": 0,
-        "seconds": round(time.monotonic() - began, 1),
+        "seconds": round(time.monotonic() - started_at, 1),
     }
