--- a/corkdeal/experiment/cuts.py
+++ b/corkdeal/experiment/cuts.py
@@ -11,8 +11,8 @@
 
 from ..halls.loss import Losses
 
-CONNECT_LATE = 0.25  # s until a connection attempt to an unreachable backend fails
-SILENT_TIMES = 4.0  # multiple of the mean response time after which an attempt counts as unanswered
+CONNECT_TIMEOUT = 0.25  # s until a connection attempt to an unreachable backend fails
+UNANSWERED_MULTIPLE = 4.0  # multiple of the mean response time after which an attempt counts as unanswered
 HALLS = ("north-hall", "east-hall", "south-hall")
 TROUBLES = ("calm", "slow quarter", "all slow", "dead server", "two dead in two halls")
 
@@ -20,13 +20,15 @@
 class Day:
     """One simulated period: attempts at random backends at a constant mean rate, and their outcomes."""
 
-    def __init__(self, seed: int, rate: float = 30.0, per_hall: int = 4, usual: float = 0.2) -> None:
+    def __init__(
+        self, seed: int, rate: float = 30.0, backends_per_zone: int = 4, mean_response_time: float = 0.2
+    ) -> None:
         """`rate` is the attempts per second of one gateway, `usual` the mean response time in seconds."""
-        self.chance, self.rate, self.usual = random.Random(seed), rate, usual
-        self.losses, self.at = Losses(), 0.0
+        self.rng, self.rate, self.mean_response_time = random.Random(seed), rate, mean_response_time
+        self.losses, self.now = Losses(), 0.0
         self.pending: list[tuple[float, str, str, str, float]] = []
-        self.servers = [(hall, f"{hall}-{i}") for hall in HALLS for i in range(per_hall)]
-        self.losses.listed(dict.fromkeys(HALLS, per_hall))
+        self.backends = [(zone, f"{zone}-{i}") for zone in HALLS for i in range(backends_per_zone)]
+        self.losses.listed(dict.fromkeys(HALLS, backends_per_zone))
         self.cut: set[str] = set()
         self.slow: dict[str, float] = {}
         self.dead: set[str] = set()
@@ -34,11 +36,11 @@
 
     def trouble(self, kind: str) -> None:
         """Start one of the conditions in `TROUBLES`."""
-        names = [server for _, server in self.servers]
+        names = [backend for _, backend in self.backends]
         if kind == "slow quarter":
-            self.slow = {s: self.chance.uniform(3.5, 9) for s in self.chance.sample(names, len(names) // 4)}
+            self.slow = {s: self.rng.uniform(3.5, 9) for s in self.rng.sample(names, len(names) // 4)}
         elif kind == "all slow":
-            self.slow = dict.fromkeys(names, self.chance.uniform(1.4, 2.6))
+            self.slow = dict.fromkeys(names, self.rng.uniform(1.4, 2.6))
         elif kind == "dead server":
             self.dead = {names[0]}
         elif kind == "two dead in two halls":
@@ -46,45 +48,49 @@
 
     def run(self, until: float) -> None:
         """Advance time to `until`; each attempt is reported when it is answered, fails or is overdue."""
-        while self.at < until:
-            self.at += self.chance.expovariate(self.rate)
-            hall, server = self.chance.choice(self.servers)
-            took = self.chance.gammavariate(2, self.usual / 2) * self.slow.get(server, 1.0)
-            late = SILENT_TIMES * self.usual
-            if hall in self.cut or server in self.dead:
-                self.pending.append((self.at + CONNECT_LATE, "failed", hall, server, self.at))
+        while self.now < until:
+            self.now += self.rng.expovariate(self.rate)
+            zone, backend = self.rng.choice(self.backends)
+            response_time = self.rng.gammavariate(2, self.mean_response_time / 2) * self.slow.get(
+                backend, 1.0
+            )
+            unanswered_after = UNANSWERED_MULTIPLE * self.mean_response_time
+            if zone in self.cut or backend in self.dead:
+                self.pending.append((self.now + CONNECT_TIMEOUT, "failed", zone, backend, self.now))
             else:
-                if took > late:
-                    self.pending.append((self.at + late, "silent", hall, server, self.at))
-                self.pending.append((self.at + took, "answered", hall, server, self.at))
-            due = sorted(p for p in self.pending if p[0] <= self.at)
-            self.pending = [p for p in self.pending if p[0] > self.at]
-            for when, what, its_hall, its_server, sent in due:
-                if what != "answered":
-                    self.losses.failed(its_hall, its_server, when, what == "silent")
-                elif its_hall not in self.cut:  # a reply in flight when the outage begins is lost
-                    self.losses.answered(its_hall, its_server, sent, when)
-                self.declared += [(when, h) for h in self.losses.look(when)]
+                if response_time > unanswered_after:
+                    self.pending.append((self.now + unanswered_after, "silent", zone, backend, self.now))
+                self.pending.append((self.now + response_time, "answered", zone, backend, self.now))
+            due = sorted(report for report in self.pending if report[0] <= self.now)
+            self.pending = [report for report in self.pending if report[0] > self.now]
+            for reported_at, outcome, its_zone, its_backend, sent in due:
+                if outcome != "answered":
+                    self.losses.failed(its_zone, its_backend, reported_at, outcome == "silent")
+                elif its_zone not in self.cut:  # a reply in flight when the outage begins is lost
+                    self.losses.answered(its_zone, its_backend, sent, reported_at)
+                self.declared += [(reported_at, h) for h in self.losses.look(reported_at)]
 
 
 def false_alarms(days: int, seconds: float, rate: float) -> list[dict[str, Any]]:
     """Count the outages declared on days without one, by condition."""
     rows = []
     for kind in TROUBLES:
-        wrong = 0
+        alarm_count = 0
         for seed in range(days):
             day = Day(seed, rate)
             day.run(10)
             day.trouble(kind)
             day.run(10 + seconds)
-            wrong += len(day.declared)
-        rows.append({"trouble": kind, "days": days, "hours": round(days * seconds / 3600, 2), "false": wrong})
+            alarm_count += len(day.declared)
+        rows.append(
+            {"trouble": kind, "days": days, "hours": round(days * seconds / 3600, 2), "false": alarm_count}
+        )
     return rows
 
 
 def delays(days: int, rate: float, trouble: str = "calm") -> dict[str, Any]:
     """Seconds from the start of an outage until it is declared, over many days."""
-    took, missed, others = [], 0, 0
+    detection_delays, missed, other_zones = [], 0, 0
     for seed in range(days):
         day = Day(seed, rate)
         day.run(10)
@@ -93,18 +99,18 @@
         before = len(day.declared)
         day.cut = {HALLS[seed % 3]}
         day.run(26)
-        mine = [when for when, hall in day.declared[before:] if hall in day.cut]
-        others += sum(hall not in day.cut for _, hall in day.declared)
-        missed += not mine
-        took += [mine[0] - 20] if mine else []
-    took.sort()
+        detection_times = [reported_at for reported_at, zone in day.declared[before:] if zone in day.cut]
+        other_zones += sum(zone not in day.cut for _, zone in day.declared)
+        missed += not detection_times
+        detection_delays += [detection_times[0] - 20] if detection_times else []
+    detection_delays.sort()
     return {
         "trouble": trouble,
         "rate": rate,
         "days": days,
         "missed": missed,
-        "other_halls": others,
-        "median_s": round(took[len(took) // 2], 2),
-        "p95_s": round(took[int(len(took) * 0.95)], 2),
-        "most_s": round(took[-1], 2),
+        "other_halls": other_zones,
+        "median_s": round(detection_delays[len(detection_delays) // 2], 2),
+        "p95_s": round(detection_delays[int(len(detection_delays) * 0.95)], 2),
+        "most_s": round(detection_delays[-1], 2),
     }
