--- a/corkdeal/experiment/arms.py
+++ b/corkdeal/experiment/arms.py
@@ -13,7 +13,7 @@
 from typing import Any
 
 from . import schedule as schedules
-from .summary import mean_and_half
+from .summary import mean_and_half_width
 
 
 def play_all(
@@ -45,7 +45,7 @@
                                 path,
                                 str(seed),
                                 program,
-                                folder_of(out, seed, program),
+                                run_folder(out, seed, program),
                             ],
                             stdout=subprocess.PIPE,
                             text=True,
@@ -53,11 +53,11 @@
                     )
                 )
             seed, program, process = running[0]
-            said, _ = process.communicate()
+            output, _ = process.communicate()
             running.pop(0)
             if process.returncode:
                 raise RuntimeError(f"run with seed {seed} failed with exit code {process.returncode}")
-            runs.append({"arm": os.path.basename(program.rstrip("/")), **json.loads(said)})
+            runs.append({"arm": os.path.basename(program.rstrip("/")), **json.loads(output)})
     finally:
         for _, _, process in running:  # killing a run also kills its gateways (PR_SET_PDEATHSIG)
             process.kill()
@@ -68,16 +68,16 @@
     return runs
 
 
-def folder_of(out: str, seed: int, program: str) -> str:
+def run_folder(out: str, seed: int, program: str) -> str:
     """The folder of one run, for its logs and persisted state."""
     return os.path.abspath(os.path.join(out, f"{seed}-{os.path.basename(program.rstrip('/')) or 'here'}"))
 
 
-def figures(run: dict[str, Any]) -> dict[str, float]:
+def metrics_of(run: dict[str, Any]) -> dict[str, float]:
     """The metrics by which runs are compared, by their label in the table."""
-    never = run["full_after"] is None
+    never_full = run["full_after"] is None
     return {
-        "time to full service, s": run["curve_s"] if never else run["full_after"],
+        "time to full service, s": run["curve_s"] if never_full else run["full_after"],
         "worth lost until then": run["lost_worth"],
         "served, % of asked": 100 * run["outcomes"]["served"] / max(1, run["asked"]),
         "units over quota, worst account, 5 s": run["over_most"]["5"],
@@ -92,22 +92,29 @@
 
 def table(runs: list[dict[str, Any]]) -> str:
     """A Markdown table with mean, 95% confidence interval and maximum of each metric by variant."""
-    names = list(dict.fromkeys(run["arm"] for run in runs))
-    by_arm = {arm: [figures(r) for r in runs if r["arm"] == arm] for arm in names}
-    lines = ["| | " + " | ".join(arm or "here" for arm in names) + " |", "| --- |" + " --- |" * len(names)]
-    for key in figures(runs[0]):
+    variants = list(dict.fromkeys(run["arm"] for run in runs))
+    metrics_by_variant = {
+        variant: [metrics_of(run) for run in runs if run["arm"] == variant] for variant in variants
+    }
+    lines = [
+        "| | " + " | ".join(variant or "here" for variant in variants) + " |",
+        "| --- |" + " --- |" * len(variants),
+    ]
+    for key in metrics_of(runs[0]):
         cells = []
-        for arm in names:
-            values = [f[key] for f in by_arm[arm]]
-            mean, half = mean_and_half(values)
+        for variant in variants:
+            values = [metrics[key] for metrics in metrics_by_variant[variant]]
+            mean, half_width = mean_and_half_width(values)
             cells.append(
-                f"{mean:.2f}" + (f" ± {half:.2f}" if len(values) > 1 else "") + f" (most {max(values):.2f})"
+                f"{mean:.2f}"
+                + (f" ± {half_width:.2f}" if len(values) > 1 else "")
+                + f" (most {max(values):.2f})"
             )
         lines.append(f"| {key} | " + " | ".join(cells) + " |")
     return "\n".join(lines)
 
 
-KEPT = (
+REPORTED_FIELDS = (
     "arm",
     "seed",
     "gateways",
@@ -134,14 +141,14 @@
 
 def report(path: str, runs: list[dict[str, Any]]) -> None:
     """Write the fields in `KEPT` of all runs, and their violations by rule, for docs/reports."""
-    kept = []
+    reported = []
     for run in runs:
-        broken: dict[str, int] = {}
-        for each in run["broken"]:
-            broken[each["rule"]] = broken.get(each["rule"], 0) + 1
-        kept.append({**{key: run[key] for key in KEPT}, "broken": broken})
+        violations: dict[str, int] = {}
+        for violation in run["broken"]:
+            violations[violation["rule"]] = violations.get(violation["rule"], 0) + 1
+        reported.append({**{key: run[key] for key in REPORTED_FIELDS}, "broken": violations})
     with open(path, "w", encoding="utf-8") as file:
-        json.dump(kept, file, separators=(",", ":"))
+        json.dump(reported, file, separators=(",", ":"))
         file.write("\n")
 
 
@@ -154,14 +161,14 @@
     from matplotlib import pyplot
 
     figure, axis = pyplot.subplots(figsize=(8, 3.6))
-    for arm in dict.fromkeys(run["arm"] for run in runs):
-        curves = [run["curve"] for run in runs if run["arm"] == arm]
+    for variant in dict.fromkeys(run["arm"] for run in runs):
+        curves = [run["curve"] for run in runs if run["arm"] == variant]
         length = min(map(len, curves))
-        at = [0.5 + i / 2 for i in range(length)]
-        mean = [sum(c[i] for c in curves) / len(curves) for i in range(length)]
-        axis.plot(at, mean, label=arm or "here")
-        low, high = ([pick(c[i] for c in curves) for i in range(length)] for pick in (min, max))
-        axis.fill_between(at, low, high, alpha=0.2)
+        seconds = [0.5 + i / 2 for i in range(length)]
+        mean = [sum(curve[i] for curve in curves) / len(curves) for i in range(length)]
+        axis.plot(seconds, mean, label=variant or "here")
+        low, high = ([pick(curve[i] for curve in curves) for i in range(length)] for pick in (min, max))
+        axis.fill_between(seconds, low, high, alpha=0.2)
     axis.set_xlabel("s")
     axis.set_ylabel("worth served in time")
     axis.set_ylim(0, 1)
@@ -179,12 +186,12 @@
     from .tier import play
 
     path, seed, program, folder = sys.argv[1:]
-    where = pathlib.Path(folder)
-    where.mkdir(parents=True, exist_ok=True)
-    made = asyncio.run(
-        play(schedules.load(path), int(seed), where, pathlib.Path(program) if program else None)
+    folder_path = pathlib.Path(folder)
+    folder_path.mkdir(parents=True, exist_ok=True)
+    results = asyncio.run(
+        play(schedules.load(path), int(seed), folder_path, pathlib.Path(program) if program else None)
     )
-    print(json.dumps(made))
+    print(json.dumps(results))
 
 
 if __name__ == "__main__":
