--- a/corkdeal/experiment/tier.py
+++ b/corkdeal/experiment/tier.py
@@ -422,10 +422,10 @@
                 o or "unanswered": sum(a.outcome == o for a in asks)
                 for o in ("served", "late", "refused", "failed", "")
             },
-            **measure.service(
+            **measure.service_metrics(
                 asks, self.customers, firsts, self.tier.settled, first, last, self.tier.seconds
             ),
-            "peaks": measure.peaks(
+            "peaks": measure.peak_metrics(
                 {
                     "attempts": [(a.at, a.server) for a in self.history.attempts],
                     "connections": self.connects,
@@ -442,10 +442,10 @@
             "broken": [{"rule": b.rule, "lines": b.lines} for b in broken],
             "fallen": sum(s.fallen for s in self.servers),
             "links": dict(self.links.carried),
-            "link_delay_ms": measure.tail(self.links.delays),
+            "link_delay_ms": measure.latency_summary(self.links.delays),
             "ready_s": [round(took, 2) for _, _, took in self.ready],
             "events": [(round(at, 2), said) for at, said in self.history.events],
-            "full_said": measure.said_full(self.folder, self.tier.gateways),
+            "full_said": measure.full_service_times(self.folder, self.tier.gateways),
         }
 
 
