--- a/corkdeal/experiment/restarts.py
+++ b/corkdeal/experiment/restarts.py
@@ -26,179 +26,191 @@
 ARMS = ("calm", "forgets", "knows")
 GATEWAYS, SERVERS = 3, 12
 LOADS = {"usual": 92.0, "high": 110.0}  # units per second within quotas
-SLOW_AT, SLOW_PART, SLOW_TIMES = 3.0, 0.25, (3.5, 9.0)  # s, part of the backends, factor of slowdown
-RESTARTS = (13.0, 17.0, 21.0, 25.0, 29.0, 33.0)  # s; each time the next gateway in turn is killed
-SECONDS = 44.5
-IN_HAND = 2.0  # s before a kill; a request sent then may be lost with its gateway in every variant
-STARTED = 0.5  # s from the start of a process, by when it is ready, to the start of the window
-WINDOWS = (5.0, 10.0)  # s after a restart
+SLOW_AT, SLOW_FRACTION, SLOWDOWN_RANGE = 3.0, 0.25, (3.5, 9.0)  # s, part of the backends, factor of slowdown
+RESTART_TIMES = (13.0, 17.0, 21.0, 25.0, 29.0, 33.0)  # s; each time the next gateway in turn is killed
+DURATION = 44.5  # s
+IN_FLIGHT_MARGIN = 2.0  # s before a kill; a request sent then may be lost with its gateway in every variant
+STARTUP_TIME = 0.5  # s from the start of a process, by when it is ready, to the start of the window
+WINDOW_LENGTHS = (5.0, 10.0)  # s after a restart
 
 
-async def play(
+async def run_variant(
     seed: int,
-    arm: str,
+    variant: str,
     folder: pathlib.Path,
-    every: float = 1.0,
+    write_interval: float = 1.0,
     load: str = "usual",
     program: pathlib.Path | None = None,
 ) -> dict[str, Any]:
     """Run one variant once; returns its totals and those of each window after a restart."""
-    chance = random.Random(seed)
-    who = clients.customers(chance, LOADS[load], GATEWAYS)
-    asks = clients.arrivals(chance, who, SECONDS, GATEWAYS)
-    downs = [chance.uniform(0.28, 1.4) for _ in RESTARTS]
-    order = chance.sample(range(GATEWAYS), GATEWAYS) * (len(RESTARTS) // GATEWAYS)
-    seen: list[Arrival] = []
-    servers = []
+    rng = random.Random(seed)
+    customers = clients.customers(rng, LOADS[load], GATEWAYS)
+    requests = clients.arrivals(rng, customers, DURATION, GATEWAYS)
+    downtimes = [rng.uniform(0.28, 1.4) for _ in RESTART_TIMES]
+    restart_order = rng.sample(range(GATEWAYS), GATEWAYS) * (len(RESTART_TIMES) // GATEWAYS)
+    arrivals: list[Arrival] = []
+    backends = []
     for i in range(SERVERS):
-        speed = chance.uniform(0.85, 1.1) if chance.random() < 0.7 else chance.uniform(0.64, 0.86)
+        speed = rng.uniform(0.85, 1.1) if rng.random() < 0.7 else rng.uniform(0.64, 0.86)
         model = Model(
-            f"s-{chance.getrandbits(32):08x}",
+            f"s-{rng.getrandbits(32):08x}",
             fleet.HALLS[i % 3],
             cell=i // 6,
             speed=speed,
-            queue=chance.randint(45, 110),
+            queue=rng.randint(45, 110),
         )
-        servers.append(
+        backends.append(
             Server(
                 model,
-                work_drawer(random.Random(chance.random()), chance.uniform(0.16, 0.27), 0.9),
-                seen.append,
+                work_drawer(random.Random(rng.random()), rng.uniform(0.16, 0.27), 0.9),
+                arrivals.append,
             )
         )
-    slow = {s: chance.uniform(*SLOW_TIMES) for s in chance.sample(servers, round(SERVERS * SLOW_PART))}
-    for s in servers:
-        await s.start()
-    discovery = Discovery(lambda: [s.entry() for s in servers])
+    slowdowns = {
+        backend: rng.uniform(*SLOWDOWN_RANGE)
+        for backend in rng.sample(backends, round(SERVERS * SLOW_FRACTION))
+    }
+    for backend in backends:
+        await backend.start()
+    discovery = Discovery(lambda: [backend.entry() for backend in backends])
     await discovery.start()
-    options = f'knowledge path="{folder}/state" every={every}\n' if arm == "knows" else ""
+    options = f'knowledge path="{folder}/state" every={write_interval}\n' if variant == "knows" else ""
     gateways = fleet.tier(GATEWAYS, discovery.port, folder, clients.PLANS, options, program)
-    front = clients.Clients(gateways, asks, chance)
-    starts, reborn = [], []
+    load_generator = clients.Clients(gateways, requests, rng)
+    start_durations, restart_durations = [], []
     try:
-        for g in gateways:
-            starts.append(await g.start(discovery.document()))
-        began, wall = time.monotonic() + 0.3, time.time() + 0.3
-
-        async def at(moment: float) -> None:
-            await asyncio.sleep(max(0.0, began + moment - time.monotonic()))
-
-        async def script() -> None:
-            await at(SLOW_AT)
-            for s, times in slow.items():
-                s.slow = times
-            for moment, down, number in zip(RESTARTS, downs, order, strict=True):
-                await at(moment)
-                if arm != "calm":
-                    await gateways[number].end()
-                    front.down_since[number] = time.monotonic()
-                    await at(moment + down)
-                    reborn.append(await gateways[number].start(discovery.document()))
-
-        await asyncio.gather(script(), front.run(began))
+        for gateway in gateways:
+            start_durations.append(await gateway.start(discovery.document()))
+        started_at, wall_started_at = time.monotonic() + 0.3, time.time() + 0.3
+
+        async def wait_until(moment: float) -> None:
+            await asyncio.sleep(max(0.0, started_at + moment - time.monotonic()))
+
+        async def restart_gateways() -> None:
+            await wait_until(SLOW_AT)
+            for backend, factor in slowdowns.items():
+                backend.slow = factor
+            for restart_at, downtime, gateway_index in zip(
+                RESTART_TIMES, downtimes, restart_order, strict=True
+            ):
+                await wait_until(restart_at)
+                if variant != "calm":
+                    await gateways[gateway_index].end()
+                    load_generator.down_since[gateway_index] = time.monotonic()
+                    await wait_until(restart_at + downtime)
+                    restart_durations.append(await gateways[gateway_index].start(discovery.document()))
+
+        await asyncio.gather(restart_gateways(), load_generator.run(started_at))
     finally:
-        for g in gateways:
-            await g.end()
-        for s in servers:
-            s.die()
-    names = {s.model.name for s in slow}
-    booked = clients.books(seen, {c.id: c for c in who})
+        for gateway in gateways:
+            await gateway.end()
+        for backend in backends:
+            backend.die()
+    slow_names = {backend.model.name for backend in slowdowns}
+    admissions = clients.books(arrivals, {c.id: c for c in customers})
     # Excludes, in every variant, requests for a gateway that is down or about to be killed.
-    away = [
-        (number, moment - IN_HAND, moment + down + STARTED)
-        for moment, down, number in zip(RESTARTS, downs, order, strict=True)
+    excluded = [
+        (gateway_index, restart_at - IN_FLIGHT_MARGIN, restart_at + downtime + STARTUP_TIME)
+        for restart_at, downtime, gateway_index in zip(RESTART_TIMES, downtimes, restart_order, strict=True)
     ]
     windows = []
-    for moment, down, number in zip(RESTARTS, downs, order, strict=True):
-        for length in WINDOWS:
-            low = moment + down + STARTED
-            inside = [
-                a
-                for a in asks
-                if low <= a.at < low + length
-                and not any(a.gateway == n and begin <= a.at < end for n, begin, end in away)
+    for restart_at, downtime, gateway_index in zip(RESTART_TIMES, downtimes, restart_order, strict=True):
+        for length in WINDOW_LENGTHS:
+            window_start = restart_at + downtime + STARTUP_TIME
+            included = [
+                request
+                for request in requests
+                if window_start <= request.at < window_start + length
+                and not any(
+                    request.gateway == index and begin <= request.at < end for index, begin, end in excluded
+                )
             ]
-            mine = [a for a in inside if a.gateway == number]
+            own = [request for request in included if request.gateway == gateway_index]
             windows.append(
                 {
-                    "restart": moment,
+                    "restart": restart_at,
                     "length": length,
-                    "asked": worth(inside),
-                    "served": worth(inside, "served"),
-                    "asked_there": worth(mine),
-                    "served_there": worth(mine, "served"),
+                    "asked": total_worth(included),
+                    "served": total_worth(included, "served"),
+                    "asked_there": total_worth(own),
+                    "served_there": total_worth(own, "served"),
                     "beyond": sum(
-                        over for t, over, plan in booked if not plan and low <= t - wall < low + length
+                        is_over_quota
+                        for at, is_over_quota, plan in admissions
+                        if not plan and window_start <= at - wall_started_at < window_start + length
                     ),
                     "to_slow": sum(
                         1
-                        for a in seen
-                        if front.sent_to.get(a.request) == number
-                        and a.server in names
-                        and low <= a.at - wall < low + length
+                        for arrival in arrivals
+                        if load_generator.sent_to.get(arrival.request) == gateway_index
+                        and arrival.server in slow_names
+                        and window_start <= arrival.at - wall_started_at < window_start + length
                     ),
                 }
             )
     return {
         "seed": seed,
-        "arm": arm,
-        "every": every,
+        "arm": variant,
+        "every": write_interval,
         "windows": windows,
-        "starts": starts,
-        "reborn": reborn,
-        "asked": worth(asks),
-        "served": worth(asks, "served"),
-        "beyond": sum(over for _, over, plan in booked if not plan),
+        "starts": start_durations,
+        "reborn": restart_durations,
+        "asked": total_worth(requests),
+        "served": total_worth(requests, "served"),
+        "beyond": sum(is_over_quota for _, is_over_quota, plan in admissions if not plan),
         "outcomes": {
-            o: sum(a.outcome == o for a in asks) for o in ("served", "late", "refused", "failed", "")
+            outcome: sum(request.outcome == outcome for request in requests)
+            for outcome in ("served", "late", "refused", "failed", "")
         },
-        "fallen": sum(s.fallen for s in servers),
-        "late": round(time.monotonic() - began - SECONDS, 2),
+        "fallen": sum(backend.fallen for backend in backends),
+        "late": round(time.monotonic() - started_at - DURATION, 2),
     }
 
 
-def worth(asks: list[clients.Ask], outcome: str = "") -> float:
+def total_worth(requests: list[clients.Ask], outcome: str = "") -> float:
     """The total worth of the requests, or of those with that outcome."""
-    return round(sum(a.worth for a in asks if not outcome or a.outcome == outcome), 3)
+    return round(sum(request.worth for request in requests if not outcome or request.outcome == outcome), 3)
 
 
-def play_alone(seed: int, arm: str, every: float, load: str) -> dict[str, Any]:
+def run_in_temporary_folder(seed: int, variant: str, write_interval: float, load: str) -> dict[str, Any]:
     """Run one variant once in a temporary folder; the entry point of a child process."""
     folder = pathlib.Path(tempfile.mkdtemp(prefix="restarts-"))
     try:
-        return asyncio.run(play(seed, arm, folder, every, load))
+        return asyncio.run(run_variant(seed, variant, folder, write_interval, load))
     finally:
         shutil.rmtree(folder, ignore_errors=True)
 
 
 def play_all(
-    seeds: list[int], arms: list[str], every: float, load: str, together: int
+    seeds: list[int], variants: list[str], write_interval: float, load: str, max_processes: int
 ) -> list[dict[str, Any]]:
-    """Run every combination of seed and variant, each in its own process, at most `together` at a time."""
-    jobs = [(seed, arm) for seed in seeds for arm in arms]
+    """Run every combination of seed and variant, each in a process, at most `max_processes` at a time."""
+    jobs = [(seed, variant) for seed in seeds for variant in variants]
     running: list[tuple[int, str, subprocess.Popen[str]]] = []
     results = []
     while jobs or running:
-        while jobs and len(running) < together:
-            seed, arm = jobs.pop(0)
+        while jobs and len(running) < max_processes:
+            seed, variant = jobs.pop(0)
             running.append(
                 (
                     seed,
-                    arm,
+                    variant,
                     subprocess.Popen(
-                        [sys.executable, "-m", __name__, str(seed), arm, str(every), load],
+                        [sys.executable, "-m", __name__, str(seed), variant, str(write_interval), load],
                         stdout=subprocess.PIPE,
                         text=True,
                     ),
                 )
             )
-        seed, arm, process = running.pop(0)
-        said, _ = process.communicate()
+        seed, variant, process = running.pop(0)
+        output, _ = process.communicate()
         if process.returncode:
-            raise RuntimeError(f"run with seed {seed} of {arm} failed with exit code {process.returncode}")
-        results.append(json.loads(said))
+            raise RuntimeError(
+                f"run with seed {seed} of {variant} failed with exit code {process.returncode}"
+            )
+        results.append(json.loads(output))
     return results
 
 
 if __name__ == "__main__":
-    print(json.dumps(play_alone(int(sys.argv[1]), sys.argv[2], float(sys.argv[3]), sys.argv[4])))
+    print(json.dumps(run_in_temporary_folder(int(sys.argv[1]), sys.argv[2], float(sys.argv[3]), sys.argv[4])))
