--- a/corkdeal/experiment/slow_start.py
+++ b/corkdeal/experiment/slow_start.py
@@ -1,10 +1,11 @@
 """Simulates the slow start of a backend behind a fleet, in virtual time: is it overloaded, or underused?
 
 One backend starts. Each gateway that prefers it (`sharers`) has a `SlowStartBudget` of its own and attempts
-to send it every request, which is the highest demand that load balancing can put on the budget. `FallJudge`
-applies the operators' rule: a backend that warms up is overloaded by more than N + 2 sqrt(N) + 2 requests of
-mean work within `overload_window`, N being the number that the settings allow at that moment. The rule is
-broken if over two thirds of this work came from gateways that had been notified of the start.
+to send it every request, which is the highest demand that load balancing can put on the budget.
+`OverloadDetector` applies the operators' rule: a backend that warms up is overloaded by more than N + 2
+sqrt(N) + 2 requests of mean work within `overload_window`, N being the number that the settings allow at that
+moment. The rule is broken if over two thirds of this work came from gateways that had been notified of the
+start.
 
 Deterministic by seed; no I/O, no clock.
 """
@@ -24,20 +25,20 @@
 from ..decisions.settings import Plan, RequestClass, Settings
 from ..decisions.slow_start import SlowStartBudget
 
-SETTLE = 12.0  # s of load before the start, in which gateways measure their usual rate
-TOLD_PART = 2 / 3  # of the work in the window; if notified gateways sent more, an overload is a violation
-GIVEN_UP = 2.0  # s of work queued at the started backend, above which its clients have timed out
-MOST_PREFERRED, NARROW = 10, 8  # most backends a gateway prefers; largest tier in which it prefers all
-DOWN = 0.5  # s for which a restarted gateway is down
+SETTLE_TIME = 12.0  # s of load before the start, in which gateways measure their usual rate
+NOTIFIED_FRACTION = 2 / 3  # of the work in a window; an overload breaks the rule if they sent more
+TIMEOUT = 2.0  # s of work queued at the started backend, above which its clients have timed out
+MAX_PREFERRED, SMALL_TIER = 10, 8  # most backends a gateway prefers; largest tier in which it prefers all
+DOWNTIME = 0.5  # s for which a restarted gateway is down
 
 
 @dataclass(slots=True, frozen=True)
 class Burst:
-    """A period in which the load is `times` the usual one; less than 1 makes it a lull."""
+    """A period in which the load is `multiple` times the usual one; less than 1 makes it a lull."""
 
     at: float  # s after the start
-    lasts: float  # s
-    times: float
+    duration: float  # s
+    multiple: float
 
 
 @dataclass(slots=True, frozen=True)
@@ -45,31 +46,33 @@
     """The input of a simulation: the fleet, its load, and bursts and restarts while one backend warms up."""
 
     settings: Settings
-    servers: int
+    backends: int
     capacity: float  # s of work per second of an average warm backend
     size: float  # of the started backend, relative to the average
-    works: tuple[float, ...]  # s of work of a request, equally likely
+    work_choices: tuple[float, ...]  # s of work of a request, equally likely
     load: float  # as a fraction of the warm backends' capacity
     skew: float = 0.0  # exponent of the Zipf distribution of the load over gateways
-    told_within: float = 0.0  # s after the start in which gateways are notified, at uniform times
-    returned: bool = False  # whether gateways not yet notified send to it as to a warm backend
+    notified_within: float = 0.0  # s after the start in which gateways are notified, at uniform times
+    assumed_warm: bool = False  # whether gateways not yet notified send to it as to a warm backend
     bursts: tuple[Burst, ...] = ()
     restarts: tuple[tuple[float, float], ...] = ()  # (s after the start, fraction of the gateways)
 
     @property
     def preferred(self) -> int:
         """The number of backends that each gateway prefers."""
-        return self.servers if self.settings.gateway_count <= NARROW else min(MOST_PREFERRED, self.servers)
+        return (
+            self.backends if self.settings.gateway_count <= SMALL_TIER else min(MAX_PREFERRED, self.backends)
+        )
 
     @property
     def sharers(self) -> float:
         """The mean number of gateways that prefer the started backend."""
-        return self.settings.gateway_count * self.preferred / self.servers
+        return self.settings.gateway_count * self.preferred / self.backends
 
     @property
     def mean_work(self) -> float:
         """Mean work of a request, s."""
-        return sum(self.works) / len(self.works)
+        return sum(self.work_choices) / len(self.work_choices)
 
     def warmth(self, age: float) -> float:
         """The fraction of its capacity that the settings assume at least at this age."""
@@ -84,10 +87,12 @@
 
     def segments(self) -> list[tuple[float, float, float]]:
         """The load over time as (begin, end, multiple of the usual load), in s after the start."""
-        marks = {-SETTLE, self.settings.warm_up_time}
-        marks.update(x for b in self.bursts for x in (b.at, b.at + b.lasts) if x < self.settings.warm_up_time)
+        marks = {-SETTLE_TIME, self.settings.warm_up_time}
+        marks.update(
+            x for b in self.bursts for x in (b.at, b.at + b.duration) if x < self.settings.warm_up_time
+        )
         return [
-            (a, b, math.prod(x.times for x in self.bursts if x.at <= a < x.at + x.lasts))
+            (a, b, math.prod(x.multiple for x in self.bursts if x.at <= a < x.at + x.duration))
             for a, b in itertools.pairwise(sorted(marks))
         ]
 
@@ -106,115 +111,121 @@
     worst: float = 0.0  # most work within a window, relative to the limit of the rule
 
 
-class FallJudge:
+class OverloadDetector:
     """Applies the operators' overload rule to one started backend."""
 
     def __init__(self, start: ColdStart) -> None:
         self.start, self.recent = start, deque[tuple[float, float, bool]]()
-        self.work = self.told_work = 0.0
+        self.work = self.notified_work = 0.0
         self.verdict = Verdict()
 
-    def sent(self, age: float, work: float, told: bool) -> None:
+    def count_request(self, age: float, work: float, is_notified: bool) -> None:
         """Count a request sent to the started backend."""
-        self.recent.append((age, work, told))
+        self.recent.append((age, work, is_notified))
         self.work += work
-        self.told_work += work * told
+        self.notified_work += work * is_notified
         while self.recent[0][0] <= age - self.start.settings.overload_window:
-            _, gone, was_told = self.recent.popleft()
-            self.work -= gone
-            self.told_work -= gone * was_told
+            _, expired_work, was_notified = self.recent.popleft()
+            self.work -= expired_work
+            self.notified_work -= expired_work * was_notified
         allowed = self.start.allowed(age)
         got = self.work / self.start.mean_work / (allowed + 2 * math.sqrt(allowed) + 2)
         self.verdict.worst = max(self.verdict.worst, got)
         if got > 1:
-            self.verdict.fell, self.verdict.broken = True, self.told_work > TOLD_PART * self.work
+            self.verdict.fell, self.verdict.broken = True, self.notified_work > NOTIFIED_FRACTION * self.work
 
 
-class Sharer:
+class SharingGateway:
     """One gateway that prefers the started backend: its budget, and when it is notified of the start."""
 
-    def __init__(self, start: ColdStart, told_at: float, seed: int) -> None:
-        self.start, self.told_at, self.sharers = start, told_at, start.sharers
+    def __init__(self, start: ColdStart, notified_at: float, seed: int) -> None:
+        self.start, self.notified_at, self.sharers = start, notified_at, start.sharers
         self.budget = SlowStartBudget(start.settings, random.Random(seed), start.mean_work)
-        self.server = BackendRecord(Endpoint("new", EndpointState.READY, started=0.0), first_seen_at=told_at)
-        self.server.endpoint = Endpoint("new", EndpointState.READY, started=1e-9)  # 0 means long ago
+        self.backend = BackendRecord(
+            Endpoint("new", EndpointState.READY, started=0.0), first_seen_at=notified_at
+        )
+        self.backend.endpoint = Endpoint("new", EndpointState.READY, started=1e-9)  # 0 means long ago
 
-    def sends(self, age: float, work: float) -> bool:
+    def try_send(self, age: float, work: float) -> bool:
         """Whether the budget permits this request to the started backend; spends the credit if so."""
-        may = self.budget.has_credit(self.server, age, work, self.sharers)
-        return may and self.budget.spend_credit(self.server, work)
+        has_credit = self.budget.has_credit(self.backend, age, work, self.sharers)
+        return has_credit and self.budget.spend_credit(self.backend, work)
 
 
 class Play:
     """Simulates one slow start with all gateways that prefer the started backend."""
 
     def __init__(self, start: ColdStart, seed: int) -> None:
-        self.start, self.chance, self.judge = start, random.Random(seed), FallJudge(start)
-        self.seeds, self.backlog, self.at = itertools.count(seed * 10_000), 0.0, 0.0
+        self.start, self.rng, self.detector = start, random.Random(seed), OverloadDetector(start)
+        self.seeds, self.backlog, self.advanced_to = itertools.count(seed * 10_000), 0.0, 0.0
         count = max(1, round(start.sharers))
-        weights = [1 / (1 + place) ** start.skew for place in range(count)]
+        weights = [1 / (1 + index) ** start.skew for index in range(count)]
         self.weights = list(itertools.accumulate(weights))
-        self.gateways = [self.gateway() for _ in range(count)]
-        self.back_at = [-math.inf] * count
+        self.gateways = [self.new_gateway() for _ in range(count)]
+        self.returns_at = [-math.inf] * count
 
-    def gateway(self, told_at: float | None = None) -> Sharer:
+    def new_gateway(self, notified_at: float | None = None) -> SharingGateway:
         """A gateway with a new budget that has measured no served work."""
-        told_at = self.chance.uniform(0.0, self.start.told_within) if told_at is None else told_at
-        return Sharer(self.start, told_at, next(self.seeds))
+        notified_at = (
+            self.rng.uniform(0.0, self.start.notified_within) if notified_at is None else notified_at
+        )
+        return SharingGateway(self.start, notified_at, next(self.seeds))
 
     def restart(self, age: float, share: float) -> None:
-        """Restart a fraction of the gateways; they return after `DOWN` with new budgets."""
-        for place in self.chance.sample(range(len(self.gateways)), round(share * len(self.gateways))):
-            self.back_at[place] = age + DOWN
-            self.gateways[place] = self.gateway(max(age + DOWN, self.gateways[place].told_at))
+        """Restart a fraction of the gateways; they return after `DOWNTIME` with new budgets."""
+        for index in self.rng.sample(range(len(self.gateways)), round(share * len(self.gateways))):
+            self.returns_at[index] = age + DOWNTIME
+            self.gateways[index] = self.new_gateway(max(age + DOWNTIME, self.gateways[index].notified_at))
 
     def arrivals(self) -> Iterator[tuple[float, float, int]]:
         """Yield the requests as (s after the start, multiple of the usual load, index of the gateway)."""
-        start, chance = self.start, self.chance
-        usual = start.load * start.capacity * start.preferred / start.mean_work
-        for begin, end, times in start.segments():
+        start, rng = self.start, self.rng
+        usual_rate = start.load * start.capacity * start.preferred / start.mean_work
+        for begin, end, load_multiple in start.segments():
             age = begin
-            while times > 0 and (age := age + chance.expovariate(usual * times)) < end:
-                yield age, times, bisect.bisect(self.weights, chance.random() * self.weights[-1])
-
-    def advance(self, age: float, times: float) -> None:
-        """Advance the started backend to `age`; the load meanwhile was `times` the usual one."""
-        start, judge = self.start, self.judge
-        past, self.at = age - self.at, age
-        able = start.capacity * start.size * start.warmth(age) * past
+            while load_multiple > 0 and (age := age + rng.expovariate(usual_rate * load_multiple)) < end:
+                yield age, load_multiple, bisect.bisect(self.weights, rng.random() * self.weights[-1])
+
+    def advance(self, age: float, load_multiple: float) -> None:
+        """Advance the started backend to `age`; the load was `load_multiple` times the usual one."""
+        start, detector = self.start, self.detector
+        elapsed, self.advanced_to = age - self.advanced_to, age
+        able = start.capacity * start.size * start.warmth(age) * elapsed
         done = min(self.backlog, able)
         self.backlog -= done
-        judge.verdict.done += done
-        judge.verdict.able += able
-        judge.verdict.due += able * min(1.0, start.load * times)
-        judge.verdict.allowed += start.allowed(age) * start.mean_work * past / start.settings.overload_window
-
-    def send(self, age: float, work: float, told: bool) -> bool:
+        detector.verdict.done += done
+        detector.verdict.able += able
+        detector.verdict.due += able * min(1.0, start.load * load_multiple)
+        detector.verdict.allowed += (
+            start.allowed(age) * start.mean_work * elapsed / start.settings.overload_window
+        )
+
+    def send(self, age: float, work: float, is_notified: bool) -> bool:
         """Send a request to the started backend; returns whether it will be answered in time."""
-        self.judge.sent(age, work, told)
-        self.judge.verdict.sent += work
-        in_time = self.backlog < GIVEN_UP * self.start.capacity * self.start.size * self.start.warmth(age)
+        self.detector.count_request(age, work, is_notified)
+        self.detector.verdict.sent += work
+        in_time = self.backlog < TIMEOUT * self.start.capacity * self.start.size * self.start.warmth(age)
         self.backlog += work * in_time
         return in_time
 
     def run(self) -> Verdict:
         """Simulate until the backend is warm or overloaded."""
-        start, chance, verdict = self.start, self.chance, self.judge.verdict
+        start, rng, verdict = self.start, self.rng, self.detector.verdict
         restarts = deque(sorted(start.restarts))
-        for age, times, place in self.arrivals():
+        for age, load_multiple, index in self.arrivals():
             while restarts and restarts[0][0] <= age:
                 self.restart(*restarts.popleft())
-            gateway, work = self.gateways[place], chance.choice(start.works)
-            if age < self.back_at[place]:
+            gateway, work = self.gateways[index], rng.choice(start.work_choices)
+            if age < self.returns_at[index]:
                 continue
-            able = self.able(age)
+            able = self.preferred_capacity(age)
             warm = start.preferred - (age > 0)  # warm backends, which may be overloaded
-            answered = chance.random() * start.load * times * start.preferred < warm
+            answered = rng.random() * start.load * load_multiple * start.preferred < warm
             if age > 0:
-                self.advance(age, times)
-                told = age >= gateway.told_at
-                if gateway.sends(age, work) if told else self.unaware():
-                    answered = self.send(age, work, told)
+                self.advance(age, load_multiple)
+                is_notified = age >= gateway.notified_at
+                if gateway.try_send(age, work) if is_notified else self.sends_unnotified():
+                    answered = self.send(age, work, is_notified)
                     if verdict.fell:
                         return verdict
             if answered:
@@ -222,53 +233,51 @@
         self.advance(start.settings.warm_up_time, 1.0)
         return verdict
 
-    def able(self, age: float) -> float:
+    def preferred_capacity(self, age: float) -> float:
         """The capacity of the backends that a gateway prefers, in warm backends."""
         return self.start.preferred - (1 - self.start.warmth(age) if age > 0 else 0.0)
 
-    def unaware(self) -> bool:
-        """Whether a gateway not yet notified sends a request there: an even part of them if `returned`."""
-        return self.start.returned and self.chance.random() * self.start.preferred < 1
+    def sends_unnotified(self) -> bool:
+        """Whether a gateway not notified sends a request there; if `assumed_warm`, an even part of them."""
+        return self.start.assumed_warm and self.rng.random() * self.start.preferred < 1
 
 
-def draw(gateways: int, chance: random.Random) -> ColdStart:
+def draw(gateways: int, rng: random.Random) -> ColdStart:
     """Draw the input of a simulation for a tier of that size: backends, load, lull and burst, restarts."""
-    widest = max(12, 2 * gateways if gateways <= 200 else gateways // 2)
-    rate = math.exp(chance.uniform(math.log(4), math.log(40)))  # requests per second of a warm backend
-    capacity = chance.choice((1, 2, 3, 4, 8)) * chance.uniform(0.7, 1.5)
-    shape = chance.choice(((1.0,), (0.8, 1.0, 1.2), (0.5, 1.5), (0.4, 0.8, 1.8)))
-    warm_within = chance.uniform(8.0, 18.0)
+    max_backends = max(12, 2 * gateways if gateways <= 200 else gateways // 2)
+    rate = math.exp(rng.uniform(math.log(4), math.log(40)))  # requests per second of a warm backend
+    capacity = rng.choice((1, 2, 3, 4, 8)) * rng.uniform(0.7, 1.5)
+    work_factors = rng.choice(((1.0,), (0.8, 1.0, 1.2), (0.5, 1.5), (0.4, 0.8, 1.8)))
+    warm_up_time = rng.uniform(8.0, 18.0)
     settings = Settings(
         0,
         gateways,
         (RequestClass(1.0, 3.0),),
         (Plan(1.0),),
-        overload_multiple=chance.choice((2.0, 3.0, 4.0)),
-        overload_window=chance.choice((1.0, 1.5, 2.0)),
-        initial_capacity=chance.uniform(0.15, 0.4),
-        warm_up_time=warm_within,
+        overload_multiple=rng.choice((2.0, 3.0, 4.0)),
+        overload_window=rng.choice((1.0, 1.5, 2.0)),
+        initial_capacity=rng.uniform(0.15, 0.4),
+        warm_up_time=warm_up_time,
     )
-    quiet = chance.uniform(0.3, warm_within - 4)  # s after the start at which a lull begins
-    lull = chance.uniform(0.3, 2.0)
+    lull_at = rng.uniform(0.3, warm_up_time - 4)  # s after the start at which a lull begins
+    lull_duration = rng.uniform(0.3, 2.0)
     bursts = (
-        Burst(quiet, lull, chance.choice((0.0, 0.3, 1.0))),
-        Burst(quiet + lull, chance.uniform(0.5, 4.0), chance.choice((1.5, 2.0, 3.0, 5.0))),
+        Burst(lull_at, lull_duration, rng.choice((0.0, 0.3, 1.0))),
+        Burst(lull_at + lull_duration, rng.uniform(0.5, 4.0), rng.choice((1.5, 2.0, 3.0, 5.0))),
     )
-    restarts = [
-        (chance.uniform(0.0, warm_within), chance.uniform(0.05, 0.3)) for _ in range(chance.randrange(4))
-    ]
-    if chance.random() < 0.2:
-        restarts.append((chance.uniform(-1.0, 3.0), chance.uniform(0.7, 1.0)))
+    restarts = [(rng.uniform(0.0, warm_up_time), rng.uniform(0.05, 0.3)) for _ in range(rng.randrange(4))]
+    if rng.random() < 0.2:
+        restarts.append((rng.uniform(-1.0, 3.0), rng.uniform(0.7, 1.0)))
     return ColdStart(
         settings,
-        servers=round(math.exp(chance.uniform(math.log(10), math.log(widest)))),
+        backends=round(math.exp(rng.uniform(math.log(10), math.log(max_backends)))),
         capacity=capacity,
-        size=chance.uniform(0.7, 1.3),
-        works=tuple(capacity / rate * x for x in shape),
-        load=chance.uniform(0.4, 1.1),
-        skew=chance.choice((0.0, 0.5, 0.8, 1.2)),
-        told_within=chance.choice((0.0, 0.5, 2.0, 5.0)),
-        returned=chance.random() < 0.5,
+        size=rng.uniform(0.7, 1.3),
+        work_choices=tuple(capacity / rate * x for x in work_factors),
+        load=rng.uniform(0.4, 1.1),
+        skew=rng.choice((0.0, 0.5, 0.8, 1.2)),
+        notified_within=rng.choice((0.0, 0.5, 2.0, 5.0)),
+        assumed_warm=rng.random() < 0.5,
         bursts=bursts,
         restarts=tuple(restarts),
     )
--- a/tests/test_slow_start_judge.py
+++ b/tests/test_slow_start_judge.py
@@ -6,10 +6,10 @@
 import pytest
 
 from corkdeal.decisions.settings import Settings
-from corkdeal.experiment.slow_start import Burst, ColdStart, FallJudge, Play, draw
+from corkdeal.experiment.slow_start import Burst, ColdStart, OverloadDetector, Play, draw
 
 
-def cold_start(gateways=40, servers=40, **more):
+def cold_start(gateways=40, backends=40, **more):
     settings = Settings(
         0,
         gateways,
@@ -20,8 +20,8 @@
         initial_capacity=0.25,
         warm_up_time=16.0,
     )
-    given = {"capacity": 4.0, "size": 1.0, "works": (0.25,), "load": 0.8}
-    return ColdStart(settings, servers, **{**given, **more})
+    given = {"capacity": 4.0, "size": 1.0, "work_choices": (0.25,), "load": 0.8}
+    return ColdStart(settings, backends, **{**given, **more})
 
 
 @pytest.mark.parametrize(
@@ -36,48 +36,48 @@
         ([(16.0, 83, True)], True, True),
     ],
 )
-def test_a_server_falls_by_the_rule(sent, fell, broken):
-    judge = FallJudge(cold_start())
-    for age, requests, told in sent:
+def test_overload_is_judged_by_the_rule(sent, fell, broken):
+    detector = OverloadDetector(cold_start())
+    for age, requests, is_notified in sent:
         for _ in range(requests):
-            if not judge.verdict.fell:
-                judge.sent(age, 0.25, told)
-    assert (judge.verdict.fell, judge.verdict.broken) == (fell, broken)
+            if not detector.verdict.fell:
+                detector.count_request(age, 0.25, is_notified)
+    assert (detector.verdict.fell, detector.verdict.broken) == (fell, broken)
 
 
-class AllIsSent:
+class UnlimitedBudget:
     """A budget without a limit."""
 
-    def sends(self, age, work):
+    def try_send(self, age, work):
         return True
 
 
-class NothingIsSent:
+class EmptyBudget:
     """A budget without credit."""
 
-    def sends(self, age, work):
+    def try_send(self, age, work):
         return False
 
 
 def with_budget(kind, **more):
     play = Play(cold_start(**more), seed=1)
     for gateway in play.gateways:
-        gateway.sends = kind().sends
+        gateway.try_send = kind().try_send
     return play.run()
 
 
 def test_a_budget_without_bounds_breaks_the_rule_and_an_empty_one_does_nothing():
-    assert with_budget(AllIsSent).broken
-    verdict = with_budget(NothingIsSent)
+    assert with_budget(UnlimitedBudget).broken
+    verdict = with_budget(EmptyBudget)
     assert not verdict.fell and verdict.done == verdict.sent == 0 and verdict.able > 0
 
 
-def test_what_gateways_that_were_not_told_send_is_no_break():
-    verdict = with_budget(NothingIsSent, told_within=1e6, returned=True, load=3.0)
+def test_an_overload_by_gateways_not_notified_is_no_violation():
+    verdict = with_budget(EmptyBudget, notified_within=1e6, assumed_warm=True, load=3.0)
     assert verdict.fell and not verdict.broken
 
 
-def test_a_lull_a_burst_and_restarts_are_played():
+def test_lulls_bursts_and_restarts_are_simulated():
     bursts = (Burst(2.0, 1.0, 0.0), Burst(3.0, 1.0, 3.0))
     play = Play(cold_start(bursts=bursts, restarts=((6.0, 1.0),)), seed=1)
     first = list(play.gateways)
@@ -91,9 +91,9 @@
 
 
 @pytest.mark.parametrize("gateways", [5, 30, 200, 1100])
-def test_what_is_drawn_holds_the_sizes_and_is_the_same_again(gateways):
+def test_drawn_starts_have_the_tier_size_and_are_reproducible(gateways):
     starts = [draw(gateways, random.Random(n)) for n in range(20)]
     assert starts == [draw(gateways, random.Random(n)) for n in range(20)]
-    assert {s.settings.gateway_count for s in starts} == {gateways} and len({s.servers for s in starts}) > 2
-    short = replace(starts[0], works=(starts[0].mean_work,))
+    assert {s.settings.gateway_count for s in starts} == {gateways} and len({s.backends for s in starts}) > 2
+    short = replace(starts[0], work_choices=(starts[0].mean_work,))
     assert Play(short, 3).run() == Play(short, 3).run()
