--- a/corkdeal/experiment/members.py
+++ b/corkdeal/experiment/members.py
@@ -41,154 +41,158 @@
 
 STEP = 0.05  # s
 CUSTOMER = 7
-LIST = EndpointUpdate(UpdateKind.COMPLETE, (Endpoint("a", EndpointState.READY),))
-PAUSE_EVERY, PAUSE_LEAST, PAUSE_MOST = 10.0, 0.2, 1.9  # s, interval and length of a member's pauses
+ENDPOINT_LIST = EndpointUpdate(UpdateKind.COMPLETE, (Endpoint("a", EndpointState.READY),))
+PAUSE_INTERVAL, MIN_PAUSE, MAX_PAUSE = 10.0, 0.2, 1.9  # s, interval and length of a member's pauses
 SETTLE = 5.0  # s before the first fault or observation
-HELD, HEALED = 1.5, 8.0  # s, length of each exploration step, and of the time without faults after it
-Pair = tuple[int, int]
+STEP_DURATION, RECOVERY_DURATION = 1.5, 8.0  # s, of a step, and of the time without faults after the last
+Link = tuple[int, int]
 
 
 class World:
     """A simulated tier whose links and processes can be made to fail."""
 
     def __init__(self, gateways: int, spread: int, seed: int, loss: float = 0.0) -> None:
-        self.size, self.spread, self.loss = gateways, min(spread, gateways), loss
-        self.chance, self.now, self.number = random.Random(seed), 1000.0, 0
+        self.gateway_count, self.spread, self.loss = gateways, min(spread, gateways), loss
+        self.rng, self.now, self.number = random.Random(seed), 1000.0, 0
         self.up: dict[int, Gateway] = {}
-        self.flight: list[tuple[float, int, int, int, bytes]] = []
-        self.cut: frozenset[Pair] = frozenset()
-        self.still: dict[int, tuple[float, float]] = {}  # paused gateways: since when, until when
-        self.sent = self.bytes = self.lost = 0
-        for me in range(gateways):
-            self.start(me)
-
-    def start(self, me: int) -> None:
+        self.in_flight: list[tuple[float, int, int, int, bytes]] = []
+        self.cut_links: frozenset[Link] = frozenset()
+        self.paused: dict[int, tuple[float, float]] = {}  # paused gateways: since when, until when
+        self.sent = self.bytes_sent = self.lost = 0
+        for index in range(gateways):
+            self.start(index)
+
+    def start(self, index: int) -> None:
         """Start a gateway without persisted state."""
-        made = new_gateway(me, self.size)
-        made.membership = Members(made, is_later)
-        self.up[me] = made
-        self.take(me, made.handle(self.now, [LIST]))
+        gateway = new_gateway(index, self.gateway_count)
+        gateway.membership = Members(gateway, is_later)
+        self.up[index] = gateway
+        self.perform(index, gateway.handle(self.now, [ENDPOINT_LIST]))
 
-    def ask(self, me: int, first: int) -> None:
+    def ask(self, index: int, first: int) -> None:
         """Send one request to gateway `me`, for the customer whose ring begins at gateway `first`."""
         self.number += 1
-        e = Request(self.number, CUSTOMER + first, 0, 0, 0.1, first, self.spread, 3.0)
-        actions = self.up[me].handle(self.now, [e])
-        self.take(me, actions)
+        request = Request(self.number, CUSTOMER + first, 0, 0, 0.1, first, self.spread, 3.0)
+        actions = self.up[index].handle(self.now, [request])
+        self.perform(index, actions)
         for a in actions:
             if isinstance(a, StartAttempt):
                 served = AttemptEnded(a.id, 0, a.backend, Status.OK, 0.1, True)
-                self.take(me, self.up[me].handle(self.now, [served]))
+                self.perform(index, self.up[index].handle(self.now, [served]))
 
-    def take(self, me: int, actions: Iterable[Action]) -> None:
+    def perform(self, index: int, actions: Iterable[Action]) -> None:
         """Put a gateway's messages in flight, unless they are lost."""
         for a in actions:
             if isinstance(a, SendToPeer) and a.peer is not None:
-                self.sent, self.bytes = self.sent + 1, self.bytes + len(a.payload)
-                if (me, a.peer) in self.cut or self.chance.random() < self.loss:
+                self.sent, self.bytes_sent = self.sent + 1, self.bytes_sent + len(a.payload)
+                if (index, a.peer) in self.cut_links or self.rng.random() < self.loss:
                     self.lost += 1
                     continue
                 self.number += 1
-                due = self.now + self.chance.uniform(0.001, 0.03)
-                heapq.heappush(self.flight, (due, self.number, me, a.peer, a.payload))
+                due = self.now + self.rng.uniform(0.001, 0.03)
+                heapq.heappush(self.in_flight, (due, self.number, index, a.peer, a.payload))
 
-    def pause(self, me: int, seconds: float) -> None:
+    def pause(self, index: int, seconds: float) -> None:
         """Pause a gateway from now on."""
-        self.still[me] = self.now, self.now + seconds
+        self.paused[index] = self.now, self.now + seconds
 
     def step(self) -> None:
         """Advance time by `STEP`: end pauses that are over, deliver messages, and run the timers."""
         self.now += STEP
-        for me, (since, until) in list(self.still.items()):
+        for index, (since, until) in list(self.paused.items()):
             if self.now >= until:
-                del self.still[me]
-                if (gap := self.now - since) >= MIN_STALL and me in self.up:
-                    self.flight = [m for m in self.flight if m[3] != me or m[0] > self.now]
-                    heapq.heapify(self.flight)
-                    resume_after_stall(self.up[me], self.now, gap)
-        waiting = []
-        while self.flight and self.flight[0][0] <= self.now:
-            message = heapq.heappop(self.flight)
-            _, _, sender, to, payload = message
-            if to in self.still:
-                waiting.append(message)
-            elif to in self.up:
-                self.take(to, self.up[to].handle(self.now, [PeerMessage(sender, payload)]))
-        for message in waiting:
-            heapq.heappush(self.flight, message)
-        for me, g in self.up.items():
-            if me not in self.still:
-                self.take(me, g.handle(self.now, [TimerExpired(0)]))
+                del self.paused[index]
+                if (stall_time := self.now - since) >= MIN_STALL and index in self.up:
+                    self.in_flight = [m for m in self.in_flight if m[3] != index or m[0] > self.now]
+                    heapq.heapify(self.in_flight)
+                    resume_after_stall(self.up[index], self.now, stall_time)
+        delayed = []
+        while self.in_flight and self.in_flight[0][0] <= self.now:
+            message = heapq.heappop(self.in_flight)
+            _, _, sender, receiver, payload = message
+            if receiver in self.paused:
+                delayed.append(message)
+            elif receiver in self.up:
+                self.perform(receiver, self.up[receiver].handle(self.now, [PeerMessage(sender, payload)]))
+        for message in delayed:
+            heapq.heappush(self.in_flight, message)
+        for index, g in self.up.items():
+            if index not in self.paused:
+                self.perform(index, g.handle(self.now, [TimerExpired(0)]))
 
     def run(self, seconds: float) -> None:
         """Advance time by so many seconds."""
         for _ in range(round(seconds / STEP)):
             self.step()
 
-    def join(self) -> None:
+    def introduce_neighbours(self) -> None:
         """Send each gateway a request for every ring that it is in, so that it knows its neighbours."""
-        for me in self.up:
-            for back in range(self.spread):
-                self.ask(me, (me - back) % self.size)
+        for index in self.up:
+            for offset in range(self.spread):
+                self.ask(index, (index - offset) % self.gateway_count)
 
-    def gone(self, member: int) -> int:
+    def count_detections(self, member: int) -> int:
         """The number of running gateways that consider a member dead."""
-        seen = [
+        reports = [
             g.membership.detector.members.get(member)
-            for me, g in self.up.items()
-            if me != member and me not in self.still
+            for index, g in self.up.items()
+            if index != member and index not in self.paused
         ]
-        return sum(m is not None and m.state == MemberState.DEAD for m in seen)
+        return sum(m is not None and m.state == MemberState.DEAD for m in reports)
 
-    def twice(self) -> list[str]:
+    def shares_spendable_twice(self) -> list[str]:
         """Quota shares that their owner and a borrower may spend at the same time, beyond the whole share."""
-        made = []
-        for me, g in self.up.items():
+        violations = []
+        for index, g in self.up.items():
             g.now = self.now
             for key, a in g.accounts.items():
-                if me in self.still or not a.ledgers:
+                if index in self.paused or not a.ledgers:
                     continue
-                heirs = [
-                    (i, h)
-                    for i, h in self.up.items()
-                    if i not in self.still and key in h.accounts and h.accounts[key].predecessor == me
+                borrowers = [
+                    (borrower, borrower_gateway)
+                    for borrower, borrower_gateway in self.up.items()
+                    if borrower not in self.paused
+                    and key in borrower_gateway.accounts
+                    and borrower_gateway.accounts[key].predecessor == index
                 ]
-                for i, h in heirs:
-                    h.now = self.now
+                for borrower, borrower_gateway in borrowers:
+                    borrower_gateway.now = self.now
                     if (
-                        part := g.membership.shares.own_fraction(a)
-                        + h.membership.shares.borrowed_fraction(h.accounts[key], me)
+                        fraction := g.membership.shares.own_fraction(a)
+                        + borrower_gateway.membership.shares.borrowed_fraction(
+                            borrower_gateway.accounts[key], index
+                        )
                     ) > 1 + 1e-9:
-                        made.append(
-                            f"{part:.2f} of {me}'s quota share may be spent together with {i} "
+                        violations.append(
+                            f"{fraction:.2f} of {index}'s quota share may be spent together with {borrower} "
                             f"at {self.now - 1000:.2f} s"
                         )
-        return made
+        return violations
 
 
-def deaths(gateways: int, spread: int, seed: int, loss: float, dead: int) -> dict[str, Any]:
+def deaths(gateways: int, spread: int, seed: int, loss: float, death_count: int) -> dict[str, Any]:
     """Kill `dead` members one after the other; seconds until 99% of the others detected each death."""
     world = World(gateways, spread, seed, loss)
-    world.join()
+    world.introduce_neighbours()
     world.run(SETTLE)
-    took = []
-    for _ in range(dead):
-        member = world.chance.randrange(gateways)
+    detection_times = []
+    for _ in range(death_count):
+        member = world.rng.randrange(gateways)
         del world.up[member]
         at = world.now
-        while world.gone(member) < 0.99 * (len(world.up)) and world.now < at + 60.0:
+        while world.count_detections(member) < 0.99 * (len(world.up)) and world.now < at + 60.0:
             world.step()
-        took.append(world.now - at)
+        detection_times.append(world.now - at)
         world.start(member)
         world.run(SETTLE)
-    took = [round(s, 2) for s in sorted(took)]
+    detection_times = [round(s, 2) for s in sorted(detection_times)]
     return {
         "gateways": gateways,
         "loss": loss,
-        "deaths": dead,
-        "known_s": took,
-        "median_s": round(statistics.median(took), 2),
-        "most_s": took[-1],
+        "deaths": death_count,
+        "known_s": detection_times,
+        "median_s": round(statistics.median(detection_times), 2),
+        "most_s": detection_times[-1],
     }
 
 
@@ -197,86 +201,87 @@
 ) -> dict[str, Any]:
     """False alarms while no member dies, and the cost of membership in messages and CPU time."""
     world = World(gateways, spread, seed, loss)
-    world.join()
+    world.introduce_neighbours()
     world.run(SETTLE)
-    sent, total, lapses = (
+    sent_before, bytes_before, lease_losses_before = (
         world.sent,
-        world.bytes,
+        world.bytes_sent,
         sum(g.membership.shares.lease_losses for g in world.up.values()),
     )
-    wrong: Counter[int] = Counter()
+    false_alarms: Counter[int] = Counter()
     before = {(i, j): False for i in range(gateways) for j in range(gateways)}
-    began, cpu = world.now, time.process_time()
-    next_pause = [world.now + world.chance.expovariate(1 / PAUSE_EVERY) for _ in range(gateways)]
-    looked = 0
-    while world.now < began + seconds:
-        for me in range(gateways) if pauses else ():
-            if world.now >= next_pause[me] and me not in world.still:
-                world.pause(me, world.chance.uniform(PAUSE_LEAST, PAUSE_MOST))
-                next_pause[me] = world.now + PAUSE_MOST + world.chance.expovariate(1 / PAUSE_EVERY)
+    started_at, cpu = world.now, time.process_time()
+    next_pauses = [world.now + world.rng.expovariate(1 / PAUSE_INTERVAL) for _ in range(gateways)]
+    step_count = 0
+    while world.now < started_at + seconds:
+        for index in range(gateways) if pauses else ():
+            if world.now >= next_pauses[index] and index not in world.paused:
+                world.pause(index, world.rng.uniform(MIN_PAUSE, MAX_PAUSE))
+                next_pauses[index] = world.now + MAX_PAUSE + world.rng.expovariate(1 / PAUSE_INTERVAL)
         world.step()
-        looked += 1
-        if looked % 5 == 0:
+        step_count += 1
+        if step_count % 5 == 0:
             for i, g in world.up.items():
                 for j, m in g.membership.detector.members.items():
                     if (m.state == MemberState.DEAD) and not before[i, j]:
-                        wrong[j] += 1
+                        false_alarms[j] += 1
                     before[i, j] = m.state == MemberState.DEAD
-    spent = time.process_time() - cpu
+    cpu_time = time.process_time() - cpu
     hours = gateways * seconds / 3600
     return {
         "gateways": gateways,
         "loss": loss,
         "pauses": pauses,
         "member_hours": round(hours, 2),
-        "gone_wrongly": wrong.total(),
-        "members_gone_wrongly": len(wrong),
-        "slices_unsure": sum(g.membership.shares.lease_losses for g in world.up.values()) - lapses,
-        "messages_per_gateway_s": round((world.sent - sent) / gateways / seconds, 1),
-        "bytes_per_gateway_s": round((world.bytes - total) / gateways / seconds),
-        "cpu_part_of_a_core": round(spent / gateways / seconds, 4),
+        "gone_wrongly": false_alarms.total(),
+        "members_gone_wrongly": len(false_alarms),
+        "slices_unsure": sum(g.membership.shares.lease_losses for g in world.up.values())
+        - lease_losses_before,
+        "messages_per_gateway_s": round((world.sent - sent_before) / gateways / seconds, 1),
+        "bytes_per_gateway_s": round((world.bytes_sent - bytes_before) / gateways / seconds),
+        "cpu_part_of_a_core": round(cpu_time / gateways / seconds, 4),
     }
 
 
 class Way(NamedTuple):
-    """One step of an exploration: the directed links cut and the gateways paused for HELD seconds."""
+    """One step of an exploration: links cut and gateways paused for STEP_DURATION seconds."""
 
     name: str
-    cut: frozenset[Pair]
-    still: tuple[int, ...] = ()
+    cut_links: frozenset[Link]
+    paused: tuple[int, ...] = ()
 
 
 def ways(gateways: int) -> list[Way]:
     """All steps: no fault; a link cut in one or both directions; a gateway cut off likewise, or paused."""
-    everyone = range(gateways)
-    made = [Way("clear", frozenset())]
-    made += [Way(f"{i}>{j}", frozenset({(i, j)})) for i, j in itertools.permutations(everyone, 2)]
-    made += [Way(f"{i}|{j}", frozenset({(i, j), (j, i)})) for i, j in itertools.combinations(everyone, 2)]
-    for i in everyone:
-        out = frozenset((i, j) for j in everyone if j != i)
-        back = frozenset((j, i) for j in everyone if j != i)
-        made += [
-            Way(f"{i} unheard", out),
-            Way(f"{i} deaf", back),
-            Way(f"{i} apart", out | back),
+    members = range(gateways)
+    steps = [Way("clear", frozenset())]
+    steps += [Way(f"{i}>{j}", frozenset({(i, j)})) for i, j in itertools.permutations(members, 2)]
+    steps += [Way(f"{i}|{j}", frozenset({(i, j), (j, i)})) for i, j in itertools.combinations(members, 2)]
+    for i in members:
+        outgoing = frozenset((i, j) for j in members if j != i)
+        incoming = frozenset((j, i) for j in members if j != i)
+        steps += [
+            Way(f"{i} unheard", outgoing),
+            Way(f"{i} deaf", incoming),
+            Way(f"{i} apart", outgoing | incoming),
             Way(f"{i} still", frozenset(), (i,)),
         ]
-    return made
+    return steps
 
 
-def follow(world: World, way: Way) -> list[str]:
+def follow(world: World, step: Way) -> list[str]:
     """Apply one step; returns the quota shares that could be spent twice during it."""
-    world.cut, made = way.cut, []
-    for me in way.still:
-        world.pause(me, HELD)
-    for tick in range(round(HELD / STEP)):
+    world.cut_links, violations = step.cut_links, []
+    for index in step.paused:
+        world.pause(index, STEP_DURATION)
+    for tick in range(round(STEP_DURATION / STEP)):
         world.step()
         if tick % 10 == 0:
-            for me in world.up:
-                if me not in world.still:
-                    world.ask(me, 0)
-        made += world.twice()
-    return made
+            for index in world.up:
+                if index not in world.paused:
+                    world.ask(index, 0)
+        violations += world.shares_spendable_twice()
+    return violations
 
 
 def walk(world: World, depth: int, path: tuple[str, ...] = ()) -> Iterator[tuple[tuple[str, ...], list[str]]]:
@@ -284,63 +289,67 @@
 
     For sequences of full length they include those after the faults have ended.
     """
-    for way in ways(world.size):
-        after = copy.deepcopy(world)
-        faults = follow(after, way)
-        here = (*path, way.name)
+    for step in ways(world.gateway_count):
+        branch = copy.deepcopy(world)
+        violations = follow(branch, step)
+        sequence = (*path, step.name)
         if depth > 1:
-            yield here, faults
-            yield from walk(after, depth - 1, here)
+            yield sequence, violations
+            yield from walk(branch, depth - 1, sequence)
             continue
-        for _ in range(round(HEALED / HELD)):
-            faults += follow(after, Way("clear", frozenset()))
-        for me, g in after.up.items():
-            g.now = after.now
+        for _ in range(round(RECOVERY_DURATION / STEP_DURATION)):
+            violations += follow(branch, Way("clear", frozenset()))
+        for index, g in branch.up.items():
+            g.now = branch.now
             a = g.accounts[CUSTOMER]
-            if not g.membership.is_share_exclusive(a) or g.membership.takeover.members or after.gone(me):
-                faults.append(
-                    f"{me} holds no exclusive share, still borrows one, or counts as dead, "
+            if (
+                not g.membership.is_share_exclusive(a)
+                or g.membership.takeover.members
+                or branch.count_detections(index)
+            ):
+                violations.append(
+                    f"{index} holds no exclusive share, still borrows one, or counts as dead, "
                     "although all faults have ended"
                 )
-        yield here, faults
+        yield sequence, violations
 
 
-def part(gateways: int, depth: int, first: int) -> tuple[int, list[str]]:
+def check_sequences_from(gateways: int, depth: int, first: int) -> tuple[int, list[str]]:
     """Check the sequences that begin with step number `first`; returns their count and the violations.
 
     Each process of the pool takes one first step.
     """
     world = World(gateways, 3, 1)
-    for me in world.up:
-        world.ask(me, 0)
+    for index in world.up:
+        world.ask(index, 0)
     world.run(SETTLE)
-    way, seen, found = ways(gateways)[first], 0, []
-    found += follow(world, way)
-    for path, faults in walk(world, depth - 1, (way.name,)):
-        seen += 1
-        found += [f"{fault}, after {', '.join(path)}" for fault in faults]
-    return seen, found
+    step, count, violations = ways(gateways)[first], 0, []
+    violations += follow(world, step)
+    for path, step_violations in walk(world, depth - 1, (step.name,)):
+        count += 1
+        violations += [f"{violation}, after {', '.join(path)}" for violation in step_violations]
+    return count, violations
 
 
-def explore(gateways: int, depth: int, together: int) -> dict[str, Any]:
+def explore(gateways: int, depth: int, processes: int) -> dict[str, Any]:
     """Check all sequences of `depth` steps; returns counts and the first violations."""
     import concurrent.futures
 
     count = len(ways(gateways))
-    with concurrent.futures.ProcessPoolExecutor(together) as pool:
-        made = list(pool.map(part, [gateways] * count, [depth] * count, range(count)))
-    faults = [f for _, found in made for f in found]
+    with concurrent.futures.ProcessPoolExecutor(processes) as pool:
+        results = list(pool.map(check_sequences_from, [gateways] * count, [depth] * count, range(count)))
+    violations = [violation for _, texts in results for violation in texts]
     return {
         "gateways": gateways,
         "depth": depth,
         "ways": count,
-        "orders": sum(n for n, _ in made),
-        "faults": len(faults),
-        "first": faults[:10],
+        "orders": sum(n for n, _ in results),
+        "faults": len(violations),
+        "first": violations[:10],
     }
 
 
-def measure(sizes: list[int], hours: float, together: int) -> dict[str, Any]:
+def measure(sizes: list[int], hours: float, processes: int) -> dict[str, Any]:
     """Detection delays and false alarms by tier size and loss.
 
     A row of false alarms covers `hours` member-hours, or a quarter of them above 20 gateways, where one seed
@@ -348,31 +357,34 @@
     """
     import concurrent.futures
 
-    with concurrent.futures.ProcessPoolExecutor(together) as pool:
-        killed = [
+    with concurrent.futures.ProcessPoolExecutor(processes) as pool:
+        death_runs = [
             pool.submit(deaths, n, 6, 1, loss, 3 if n > 100 else 10) for n in sizes for loss in (0.0, 0.12)
         ]
-        quiet = [
+        alarm_runs = [
             pool.submit(alarms, n, 6, seed, loss, pauses, 3600 * hours / n / 4)
             for n in sizes
             for loss in (0.0, 0.05, 0.12, 0.3)
             for pauses in (False, True)
             for seed in range(4 if n <= 20 else 1)
         ]
-        return {"deaths": [f.result() for f in killed], "alarms": added([f.result() for f in quiet])}
+        return {
+            "deaths": [f.result() for f in death_runs],
+            "alarms": merge_rows([f.result() for f in alarm_runs]),
+        }
 
 
-def added(rows: list[dict[str, Any]]) -> list[dict[str, Any]]:
+def merge_rows(rows: list[dict[str, Any]]) -> list[dict[str, Any]]:
     """Merge the rows of equal size, loss and pauses: counts are summed, rates averaged."""
     groups: dict[tuple[Any, ...], list[dict[str, Any]]] = {}
     for row in rows:
         groups.setdefault((row["gateways"], row["loss"], row["pauses"]), []).append(row)
-    made = []
-    for same in groups.values():
-        one = dict(same[0])
+    merged = []
+    for group in groups.values():
+        merged_row = dict(group[0])
         for key in ("member_hours", "gone_wrongly", "members_gone_wrongly", "slices_unsure"):
-            one[key] = round(sum(row[key] for row in same), 2)
+            merged_row[key] = round(sum(row[key] for row in group), 2)
         for key in ("messages_per_gateway_s", "bytes_per_gateway_s", "cpu_part_of_a_core"):
-            one[key] = round(statistics.mean(row[key] for row in same), 4)
-        made.append(one)
-    return made
+            merged_row[key] = round(statistics.mean(row[key] for row in group), 4)
+        merged.append(merged_row)
+    return merged
