--- a/corkdeal/experiment/schedule.py
+++ b/corkdeal/experiment/schedule.py
@@ -21,9 +21,9 @@
 from ..options.reader import Fault, OptionsError, parse_as, text_of
 from ..options.records import many, placed, setting
 
-MOST_GATEWAYS, MOST_SERVERS, MOST_SECONDS = 20, 60, 600.0
-FOLDERS = ("empty", "save", "older", "swap", "cut-short", "blocked", "freed", "hour-old", "full")
-SERVERS = ("slow", "well", "bad", "cold", "drain", "gone")
+MAX_GATEWAYS, MAX_SERVERS, MAX_SECONDS = 20, 60, 600.0
+FOLDER_CHANGES = ("empty", "save", "older", "swap", "cut-short", "blocked", "freed", "hour-old", "full")
+SERVER_CHANGES = ("slow", "well", "bad", "cold", "drain", "gone")
 
 
 def who(argument: int = 0) -> Any:
@@ -55,7 +55,7 @@
     double: float = setting(0.0, least=0.0, most=1.0)
     cut: bool = setting(False)
     both: bool = setting(False)  # also in the opposite direction
-    seconds: float = setting(MOST_SECONDS, least=0.0, most=MOST_SECONDS)
+    seconds: float = setting(MAX_SECONDS, least=0.0, most=MAX_SECONDS)
     place: Any = placed()
 
 
@@ -64,7 +64,7 @@
     """`folders`: changes to the persisted state of gateways."""
 
     gateways: str = who()
-    what: str = setting(choices=FOLDERS)
+    what: str = setting(choices=FOLDER_CHANGES)
     place: Any = placed()
 
 
@@ -88,7 +88,7 @@
     reset: float = setting(0.0, least=0.0, most=1.0)
     slow: float = setting(0.0, least=0.0, most=10.0)
     late: float = setting(0.0, least=0.0, most=60.0)  # s by which discovery delays its updates
-    seconds: float = setting(MOST_SECONDS, least=0.0, most=MOST_SECONDS)
+    seconds: float = setting(MAX_SECONDS, least=0.0, most=MAX_SECONDS)
     place: Any = placed()
 
 
@@ -97,12 +97,12 @@
     """`servers`: changes to backends."""
 
     servers: str = who()
-    what: str = setting(choices=SERVERS)
+    what: str = setting(choices=SERVER_CHANGES)
     times: float = setting(4.0, least=1.0, most=100.0)  # factor for `slow`
     place: Any = placed()
 
 
-KINDS = {
+STEP_TYPES = {
     "kill": Process,
     "term": Process,
     "start": Process,
@@ -120,7 +120,7 @@
 class At:
     """`at 15.0`: the steps at that second, performed in the order of the file."""
 
-    second: float = setting(least=0.0, most=MOST_SECONDS, argument=0)
+    second: float = setting(least=0.0, most=MAX_SECONDS, argument=0)
     kill: tuple[Process, ...] = many(Process, "kill")
     term: tuple[Process, ...] = many(Process, "term")
     start: tuple[Process, ...] = many(Process, "start")
@@ -135,13 +135,13 @@
 
     def steps(self) -> Iterator[tuple[str, Any]]:
         """Each step with the name of its node, in the order of the file."""
-        made = [
+        positioned = [
             (step.place.at(), f.metadata["child"], step)
             for f in fields(self)
             if "many" in f.metadata
             for step in getattr(self, f.name)
         ]
-        yield from ((kind, step) for _, kind, step in sorted(made, key=lambda row: row[:2]))
+        yield from ((kind, step) for _, kind, step in sorted(positioned, key=lambda row: row[:2]))
 
 
 @dataclass(frozen=True, kw_only=True)
@@ -149,8 +149,8 @@
     """`timeline "name"`: steps at seconds after `begin`, run `repeat` times, `every` seconds apart."""
 
     name: str = setting(argument=0)
-    begin: float = setting(0.0, least=0.0, most=MOST_SECONDS)
-    every: float = setting(0.0, least=0.0, most=MOST_SECONDS)
+    begin: float = setting(0.0, least=0.0, most=MAX_SECONDS)
+    every: float = setting(0.0, least=0.0, most=MAX_SECONDS)
     repeat: int = setting(1, least=1, most=1000)
     at: tuple[At, ...] = many(At, "at")
     place: Any = placed()
@@ -160,16 +160,16 @@
 class Tier:
     """`tier`: the size of the tier, its load and its options."""
 
-    gateways: int = setting(5, least=2, most=MOST_GATEWAYS)
-    servers: int = setting(12, least=1, most=MOST_SERVERS)
+    gateways: int = setting(5, least=2, most=MAX_GATEWAYS)
+    servers: int = setting(12, least=1, most=MAX_SERVERS)
     load: float = setting(0.7, least=0.01, most=3.0)  # requests within quotas / backends' capacity
     greedy: float = setting(0.1, least=0.0, most=1.0)  # part of customers far beyond their quotas
-    seconds: float = setting(20.0, least=1.0, most=MOST_SECONDS)
+    seconds: float = setting(20.0, least=1.0, most=MAX_SECONDS)
     knowledge: bool = setting(False)  # whether gateways persist their state
     recovery: bool = setting(True)  # whether the options have `recovery`, in programs that support it
     membership: bool = setting(False)  # likewise for `membership`
     cold: float = setting(16.0, least=0.1, most=60.0)  # s in which a started backend warms up
-    settled: float = setting(5.0, least=0.5, most=MOST_SECONDS)  # s after which service counts as steady
+    settled: float = setting(5.0, least=0.5, most=MAX_SECONDS)  # s after which service counts as steady
     place: Any = placed()
 
 
@@ -201,23 +201,25 @@
     schedule, faults = parse_as(Schedule, text, path), []
     tier = schedule.tier or Tier()
 
-    def fault(place: Any, node: str, said: str) -> None:
-        faults.append(Fault(*place.at(), node, said))
+    def fault(place: Any, node: str, message: str) -> None:
+        faults.append(Fault(*place.at(), node, message))
 
-    for line in schedule.timelines:
-        if line.repeat > 1 and not line.every:
-            fault(line.place, "timeline", "`repeat` above 1 needs `every`, the interval in seconds")
-    for moment in (*schedule.at, *(at for line in schedule.timelines for at in line.at)):
+    for timeline in schedule.timelines:
+        if timeline.repeat > 1 and not timeline.every:
+            fault(timeline.place, "timeline", "`repeat` above 1 needs `every`, the interval in seconds")
+    for moment in (*schedule.at, *(at for timeline in schedule.timelines for at in timeline.at)):
         for kind, step in moment.steps():
-            for name, most in (
+            for name, count in (
                 ("gateways", tier.gateways),
                 ("sender", tier.gateways),
                 ("to", tier.gateways),
                 ("servers", tier.servers),
             ):
-                said = getattr(step, name, "all")
-                if not (good(said, most) or (kind == "door" and said == "discovery")):
-                    fault(step.place, f"{kind}.{name}", f"names nobody: {said!r:.40}; there are {most}")
+                selection = getattr(step, name, "all")
+                if not (
+                    is_valid_selection(selection, count) or (kind == "door" and selection == "discovery")
+                ):
+                    fault(step.place, f"{kind}.{name}", f"names nobody: {selection!r:.40}; there are {count}")
             if kind == "folders" and not tier.knowledge:
                 fault(step.place, kind, "gateways persist their state only with `tier knowledge=true`")
             if kind == "door" and step.late and step.servers != "discovery":
@@ -232,22 +234,24 @@
     return schedule
 
 
-def good(said: str, count: int) -> bool:
+def is_valid_selection(selection: str, count: int) -> bool:
     """Whether a selection is valid among `count` gateways or backends."""
-    if said in ("all", "up", "down", "rest"):
+    if selection in ("all", "up", "down", "rest"):
         return True
-    if said.endswith("%"):
-        return said[:-1].isdecimal() and 0 < int(said[:-1]) <= 100
-    return bool(said) and all(part.isdecimal() and int(part) < count for part in said.split(","))
+    if selection.endswith("%"):
+        return selection[:-1].isdecimal() and 0 < int(selection[:-1]) <= 100
+    return bool(selection) and all(part.isdecimal() and int(part) < count for part in selection.split(","))
 
 
 def steps(schedule: Schedule) -> list[Step]:
     """All steps of a schedule, with repeated timelines expanded, in order of time."""
-    made = [Step(at.second, "", kind, step) for at in schedule.at for kind, step in at.steps()]
-    for line in schedule.timelines:
-        for turn in range(line.repeat):
-            begin = line.begin + turn * line.every
-            made += [
-                Step(begin + at.second, line.name, kind, step) for at in line.at for kind, step in at.steps()
+    all_steps = [Step(at.second, "", kind, step) for at in schedule.at for kind, step in at.steps()]
+    for timeline in schedule.timelines:
+        for repetition in range(timeline.repeat):
+            begin = timeline.begin + repetition * timeline.every
+            all_steps += [
+                Step(begin + at.second, timeline.name, kind, step)
+                for at in timeline.at
+                for kind, step in at.steps()
             ]
-    return sorted(made, key=lambda step: step.second)
+    return sorted(all_steps, key=lambda step: step.second)
