--- a/corkdeal/experiment/arms.py
+++ b/corkdeal/experiment/arms.py
@@ -183,13 +183,13 @@
     """Run one schedule once, and print its results as JSON."""
     import asyncio
 
-    from .tier import play
+    from .tier import run_schedule
 
     path, seed, program, folder = sys.argv[1:]
     folder_path = pathlib.Path(folder)
     folder_path.mkdir(parents=True, exist_ok=True)
     results = asyncio.run(
-        play(schedules.load(path), int(seed), folder_path, pathlib.Path(program) if program else None)
+        run_schedule(schedules.load(path), int(seed), folder_path, pathlib.Path(program) if program else None)
     )
     print(json.dumps(results))
 
--- a/corkdeal/experiment/tier.py
+++ b/corkdeal/experiment/tier.py
@@ -27,31 +27,35 @@
 from . import measure
 from .schedule import Schedule, Step, Tier, steps
 
-WORK = 0.2  # s, mean work of a request
+MEAN_WORK = 0.2  # s, mean work of a request
 CORES = 3
-BEGIN = 0.3  # s from the last start to the first request
+START_DELAY = 0.3  # s from the last start to the first request
 SLACK = 0.1  # s by which the fake services themselves may be late
-LAST = 6.0  # s to wait for replies after the last request
+REPLY_WAIT = 6.0  # s to wait for replies after the last request
 NEVER = 1e9
 
 
-class Asking(clients.Clients):
+class RecordingClients(clients.Clients):
     """Clients that record their attempts in the history."""
 
     history: History
     clock: Callable[[], float]
 
-    def asked(self, rid: int, ask: clients.Ask, gateway: int, planned: float, left: float) -> None:
+    def asked(
+        self, request_id: int, request: clients.Ask, gateway: int, planned: float, time_left: float
+    ) -> None:
         """Record an attempt that is sent."""
         now = self.clock()
-        self.history.tries[rid] = Try(rid, ask.customer.id, gateway, ask.at, now, now + left)
+        self.history.tries[request_id] = Try(
+            request_id, request.customer.id, gateway, request.at, now, now + time_left
+        )
 
-    def answered(self, rid: int, first: str) -> None:
+    def answered(self, request_id: int, first_byte: str) -> None:
         """Record the reply to an attempt, or that its connection ended without one."""
-        if first:
-            self.history.tries[rid].answers.append((self.clock(), first))
+        if first_byte:
+            self.history.tries[request_id].answers.append((self.clock(), first_byte))
         else:
-            self.history.tries[rid].cut_at = self.clock()
+            self.history.tries[request_id].cut_at = self.clock()
 
 
 class Play:
@@ -63,19 +67,19 @@
         """`program` is another checkout whose gateways run instead of those of this one."""
         self.schedule, self.tier, self.seed = schedule, schedule.tier or Tier(), seed
         self.folder, self.program = folder, program
-        self.chance = random.Random(seed)
+        self.rng = random.Random(seed)
         self.history = History()
         self.began = time.monotonic()
         self.gateways: list[fleet.Gateway] = []
         self.servers: list[Server] = []
-        self.gone: set[str] = set()
-        self.drained: set[str] = set()
-        self.bad: set[str] = set()
-        self.chosen: set[int] = set()  # gateways that a percentage last selected
-        self.away: dict[int, float] = {}
-        self.waiting: set[asyncio.Task[Any]] = set()
+        self.removed: set[str] = set()
+        self.draining: set[str] = set()
+        self.rejecting: set[str] = set()
+        self.last_selected: set[int] = set()  # gateways that a percentage last selected
+        self.away_since: dict[int, float] = {}
+        self.background_tasks: set[asyncio.Task[Any]] = set()
         self.open_attempts: dict[int, list[Arrival]] = {}
-        self.connects: list[tuple[float, str]] = []
+        self.connections: list[tuple[float, str]] = []
         self.datagrams: list[float] = []
         self.ready: list[tuple[int, float, float]] = []  # gateway, time of its first reply, s since its start
 
@@ -85,38 +89,40 @@
 
     # Setup
 
-    async def build(self) -> None:
+    async def set_up(self) -> None:
         """Start the fake services and links, and create the gateways without starting them."""
-        tier, chance = self.tier, self.chance
+        tier, rng = self.tier, self.rng
         for i in range(tier.servers):
             model = Model(
-                f"s-{i:02d}-{chance.getrandbits(16):04x}",
+                f"s-{i:02d}-{rng.getrandbits(16):04x}",
                 fleet.HALLS[i % 3],
                 cell=i // 6,
                 cores=CORES,
-                speed=chance.uniform(0.9, 1.1),
-                queue=chance.randint(45, 110),
+                speed=rng.uniform(0.9, 1.1),
+                queue=rng.randint(45, 110),
                 cold_s=tier.cold,
             )
-            server = Server(model, work_drawer(random.Random(chance.random()), WORK, 0.7), self.arrived)
+            server = Server(
+                model, work_drawer(random.Random(rng.random()), MEAN_WORK, 0.7), self.record_attempt
+            )
             await server.start(gateways=tier.gateways)
             assert server.doors is not None
-            server.doors.connected = lambda gateway, name=model.name: self.connects.append(
+            server.doors.connected = lambda gateway, name=model.name: self.connections.append(
                 (self.clock(), name)
             )
             self.servers.append(server)
-        self.discovery = Discovery(self.members, self.told)
+        self.discovery = Discovery(self.endpoint_list, self.record_endpoint_list)
         await self.discovery.start(tier.gateways)
         host = fleet.own_host()
         peers = fleet.free_ones(tier.gateways, socket.SOCK_DGRAM, host)
         listen = fleet.free_ones(tier.gateways, socket.SOCK_STREAM, host)
-        self.links = Links(peers, random.Random(chance.random()))
+        self.links = Links(peers, random.Random(rng.random()))
         self.links.heard = lambda i, j, lost: self.datagrams.append(self.clock())
         await self.links.start()
         options = f'knowledge path="{self.folder}/state" every=1.0\n' if tier.knowledge else ""
-        there = (self.program or pathlib.Path(__file__).parents[2]) / "corkdeal"
+        package_path = (self.program or pathlib.Path(__file__).parents[2]) / "corkdeal"
         for node, wanted in (("recovery", tier.recovery), ("membership", tier.membership)):
-            options += f"{node}\n" if wanted and (there / node).exists() else ""
+            options += f"{node}\n" if wanted and (package_path / node).exists() else ""
         assert self.discovery.doors is not None
         for i, door in enumerate(self.discovery.doors.ports):
             settings = fleet.settings(tier.gateways, i, clients.PLANS)
@@ -132,76 +138,78 @@
             }
             self.gateways.append(fleet.Gateway(i, config, self.folder, options, self.program))
 
-    def members(self, gateway: int) -> list[dict[str, Any]]:
+    def endpoint_list(self, gateway: int) -> list[dict[str, Any]]:
         """The endpoint list as that gateway receives it."""
         return [
-            s.entry("Terminating" if s.model.name in self.drained else "Ready", gateway)
+            s.entry("Terminating" if s.model.name in self.draining else "Ready", gateway)
             for s in self.servers
-            if s.model.name not in self.gone
+            if s.model.name not in self.removed
         ]
 
-    def told(self, gateway: int, members: list[dict[str, Any]]) -> None:
+    def record_endpoint_list(self, gateway: int, endpoints: list[dict[str, Any]]) -> None:
         """Record the endpoint list that a gateway received."""
-        ready = frozenset(m["id"] for m in members if m["phase"] == "Ready")
+        ready = frozenset(m["id"] for m in endpoints if m["phase"] == "Ready")
         self.history.told[gateway].append(Told(self.clock(), ready))
 
-    def arrived(self, a: Arrival) -> None:
+    def record_attempt(self, a: Arrival) -> None:
         """Record an attempt at a backend, with the backend of another open attempt of the same request."""
         others = self.open_attempts.setdefault(a.request, [])
-        beside = next((o.server for o in others if o.live()), "")
+        other_backend = next((o.server for o in others if o.live()), "")
         others.append(a)
         self.history.attempts.append(
-            Attempt(self.clock(), a.server, int(a.gateway), a.request, a.customer, beside)
+            Attempt(self.clock(), a.server, int(a.gateway), a.request, a.customer, other_backend)
         )
 
     # Steps
 
-    def pick(self, said: str, count: int, pool: Iterable[int] | None = None) -> list[int]:
+    def select(self, selection: str, count: int, population: Iterable[int] | None = None) -> list[int]:
         """The members of a selection; a percentage draws from `pool`, by default from all."""
-        everyone = list(range(count)) if pool is None else list(pool)
-        if said.endswith("%"):
-            size = max(1, round(count * int(said[:-1]) / 100))
-            return sorted(self.chance.sample(everyone, min(size, len(everyone))))
-        return everyone if said == "all" else [int(part) for part in said.split(",")]
+        candidates = list(range(count)) if population is None else list(population)
+        if selection.endswith("%"):
+            size = max(1, round(count * int(selection[:-1]) / 100))
+            return sorted(self.rng.sample(candidates, min(size, len(candidates))))
+        return candidates if selection == "all" else [int(part) for part in selection.split(",")]
 
-    def which(self, said: str) -> list[int]:
+    def select_gateways(self, selection: str) -> list[int]:
         """The gateways that a step selects."""
-        up = {i for i, g in enumerate(self.gateways) if g.up}
-        if said in ("up", "down", "rest"):
-            others = set(range(len(self.gateways))) - (up if said == "down" else self.chosen)
-            return sorted(up if said == "up" else others)
-        made = self.pick(said, len(self.gateways))
-        if said.endswith("%"):
-            self.chosen = set(made)
-        return made
-
-    def spawn(self, job: Any) -> None:
+        running = {i for i, g in enumerate(self.gateways) if g.up}
+        if selection in ("up", "down", "rest"):
+            remaining = set(range(len(self.gateways))) - (
+                running if selection == "down" else self.last_selected
+            )
+            return sorted(running if selection == "up" else remaining)
+        selected = self.select(selection, len(self.gateways))
+        if selection.endswith("%"):
+            self.last_selected = set(selected)
+        return selected
+
+    def run_in_background(self, coroutine: Any) -> None:
         """Run a coroutine in the background; it is cancelled at the end of the run."""
-        task = asyncio.ensure_future(job)
-        self.waiting.add(task)
-        task.add_done_callback(self.waiting.discard)
+        task = asyncio.ensure_future(coroutine)
+        self.background_tasks.add(task)
+        task.add_done_callback(self.background_tasks.discard)
 
-    async def later(self, seconds: float, undo: Callable[[], Any]) -> None:
+    async def undo_after(self, seconds: float, undo: Callable[[], Any]) -> None:
         """Call `undo` after so many seconds, to end a fault."""
         await asyncio.sleep(seconds)
-        if asyncio.iscoroutine(made := undo()):
-            await made
+        if asyncio.iscoroutine(pending := undo()):
+            await pending
 
-    def back(self, i: int) -> None:
+    def mark_available(self, i: int) -> None:
         """Record that a gateway is available again."""
-        if (since := self.away.pop(i, None)) is not None:
+        if (since := self.away_since.pop(i, None)) is not None:
             self.history.away.append(Away(i, since, self.clock()))
 
     async def start(self, i: int) -> None:
         """Start a gateway; one that is killed before its first reply does not count as available again."""
-        before = self.history.told[i][-1] if self.history.told[i] else None
-        known = self.discovery.document(i)
-        if before is None:
-            self.told(i, known["members"])
+        previous_list = self.history.told[i][-1] if self.history.told[i] else None
+        endpoint_document = self.discovery.document(i)
+        if previous_list is None:
+            self.record_endpoint_list(i, endpoint_document["members"])
         with contextlib.suppress(fleet.Ended):
-            took = await self.gateways[i].start(known)
-            self.back(i)
-            self.ready.append((i, self.clock(), took))
+            startup_time = await self.gateways[i].start(endpoint_document)
+            self.mark_available(i)
+            self.ready.append((i, self.clock(), startup_time))
 
     async def process(self, kind: str, numbers: list[int]) -> None:
         """Send signals to gateways, or start them."""
@@ -209,131 +217,143 @@
             g = self.gateways[i]
             if kind == "start":
                 if g.process is None or g.process.returncode is not None:
-                    self.spawn(self.start(i))
+                    self.run_in_background(self.start(i))
             elif g.process is not None and g.process.returncode is None:
                 if kind in ("kill", "term"):
                     g.up = False
-                    self.front.down_since[i] = time.monotonic()
+                    self.load_generator.down_since[i] = time.monotonic()
                     g.process.send_signal(signal.SIGCONT)
                 if kind in ("kill", "term", "stop"):
-                    self.away.setdefault(i, self.clock())
+                    self.away_since.setdefault(i, self.clock())
                 g.process.send_signal(
                     {"kill": signal.SIGKILL, "term": signal.SIGTERM, "stop": signal.SIGSTOP}.get(
                         kind, signal.SIGCONT
                     )
                 )
                 if kind == "continue":
-                    self.back(i)
+                    self.mark_available(i)
         if kind == "kill":  # all are killed at once; wait until they have ended before the next step
             await asyncio.gather(*(g.process.wait() for i in numbers if (g := self.gateways[i]).process))
 
-    def link(self, step: Any) -> None:
+    def apply_link_fault(self, step: Any) -> None:
         """Apply a fault to datagrams."""
         count = len(self.gateways)
-        pairs = {(i, j) for i in self.which(step.sender) for j in self.which(step.to) if i != j}
+        pairs = {
+            (i, j) for i in self.select_gateways(step.sender) for j in self.select_gateways(step.to) if i != j
+        }
         if step.both:
             pairs |= {(j, i) for i, j in pairs}
         number = self.links.put(
             pairs, LinkFault(step.loss, step.delay, step.jitter, step.reorder, step.double, step.cut)
         )
-        self.spawn(self.later(step.seconds, lambda: self.links.lift(number)))
-        self.note(f"links {len(pairs)} of {count * (count - 1)}")
+        self.run_in_background(self.undo_after(step.seconds, lambda: self.links.lift(number)))
+        self.record_event(f"links {len(pairs)} of {count * (count - 1)}")
 
-    async def door(self, step: Any) -> None:
+    async def apply_door_fault(self, step: Any) -> None:
         """Apply a fault to TCP connections."""
         fault = DoorFault(step.refuse, step.silent, step.reset, step.slow)
-        doors = (
+        services = (
             [self.discovery.doors]
             if step.servers == "discovery"
-            else [self.servers[i].doors for i in self.pick(step.servers, len(self.servers))]
+            else [self.servers[i].doors for i in self.select(step.servers, len(self.servers))]
         )
-        who = self.which(step.gateways)
-        for each in doors:
-            for i in who:
+        selected = self.select_gateways(step.gateways)
+        for doors_of_service in services:
+            for i in selected:
                 if step.late:
                     self.discovery.late[i] = step.late
-                    self.spawn(self.later(step.seconds, lambda i=i: self.discovery.late.pop(i, None)))
+                    self.run_in_background(
+                        self.undo_after(step.seconds, lambda i=i: self.discovery.late.pop(i, None))
+                    )
                 else:
-                    await each.put(i, fault)  # type: ignore[union-attr]
-                    self.spawn(self.later(step.seconds, lambda each=each, i=i: each.put(i, OPEN)))
+                    await doors_of_service.put(i, fault)  # type: ignore[union-attr]
+                    self.run_in_background(
+                        self.undo_after(
+                            step.seconds,
+                            lambda doors_of_service=doors_of_service, i=i: doors_of_service.put(i, OPEN),
+                        )
+                    )
 
-    async def change(self, step: Any) -> None:
+    async def change_backends(self, step: Any) -> None:
         """Change the state of backends."""
-        for i in self.pick(step.servers, len(self.servers)):
+        for i in self.select(step.servers, len(self.servers)):
             s = self.servers[i]
             name = s.model.name
             if step.what in ("slow", "well", "bad"):
                 s.slow = step.times if step.what == "slow" else 1.0
-                (self.bad.add if step.what == "bad" else self.bad.discard)(name)
+                (self.rejecting.add if step.what == "bad" else self.rejecting.discard)(name)
                 s.model.queue = 0 if step.what == "bad" else max(45, s.model.queue)
             elif step.what == "cold":
                 s.up_since = time.time()
             else:
-                (self.gone if step.what == "gone" else self.drained).add(name)
+                (self.removed if step.what == "gone" else self.draining).add(name)
         if step.what in ("cold", "drain", "gone"):
             await self.discovery.publish()
 
-    def folders(self, step: Any) -> None:
+    def change_folders(self, step: Any) -> None:
         """Change the persisted state of gateways."""
-        for i in self.which(step.gateways):
-            here, copy = self.folder / "state" / f"n{i}", self.folder / "copies" / f"n{i}"
+        for i in self.select_gateways(step.gateways):
+            state_folder, saved_copy = self.folder / "state" / f"n{i}", self.folder / "copies" / f"n{i}"
             if step.what == "save":
-                replace(here, copy)
+                replace_folder(state_folder, saved_copy)
             elif step.what == "older":
-                replace(copy, here)
+                replace_folder(saved_copy, state_folder)
             elif step.what in ("empty", "blocked"):
-                shutil.rmtree(here, ignore_errors=True)
-                if (
-                    step.what == "blocked"
-                ):  # a file in place of the folder; root could write to a read-only folder
-                    here.parent.mkdir(exist_ok=True)
-                    here.write_text("")
+                shutil.rmtree(state_folder, ignore_errors=True)
+                if step.what == "blocked":
+                    # A file in place of the folder, since root can write to a read-only folder.
+                    state_folder.parent.mkdir(exist_ok=True)
+                    state_folder.write_text("")
             elif step.what == "full":
                 self.gateways[i].fill_disk(True)
             elif step.what == "freed":
                 self.gateways[i].fill_disk(False)
-                if here.is_file():
-                    here.unlink()
+                if state_folder.is_file():
+                    state_folder.unlink()
             elif step.what == "swap":
-                other = here.with_name(f"n{(i + 1) % len(self.gateways)}")
-                aside = here.with_name("aside")
-                for a, b in ((here, aside), (other, here), (aside, other)):
+                other_folder = state_folder.with_name(f"n{(i + 1) % len(self.gateways)}")
+                temporary = state_folder.with_name("aside")
+                for a, b in (
+                    (state_folder, temporary),
+                    (other_folder, state_folder),
+                    (temporary, other_folder),
+                ):
                     if a.exists():
                         a.rename(b)
             else:
-                for file in sorted(here.glob("*.know")) if here.is_dir() else ():
+                for file in sorted(state_folder.glob("*.know")) if state_folder.is_dir() else ():
                     if step.what == "cut-short":
                         os.truncate(file, file.stat().st_size // 2)
                     else:
-                        older(file)
+                        age_snapshot(file)
 
-    def note(self, said: str) -> None:
+    def record_event(self, text: str) -> None:
         """Record an event in the history."""
-        self.history.events.append((self.clock(), said))
+        self.history.events.append((self.clock(), text))
 
     async def step(self, step: Step) -> None:
         """Perform one step of the schedule."""
         what = step.what
-        self.note(
+        self.record_event(
             " ".join(
                 filter(None, (step.line, step.kind, getattr(what, "gateways", ""), getattr(what, "what", "")))
             )
         )
         if step.kind == "link":
-            self.link(what)
+            self.apply_link_fault(what)
         elif step.kind == "door":
-            await self.door(what)
+            await self.apply_door_fault(what)
         elif step.kind == "servers":
-            await self.change(what)
+            await self.change_backends(what)
         elif step.kind == "folders":
-            self.folders(what)
+            self.change_folders(what)
         elif step.kind == "clock":
-            for i in self.which(what.gateways):
+            for i in self.select_gateways(what.gateways):
                 self.gateways[i].clock_by = what.by
         else:
-            await self.process(step.kind, self.which(what.gateways))
+            await self.process(step.kind, self.select_gateways(what.gateways))
 
-    async def script(self) -> None:
+    async def run_steps(self) -> None:
         """Perform all steps at their times."""
         for step in steps(self.schedule):
             await asyncio.sleep(max(0.0, step.second - self.clock()))
@@ -344,18 +364,20 @@
     async def run(self) -> dict[str, Any]:
         """Run the schedule, stop everything, and evaluate the history."""
         tier = self.tier
-        capacity = tier.servers * CORES / WORK
-        who = clients.customers(self.chance, tier.load * capacity, tier.gateways, tier.greedy)
-        asks = clients.arrivals(self.chance, who, tier.seconds, tier.gateways)
-        self.customers = {c.id: c for c in who}
+        capacity = tier.servers * CORES / MEAN_WORK
+        customers = clients.customers(self.rng, tier.load * capacity, tier.gateways, tier.greedy)
+        requests = clients.arrivals(self.rng, customers, tier.seconds, tier.gateways)
+        self.customers = {c.id: c for c in customers}
         try:
-            await self.build()
-            self.front = Asking(self.gateways, asks, self.chance)
-            self.front.history, self.front.clock = self.history, self.clock
+            await self.set_up()
+            self.load_generator = RecordingClients(self.gateways, requests, self.rng)
+            self.load_generator.history, self.load_generator.clock = self.history, self.clock
             await asyncio.gather(*(self.start(i) for i in range(tier.gateways)))
-            self.began = time.monotonic() + BEGIN
-            self.reset_clock()
-            jobs = [asyncio.ensure_future(job) for job in (self.front.run(self.began), self.script())]
+            self.began = time.monotonic() + START_DELAY
+            self.discard_startup_history()
+            jobs = [
+                asyncio.ensure_future(job) for job in (self.load_generator.run(self.began), self.run_steps())
+            ]
             try:
                 await asyncio.gather(*jobs)
             finally:
@@ -363,20 +385,22 @@
                     job.cancel()
             end = self.clock()
         finally:
-            await self.end()
-        self.history.away += [Away(i, since, NEVER) for i, since in self.away.items()]
-        return self.results(asks, end)
+            await self.stop_all()
+        self.history.away += [Away(i, since, NEVER) for i, since in self.away_since.items()]
+        return self.results(requests, end)
 
-    def reset_clock(self) -> None:
+    def discard_startup_history(self) -> None:
         """Discard what was recorded during the first starts, before the run."""
         self.history.attempts.clear()
-        self.history.told = {i: [Told(-BEGIN, lists[-1].ready)] for i, lists in self.history.told.items()}
-        for kept in (self.connects, self.datagrams, self.ready, self.links.delays):
+        self.history.told = {
+            i: [Told(-START_DELAY, lists[-1].ready)] for i, lists in self.history.told.items()
+        }
+        for kept in (self.connections, self.datagrams, self.ready, self.links.delays):
             kept.clear()  # type: ignore[attr-defined]
 
-    async def end(self) -> None:
+    async def stop_all(self) -> None:
         """Stop everything; nothing that this run started outlives it."""
-        for task in list(self.waiting):
+        for task in list(self.background_tasks):
             task.cancel()
         for g in self.gateways:
             await g.end()
@@ -389,22 +413,22 @@
 
     def quotas(self) -> dict[int, Quota]:
         """Customers that may never exceed their quotas, with the bound of docs/recovery.md for this run."""
-        made = {}
+        quotas = {}
         for c in self.customers.values():
             plan = clients.PLANS[c.plan]
             if plan["over_worth"] <= plan["over_cost"]:
                 starts = sum((i - c.first) % self.tier.gateways < c.spread for i, _, _ in self.ready)
-                made[c.id] = Quota(
+                quotas[c.id] = Quota(
                     plan["quota_rate"],
                     plan["store_size"],
                     measure.over_admission_bound(plan["store_size"], c.spread, starts),
                 )
-        return made
+        return quotas
 
-    def results(self, asks: list[clients.Ask], end: float) -> dict[str, Any]:
+    def results(self, requests: list[clients.Ask], end: float) -> dict[str, Any]:
         """The results of a run, as they are saved."""
         quotas, firsts = self.quotas(), self.history.firsts()
-        over = {
+        over_units = {
             w: [max(0.0, most_over(firsts.get(c, []), q, w)[0]) for c, q in quotas.items()]
             for w in (1.0, 5.0, 30.0)
         }
@@ -417,18 +441,18 @@
             "seed": self.seed,
             "gateways": self.tier.gateways,
             "servers": self.tier.servers,
-            "asked": len(asks),
+            "asked": len(requests),
             "outcomes": {
-                o or "unanswered": sum(a.outcome == o for a in asks)
+                o or "unanswered": sum(a.outcome == o for a in requests)
                 for o in ("served", "late", "refused", "failed", "")
             },
             **measure.service_metrics(
-                asks, self.customers, firsts, self.tier.settled, first, last, self.tier.seconds
+                requests, self.customers, firsts, self.tier.settled, first, last, self.tier.seconds
             ),
             "peaks": measure.peak_metrics(
                 {
                     "attempts": [(a.at, a.server) for a in self.history.attempts],
-                    "connections": self.connects,
+                    "connections": self.connections,
                     "discovery": [(t.at, "") for told in self.history.told.values() for t in told],
                     "datagrams": [(at, "") for at in self.datagrams],
                 },
@@ -436,38 +460,38 @@
                 first,
                 self.tier.seconds,
             ),
-            "over_most": {f"{w:g}": round(max(v, default=0.0), 2) for w, v in over.items()},
-            "over_sum": {f"{w:g}": round(sum(v), 1) for w, v in over.items()},
+            "over_most": {f"{w:g}": round(max(v, default=0.0), 2) for w, v in over_units.items()},
+            "over_sum": {f"{w:g}": round(sum(v), 1) for w, v in over_units.items()},
             "over_bound": round(max((q.bound for q in quotas.values()), default=0.0), 2),
             "broken": [{"rule": b.rule, "lines": b.lines} for b in broken],
             "fallen": sum(s.fallen for s in self.servers),
             "links": dict(self.links.carried),
             "link_delay_ms": measure.latency_summary(self.links.delays),
-            "ready_s": [round(took, 2) for _, _, took in self.ready],
-            "events": [(round(at, 2), said) for at, said in self.history.events],
+            "ready_s": [round(startup_time, 2) for _, _, startup_time in self.ready],
+            "events": [(round(at, 2), text) for at, text in self.history.events],
             "full_said": measure.full_service_times(self.folder, self.tier.gateways),
         }
 
 
-def replace(source: pathlib.Path, target: pathlib.Path) -> None:
+def replace_folder(source: pathlib.Path, target: pathlib.Path) -> None:
     """Replace a folder by a copy of another one, if that exists."""
     if source.exists():
         shutil.rmtree(target, ignore_errors=True)
         shutil.copytree(source, target)
 
 
-def older(file: pathlib.Path, seconds: float = 3600.0) -> None:
+def age_snapshot(file: pathlib.Path, seconds: float = 3600.0) -> None:
     """Rewrite a snapshot file as if it were older by so many seconds."""
     from ..persistence import merge
     from ..persistence.codec import decode_snapshot, encode_page, encode_page_entry, encode_snapshot
 
     generation, _, document = decode_snapshot(file.read_bytes())
-    made = merge.backdated(document, seconds)
-    entries = [encode_page_entry(customer, raw) for each in made.accounts for customer, raw in each.items()]
-    file.write_bytes(b"".join(encode_snapshot(generation, made.head, [encode_page(entries, len(entries))])))
+    aged = merge.backdated(document, seconds)
+    entries = [encode_page_entry(customer, raw) for page in aged.accounts for customer, raw in page.items()]
+    file.write_bytes(b"".join(encode_snapshot(generation, aged.head, [encode_page(entries, len(entries))])))
 
 
-async def play(
+async def run_schedule(
     schedule: Schedule, seed: int, folder: pathlib.Path, program: pathlib.Path | None = None
 ) -> dict[str, Any]:
     """Run a schedule once; `folder` receives the logs and persisted state."""
