--- a/corkdeal/experiment/members.py
+++ b/corkdeal/experiment/members.py
@@ -39,7 +39,7 @@
 from ..recovery.stall_detector import MIN_STALL
 from .explore import new_gateway
 
-STEP = 0.05  # s
+STEP = 0.05  # s, time between two runs of the timers
 CUSTOMER = 7
 ENDPOINT_LIST = EndpointUpdate(UpdateKind.COMPLETE, (Endpoint("a", EndpointState.READY),))
 PAUSE_INTERVAL, MIN_PAUSE, MAX_PAUSE = 10.0, 0.2, 1.9  # s, interval and length of a member's pauses
@@ -70,7 +70,7 @@
         self.perform(index, gateway.handle(self.now, [ENDPOINT_LIST]))
 
     def ask(self, index: int, first: int) -> None:
-        """Send one request to gateway `me`, for the customer whose ring begins at gateway `first`."""
+        """Send one request to gateway `index`, for the customer whose ring begins at gateway `first`."""
         self.number += 1
         request = Request(self.number, CUSTOMER + first, 0, 0, 0.1, first, self.spread, 3.0)
         actions = self.up[index].handle(self.now, [request])
@@ -171,7 +171,7 @@
 
 
 def deaths(gateways: int, spread: int, seed: int, loss: float, death_count: int) -> dict[str, Any]:
-    """Kill `dead` members one after the other; seconds until 99% of the others detected each death."""
+    """Kill `death_count` members one after the other; seconds until 99% of the others detected each death."""
     world = World(gateways, spread, seed, loss)
     world.introduce_neighbours()
     world.run(SETTLE)
--- a/corkdeal/experiment/tier.py
+++ b/corkdeal/experiment/tier.py
@@ -32,7 +32,7 @@
 START_DELAY = 0.3  # s from the last start to the first request
 SLACK = 0.1  # s by which the fake services themselves may be late
 REPLY_WAIT = 6.0  # s to wait for replies after the last request
-NEVER = 1e9
+NEVER = 1e9  # s, end of an absence that lasts until the end of the run
 
 
 class RecordingClients(clients.Clients):
@@ -75,7 +75,7 @@
         self.removed: set[str] = set()
         self.draining: set[str] = set()
         self.rejecting: set[str] = set()
-        self.last_selected: set[int] = set()  # gateways that a percentage last selected
+        self.last_selected: set[int] = set()  # gateways that the last percentage selected
         self.away_since: dict[int, float] = {}
         self.background_tasks: set[asyncio.Task[Any]] = set()
         self.open_attempts: dict[int, list[Arrival]] = {}
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -25,7 +25,7 @@
     assert (parsed and (parsed[0], parsed[1]["asked"])) == expected
 
 
-def test_a_structured_line_is_read_as_well():
+def test_a_json_line_is_parsed_as_well():
     out = io.BytesIO()
     logs.configure(structured.sink("json", "n0", out))
     logs.event("figures", asked=7, now_slow=1.5)
@@ -33,12 +33,12 @@
     assert fleet.parse_metrics_line(out.getvalue().decode())[1] == {"asked": 7.0, "now_slow": 1.5}
 
 
-def test_all_gateways_add_up_by_second_and_a_restart_takes_nothing_back(tmp_path):
+def test_counters_are_summed_by_second_over_gateways_and_restarts(tmp_path):
     def write(name, rows):
         text = "".join(
             f"{at:.3f} x [corkdeal#info] figures asked={a} busy={b} now_slow={s}\n" for at, a, b, s in rows
         )
-        pathlib.Path(tmp_path, name).write_text("what else stands there\n" + text)
+        pathlib.Path(tmp_path, name).write_text("some other line\n" + text)
 
     write("n0.log", [(1.0, 0, 0, 1.0), (2.0, 10, 1, 1.0), (3.2, 2, 0, 2.0), (4.0, 5, 5, 2.0)])
     write("n1.log", [(1.5, 0, 0, 1.0), (2.5, 7, 0, 3.0)])
