--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -1,4 +1,4 @@
-"""A fleet's logs added up: totals by second over restarts, in both forms of a line."""
+"""Metrics summed over the logs of a fleet: by second, over restarts, in both log formats."""
 
 import io
 import pathlib
@@ -20,31 +20,31 @@
         ('{"event": "figures", "asked": 3', None),
     ],
 )
-def test_a_line_of_figures_is_told_from_others(text, expected):
-    found = fleet.line_of(text)
-    assert (found and (found[0], found[1]["asked"])) == expected
+def test_only_lines_of_the_figures_event_are_parsed(text, expected):
+    parsed = fleet.parse_metrics_line(text)
+    assert (parsed and (parsed[0], parsed[1]["asked"])) == expected
 
 
-def test_a_structured_line_is_read_as_well():
+def test_a_json_line_is_parsed_as_well():
     out = io.BytesIO()
     logs.configure(structured.sink("json", "n0", out))
     logs.event("figures", asked=7, now_slow=1.5)
     logs.configure(None)
-    assert fleet.line_of(out.getvalue().decode())[1] == {"asked": 7.0, "now_slow": 1.5}
+    assert fleet.parse_metrics_line(out.getvalue().decode())[1] == {"asked": 7.0, "now_slow": 1.5}
 
 
-def test_all_gateways_add_up_by_second_and_a_restart_takes_nothing_back(tmp_path):
+def test_counters_are_summed_by_second_over_gateways_and_restarts(tmp_path):
     def write(name, rows):
         text = "".join(
             f"{at:.3f} x [corkdeal#info] figures asked={a} busy={b} now_slow={s}\n" for at, a, b, s in rows
         )
-        pathlib.Path(tmp_path, name).write_text("what else stands there\n" + text)
+        pathlib.Path(tmp_path, name).write_text("some other line\n" + text)
 
     write("n0.log", [(1.0, 0, 0, 1.0), (2.0, 10, 1, 1.0), (3.2, 2, 0, 2.0), (4.0, 5, 5, 2.0)])
     write("n1.log", [(1.5, 0, 0, 1.0), (2.5, 7, 0, 3.0)])
-    seen = fleet.add_up(tmp_path)
-    rows = {row["second"]: row for row in seen["rows"]}
+    totals = fleet.add_up(tmp_path)
+    rows = {row["second"]: row for row in totals["rows"]}
     assert rows[2] == {"second": 2, "gateways": 2, "asked": 17, "busy": 1, "now_slow": 2.0}
     assert rows[3] == {"second": 3, "gateways": 1, "asked": 2, "starts": 1, "now_slow": 2.0}
-    assert seen["total"] == {"asked": 22, "busy": 6, "starts": 3} and seen["logs"] == 2
-    assert fleet.table(seen).splitlines()[2] == "| 1 | 2 | 2 | 0 | 0 | 1 |"
+    assert totals["total"] == {"asked": 22, "busy": 6, "starts": 3} and totals["logs"] == 2
+    assert fleet.table(totals).splitlines()[2] == "| 1 | 2 | 2 | 0 | 0 | 1 |"
