--- a/corkdeal/standin/__init__.py
+++ b/corkdeal/standin/__init__.py
@@ -1,5 +1,5 @@
-"""Stand-ins on loopback for what a gateway meets: servers in halls, discovery, and a fleet of real gateways.
+"""Test environment on loopback: fake backends, discovery and clients, faulty links, real gateway processes.
 
-All of it runs in one asyncio loop of the calling process; only the gateways are processes of their own.
-Nothing here decides anything for a gateway.
+Everything runs in one asyncio event loop of the calling process, except the gateways, which are separate
+processes. Nothing here takes a decision for a gateway.
 """
--- a/corkdeal/standin/clients.py
+++ b/corkdeal/standin/clients.py
@@ -1,6 +1,6 @@
-"""Stand-in clients: customers with plans who ask at their own pace, whatever the answers, and retry once.
+"""Fake clients: customers that send requests at a given rate whatever the replies are, and retry once.
 
-All arrivals are drawn ahead from the seed, so that two runs of one seed are asked the same.
+All arrivals are drawn from the seed in advance, so two runs with the same seed get the same requests.
 """
 
 from __future__ import annotations
@@ -13,37 +13,37 @@
 
 from .fleet import CLASSES, Gateway
 
-NOTICE = 1.5  # s after which requests for a dead gateway go to another of the customer's set
+NOTICE = 1.5  # s from the end of a gateway until clients know it to be down
 
 
 @dataclass(slots=True, frozen=True)
 class Customer:
-    """One customer: its plan's quota, its gateways and how much it asks."""
+    """One customer: its plan's quota, its set of gateways and its request rate."""
 
     id: int
     plan: int
-    rate: float  # units a second that its quota allows
-    asks: float  # units a second that it asks
-    first: int
-    spread: int
-    weights: tuple[float, ...]
+    rate: float  # quota, units/s
+    asks: float  # units/s requested
+    first: int  # the first gateway of its set
+    spread: int  # the number of gateways in its set
+    weights: tuple[float, ...]  # how its requests are spread over the set
 
 
 @dataclass(slots=True)
 class Ask:
-    """One request of a client, its retry included."""
+    """One request of a client, including its retry."""
 
-    at: float  # s from the start
+    at: float  # s since the start of the run
     customer: Customer
     cls: int
     gateway: int
     work: int = 0
     worth: float = 0.0
     outcome: str = ""  # served, late, refused, failed
-    took: float = 0.0
+    took: float = 0.0  # s from the planned time to the last reply
 
 
-PLANS = [  # the middle of the brief's ranges
+PLANS = [  # values from the middle of the ranges that the load model specifies
     {
         "name": "family",
         "quota_rate": 1.4,
@@ -64,7 +64,10 @@
 
 
 def customers(chance: random.Random, load: float, gateways: int, greedy: float = 0.1) -> list[Customer]:
-    """Customers that together ask `load` units a second inside their quotas, the part `greedy` far more."""
+    """Draw customers that together request `load` units/s within their quotas.
+
+    A fraction `greedy` requests 1.8 to 4.4 times its quota, 15 % 0.85 to 1, and the rest 0.16 to 0.49 times.
+    """
     made: list[Customer] = []
     for plan, share in ((0, 0.63), (1, 0.37)):
         rate, left = PLANS[plan]["quota_rate"], load * share
@@ -94,13 +97,13 @@
 
 
 def arrivals(chance: random.Random, who: list[Customer], seconds: float, gateways: int) -> list[Ask]:
-    """All requests of a day, in the order of their times."""
+    """Draw all requests of a run, sorted by time."""
     made = []
     for c in who:
         at, weights = chance.expovariate(c.asks), list(c.weights)
         shift = chance.uniform(6, 24)
         while at < seconds:
-            if at > shift:  # its traffic moves to others of its gateways
+            if at > shift:  # its traffic shifts to other gateways of its set
                 chance.shuffle(weights)
                 shift = at + chance.uniform(6, 24)
             place = chance.choices(range(c.spread), weights)[0]
@@ -112,14 +115,14 @@
 
 
 class Pool:
-    """Connections to one gateway, each used for one request at a time."""
+    """Connection pool to one gateway; a connection carries one request at a time."""
 
     def __init__(self, gateway: Gateway) -> None:
         self.gateway = gateway
         self.free: list[tuple[asyncio.StreamReader, asyncio.StreamWriter]] = []
 
     async def ask(self, command: bytes) -> bytes:
-        """One command's answer: its first line."""
+        """Send one command; returns the first line of its reply."""
         host, port = self.gateway.listen.split(":")
         while True:
             fresh = not self.free
@@ -143,23 +146,23 @@
 
 
 class Clients:
-    """Asks everything at its time and keeps what became of it."""
+    """Sends all requests at their times and records the outcomes."""
 
     def __init__(self, gateways: list[Gateway], asks: list[Ask], chance: random.Random) -> None:
         self.gateways, self.asks, self.chance = gateways, asks, chance
         self.pools = [Pool(g) for g in gateways]
         self.number = 1 << 40
         self.down_since: dict[int, float] = {}
-        self.sent_to: dict[int, int] = {}  # the gateway that each try went to
+        self.sent_to: dict[int, int] = {}  # the gateway of each attempt, by attempt ID
 
     def asked(self, rid: int, ask: Ask, gateway: int, planned: float, left: float) -> None:
-        """A try goes out; for whoever keeps a history."""
+        """Hook for subclasses: called before an attempt is sent."""
 
     def answered(self, rid: int, first: str) -> None:
-        """Its answer's first byte, or nothing where none came."""
+        """Hook for subclasses: called with the first byte of the reply, or with "" if there was none."""
 
     def reach(self, ask: Ask) -> int:
-        """The gateway that the front sends it to: another of the set once a death was noticed."""
+        """The gateway to send to: the planned one, or the next of the set that is not known to be down."""
         c = ask.customer
         for step in range(c.spread):
             number = (c.first + (ask.gateway - c.first + step) % c.spread) % len(self.gateways)
@@ -168,7 +171,7 @@
         return ask.gateway
 
     def command(self, ask: Ask, left: float, again: bool, to: int) -> bytes:
-        """A request's bytes; every try has an id of its own."""
+        """Encode an attempt under a new ID, and note its gateway `to`."""
         self.number += 1
         self.sent_to[self.number] = to
         c, cls = ask.customer, CLASSES[ask.cls]
@@ -187,7 +190,7 @@
         return b"*%d\r\n%b" % (len(words), b"".join(b"$%d\r\n%b\r\n" % (len(w), w) for w in words))
 
     async def one(self, ask: Ask, began: float) -> None:
-        """Ask once, and once more if told when to come back; times count from the planned moment."""
+        """Send one request, with one retry after a -BUSY reply; times count from the planned time."""
         limit = CLASSES[ask.cls]["deadline_us"] / 1e6
         ask.outcome = "failed"
         for again in (False, True):
@@ -216,7 +219,7 @@
             await asyncio.sleep(int(wait) / 1000 if wait else 0.3)
 
     async def run(self, began: float) -> None:
-        """Ask all; returns when the last answer is there."""
+        """Send all requests; returns once the last one has ended, or after 6 s more."""
         tasks = set()
         for ask in self.asks:
             if (wait := began + ask.at - time.monotonic()) > 0:
@@ -229,10 +232,10 @@
 
 
 def books(seen: list[Any], who: dict[int, Customer]) -> list[tuple[float, bool, int]]:
-    """Each try that was sent on: its wall time, whether it lay beyond its customer's quota, its plan.
+    """Per request that reached a backend: its wall-clock time, whether it was over its quota, and its plan.
 
-    The quota over all gateways together: a store that starts full, fills at the rate and holds the burst; a
-    try inside it takes its unit, one beyond takes nothing. A try counts when its first attempt arrives.
+    A customer's quota over all gateways is a token bucket that starts full: a request within the quota takes
+    a token, one beyond it takes none. A request counts when its first attempt arrives; later attempts do not.
     """
     stores: dict[int, tuple[float, float]] = {}
     done, made = set(), []
--- a/corkdeal/standin/discovery.py
+++ b/corkdeal/standin/discovery.py
@@ -1,4 +1,4 @@
-"""Stand-in discovery: the whole list and the watch, over HTTP/1.1, as the protocol's page has them."""
+"""Fake discovery service: the endpoint list and its watch (long polling) over HTTP/1.1."""
 
 from __future__ import annotations
 
@@ -13,25 +13,28 @@
 
 
 class Discovery:
-    """Serves a list that the experiment changes; every answer is the whole list."""
+    """Serves an endpoint list that the caller may change; every response is the complete list."""
 
     def __init__(
         self,
         members: Callable[..., list[dict[str, Any]]],
         told: Callable[[int, list[dict[str, Any]]], None] = lambda gateway, members: None,
     ) -> None:
-        """`members` gives the list, of a gateway where each has a door; `told` hears what each got."""
+        """`members` returns the list; it is passed the gateway where each has its own door, else nothing.
+
+        `told` is called with the list that a gateway has been sent.
+        """
         self.told = told
         self.doors: Doors | None = None
-        self.late: dict[int, float] = {}  # gateways that are told of a change only so many s later
+        self.late: dict[int, float] = {}  # s by which responses are delayed, by gateway
         self.members, self.revision = members, 1
         self.changed = asyncio.Condition()
-        self.silent = False  # calls are taken and not answered
+        self.silent = False  # requests are accepted and not answered
         self.listener: Any = None
         self.port = 0
 
     async def start(self, gateways: int = 0) -> None:
-        """Listen, with a door for each of so many gateways."""
+        """Listen; with `gateways`, on one door per gateway."""
         if gateways:
             self.doors = Doors(self.serve, random.Random(gateways))
             return await self.doors.start(gateways)
@@ -39,19 +42,19 @@
         self.port = self.listener.sockets[0].getsockname()[1]
 
     def document(self, gateway: int = -1) -> dict[str, Any]:
-        """The list as it stands, for all or for one gateway."""
+        """The current list for one gateway; -1 stands for all gateways, where there are no doors."""
         members = self.members() if gateway < 0 else self.members(gateway)
         return {"revision": self.revision, "complete": True, "members": members}
 
     def close(self) -> None:
-        """Stop listening."""
+        """Stop listening; doors also reset their connections."""
         if self.doors is not None:
             self.doors.close()
         if self.listener is not None:
             self.listener.close()
 
     async def publish(self) -> None:
-        """Tell all watchers."""
+        """Increment the revision and answer all watches."""
         async with self.changed:
             self.revision += 1
             self.changed.notify_all()
@@ -59,7 +62,7 @@
     async def serve(
         self, stream: asyncio.StreamReader, writer: asyncio.StreamWriter, gateway: int = -1
     ) -> None:
-        """One keep-alive connection."""
+        """Serve one keep-alive connection."""
         try:
             while True:
                 head = (await stream.readuntil(b"\r\n\r\n")).decode("latin-1")
--- a/corkdeal/standin/fleet.py
+++ b/corkdeal/standin/fleet.py
@@ -1,4 +1,4 @@
-"""Real gateways as processes of their own, started, killed and restarted on loopback."""
+"""Starts, kills and restarts real gateway processes on loopback."""
 
 from __future__ import annotations
 
@@ -15,15 +15,15 @@
 import time
 from typing import Any
 
-READY_EVERY = 0.02  # s between looks whether a gateway answers PING
-READY_MOST = 20.0  # s
+READY_EVERY = 0.02  # s between PINGs to a gateway that starts
+READY_MOST = 20.0  # s that a gateway may take to answer its first PING
 PR_SET_PDEATHSIG = 1
 SHIFTED = """
 import runpy, time
 now = time.time
 time.time = lambda: now() + {by!r}
 runpy.run_module("corkdeal.net", run_name="__main__", alter_sys=True)
-"""  # the same program with its wall clock set by so many s: the machine's own clock is everybody's
+"""  # the program with its wall clock shifted by some seconds: all processes share the system clock
 
 HALLS = ("north-hall", "east-hall", "south-hall")
 CLASSES = [
@@ -44,7 +44,7 @@
 def settings(
     gateways: int, me: int, plans: list[dict[str, Any]], fall_multiple: float = 4.0
 ) -> dict[str, Any]:
-    """Settings as the platform gives them, for one gateway of a tier."""
+    """The `settings` object in the configuration of one gateway of a tier."""
     return {
         "balancers": gateways,
         "me": me,
@@ -80,7 +80,7 @@
 
 
 def free_ones(count: int, kind: int, host: str) -> list[str]:
-    """So many free addresses of a host, no two the same: all are held until the last is drawn."""
+    """Find distinct free addresses of a host: all sockets stay bound until the last one is."""
     with contextlib.ExitStack() as held:
         made = [held.enter_context(socket.socket(socket.AF_INET, kind)) for _ in range(count)]
         for s in made:
@@ -89,28 +89,31 @@
 
 
 def own_host() -> str:
-    """A loopback address of this process alone: no connection's own end takes a dead gateway's port there."""
+    """A loopback address that only this process uses.
+
+    On a shared address, an outgoing connection could take the port of a gateway that is down as its own.
+    """
     pid = os.getpid()
     return f"127.{100 + (pid >> 16) % 100}.{pid >> 8 & 255}.{pid & 255}"
 
 
 class Ended(RuntimeError):
-    """A gateway's process ended before it answered."""
+    """A gateway process ended before it answered its first PING."""
 
 
 def die_with_parent() -> None:
-    """In a process just made: have it killed when the one that runs the tier ends, however that ends."""
+    """Runs in the child process: has the kernel kill it when its parent ends, for whatever reason."""
     ctypes.CDLL(None).prctl(PR_SET_PDEATHSIG, signal.SIGKILL)
 
 
 def limit_files(pid: int, full: bool) -> None:
-    """Let no file of a process grow beyond nothing: writes fail as on a full disk, without rights for one."""
+    """Simulate a full disk for a process, without root: RLIMIT_FSIZE 0 makes its writes to files fail."""
     _, most = resource.prlimit(pid, resource.RLIMIT_FSIZE)
     resource.prlimit(pid, resource.RLIMIT_FSIZE, (0 if full else most, most))
 
 
 class Gateway:
-    """One gateway's process under one name."""
+    """One gateway of a tier, through all of its incarnations."""
 
     def __init__(
         self,
@@ -120,7 +123,7 @@
         options: str = "",
         program: pathlib.Path | None = None,
     ) -> None:
-        """`options` is the operators' file, `program` another checkout whose program to run."""
+        """`options` is the text of the options file, `program` the checkout to run instead of this one."""
         self.number, self.config, self.folder, self.program = number, config, folder, program
         self.listen: str = config["listen"]
         self.path = folder / f"{config['name']}.json"
@@ -131,25 +134,25 @@
             (folder / f"{config['name']}.kdl").write_text(options)
             self.env["CORKDEAL_OPTIONS"] = str(folder / f"{config['name']}.kdl")
         self.process: asyncio.subprocess.Process | None = None
-        self.ready_at = 0.0  # monotonic time since which it answers
+        self.ready_at = 0.0  # monotonic time of its first reply to PING
         self.up = False
-        self.clock_by = 0.0  # s by which the wall clock is set that its next start reads
+        self.clock_by = 0.0  # s by which the wall clock of its next incarnation is shifted
         self.disk_full = False
 
     def fill_disk(self, full: bool) -> None:
-        """Have no file of this process grow any more, its log and its store alike, or let them again."""
+        """Make all its writes to files fail, those to its log included, or let them succeed again."""
         self.disk_full = full
         if self.process is not None and self.process.returncode is None:
             limit_files(self.process.pid, full)
 
     def prepare(self) -> None:
-        """In the process just made, before the program."""
+        """Runs in the child process before the program is executed."""
         die_with_parent()
         if self.disk_full:
             limit_files(0, True)
 
     async def start(self, known: dict[str, Any] | None = None) -> float:
-        """Start it; returns the seconds until it answered PING."""
+        """Start the process; returns the seconds until it answered PING."""
         self.path.write_text(json.dumps({**self.config, "known": known, "seed": os.urandom(8).hex()}))
         began = time.monotonic()
         with open(self.log, "ab") as log:
@@ -166,9 +169,9 @@
         process = self.process
         while not await self.answers():
             if process.returncode is not None:
-                raise Ended(f"{self.config['name']} ended at its start; see {self.log}")
+                raise Ended(f"{self.config['name']} ended before it answered PING; see {self.log}")
             if time.monotonic() - began > READY_MOST:
-                raise RuntimeError(f"{self.config['name']} does not answer; see {self.log}")
+                raise RuntimeError(f"{self.config['name']} did not answer PING in time; see {self.log}")
             await asyncio.sleep(READY_EVERY)
         self.ready_at, self.up = time.monotonic(), True
         return self.ready_at - began
@@ -189,7 +192,7 @@
             writer.close()
 
     async def end(self, how: signal.Signals = signal.SIGKILL) -> None:
-        """End it, by a kill or as planned."""
+        """End the process by a signal, and wait for it."""
         self.up = False
         if self.process is not None and self.process.returncode is None:
             self.process.send_signal(how)
@@ -204,7 +207,7 @@
     options: str = "",
     program: pathlib.Path | None = None,
 ) -> list[Gateway]:
-    """All gateways of a tier, not yet started."""
+    """Create all gateways of a tier without starting them."""
     host = own_host()
     peers = free_ones(count, socket.SOCK_DGRAM, host)
     listen = free_ones(count, socket.SOCK_STREAM, host)
--- a/corkdeal/standin/history.py
+++ b/corkdeal/standin/history.py
@@ -1,7 +1,7 @@
-"""What the outside of a tier saw, and whether the rules held; nothing here knows a decision.
+"""Records what clients, backends and discovery observe of a tier, and checks it against the tier's rules.
 
-Clients, servers and discovery write into one history, in seconds of one clock. `check` goes through it after
-the run and tells each broken rule with the lines of history that show it.
+All of them write into one history, in seconds of the same clock. After the run, `check` returns each
+violation with the lines of the history that show it. Nothing here reads the state of a gateway.
 """
 
 from __future__ import annotations
@@ -11,58 +11,58 @@
 from dataclasses import dataclass, field
 from typing import NamedTuple
 
-GRACE = 0.25  # s in which a gateway may still send to a server after it was told that it goes
-ANSWER_SLACK = 0.5  # s past its time in which a request may still get its answer
-WINDOWS = (1.0, 5.0, 30.0)  # s over which quotas are looked at
-LINES = 6  # of history that a broken rule shows
+GRACE = 0.25  # s that a gateway may go on using a backend after a list without it
+ANSWER_SLACK = 0.5  # s past the deadline within which a request may still be answered
+WINDOWS = (1.0, 5.0, 30.0)  # s, the sliding windows over which quotas are checked
+LINES = 6  # lines of history that are shown for an exceeded quota
 
 
 @dataclass(slots=True)
 class Try:
-    """One try of a client."""
+    """One attempt of a client: a request with an ID of its own."""
 
     id: int
     customer: int
     gateway: int
-    planned: float
+    planned: float  # when the load model planned the request
     sent: float
-    until: float
+    until: float  # the deadline
     answers: list[tuple[float, str]] = field(default_factory=list)
-    cut_at: float | None = None  # its connection ended without an answer
+    cut_at: float | None = None  # when its connection ended or the client timed out without a reply
 
     def __str__(self) -> str:
         """One line of the history."""
         said = ", ".join(f"{what} at {at:.3f}" for at, what in self.answers) or "no answer"
-        return f"{self.sent:.3f} try {self.id:x} of {self.customer:08x} at gateway {self.gateway}: {said}"
+        return f"{self.sent:.3f} attempt {self.id:x} of {self.customer:08x} at gateway {self.gateway}: {said}"
 
 
 class Attempt(NamedTuple):
-    """One attempt as its server took it."""
+    """One attempt of a gateway, as it arrived at its backend."""
 
     at: float
     server: str
     gateway: int
     request: int
     customer: int
-    beside: str = ""  # another server where an attempt of the same request was still waited for
+    beside: str = ""  # a backend that had an open attempt of the same request
 
     def __str__(self) -> str:
         """One line of the history."""
-        beside = f", while one stood at {self.beside}" if self.beside else ""
+        beside = f", while another was open at {self.beside}" if self.beside else ""
         return (
             f"{self.at:.3f} attempt for {self.request:x} from gateway {self.gateway} at {self.server}{beside}"
         )
 
 
 class Told(NamedTuple):
-    """A list that a gateway was told: the servers that it may use."""
+    """An endpoint list that a gateway was sent: the backends in state ready."""
 
     at: float
     ready: frozenset[str]
 
 
 class Away(NamedTuple):
-    """A span in which a gateway was dead or stopped."""
+    """A period in which a gateway was down or stopped (SIGSTOP)."""
 
     gateway: int
     begin: float
@@ -70,7 +70,7 @@
 
 
 class Broken(NamedTuple):
-    """A rule that did not hold, with the history that shows it."""
+    """The violation of a rule, with the history that shows it."""
 
     rule: str
     lines: tuple[str, ...]
@@ -79,13 +79,13 @@
 class Quota(NamedTuple):
     """A customer's quota over all gateways together."""
 
-    rate: float  # units a second
+    rate: float  # units/s
     burst: float  # units
-    bound: float  # units beyond it that may be let in over any window, by the formula in docs/recovery.md
+    bound: float  # units beyond it that may be admitted in any window, by the formula in docs/recovery.md
 
 
 class History:
-    """All that was seen, in the order in which it happened at each place."""
+    """All observations of a run; each list is in the order of the events."""
 
     def __init__(self) -> None:
         self.tries: dict[int, Try] = {}
@@ -95,7 +95,7 @@
         self.events: list[tuple[float, str]] = []
 
     def firsts(self) -> dict[int, list[float]]:
-        """When each request's first attempt arrived, by customer."""
+        """The arrival times of the first attempts of all requests, by customer."""
         seen: set[int] = set()
         made: dict[int, list[float]] = defaultdict(list)
         for a in sorted(self.attempts):
@@ -105,12 +105,15 @@
         return made
 
     def here(self, gateway: int, begin: float, end: float) -> bool:
-        """Whether a gateway was neither dead nor stopped at any moment between."""
+        """Whether a gateway was up and running throughout a period."""
         return not any(a.gateway == gateway and a.begin < end and a.end > begin for a in self.away)
 
 
 def check(history: History, quotas: dict[int, Quota], end: float, slack: float) -> list[Broken]:
-    """All rules; `end` is when clients stopped listening, `slack` what stand-ins may be late themselves."""
+    """Check all rules.
+
+    `end` is when clients stopped reading, `slack` the seconds by which this process itself may be late.
+    """
     return [
         *final_answers(history, end),
         *sent_too_late(history, slack),
@@ -121,19 +124,19 @@
 
 
 def final_answers(history: History, end: float) -> list[Broken]:
-    """Exactly one answer in time to each try, where its gateway was there all the while."""
+    """Each client attempt gets exactly one reply in time, if its gateway was up and running throughout."""
     made = []
     for t in history.tries.values():
         until = t.until + ANSWER_SLACK
         if len(t.answers) > 1:
             made.append(Broken("one final answer", (str(t),)))
         elif not t.answers and until < end and history.here(t.gateway, t.sent - ANSWER_SLACK, until):
-            made.append(Broken("one final answer", (str(t), f"its time ended at {t.until:.3f}")))
+            made.append(Broken("one final answer", (str(t), f"its deadline was {t.until:.3f}")))
     return made
 
 
 def sent_too_late(history: History, slack: float) -> list[Broken]:
-    """Nothing sent on after its client's time was over."""
+    """No attempt at a backend begins after the deadline of its client."""
     return [
         Broken("nothing sent on after its time", (str(t), str(a)))
         for a in history.attempts
@@ -142,12 +145,12 @@
 
 
 def at_once(history: History) -> list[Broken]:
-    """Never two attempts of one request at the same time."""
+    """No two attempts of one request are open at the same time."""
     return [Broken("never two attempts at once", (str(a),)) for a in history.attempts if a.beside]
 
 
 def told_away(history: History, slack: float) -> list[Broken]:
-    """Nothing to a server that the newest list told GRACE before does not hold as ready."""
+    """An attempt goes to a backend that was ready in the list of GRACE seconds before, or in a later one."""
     made = []
     for a in history.attempts:
         lists = history.told.get(a.gateway, [])
@@ -157,14 +160,14 @@
             made.append(
                 Broken(
                     "nothing new to a server told away",
-                    (f"{since[0].at:.3f} gateway {a.gateway} was told a list without it", str(a)),
+                    (f"{since[0].at:.3f} gateway {a.gateway} was sent a list without it", str(a)),
                 )
             )
     return made
 
 
 def most_over(times: list[float], quota: Quota, window: float) -> tuple[float, float]:
-    """The most units beyond the quota in any window of that length, and when it began."""
+    """The most units beyond the quota in any window of that length, and the start of that window."""
     best, when, low = 0.0, 0.0, 0
     for high, at in enumerate(times):
         while times[low] < at - window:
@@ -177,7 +180,7 @@
 
 
 def beyond(history: History, quotas: dict[int, Quota]) -> list[Broken]:
-    """Units let in over any window within quota plus the stated bound."""
+    """The units admitted in any window stay within the quota plus its bound."""
     made = []
     for customer, times in sorted(history.firsts().items()):
         if (quota := quotas.get(customer)) is None:
@@ -191,7 +194,7 @@
                     if a.customer == customer and when <= a.at <= when + window
                 ]
                 lines = [
-                    f"{over:.2f} units beyond quota in {window:g} s from {when:.3f}, of {quota.bound:.2f}"
+                    f"{over:.2f} units beyond quota in {window:g} s from {when:.3f}, bound {quota.bound:.2f}"
                 ]
                 made.append(Broken("units within quota", (*lines, *map(str, mine[:LINES]))))
                 break
--- a/corkdeal/standin/links.py
+++ b/corkdeal/standin/links.py
@@ -1,8 +1,9 @@
-"""Links between processes, with faults: datagrams between gateways, and TCP from them to what they use.
+"""Fault injection on the network of a tier: datagrams between gateways, TCP from gateways to fake services.
 
-Each gateway is configured with a link's address in place of each peer's. The link carries a datagram on from
-the address at which the receiver knows the sender, so the gateway itself is the unchanged program. A service
-(a server, discovery) opens one door a gateway, so that books and faults go by pair without a relay's hop.
+Each gateway is configured with the address of a link in place of each peer's. The link forwards a datagram
+from the address at which the receiver knows the sender, so the gateway runs unmodified. A fake service (a
+backend or discovery) listens on one port per gateway, called a door, so that connections can be counted and
+disturbed per gateway without the latency of a proxy.
 """
 
 from __future__ import annotations
@@ -20,31 +21,31 @@
 from typing import Any
 
 Address = tuple[str, int]
-TIMESTAMP = 35  # SO_TIMESTAMPNS: the kernel's own time of a datagram's arrival
+TIMESTAMP = 35  # SO_TIMESTAMPNS: the kernel reports when a datagram arrived
 SPEC = struct.Struct("@qq")
-READ_MOST = 64  # datagrams of one socket in one turn
-REORDER_S = 0.05  # s that a datagram waits which is to be overtaken
-KEPT_DELAYS = 200_000  # of the link's own delays
+READ_MOST = 64  # datagrams per socket in one event-loop iteration
+REORDER_S = 0.05  # s by which a datagram is held back so that later ones overtake it
+KEPT_DELAYS = 200_000  # samples of the delay that the links themselves add
 
 
 def text(at: Address) -> str:
-    """An address as the configuration writes it."""
+    """Format an address as in the configuration."""
     return f"{at[0]}:{at[1]}"
 
 
 @dataclass(slots=True, frozen=True)
 class Fault:
-    """What happens to datagrams one way between two gateways; parts are chances a datagram."""
+    """A fault of the datagrams from one gateway to another; fractions are probabilities per datagram."""
 
     loss: float = 0.0
     delay: float = 0.0  # s
-    jitter: float = 0.0  # s at the most, evenly drawn
+    jitter: float = 0.0  # s, maximum of a uniform distribution
     reorder: float = 0.0
-    double: float = 0.0
+    double: float = 0.0  # duplication
     cut: bool = False
 
     def __add__(self, other: Fault) -> Fault:
-        """Both at once."""
+        """Combine two faults that are active at the same time."""
         return Fault(
             1 - (1 - self.loss) * (1 - other.loss),
             self.delay + other.delay,
@@ -59,23 +60,23 @@
 
 
 class Links:
-    """All datagram links of a tier, carried in the caller's loop."""
+    """All datagram links of a tier, served in the caller's event loop."""
 
     def __init__(self, gateways: list[str], chance: random.Random) -> None:
-        """`gateways` are their own addresses for datagrams."""
+        """`gateways` are the addresses at which the gateways receive datagrams."""
         self.at = [(host, int(port)) for host, _, port in (g.rpartition(":") for g in gateways)]
         self.chance = chance
-        self.sockets: dict[tuple[int, int], socket.socket] = {}  # by sender and receiver: where the one sends
+        self.sockets: dict[tuple[int, int], socket.socket] = {}  # where a sender reaches a receiver
         self.active: dict[int, tuple[frozenset[tuple[int, int]], Fault]] = {}
-        self.now: dict[tuple[int, int], Fault] = {}  # where a fault is on
+        self.now: dict[tuple[int, int], Fault] = {}  # the combined faults of each direction
         self.number = 0
         self.carried: Counter[str] = Counter()
         self.sent: Counter[int] = Counter()  # datagrams by sender
-        self.delays: list[float] = []  # s from a datagram's arrival until it was sent on, without faults'
+        self.delays: list[float] = []  # s from arrival to forwarding, of datagrams that no fault delays
         self.heard: Callable[[int, int, bool], None] = lambda sender, to, lost: None
 
     async def start(self) -> None:
-        """Open all links."""
+        """Open the sockets of all links."""
         loop = asyncio.get_running_loop()
         for i in range(len(self.at)):
             for j in range(len(self.at)):
@@ -88,39 +89,39 @@
                     loop.add_reader(s, self.take, i, j, s)
 
     def peers_of(self, gateway: int) -> list[str]:
-        """What stands under `peers` in that gateway's configuration."""
+        """The value of `peers` in the configuration of that gateway."""
         return [
             text(at) if j == gateway else text(self.sockets[gateway, j].getsockname())
             for j, at in enumerate(self.at)
         ]
 
     def put(self, pairs: Iterable[tuple[int, int]], fault: Fault) -> int:
-        """Begin a fault on those directions; its number, for `lift`."""
+        """Start a fault in those directions; returns its number for `lift`."""
         self.number += 1
         self.active[self.number] = frozenset(pairs), fault
         self.settle()
         return self.number
 
     def lift(self, number: int) -> None:
-        """End a fault; others on the same links go on."""
+        """End a fault; others on the same links stay active."""
         self.active.pop(number, None)
         self.settle()
 
     def settle(self) -> None:
-        """What is on by now."""
+        """Recompute the combined faults."""
         self.now = {}
         for pairs, fault in self.active.values():
             for pair in pairs:
                 self.now[pair] = self.now.get(pair, CLEAR) + fault
 
     def take(self, i: int, j: int, s: socket.socket) -> None:
-        """What gateway i sent to j."""
+        """Receive datagrams that gateway i sent to j."""
         for _ in range(READ_MOST):
             try:
                 data, extra, _, sender = s.recvmsg(2048, 64)
             except (BlockingIOError, ConnectionError):
                 return
-            if sender != self.at[i]:  # nobody else may speak in its name
+            if sender != self.at[i]:  # spoofed: only gateway i may send here
                 self.carried["from a stranger"] += 1
                 continue
             self.sent[i] += 1
@@ -132,7 +133,7 @@
             self.carry(i, j, data, arrived)
 
     def carry(self, i: int, j: int, data: bytes, arrived: float) -> None:
-        """Lose, keep back, double or pass on one datagram."""
+        """Drop, delay, duplicate or forward one datagram."""
         fault = self.now.get((i, j))
         if fault is None:
             return self.pass_on(i, j, data, arrived)
@@ -150,10 +151,10 @@
                 self.pass_on(i, j, data, arrived)
 
     def pass_on(self, i: int, j: int, data: bytes, arrived: float | None) -> None:
-        """Send it from where j knows i."""
+        """Forward a datagram from the address at which j knows i."""
         if not (back := self.sockets.get((j, i))):
-            return  # the links are closed
-        with contextlib.suppress(OSError):  # a full buffer loses it, as a network would
+            return  # the links have been closed
+        with contextlib.suppress(OSError):  # dropped when the send buffer is full, as a network may
             back.sendto(data, self.at[j])
         self.carried["carried"] += 1
         if arrived is not None and len(self.delays) < KEPT_DELAYS:
@@ -161,7 +162,7 @@
         self.heard(i, j, False)
 
     def close(self) -> None:
-        """End all links."""
+        """Close all links."""
         for s in self.sockets.values():
             asyncio.get_running_loop().remove_reader(s)
             s.close()
@@ -170,12 +171,12 @@
 
 @dataclass(slots=True, frozen=True)
 class DoorFault:
-    """What happens to one gateway's connections to one service."""
+    """A fault of the connections from one gateway to one service."""
 
-    refuse: bool = False  # new connections are refused, open ones reset
-    silent: bool = False  # nothing gets in or out
-    reset: float = 0.0  # chance a command that its connection is reset
-    slow: float = 0.0  # s, each command
+    refuse: bool = False  # new connections are refused, open ones are reset
+    silent: bool = False  # no data passes in either direction; connections stay open
+    reset: float = 0.0  # probability per command that the connection is reset
+    slow: float = 0.0  # s of delay per command
 
 
 OPEN = DoorFault()
@@ -183,7 +184,7 @@
 
 
 def hold_port() -> socket.socket:
-    """A socket that keeps a port for this process, which may listen there by others with SO_REUSEADDR."""
+    """Reserve a port with a bound socket; SO_REUSEADDR still lets this process listen on it."""
     holder = socket.socket()
     holder.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
     holder.bind(("127.0.0.1", 0))
@@ -191,12 +192,15 @@
 
 
 class Doors:
-    """One listener a gateway for one service, which calls `passage` before it takes and before it answers."""
+    """The listeners of one service, one per gateway.
+
+    The service calls `passage` for each command that it has read, and waits for `clear` before it replies.
+    """
 
     def __init__(self, serve: Serve, chance: random.Random) -> None:
         self.serve, self.chance = serve, chance
         self.ports: list[int] = []
-        self.holders: list[socket.socket] = []  # keep the ports of doors that are shut from other processes
+        self.holders: list[socket.socket] = []  # reserve the ports while a listener is closed
         self.listeners: list[Any] = []
         self.faults: list[DoorFault] = []
         self.clear: list[asyncio.Event] = []
@@ -204,7 +208,7 @@
         self.connected: Callable[[int], None] = lambda gateway: None
 
     async def start(self, count: int) -> None:
-        """Open the doors of so many gateways, each at a port of its own."""
+        """Open one door per gateway."""
         for i in range(count):
             self.listeners.append(None)
             self.holders.append(hold_port())
@@ -216,13 +220,13 @@
             await self.listen(i)
 
     async def listen(self, gateway: int) -> None:
-        """Listen at a gateway's door, whose port its holder lets nobody else have."""
+        """Listen on the reserved port of a gateway's door."""
         self.listeners[gateway] = await asyncio.start_server(
             partial(self.met, gateway), "127.0.0.1", self.ports[gateway], reuse_address=True
         )
 
     async def met(self, gateway: int, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
-        """One connection."""
+        """Track one connection while the service serves it."""
         self.open[gateway].add(writer)
         self.connected(gateway)
         try:
@@ -233,7 +237,7 @@
             self.open[gateway].discard(writer)
 
     async def passage(self, gateway: int, writer: asyncio.StreamWriter) -> None:
-        """Wait as that gateway's fault wants; `ConnectionResetError` where it resets the connection."""
+        """Apply the gateway's fault to a command; raises `ConnectionResetError` if that is a reset."""
         fault = self.faults[gateway]
         if fault.slow:
             await asyncio.sleep(fault.slow)
@@ -243,7 +247,7 @@
         await self.clear[gateway].wait()
 
     async def put(self, gateway: int, fault: DoorFault) -> None:
-        """Begin a fault at a gateway's door, or end it by `OPEN`."""
+        """Start a fault at a gateway's door; `OPEN` ends it."""
         before, self.faults[gateway] = self.faults[gateway], fault
         for writer in list(self.open[gateway]):
             with contextlib.suppress(RuntimeError):
@@ -260,7 +264,7 @@
             await self.listen(gateway)
 
     def close(self) -> None:
-        """Close all doors and reset what is open."""
+        """Close all doors and reset their connections."""
         for listener in self.listeners:
             listener.close()
         for holder in self.holders:
--- a/corkdeal/standin/servers.py
+++ b/corkdeal/standin/servers.py
@@ -1,9 +1,10 @@
-"""Stand-in servers: cores, a queue, a cold start, falling over; slow, dead or cut off on command.
+"""Fake backends with cores, a queue, a cold start and a crash under overload.
 
-A model on real sockets, after the brief: `cores` requests in work at once, each for its drawn work divided by
-the server's speed; the rest wait in order up to a limit, past which `-BUSY` is the answer. A server that has
-just started has `cold_from` of its capacity and warms evenly over `cold_s`. Sent more than `fall_multiple`
-times what it can do at that moment within `fall_s`, it falls over and stays down; `fallen` says so.
+They simulate work behind real sockets, and can be slowed, killed or cut off. `cores` requests are processed
+at a time, each for its drawn work divided by the backend's speed. The rest wait in a FIFO queue; when it is
+full, the reply is `-BUSY`. A backend that has just started has `cold_from` of its capacity, which grows
+linearly to all of it over `cold_s`. A cold backend that is sent more than `fall_multiple` times its current
+capacity within `fall_s` crashes, sets `fallen` and stays down.
 """
 
 from __future__ import annotations
@@ -24,20 +25,20 @@
 
 
 class Reader:
-    """Commands of one connection; a plain reader, for what arrives here was written by our own gateway."""
+    """Parses the commands of one connection; minimal, as only our own gateways and tests send to it."""
 
     def __init__(self, stream: asyncio.StreamReader) -> None:
         self.stream = stream
 
     async def line(self, kind: bytes) -> int:
-        """A head of that kind, and its figure."""
+        """Read the header line of a RESP type; returns its number."""
         head = await self.stream.readuntil(b"\r\n")
         if head[:1] != kind:
-            raise ValueError(f"expected {kind!r}, not {head[:20]!r}")
+            raise ValueError(f"expected RESP type {kind!r}, got {head[:20]!r}")
         return int(head[1:-2])
 
     async def command(self) -> list[bytes]:
-        """The next command's words."""
+        """Read the next command; returns its arguments."""
         words = []
         for _ in range(await self.line(b"*")):
             size = await self.line(b"$")
@@ -47,18 +48,18 @@
 
 @dataclass(slots=True)
 class Arrival:
-    """One command that a server began to hold: for the experiment's books."""
+    """A request that arrived at a backend, as reported to the experiment."""
 
-    at: float
+    at: float  # wall-clock time
     server: str
     customer: int
     request: int
-    gateway: str  # the number of the one it came from, where servers have a door for each; else empty
-    live: Callable[[], bool] = lambda: False  # whether its gateway still waits for the answer
+    gateway: str  # the number of its gateway if the backend has doors, else empty
+    live: Callable[[], bool] = lambda: False  # whether its gateway is still waiting for the reply
 
 
 def waited_for(writer: asyncio.StreamWriter) -> bool:
-    """Whether the other end of a connection still stands; as the kernel has it by now."""
+    """Whether the peer has neither closed nor reset a connection, according to the kernel."""
     if writer.transport.is_closing():
         return False
     handle = writer.get_extra_info("socket")
@@ -73,7 +74,7 @@
 
 @dataclass(slots=True)
 class Waiting:
-    """A request in a server's queue."""
+    """A request in the queue of a backend."""
 
     work: float
     start: asyncio.Future[None]
@@ -82,7 +83,7 @@
 
 @dataclass(slots=True)
 class Model:
-    """What a server is like."""
+    """The parameters of a backend."""
 
     name: str
     hall: str
@@ -99,19 +100,19 @@
 
 @dataclass(eq=False)
 class Server:
-    """One stand-in server."""
+    """One fake backend."""
 
     model: Model
-    work_of: Callable[[], float]  # draws the work of one request, in s of a core of speed 1
+    work_of: Callable[[], float]  # draws the work of a request, in s on a core of speed 1
     seen: Callable[[Arrival], None]
-    slow: float = 1.0  # times slower than its model
-    up_since: float = 0.0  # wall time, 0 for long ago
-    cut: bool = False  # nothing gets in or out; connections stay open and silent
+    slow: float = 1.0  # factor by which it is slower than its model
+    up_since: float = 0.0  # wall-clock time, 0 if it started long ago
+    cut: bool = False  # no data passes in either direction; connections stay open
     fallen: bool = False
     port: int = 0
     busy: int = 0
     waiting: deque[Waiting] = field(default_factory=deque)
-    recent: deque[tuple[float, float]] = field(default_factory=deque)  # (when, work) sent within fall_s
+    recent: deque[tuple[float, float]] = field(default_factory=deque)  # (time, work) within fall_s
     latency: float = 0.2
     answered: deque[float] = field(default_factory=deque)
     open: set[asyncio.StreamWriter] = field(default_factory=set)
@@ -120,7 +121,7 @@
     doors: Doors | None = None
 
     async def start(self, port: int = 0, host: str = "127.0.0.1", gateways: int = 0) -> None:
-        """Listen, with a door for each of so many gateways; a start after an earlier one is a new process."""
+        """Listen; with `gateways`, on one door per gateway. A start after `die` simulates a new process."""
         if gateways:
             self.doors = Doors(self.serve, random.Random(self.model.name))
             return await self.doors.start(gateways)
@@ -128,7 +129,7 @@
         self.port = self.listener.sockets[0].getsockname()[1]
 
     def entry(self, phase: str = "Ready", gateway: int | None = None) -> dict[str, Any]:
-        """Its line in discovery's list, as all gateways or that one is told."""
+        """Its entry in the endpoint list, for all gateways or for that one."""
         port = self.port if gateway is None or self.doors is None else self.doors.ports[gateway]
         return {
             "id": self.model.name,
@@ -142,18 +143,18 @@
         }
 
     def warmth(self) -> float:
-        """The share of its capacity that it has by now."""
+        """The fraction of its full capacity that it has now."""
         if not self.up_since:
             return 1.0
         age = max(0.0, time.time() - self.up_since) / self.model.cold_s
         return min(1.0, self.model.cold_from + (1 - self.model.cold_from) * age)
 
     def capacity(self) -> float:
-        """Seconds of work a second that it can do now."""
+        """Its current capacity, in seconds of work per second."""
         return self.model.cores * self.model.speed * self.warmth() / self.slow
 
     def weigh(self, work: float) -> None:
-        """Book what is sent to it; a cold one that is sent too much falls over."""
+        """Account for a request's work; a cold backend that is overloaded crashes."""
         now = time.monotonic()
         self.recent.append((now, work))
         while self.recent and self.recent[0][0] < now - self.model.fall_s:
@@ -164,7 +165,7 @@
             self.die()
 
     def die(self) -> None:
-        """Its process ends: connections are reset, new ones refused."""
+        """Simulate the end of its process: connections are reset, new ones refused."""
         if self.listener is not None:
             self.listener.close()
         if self.doors is not None:
@@ -175,7 +176,7 @@
         self.busy = 0
 
     def cut_off(self) -> None:
-        """Say and hear nothing from now on."""
+        """Stop sending and receiving; connections stay open."""
         self.cut = True
         self.restored.clear()
         for writer in self.open:
@@ -183,7 +184,7 @@
                 writer.transport.pause_reading()  # type: ignore[attr-defined]
 
     def restore(self, reset: bool = False) -> None:
-        """Be reachable again; open connections go on, or are reset."""
+        """Be reachable again; open connections continue, or are reset."""
         self.cut = False
         self.restored.set()
         for writer in list(self.open):
@@ -196,7 +197,7 @@
     async def serve(
         self, stream: asyncio.StreamReader, writer: asyncio.StreamWriter, gateway: int = -1
     ) -> None:
-        """One connection, one command at a time."""
+        """Serve one connection, one command at a time."""
         self.open.add(writer)
         reader = Reader(stream)
         try:
@@ -227,7 +228,7 @@
             writer.transport.abort()
 
     async def answer(self, words: list[bytes], gateway: str, live: Callable[[], bool]) -> bytes:
-        """Serve one command."""
+        """Execute one command; returns the reply."""
         if words[0].upper() == b"PING":
             return b"+PONG\r\n"
         if words[0].upper() not in (b"API.READ", b"API.WRITE"):
@@ -264,6 +265,6 @@
 
 
 def work_drawer(chance: random.Random, mean: float, cv: float) -> Callable[[], float]:
-    """Work from a gamma law of that mean and coefficient of variation, as the brief's classes have it."""
+    """Draw work from a gamma distribution with that mean and coefficient of variation."""
     shape = 1 / cv**2
     return lambda: max(0.005, chance.gammavariate(shape, mean / shape))
