--- a/tests/discovery_world.py
+++ b/tests/discovery_world.py
@@ -1,7 +1,7 @@
-"""A scripted discovery below the watch's HTTP client, in virtual time: real HTTP parsing, no sockets.
+"""A fake discovery for the watch's real HTTP client, in virtual time and without sockets.
 
-A fault lasts for a time. While it lasts, connections or answers go wrong in its way; before and after that
-discovery answers as it should. One backend starts to drain at a given moment.
+During a fault, connections or responses fail in the way of the fault; before and after it, discovery works
+correctly. Its only backend starts to drain at a given time.
 """
 
 import json
@@ -20,20 +20,20 @@
 
 ADDRESS = ("127.0.0.1", 1)
 HELD = DiscoverySnapshot(41, True, (), {})
-ONE_WAY = 0.001  # s that a request is on its way
-BYTE_EVERY = 0.25  # s between the bytes of what trickles
-LINE = 2.0  # s after which a call in an overloaded discovery's line is turned away
+ONE_WAY = 0.001  # s of latency of a request or a connection attempt
+BYTE_EVERY = 0.25  # s between the bytes of a slow response
+LINE = 2.0  # s in the queue of an overloaded discovery before a call is rejected
 
 
 class Longest(random.Random):
-    """Draws the longest pause that chance allows."""
+    """Always draws the longest possible pause."""
 
     def random(self):
         return 0.999999
 
 
 class Connection:
-    """Discovery's end of a connection, and the transport of the client's."""
+    """The server side of a connection, and the transport of the client's protocol."""
 
     disconnecting = False
 
@@ -89,7 +89,7 @@
 
 
 class Connector:
-    """A connection on its way up."""
+    """A connection attempt."""
 
     def __init__(self, discovery, factory, timeout):
         self.factory = factory
@@ -115,7 +115,7 @@
 
 
 class Discovery:
-    """Answers as the protocol's page has it, but for a fault from `begins` to `ends`."""
+    """Responds according to the protocol, except for a fault from `begins` to `ends`."""
 
     def __init__(self, clock, fault, begins, ends, drains_at, began_anew=False):
         self.clock, self.fault, self.begins, self.ends = clock, fault, begins, ends
@@ -137,7 +137,7 @@
         self.connections.append(Connection(self, factory))
 
     def fault_begins(self):
-        """Open connections end or fall silent with the outage; where only answers are bad they go on."""
+        """End or silence open connections if the fault is an outage; with faulty responses they stay up."""
         for connection in self.connections:
             if self.fault == "refused":
                 connection.end(ConnectionLost)
@@ -155,7 +155,7 @@
         return json.dumps({"revision": self.revision(), "complete": complete, "members": [member]}).encode()
 
     def request(self, connection, path):
-        """One call: at once in the fault's way, else when there is something to tell or its wait is over."""
+        """Handle one call: a fault applies immediately, else the response waits for a change or a timeout."""
         if self.fault_now():
             return self.spoil(connection)
         query = dict(pair.split("=") for pair in path.partition("?")[2].split("&") if pair)
@@ -182,7 +182,7 @@
         connection.send(b"HTTP/1.1 %d Text\r\n%b\r\n%b" % (code, length_line, body))
 
     def spoil(self, connection):
-        """The fault's answer to one call."""
+        """Respond to one call in the way of the fault."""
         FAULTS[self.fault](self, connection)
 
 
@@ -231,7 +231,7 @@
 
 
 def answer_late(discovery, connection):
-    """With what there was when the call came."""
+    """Respond late, with the list as it was when the call arrived."""
     discovery.clock.callLater(1.5, discovery.answer, connection, discovery.body(True))
 
 
@@ -260,7 +260,7 @@
 
 
 class World:
-    """One gateway's watch and its discovery."""
+    """The watch of one gateway, and its discovery."""
 
     def __init__(self, pushed, gateways, rng=None, **script):
         self.clock = Clock()
@@ -275,7 +275,7 @@
         return watch
 
     def reload(self):
-        """As the gateway does on SIGHUP."""
+        """Replace the watch, as the gateway does on SIGHUP."""
         self.watch.stop()
         self.watch = self.begin(None)
 
@@ -285,7 +285,7 @@
             self.told_at = self.clock.seconds()
 
     def run_until(self, end, told=False):
-        """Go from event to event; with `told` only until the drain was told."""
+        """Advance from event to event until `end`; with `told`, stop once the watch reported the drain."""
         while not (told and self.told_at is not None):
             coming = min((c.getTime() for c in self.clock.getDelayedCalls()), default=end)
             self.clock.advance(max(0.0, min(coming, end) - self.clock.seconds()))
--- a/tests/helpers.py
+++ b/tests/helpers.py
@@ -1,4 +1,4 @@
-"""Builders for small worlds of gateways, without any network or bench."""
+"""Builders for settings, events and small tiers of gateways, without a network."""
 
 from corkdeal.decisions.actions import SendToPeer, StartAttempt
 from corkdeal.decisions.events import (
@@ -55,7 +55,7 @@
 
 
 class Ring:
-    """Gateways that pass messages on; a test may lose, repeat or delay them."""
+    """A tier of gateways that exchange peer messages; tests can drop, duplicate or delay them."""
 
     spread = 3
 
@@ -79,7 +79,7 @@
                     self.flight.append((self.now + self.delay * (1 + copy), me, tell.peer, tell.payload))
 
     def run(self, seconds, ask=None):
-        """Let time pass in scan steps; `ask(gateway)` gives units asked there in each step."""
+        """Advance time in steps of 50 ms; `ask(gateway)` returns the units requested there in each step."""
         for _ in range(round(seconds / 0.05)):
             self.now += 0.05
             arrived = [m for m in self.flight if m[0] <= self.now]
--- a/tests/net_fakes.py
+++ b/tests/net_fakes.py
@@ -1,4 +1,4 @@
-"""Client connections without a socket, for a gateway on a fake reactor."""
+"""Fake client connections without sockets, for a gateway on a fake reactor."""
 
 import unittest.mock
 
@@ -8,14 +8,14 @@
 
 
 def connect(gateway):
-    """A client connection whose client has sent nothing so far; what is written stays in its transport."""
+    """A client connection that has received nothing yet; its transport keeps what is written to it."""
     made = ClientConnections(gateway).buildProtocol(None)
     transport = StringTransport()
     transport.setTcpNoDelay = lambda on: None
     transport.connected, transport.producerPaused, transport.dataBuffer = True, False, b""
     transport._tempDataBuffer, transport.getHandle = [], lambda: transport
     transport.fileno = lambda: -1
-    transport.getsockopt = unittest.mock.Mock(side_effect=OSError)  # the kernel tells nothing of it
+    transport.getsockopt = unittest.mock.Mock(side_effect=OSError)  # TCP_INFO is not available
     transport.recv = unittest.mock.Mock(side_effect=BlockingIOError)
     transport.sendmsg = lambda parts: transport.write(b"".join(parts)) or sum(map(len, parts))
     transport.loseWriteConnection = lambda: None
--- a/tests/net_world.py
+++ b/tests/net_world.py
@@ -1,4 +1,4 @@
-"""Toy backends, discovery and clients on loopback for the real program; every wait is for an event."""
+"""Fake backends, discovery and clients on loopback for tests of the real program; waits are for events."""
 
 import contextlib
 import copy
@@ -21,7 +21,7 @@
 from .ports import reserve_address, reserve_port
 
 ROOT = pathlib.Path(__file__).parents[1]
-PATIENCE = 60.0  # s; far more than anything takes, and the kernel asks again after 1, 3, 7, 15 and 31
+PATIENCE = 60.0  # s; longer than anything takes, SYN retries after 1, 3, 7, 15 and 31 s included
 SETTINGS = {
     "balancers": 2,
     "me": 0,
@@ -70,20 +70,20 @@
 
 
 def served(value=b"v"):
-    """A backend's answer with a value and a load report."""
+    """A backend's reply with a value and a load report."""
     load = b"latency_ms=120,qps=4"
     return b"*3\r\n$%d\r\n%b\r\n$-1\r\n$%d\r\n%b\r\n" % (len(value), value, len(load), load)
 
 
 class Conn:
-    """One socket that speaks RESP."""
+    """A socket that reads RESP frames."""
 
     def __init__(self, sock):
         self.sock, self.parser = sock, Parser()
         sock.settimeout(PATIENCE)
 
     def read(self):
-        """The next frame's items as bytes, or None at the end of the stream."""
+        """The items of the next frame, or None at the end of the stream."""
         while (frame := self.parser.next()) is None:
             try:
                 data = self.sock.recv(65536)
@@ -99,30 +99,30 @@
         self.sock.sendall(data)
 
     def end(self):
-        """End the stream, although a thread may be reading it."""
+        """Shut down the connection, even while a thread reads from it."""
         self.sock.shutdown(socket.SHUT_RDWR)
 
     def reset(self):
-        """End with a reset."""
+        """Reset the connection."""
         self.sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, b"\1\0\0\0\0\0\0\0")
         self.sock.close()
 
 
 class Asked:
-    """One command that reached a backend; the test answers it."""
+    """A command received by a backend; the test replies to it."""
 
     def __init__(self, backend, conn, words):
         self.backend, self.conn, self.words = backend, conn, words
-        self.ended = threading.Event()  # the gateway ended the connection
+        self.ended = threading.Event()  # the gateway has ended the connection
         self.params = dict(p.split(b"=") for p in words[3].split(b","))
 
 
 class Backend:
-    """Accepts connections and queues commands; it answers nothing by itself."""
+    """Accepts connections and queues their commands in the world; it does not reply by itself."""
 
     def __init__(self, name, world, cell=0, **more):
         self.name, self.world = name, world
-        self.listener = socket.create_server(("127.0.0.1", reserve_port()))  # nobody else's once closed
+        self.listener = socket.create_server(("127.0.0.1", reserve_port()))  # not reused once closed
         self.port = self.listener.getsockname()[1]
         self.entry = {
             "id": name,
@@ -138,8 +138,8 @@
         threading.Thread(target=self.accept, daemon=True).start()
 
     def stop_listening(self):
-        """Refuse connections from now on; `close` alone would let the accept under way take one more."""
-        with contextlib.suppress(OSError):  # it has stopped already
+        """Refuse connections from now on; after `close` alone, a pending accept could still take one more."""
+        with contextlib.suppress(OSError):  # already shut down
             self.listener.shutdown(socket.SHUT_RDWR)
         self.listener.close()
 
@@ -164,12 +164,12 @@
 
 
 class Discovery(http.server.BaseHTTPRequestHandler):
-    """Discovery's two calls; the world holds its list."""
+    """Serves the two calls of discovery from the list of the world."""
 
     protocol_version = "HTTP/1.1"
 
     def log_message(self, *args):
-        """Silent."""
+        """Suppress the access log."""
 
     def do_GET(self):
         query = urllib.parse.parse_qs(urllib.parse.urlparse(self.path).query)
@@ -194,7 +194,7 @@
             self.answer(body)
 
     def answer(self, body):
-        """Write one answer; other ways to end it are made by overriding this."""
+        """Write one response; tests override this to end it in other ways."""
         self.send_response(200)
         self.send_header("Content-Length", str(len(body)))
         self.end_headers()
@@ -202,7 +202,7 @@
 
 
 class World:
-    """Discovery and backends for one gateway's program."""
+    """Fake discovery and backends for one gateway process."""
 
     def __init__(self, port=0):
         self.asked, self.calls, self.changed = queue.Queue(), queue.Queue(), threading.Condition()
@@ -216,7 +216,7 @@
         return backend
 
     def tell(self, raw=None, **phases):
-        """Publish a new list; returns once the gateway has it, by its next call."""
+        """Publish a new endpoint list; returns once the gateway has it, as its next call shows."""
         with self.changed:
             for name, phase in phases.items():
                 self.backends[name].entry["phase"] = phase
@@ -239,7 +239,7 @@
 
 
 class Program(unittest.TestCase):
-    """Starts the real program; subclasses choose the build."""
+    """Base of tests that run the real program; subclasses set interpreter options in `build`."""
 
     build: tuple[str, ...] = ()
 
@@ -280,7 +280,7 @@
         self.line("serving ")
 
     def run_program(self):
-        """Start it, or start it again."""
+        """Start a process of the program; it may be called again after the last one has ended."""
         self.process = subprocess.Popen(
             [sys.executable, *self.build, "-m", "corkdeal.net"],
             cwd=ROOT,
@@ -297,7 +297,7 @@
         self.process.stdout.close()
 
     def line(self, text):
-        """Wait for a line of the log; a program that does not write it is ended, so that the test does."""
+        """Wait for a log line; a program that does not write it in time is killed, which fails the test."""
         guard = threading.Timer(PATIENCE, self.process.kill)
         guard.start()
         try:
@@ -333,7 +333,7 @@
 
 
 def slow_settings(**limits):
-    """Aims so long that whatever waits goes on waiting for the whole test."""
+    """Settings with time limits so long that no waiting request times out during a test."""
     settings = copy.deepcopy(SETTINGS)
     for each in settings["classes"]:
         each.update(aim_us=80_000_000, deadline_us=90_000_000)
@@ -342,44 +342,44 @@
 
 
 class Moments(Program):
-    """What these tests have in common."""
+    """Base of tests that control when events happen, with a program that is frozen in between."""
 
     def patient(self, sockets=256, **more):
-        """Start with long aims, and so many descriptors."""
+        """Start with the long time limits of `slow_settings`."""
         self.start(config={"settings": slow_settings(), "limits": {"sockets": sockets}}, **more)
 
     def seen(self, text):
-        """Wait for a line of the log that may have come already."""
+        """Wait for a log line that may have been read already."""
         if not any(text in line for line in self.lines):
             self.line(text)
 
     def freeze(self):
-        """Stop the program where it waits for something to happen; the time at which it had stopped."""
+        """Stop the program while it sleeps in its event loop; returns the time once it has stopped."""
         self.until("S")
         self.process.send_signal(signal.SIGSTOP)
         self.until("T")
         return time.monotonic()
 
     def until(self, state):
-        """Wait until the kernel says that of the process."""
+        """Wait until the process is in that state, as in /proc."""
         stat = pathlib.Path(f"/proc/{self.process.pid}/stat")
         while stat.read_text().rpartition(")")[2].split()[0] != state:
             time.sleep(0.001)
 
     def thaw(self, after=0.0, since=0.0):
-        """Let it go on, its timers of so many s by then overdue."""
+        """Continue the program once timers of `after` s that started at `since` are overdue."""
         time.sleep(max(0.0, since + after - time.monotonic()))
         self.process.send_signal(signal.SIGCONT)
 
     def wait_for(self, true):
-        """Wait until that holds."""
+        """Poll until a condition holds."""
         until = time.monotonic() + PATIENCE
         while not true():
             self.assertLess(time.monotonic(), until)
             time.sleep(0.005)
 
     def pinged(self, many):
-        """Client connections that rest: each has asked once and has its answer."""
+        """Open idle client connections; each has sent one PING and got its reply."""
         clients = [self.client() for _ in range(many)]
         for client in clients:
             client.send(command(b"PING"))
@@ -387,7 +387,7 @@
         return clients
 
     def serve(self, client, rid, cls=b"look", **more):
-        """Have one request served; the command that came to a backend for it."""
+        """Have one request served; returns the command that a backend received for it."""
         self.ask(client, cls, rid=rid, **more)
         asked = self.world.next()
         asked.conn.send(served())
@@ -395,7 +395,7 @@
         return asked
 
     def crowded(self, name="a"):
-        """A backend whose kernel takes no connection until its queue is emptied: its listening socket."""
+        """Add a backend whose accept queue is full, so that connecting to it waits; returns its listener."""
         backend = self.world.add(name)
         backend.stop_listening()
         listener = socket.create_server(("127.0.0.1", 0), backlog=0)
