--- a/tests/test_standin.py
+++ b/tests/test_standin.py
@@ -1,5 +1,6 @@
-"""The stand-ins and the experiment's books: what they count must be right, or so would nothing measured on
-them.
+"""The fake backends, discovery and clients, and the experiments' quota accounting.
+
+Every measurement of the experiments depends on them.
 """
 
 import asyncio
@@ -106,10 +107,10 @@
 
 def test_the_books_take_a_unit_for_a_try_inside_the_quota_and_none_beyond():
     who = {7: clients.Customer(7, 0, 1.4, 9.0, 0, 2, (1.0, 1.0))}
-    at = [0.0] * 7 + [10.0, 10.0]  # a burst of 5.6: five inside, two beyond; later all is refilled
+    at = [0.0] * 7 + [10.0, 10.0]  # a burst of 5.6: five within, two beyond; refilled later
     seen = [SimpleNamespace(at=a, customer=7, request=i) for i, a in enumerate(at)]
     seen += [SimpleNamespace(at=0.1, customer=7, request=0), SimpleNamespace(at=0.0, customer=9, request=50)]
-    booked = clients.books(seen, who)  # a second attempt and a stranger count nothing
+    booked = clients.books(seen, who)  # a second attempt and an unknown customer are not counted
     assert [over for _, over, _ in booked] == [False] * 5 + [True] * 2 + [False] * 2
 
 
--- a/tests/tier/test_history.py
+++ b/tests/tier/test_history.py
@@ -1,4 +1,4 @@
-"""The checker of a tier's history: each rule, kept and broken."""
+"""The checks of a tier's history: each rule, followed and violated."""
 
 import pytest
 
@@ -45,7 +45,10 @@
         (history(attempts=burst(20, 1.0)), None),
         (history(attempts=burst(4, 0.0)), "units within quota"),
         (history(attempts=burst(20, 0.8)), "units within quota"),
-        (history(attempts=[a._replace(request=1) for a in burst(9, 0.1)]), None),  # one request, tried again
+        (
+            history(attempts=[a._replace(request=1) for a in burst(9, 0.1)]),
+            None,
+        ),  # one request with nine attempts
     ],
 )
 def test_a_broken_rule_is_found_and_a_kept_one_is_not(seen, rule):
--- a/tests/tier/test_links.py
+++ b/tests/tier/test_links.py
@@ -1,4 +1,4 @@
-"""Links between processes: each fault does what it says, one way, and ends."""
+"""Links between processes: each fault takes effect, in one direction only, until it is lifted."""
 
 import asyncio
 import contextlib
@@ -12,7 +12,7 @@
 
 @contextlib.asynccontextmanager
 async def three():
-    """Three stand-in gateways, and the links between them."""
+    """Three sockets in place of gateways, and the links between them."""
     own = [socket.socket(socket.AF_INET, socket.SOCK_DGRAM) for _ in range(3)]
     for s in own:
         s.bind(("127.0.0.1", 0))
@@ -33,7 +33,7 @@
 
 
 async def say(links, own, at, i, j, times, copies=1):
-    """Send from i to j and wait until the links have dealt with all of it; how much they passed on."""
+    """Send datagrams from i to j, and wait until all are handled; returns how many were forwarded."""
     done = asyncio.Event()
     seen = []
 
--- a/tests/tier/test_schedule.py
+++ b/tests/tier/test_schedule.py
@@ -1,4 +1,4 @@
-"""A tier's schedule: what it may say, and where a fault is told."""
+"""The schedules of tier experiments: the order of their steps, and the position of errors."""
 
 import pathlib
 
--- a/tests/tier/test_tier.py
+++ b/tests/tier/test_tier.py
@@ -1,4 +1,4 @@
-"""A tier of real gateways with faults between them: the rules hold, and everything ends with the run."""
+"""A tier of real gateways with injected faults: the rules hold, and no process outlives the run."""
 
 import asyncio
 import os
@@ -21,19 +21,19 @@
 
 
 def timeless(seen):
-    """Broken rules, without those that a machine under load breaks by being late."""
+    """Violations, without those that delays on a loaded machine can cause."""
     return [b for b in seen["broken"] if "no answer" not in b["lines"][0] and "told" not in b["rule"]]
 
 
 async def until(holds):
-    """Wait until that holds."""
+    """Poll until a condition holds."""
     async with asyncio.timeout(PATIENCE):
         while not holds():
             await asyncio.sleep(0.01)
 
 
 async def failed_write(gateway, folder):
-    """Wait until a gateway that is up has failed to write: it makes a file in its folder and removes it."""
+    """Wait until a running gateway has failed to write: it creates a file in its folder and removes it."""
     await until(lambda: gateway.up)
     before = folder.stat().st_mtime_ns
     await until(lambda: folder.stat().st_mtime_ns != before)
