--- a/corkdeal/standin/fleet.py
+++ b/corkdeal/standin/fleet.py
@@ -15,10 +15,10 @@
 import time
 from typing import Any
 
-READY_EVERY = 0.02  # s between PINGs to a gateway that starts
-READY_MOST = 20.0  # s that a gateway may take to answer its first PING
+READY_POLL_INTERVAL = 0.02  # s between PINGs to a gateway that starts
+READY_TIMEOUT = 20.0  # s that a gateway may take to answer its first PING
 PR_SET_PDEATHSIG = 1
-SHIFTED = """
+SHIFTED_CLOCK_PROGRAM = """
 import runpy, time
 now = time.time
 time.time = lambda: now() + {by!r}
@@ -79,13 +79,13 @@
     }
 
 
-def free_ones(count: int, kind: int, host: str) -> list[str]:
+def free_ones(count: int, socket_type: int, host: str) -> list[str]:
     """Find distinct free addresses of a host: all sockets stay bound until the last one is."""
-    with contextlib.ExitStack() as held:
-        made = [held.enter_context(socket.socket(socket.AF_INET, kind)) for _ in range(count)]
-        for s in made:
+    with contextlib.ExitStack() as stack:
+        sockets = [stack.enter_context(socket.socket(socket.AF_INET, socket_type)) for _ in range(count)]
+        for s in sockets:
             s.bind((host, 0))
-        return [f"{host}:{s.getsockname()[1]}" for s in made]
+        return [f"{host}:{s.getsockname()[1]}" for s in sockets]
 
 
 def own_host() -> str:
@@ -108,8 +108,8 @@
 
 def limit_files(pid: int, full: bool) -> None:
     """Simulate a full disk for a process, without root: RLIMIT_FSIZE 0 makes its writes to files fail."""
-    _, most = resource.prlimit(pid, resource.RLIMIT_FSIZE)
-    resource.prlimit(pid, resource.RLIMIT_FSIZE, (0 if full else most, most))
+    _, hard_limit = resource.prlimit(pid, resource.RLIMIT_FSIZE)
+    resource.prlimit(pid, resource.RLIMIT_FSIZE, (0 if full else hard_limit, hard_limit))
 
 
 class Gateway:
@@ -145,7 +145,7 @@
         if self.process is not None and self.process.returncode is None:
             limit_files(self.process.pid, full)
 
-    def prepare(self) -> None:
+    def prepare_child(self) -> None:
         """Runs in the child process before the program is executed."""
         die_with_parent()
         if self.disk_full:
@@ -159,20 +159,24 @@
             self.process = await asyncio.create_subprocess_exec(
                 sys.executable,
                 "-O",
-                *(("-c", SHIFTED.format(by=self.clock_by)) if self.clock_by else ("-m", "corkdeal.net")),
+                *(
+                    ("-c", SHIFTED_CLOCK_PROGRAM.format(by=self.clock_by))
+                    if self.clock_by
+                    else ("-m", "corkdeal.net")
+                ),
                 env=self.env,
                 stdout=log,
                 stderr=log,
                 cwd=self.program or pathlib.Path(__file__).parents[2],
-                preexec_fn=self.prepare,
+                preexec_fn=self.prepare_child,
             )
         process = self.process
         while not await self.answers():
             if process.returncode is not None:
                 raise Ended(f"{self.config['name']} ended before it answered PING; see {self.log}")
-            if time.monotonic() - began > READY_MOST:
+            if time.monotonic() - began > READY_TIMEOUT:
                 raise RuntimeError(f"{self.config['name']} did not answer PING in time; see {self.log}")
-            await asyncio.sleep(READY_EVERY)
+            await asyncio.sleep(READY_POLL_INTERVAL)
         self.ready_at, self.up = time.monotonic(), True
         return self.ready_at - began
 
@@ -191,11 +195,11 @@
         finally:
             writer.close()
 
-    async def end(self, how: signal.Signals = signal.SIGKILL) -> None:
+    async def end(self, signal_number: signal.Signals = signal.SIGKILL) -> None:
         """End the process by a signal, and wait for it."""
         self.up = False
         if self.process is not None and self.process.returncode is None:
-            self.process.send_signal(how)
+            self.process.send_signal(signal_number)
             await self.process.wait()
 
 
