--- a/corkdeal/standin/history.py
+++ b/corkdeal/standin/history.py
@@ -11,10 +11,10 @@
 from dataclasses import dataclass, field
 from typing import NamedTuple
 
-GRACE = 0.25  # s that a gateway may go on using a backend after a list without it
+REMOVAL_GRACE = 0.25  # s that a gateway may go on using a backend after a list without it
 ANSWER_SLACK = 0.5  # s past the deadline within which a request may still be answered
 WINDOWS = (1.0, 5.0, 30.0)  # s, the sliding windows over which quotas are checked
-LINES = 6  # lines of history that are shown for an exceeded quota
+MAX_LINES = 6  # lines of history that are shown for an exceeded quota
 
 
 @dataclass(slots=True)
@@ -26,14 +26,16 @@
     gateway: int
     planned: float  # when the load model planned the request
     sent: float
-    until: float  # the deadline
+    deadline: float
     answers: list[tuple[float, str]] = field(default_factory=list)
     cut_at: float | None = None  # when its connection ended or the client timed out without a reply
 
     def __str__(self) -> str:
         """One line of the history."""
-        said = ", ".join(f"{what} at {at:.3f}" for at, what in self.answers) or "no answer"
-        return f"{self.sent:.3f} attempt {self.id:x} of {self.customer:08x} at gateway {self.gateway}: {said}"
+        replies = ", ".join(f"{what} at {at:.3f}" for at, what in self.answers) or "no answer"
+        return (
+            f"{self.sent:.3f} attempt {self.id:x} of {self.customer:08x} at gateway {self.gateway}: {replies}"
+        )
 
 
 class Attempt(NamedTuple):
@@ -44,13 +46,13 @@
     gateway: int
     request: int
     customer: int
-    beside: str = ""  # a backend that had an open attempt of the same request
+    concurrent_backend: str = ""  # a backend that had an open attempt of the same request
 
     def __str__(self) -> str:
         """One line of the history."""
-        beside = f", while another was open at {self.beside}" if self.beside else ""
+        other = f", while another was open at {self.concurrent_backend}" if self.concurrent_backend else ""
         return (
-            f"{self.at:.3f} attempt for {self.request:x} from gateway {self.gateway} at {self.server}{beside}"
+            f"{self.at:.3f} attempt for {self.request:x} from gateway {self.gateway} at {self.server}{other}"
         )
 
 
@@ -69,7 +71,7 @@
     end: float
 
 
-class Broken(NamedTuple):
+class Violation(NamedTuple):
     """The violation of a rule, with the history that shows it."""
 
     rule: str
@@ -97,73 +99,75 @@
     def firsts(self) -> dict[int, list[float]]:
         """The arrival times of the first attempts of all requests, by customer."""
         seen: set[int] = set()
-        made: dict[int, list[float]] = defaultdict(list)
+        first_arrivals: dict[int, list[float]] = defaultdict(list)
         for a in sorted(self.attempts):
             if a.request not in seen:
                 seen.add(a.request)
-                made[a.customer].append(a.at)
-        return made
+                first_arrivals[a.customer].append(a.at)
+        return first_arrivals
 
-    def here(self, gateway: int, begin: float, end: float) -> bool:
+    def was_up(self, gateway: int, begin: float, end: float) -> bool:
         """Whether a gateway was up and running throughout a period."""
         return not any(a.gateway == gateway and a.begin < end and a.end > begin for a in self.away)
 
 
-def check(history: History, quotas: dict[int, Quota], end: float, slack: float) -> list[Broken]:
+def check(history: History, quotas: dict[int, Quota], end: float, slack: float) -> list[Violation]:
     """Check all rules.
 
     `end` is when clients stopped reading, `slack` the seconds by which this process itself may be late.
     """
     return [
-        *final_answers(history, end),
-        *sent_too_late(history, slack),
-        *at_once(history),
-        *told_away(history, slack),
-        *beyond(history, quotas),
+        *check_replies(history, end),
+        *check_deadlines(history, slack),
+        *check_concurrent_attempts(history),
+        *check_endpoint_lists(history, slack),
+        *check_quotas(history, quotas),
     ]
 
 
-def final_answers(history: History, end: float) -> list[Broken]:
+def check_replies(history: History, end: float) -> list[Violation]:
     """Each client attempt gets exactly one reply in time, if its gateway was up and running throughout."""
-    made = []
+    violations = []
     for t in history.tries.values():
-        until = t.until + ANSWER_SLACK
+        until = t.deadline + ANSWER_SLACK
         if len(t.answers) > 1:
-            made.append(Broken("one final answer", (str(t),)))
-        elif not t.answers and until < end and history.here(t.gateway, t.sent - ANSWER_SLACK, until):
-            made.append(Broken("one final answer", (str(t), f"its deadline was {t.until:.3f}")))
-    return made
+            violations.append(Violation("one final answer", (str(t),)))
+        elif not t.answers and until < end and history.was_up(t.gateway, t.sent - ANSWER_SLACK, until):
+            violations.append(Violation("one final answer", (str(t), f"its deadline was {t.deadline:.3f}")))
+    return violations
 
 
-def sent_too_late(history: History, slack: float) -> list[Broken]:
+def check_deadlines(history: History, slack: float) -> list[Violation]:
     """No attempt at a backend begins after the deadline of its client."""
     return [
-        Broken("nothing sent on after its time", (str(t), str(a)))
+        Violation("nothing sent on after its time", (str(t), str(a)))
         for a in history.attempts
-        if (t := history.tries.get(a.request)) is not None and a.at > t.until + slack
+        if (t := history.tries.get(a.request)) is not None and a.at > t.deadline + slack
     ]
 
 
-def at_once(history: History) -> list[Broken]:
+def check_concurrent_attempts(history: History) -> list[Violation]:
     """No two attempts of one request are open at the same time."""
-    return [Broken("never two attempts at once", (str(a),)) for a in history.attempts if a.beside]
+    return [
+        Violation("never two attempts at once", (str(a),)) for a in history.attempts if a.concurrent_backend
+    ]
 
 
-def told_away(history: History, slack: float) -> list[Broken]:
-    """An attempt goes to a backend that was ready in the list of GRACE seconds before, or in a later one."""
-    made = []
+def check_endpoint_lists(history: History, slack: float) -> list[Violation]:
+    """Attempts go to backends that were ready in the list REMOVAL_GRACE s before, or in a later one."""
+    violations = []
     for a in history.attempts:
         lists = history.told.get(a.gateway, [])
-        newest = bisect.bisect_right(lists, a.at - GRACE - slack, key=lambda told: told.at) - 1
+        newest = bisect.bisect_right(lists, a.at - REMOVAL_GRACE - slack, key=lambda told: told.at) - 1
         since = lists[max(0, newest) :]
         if newest >= 0 and not any(a.server in told.ready for told in since if told.at <= a.at):
-            made.append(
-                Broken(
+            violations.append(
+                Violation(
                     "nothing new to a server told away",
                     (f"{since[0].at:.3f} gateway {a.gateway} was sent a list without it", str(a)),
                 )
             )
-    return made
+    return violations
 
 
 def most_over(times: list[float], quota: Quota, window: float) -> tuple[float, float]:
@@ -179,9 +183,9 @@
     return best, when
 
 
-def beyond(history: History, quotas: dict[int, Quota]) -> list[Broken]:
+def check_quotas(history: History, quotas: dict[int, Quota]) -> list[Violation]:
     """The units admitted in any window stay within the quota plus its bound."""
-    made = []
+    violations = []
     for customer, times in sorted(history.firsts().items()):
         if (quota := quotas.get(customer)) is None:
             continue
@@ -196,6 +200,6 @@
                 lines = [
                     f"{over:.2f} units beyond quota in {window:g} s from {when:.3f}, bound {quota.bound:.2f}"
                 ]
-                made.append(Broken("units within quota", (*lines, *map(str, mine[:LINES]))))
+                violations.append(Violation("units within quota", (*lines, *map(str, mine[:MAX_LINES]))))
                 break
-    return made
+    return violations
