--- a/corkdeal/standin/discovery.py
+++ b/corkdeal/standin/discovery.py
@@ -67,7 +67,7 @@
             while True:
                 head = (await stream.readuntil(b"\r\n\r\n")).decode("latin-1")
                 if self.doors is not None:
-                    await self.doors.passage(gateway, writer)
+                    await self.doors.apply_fault(gateway, writer)
                 query = urllib.parse.parse_qs(urllib.parse.urlparse(head.split(" ", 2)[1]).query)
                 after = int(query.get("after", ["-1"])[0])
                 async with self.changed:
@@ -81,7 +81,7 @@
                 if late := self.late.get(gateway):
                     await asyncio.sleep(late)
                 if self.doors is not None:
-                    await self.doors.clear[gateway].wait()
+                    await self.doors.unblocked[gateway].wait()
                 document = self.document(gateway)
                 body = json.dumps(document).encode()
                 writer.write(
--- a/corkdeal/standin/links.py
+++ b/corkdeal/standin/links.py
@@ -21,16 +21,16 @@
 from typing import Any
 
 Address = tuple[str, int]
-TIMESTAMP = 35  # SO_TIMESTAMPNS: the kernel reports when a datagram arrived
-SPEC = struct.Struct("@qq")
-READ_MOST = 64  # datagrams per socket in one event-loop iteration
-REORDER_S = 0.05  # s by which a datagram is held back so that later ones overtake it
-KEPT_DELAYS = 200_000  # samples of the delay that the links themselves add
+SO_TIMESTAMPNS = 35  # missing from `socket`; the kernel reports when a datagram arrived
+TIMESPEC = struct.Struct("@qq")
+MAX_DATAGRAMS_PER_READ = 64  # datagrams per socket in one event-loop iteration
+REORDER_DELAY = 0.05  # s by which a datagram is held back so that later ones overtake it
+MAX_DELAY_SAMPLES = 200_000  # samples of the delay that the links themselves add
 
 
-def text(at: Address) -> str:
+def format_address(address: Address) -> str:
     """Format an address as in the configuration."""
-    return f"{at[0]}:{at[1]}"
+    return f"{address[0]}:{address[1]}"
 
 
 @dataclass(slots=True, frozen=True)
@@ -41,7 +41,7 @@
     delay: float = 0.0  # s
     jitter: float = 0.0  # s, maximum of a uniform distribution
     reorder: float = 0.0
-    double: float = 0.0  # duplication
+    duplicate: float = 0.0
     cut: bool = False
 
     def __add__(self, other: Fault) -> Fault:
@@ -51,25 +51,25 @@
             self.delay + other.delay,
             self.jitter + other.jitter,
             1 - (1 - self.reorder) * (1 - other.reorder),
-            1 - (1 - self.double) * (1 - other.double),
+            1 - (1 - self.duplicate) * (1 - other.duplicate),
             self.cut or other.cut,
         )
 
 
-CLEAR = Fault()
+NO_FAULT = Fault()
 
 
 class Links:
     """All datagram links of a tier, served in the caller's event loop."""
 
-    def __init__(self, gateways: list[str], chance: random.Random) -> None:
+    def __init__(self, gateways: list[str], rng: random.Random) -> None:
         """`gateways` are the addresses at which the gateways receive datagrams."""
-        self.at = [(host, int(port)) for host, _, port in (g.rpartition(":") for g in gateways)]
-        self.chance = chance
+        self.addresses = [(host, int(port)) for host, _, port in (g.rpartition(":") for g in gateways)]
+        self.rng = rng
         self.sockets: dict[tuple[int, int], socket.socket] = {}  # where a sender reaches a receiver
-        self.active: dict[int, tuple[frozenset[tuple[int, int]], Fault]] = {}
-        self.now: dict[tuple[int, int], Fault] = {}  # the combined faults of each direction
-        self.number = 0
+        self.active_faults: dict[int, tuple[frozenset[tuple[int, int]], Fault]] = {}
+        self.combined_faults: dict[tuple[int, int], Fault] = {}  # the combined faults of each direction
+        self.last_fault_id = 0
         self.carried: Counter[str] = Counter()
         self.sent: Counter[int] = Counter()  # datagrams by sender
         self.delays: list[float] = []  # s from arrival to forwarding, of datagrams that no fault delays
@@ -78,86 +78,88 @@
     async def start(self) -> None:
         """Open the sockets of all links."""
         loop = asyncio.get_running_loop()
-        for i in range(len(self.at)):
-            for j in range(len(self.at)):
+        for i in range(len(self.addresses)):
+            for j in range(len(self.addresses)):
                 if i != j:
                     s = socket.socket(socket.AF_INET, socket.SOCK_DGRAM)
                     s.setblocking(False)
-                    s.setsockopt(socket.SOL_SOCKET, TIMESTAMP, 1)
+                    s.setsockopt(socket.SOL_SOCKET, SO_TIMESTAMPNS, 1)
                     s.bind(("127.0.0.1", 0))
                     self.sockets[i, j] = s
-                    loop.add_reader(s, self.take, i, j, s)
+                    loop.add_reader(s, self.receive, i, j, s)
 
     def peers_of(self, gateway: int) -> list[str]:
         """The value of `peers` in the configuration of that gateway."""
         return [
-            text(at) if j == gateway else text(self.sockets[gateway, j].getsockname())
-            for j, at in enumerate(self.at)
+            format_address(address)
+            if j == gateway
+            else format_address(self.sockets[gateway, j].getsockname())
+            for j, address in enumerate(self.addresses)
         ]
 
     def put(self, pairs: Iterable[tuple[int, int]], fault: Fault) -> int:
         """Start a fault in those directions; returns its number for `lift`."""
-        self.number += 1
-        self.active[self.number] = frozenset(pairs), fault
-        self.settle()
-        return self.number
+        self.last_fault_id += 1
+        self.active_faults[self.last_fault_id] = frozenset(pairs), fault
+        self.update_faults()
+        return self.last_fault_id
 
-    def lift(self, number: int) -> None:
+    def lift(self, fault_id: int) -> None:
         """End a fault; others on the same links stay active."""
-        self.active.pop(number, None)
-        self.settle()
+        self.active_faults.pop(fault_id, None)
+        self.update_faults()
 
-    def settle(self) -> None:
+    def update_faults(self) -> None:
         """Recompute the combined faults."""
-        self.now = {}
-        for pairs, fault in self.active.values():
+        self.combined_faults = {}
+        for pairs, fault in self.active_faults.values():
             for pair in pairs:
-                self.now[pair] = self.now.get(pair, CLEAR) + fault
+                self.combined_faults[pair] = self.combined_faults.get(pair, NO_FAULT) + fault
 
-    def take(self, i: int, j: int, s: socket.socket) -> None:
+    def receive(self, i: int, j: int, s: socket.socket) -> None:
         """Receive datagrams that gateway i sent to j."""
-        for _ in range(READ_MOST):
+        for _ in range(MAX_DATAGRAMS_PER_READ):
             try:
-                data, extra, _, sender = s.recvmsg(2048, 64)
+                data, ancillary, _, sender = s.recvmsg(2048, 64)
             except (BlockingIOError, ConnectionError):
                 return
-            if sender != self.at[i]:  # spoofed: only gateway i may send here
+            if sender != self.addresses[i]:  # spoofed: only gateway i may send here
                 self.carried["from a stranger"] += 1
                 continue
             self.sent[i] += 1
             arrived = time.time()
-            for level, kind, value in extra:
-                if level == socket.SOL_SOCKET and kind == TIMESTAMP:
-                    seconds, nanos = SPEC.unpack(value[: SPEC.size])
+            for level, kind, value in ancillary:
+                if level == socket.SOL_SOCKET and kind == SO_TIMESTAMPNS:
+                    seconds, nanos = TIMESPEC.unpack(value[: TIMESPEC.size])
                     arrived = seconds + nanos / 1e9
-            self.carry(i, j, data, arrived)
+            self.apply_fault(i, j, data, arrived)
 
-    def carry(self, i: int, j: int, data: bytes, arrived: float) -> None:
+    def apply_fault(self, i: int, j: int, data: bytes, arrived: float) -> None:
         """Drop, delay, duplicate or forward one datagram."""
-        fault = self.now.get((i, j))
+        fault = self.combined_faults.get((i, j))
         if fault is None:
-            return self.pass_on(i, j, data, arrived)
-        if fault.cut or self.chance.random() < fault.loss:
+            return self.forward(i, j, data, arrived)
+        if fault.cut or self.rng.random() < fault.loss:
             self.carried["cut" if fault.cut else "lost"] += 1
             return self.heard(i, j, True)
-        for _ in range(1 + (self.chance.random() < fault.double)):
-            wait = fault.delay + fault.jitter * self.chance.random()
-            if self.chance.random() < fault.reorder:
-                wait += REORDER_S
+        for _ in range(1 + (self.rng.random() < fault.duplicate)):
+            delay = fault.delay + fault.jitter * self.rng.random()
+            if self.rng.random() < fault.reorder:
+                delay += REORDER_DELAY
                 self.carried["reordered"] += 1
-            if wait:
-                asyncio.get_running_loop().call_later(wait, self.pass_on, i, j, data, None)
+            if delay:
+                asyncio.get_running_loop().call_later(delay, self.forward, i, j, data, None)
             else:
-                self.pass_on(i, j, data, arrived)
+                self.forward(i, j, data, arrived)
 
-    def pass_on(self, i: int, j: int, data: bytes, arrived: float | None) -> None:
+    def forward(self, i: int, j: int, data: bytes, arrived: float | None) -> None:
         """Forward a datagram from the address at which j knows i."""
-        if not (back := self.sockets.get((j, i))):
+        if not (source := self.sockets.get((j, i))):
             return  # the links have been closed
         with contextlib.suppress(OSError):  # dropped when the send buffer is full, as a network may
-            back.sendto(data, self.at[j])
+            source.sendto(data, self.addresses[j])
         self.carried["carried"] += 1
-        if arrived is not None and len(self.delays) < KEPT_DELAYS:
+        if arrived is not None and len(self.delays) < MAX_DELAY_SAMPLES:
             self.delays.append(max(0.0, time.time() - arrived))
         self.heard(i, j, False)
 
@@ -176,99 +178,102 @@
     refuse: bool = False  # new connections are refused, open ones are reset
     silent: bool = False  # no data passes in either direction; connections stay open
     reset: float = 0.0  # probability per command that the connection is reset
-    slow: float = 0.0  # s of delay per command
+    delay: float = 0.0  # s of delay per command
 
 
 OPEN = DoorFault()
-Serve = Callable[[asyncio.StreamReader, asyncio.StreamWriter, int], Awaitable[None]]
+ConnectionHandler = Callable[[asyncio.StreamReader, asyncio.StreamWriter, int], Awaitable[None]]
 
 
-def hold_port() -> socket.socket:
+def reserve_port() -> socket.socket:
     """Reserve a port with a bound socket; SO_REUSEADDR still lets this process listen on it."""
-    holder = socket.socket()
-    holder.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
-    holder.bind(("127.0.0.1", 0))
-    return holder
+    reserved = socket.socket()
+    reserved.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
+    reserved.bind(("127.0.0.1", 0))
+    return reserved
 
 
 class Doors:
     """The listeners of one service, one per gateway.
 
-    The service calls `passage` for each command that it has read, and waits for `clear` before it replies.
+    The service calls `apply_fault` for each command that it has read, and waits for the gateway's event in
+    `unblocked` before it replies.
     """
 
-    def __init__(self, serve: Serve, chance: random.Random) -> None:
-        self.serve, self.chance = serve, chance
+    def __init__(self, serve: ConnectionHandler, rng: random.Random) -> None:
+        self.serve, self.rng = serve, rng
         self.ports: list[int] = []
-        self.holders: list[socket.socket] = []  # reserve the ports while a listener is closed
+        self.reserved_ports: list[socket.socket] = []  # reserve the ports while a listener is closed
         self.listeners: list[Any] = []
         self.faults: list[DoorFault] = []
-        self.clear: list[asyncio.Event] = []
-        self.open: list[set[asyncio.StreamWriter]] = []
+        self.unblocked: list[asyncio.Event] = []
+        self.connections: list[set[asyncio.StreamWriter]] = []
         self.connected: Callable[[int], None] = lambda gateway: None
 
     async def start(self, count: int) -> None:
         """Open one door per gateway."""
         for i in range(count):
             self.listeners.append(None)
-            self.holders.append(hold_port())
-            self.ports.append(self.holders[i].getsockname()[1])
+            self.reserved_ports.append(reserve_port())
+            self.ports.append(self.reserved_ports[i].getsockname()[1])
             self.faults.append(OPEN)
-            self.clear.append(asyncio.Event())
-            self.clear[i].set()
-            self.open.append(set())
+            self.unblocked.append(asyncio.Event())
+            self.unblocked[i].set()
+            self.connections.append(set())
             await self.listen(i)
 
     async def listen(self, gateway: int) -> None:
         """Listen on the reserved port of a gateway's door."""
         self.listeners[gateway] = await asyncio.start_server(
-            partial(self.met, gateway), "127.0.0.1", self.ports[gateway], reuse_address=True
+            partial(self.handle_connection, gateway), "127.0.0.1", self.ports[gateway], reuse_address=True
         )
 
-    async def met(self, gateway: int, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
+    async def handle_connection(
+        self, gateway: int, reader: asyncio.StreamReader, writer: asyncio.StreamWriter
+    ) -> None:
         """Track one connection while the service serves it."""
-        self.open[gateway].add(writer)
+        self.connections[gateway].add(writer)
         self.connected(gateway)
         try:
             if self.faults[gateway].silent:
                 writer.transport.pause_reading()  # type: ignore[attr-defined]
             await self.serve(reader, writer, gateway)
         finally:
-            self.open[gateway].discard(writer)
+            self.connections[gateway].discard(writer)
 
-    async def passage(self, gateway: int, writer: asyncio.StreamWriter) -> None:
+    async def apply_fault(self, gateway: int, writer: asyncio.StreamWriter) -> None:
         """Apply the gateway's fault to a command; raises `ConnectionResetError` if that is a reset."""
         fault = self.faults[gateway]
-        if fault.slow:
-            await asyncio.sleep(fault.slow)
-        if fault.reset and self.chance.random() < fault.reset:
+        if fault.delay:
+            await asyncio.sleep(fault.delay)
+        if fault.reset and self.rng.random() < fault.reset:
             writer.transport.abort()
             raise ConnectionResetError
-        await self.clear[gateway].wait()
+        await self.unblocked[gateway].wait()
 
     async def put(self, gateway: int, fault: DoorFault) -> None:
         """Start a fault at a gateway's door; `OPEN` ends it."""
-        before, self.faults[gateway] = self.faults[gateway], fault
-        for writer in list(self.open[gateway]):
+        previous, self.faults[gateway] = self.faults[gateway], fault
+        for writer in list(self.connections[gateway]):
             with contextlib.suppress(RuntimeError):
-                if fault.silent and not before.silent:
+                if fault.silent and not previous.silent:
                     writer.transport.pause_reading()  # type: ignore[attr-defined]
-                elif before.silent and not fault.silent:
+                elif previous.silent and not fault.silent:
                     writer.transport.resume_reading()  # type: ignore[attr-defined]
-        (self.clear[gateway].clear if fault.silent else self.clear[gateway].set)()
-        if fault.refuse and not before.refuse:
+        (self.unblocked[gateway].clear if fault.silent else self.unblocked[gateway].set)()
+        if fault.refuse and not previous.refuse:
             self.listeners[gateway].close()
-            for writer in list(self.open[gateway]):
+            for writer in list(self.connections[gateway]):
                 writer.transport.abort()
-        elif before.refuse and not fault.refuse:
+        elif previous.refuse and not fault.refuse:
             await self.listen(gateway)
 
     def close(self) -> None:
         """Close all doors and reset their connections."""
         for listener in self.listeners:
             listener.close()
-        for holder in self.holders:
-            holder.close()
-        for each in self.open:
-            for writer in list(each):
+        for reserved in self.reserved_ports:
+            reserved.close()
+        for connections in self.connections:
+            for writer in list(connections):
                 writer.transport.abort()
--- a/corkdeal/standin/servers.py
+++ b/corkdeal/standin/servers.py
@@ -207,7 +207,7 @@
             while True:
                 words = await reader.command()
                 if self.doors is not None:
-                    await self.doors.passage(gateway, writer)
+                    await self.doors.apply_fault(gateway, writer)
                 done: list[bool] = []
                 reply = await self.answer(
                     words,
@@ -217,7 +217,7 @@
                 if self.cut:
                     await self.restored.wait()
                 if self.doors is not None:
-                    await self.doors.clear[gateway].wait()
+                    await self.doors.unblocked[gateway].wait()
                 done.append(True)
                 writer.write(reply)
                 await writer.drain()
--- a/tests/tier/test_links.py
+++ b/tests/tier/test_links.py
@@ -62,13 +62,13 @@
 
 
 @pytest.mark.parametrize(
-    ("fault", "through"), [(Fault(cut=True), 0), (Fault(loss=0.5), None), (Fault(double=1.0), 40)]
+    ("fault", "through"), [(Fault(cut=True), 0), (Fault(loss=0.5), None), (Fault(duplicate=1.0), 40)]
 )
 def test_a_fault_is_one_way_and_ends(fault, through):
     async def play():
         async with three() as (links, own, at):
             number = links.put({(0, 1)}, fault)
-            passed = await say(links, own, at, 0, 1, 20, 2 if fault.double else 1)
+            passed = await say(links, own, at, 0, 1, 20, 2 if fault.duplicate else 1)
             assert 0 < passed < 20 if through is None else passed == through
             assert await say(links, own, at, 1, 0, 20) == 20
             links.lift(number)
@@ -81,9 +81,9 @@
     links = Links(["127.0.0.1:1", "127.0.0.1:2"], random.Random(1))
     first = links.put({(0, 1)}, Fault(loss=0.5, delay=0.1))
     links.put({(0, 1), (1, 0)}, Fault(loss=0.5, cut=True))
-    assert links.now[0, 1] == Fault(loss=0.75, delay=0.1, cut=True)
+    assert links.combined_faults[0, 1] == Fault(loss=0.75, delay=0.1, cut=True)
     links.lift(first)
-    assert links.now == {(0, 1): Fault(loss=0.5, cut=True), (1, 0): Fault(loss=0.5, cut=True)}
+    assert links.combined_faults == {(0, 1): Fault(loss=0.5, cut=True), (1, 0): Fault(loss=0.5, cut=True)}
 
 
 def test_a_door_refuses_goes_silent_and_resets_for_one_gateway_only():
@@ -91,7 +91,7 @@
         async def echo(reader, writer, gateway):
             with contextlib.suppress(ConnectionError):
                 while line := await reader.readline():
-                    await doors.passage(gateway, writer)
+                    await doors.apply_fault(gateway, writer)
                     writer.write(b"%d %b" % (gateway, line))
             writer.close()
 
