--- a/corkdeal/standin/discovery.py
+++ b/corkdeal/standin/discovery.py
@@ -18,13 +18,13 @@
     def __init__(
         self,
         members: Callable[..., list[dict[str, Any]]],
-        told: Callable[[int, list[dict[str, Any]]], None] = lambda gateway, members: None,
+        on_list_sent: Callable[[int, list[dict[str, Any]]], None] = lambda gateway, members: None,
     ) -> None:
         """`members` returns the list; it is passed the gateway where each has its own door, else nothing.
 
-        `told` is called with the list that a gateway has been sent.
+        `on_list_sent` is called with the list that a gateway has been sent.
         """
-        self.told = told
+        self.on_list_sent = on_list_sent
         self.doors: Doors | None = None
         self.late: dict[int, float] = {}  # s by which responses are delayed, by gateway
         self.members, self.revision = members, 1
@@ -65,10 +65,10 @@
         """Serve one keep-alive connection."""
         try:
             while True:
-                head = (await stream.readuntil(b"\r\n\r\n")).decode("latin-1")
+                request_head = (await stream.readuntil(b"\r\n\r\n")).decode("latin-1")
                 if self.doors is not None:
                     await self.doors.apply_fault(gateway, writer)
-                query = urllib.parse.parse_qs(urllib.parse.urlparse(head.split(" ", 2)[1]).query)
+                query = urllib.parse.parse_qs(urllib.parse.urlparse(request_head.split(" ", 2)[1]).query)
                 after = int(query.get("after", ["-1"])[0])
                 async with self.changed:
                     try:
@@ -89,7 +89,7 @@
                     % (len(body), body)
                 )
                 await writer.drain()
-                self.told(gateway, document["members"])
+                self.on_list_sent(gateway, document["members"])
         except (asyncio.IncompleteReadError, ConnectionError, ValueError, asyncio.CancelledError):
             pass
         finally:
--- a/corkdeal/standin/servers.py
+++ b/corkdeal/standin/servers.py
@@ -24,26 +24,26 @@
 READ_AT_ONCE = 65536
 
 
-class Reader:
+class CommandReader:
     """Parses the commands of one connection; minimal, as only our own gateways and tests send to it."""
 
     def __init__(self, stream: asyncio.StreamReader) -> None:
         self.stream = stream
 
-    async def line(self, kind: bytes) -> int:
+    async def read_header(self, kind: bytes) -> int:
         """Read the header line of a RESP type; returns its number."""
         head = await self.stream.readuntil(b"\r\n")
         if head[:1] != kind:
             raise ValueError(f"expected RESP type {kind!r}, got {head[:20]!r}")
         return int(head[1:-2])
 
-    async def command(self) -> list[bytes]:
+    async def read_command(self) -> list[bytes]:
         """Read the next command; returns its arguments."""
-        words = []
-        for _ in range(await self.line(b"*")):
-            size = await self.line(b"$")
-            words.append((await self.stream.readexactly(size + 2))[:-2])
-        return words
+        arguments = []
+        for _ in range(await self.read_header(b"*")):
+            size = await self.read_header(b"$")
+            arguments.append((await self.stream.readexactly(size + 2))[:-2])
+        return arguments
 
 
 @dataclass(slots=True)
@@ -58,7 +58,7 @@
     live: Callable[[], bool] = lambda: False  # whether its gateway is still waiting for the reply
 
 
-def waited_for(writer: asyncio.StreamWriter) -> bool:
+def is_peer_connected(writer: asyncio.StreamWriter) -> bool:
     """Whether the peer has neither closed nor reset a connection, according to the kernel."""
     if writer.transport.is_closing():
         return False
@@ -73,7 +73,7 @@
 
 
 @dataclass(slots=True)
-class Waiting:
+class QueuedRequest:
     """A request in the queue of a backend."""
 
     work: float
@@ -95,7 +95,7 @@
     cold_s: float = 16.0
     fall_multiple: float = 4.0
     fall_s: float = 1.0
-    figure: str = "standard"
+    host_type: str = "standard"
 
 
 @dataclass(eq=False)
@@ -103,19 +103,19 @@
     """One fake backend."""
 
     model: Model
-    work_of: Callable[[], float]  # draws the work of a request, in s on a core of speed 1
-    seen: Callable[[Arrival], None]
+    draw_work: Callable[[], float]  # draws the work of a request, in s on a core of speed 1
+    on_arrival: Callable[[Arrival], None]
     slow: float = 1.0  # factor by which it is slower than its model
     up_since: float = 0.0  # wall-clock time, 0 if it started long ago
-    cut: bool = False  # no data passes in either direction; connections stay open
+    is_cut_off: bool = False  # no data passes in either direction; connections stay open
     fallen: bool = False
     port: int = 0
-    busy: int = 0
-    waiting: deque[Waiting] = field(default_factory=deque)
-    recent: deque[tuple[float, float]] = field(default_factory=deque)  # (time, work) within fall_s
-    latency: float = 0.2
-    answered: deque[float] = field(default_factory=deque)
-    open: set[asyncio.StreamWriter] = field(default_factory=set)
+    busy_cores: int = 0
+    queue: deque[QueuedRequest] = field(default_factory=deque)
+    recent_work: deque[tuple[float, float]] = field(default_factory=deque)  # (time, work) within fall_s
+    mean_latency: float = 0.2
+    reply_times: deque[float] = field(default_factory=deque)
+    connections: set[asyncio.StreamWriter] = field(default_factory=set)
     listener: Any = None
     restored: asyncio.Event = field(default_factory=asyncio.Event)
     doors: Doors | None = None
@@ -135,14 +135,14 @@
             "id": self.model.name,
             "host_port": f"127.0.0.1:{port}",
             "locality": self.model.hall,
-            "flavor": self.model.figure,
+            "flavor": self.model.host_type,
             "cell": self.model.cell,
             "phase": phase,
             "size": 1.0,
             "up_since_ms": int(self.up_since * 1000),
         }
 
-    def warmth(self) -> float:
+    def warm_fraction(self) -> float:
         """The fraction of its full capacity that it has now."""
         if not self.up_since:
             return 1.0
@@ -151,16 +151,16 @@
 
     def capacity(self) -> float:
         """Its current capacity, in seconds of work per second."""
-        return self.model.cores * self.model.speed * self.warmth() / self.slow
+        return self.model.cores * self.model.speed * self.warm_fraction() / self.slow
 
-    def weigh(self, work: float) -> None:
+    def record_work(self, work: float) -> None:
         """Account for a request's work; a cold backend that is overloaded crashes."""
         now = time.monotonic()
-        self.recent.append((now, work))
-        while self.recent and self.recent[0][0] < now - self.model.fall_s:
-            self.recent.popleft()
-        most = self.model.fall_multiple * self.capacity() * self.model.fall_s
-        if self.warmth() < 1 and sum(w for _, w in self.recent) > most:
+        self.recent_work.append((now, work))
+        while self.recent_work and self.recent_work[0][0] < now - self.model.fall_s:
+            self.recent_work.popleft()
+        limit = self.model.fall_multiple * self.capacity() * self.model.fall_s
+        if self.warm_fraction() < 1 and sum(w for _, w in self.recent_work) > limit:
             self.fallen = True
             self.die()
 
@@ -170,24 +170,24 @@
             self.listener.close()
         if self.doors is not None:
             self.doors.close()
-        for writer in list(self.open):
+        for writer in list(self.connections):
             writer.transport.abort()
-        self.waiting.clear()
-        self.busy = 0
+        self.queue.clear()
+        self.busy_cores = 0
 
     def cut_off(self) -> None:
         """Stop sending and receiving; connections stay open."""
-        self.cut = True
+        self.is_cut_off = True
         self.restored.clear()
-        for writer in self.open:
+        for writer in self.connections:
             with contextlib.suppress(RuntimeError):
                 writer.transport.pause_reading()  # type: ignore[attr-defined]
 
     def restore(self, reset: bool = False) -> None:
         """Be reachable again; open connections continue, or are reset."""
-        self.cut = False
+        self.is_cut_off = False
         self.restored.set()
-        for writer in list(self.open):
+        for writer in list(self.connections):
             if reset:
                 writer.transport.abort()
             else:
@@ -198,23 +198,23 @@
         self, stream: asyncio.StreamReader, writer: asyncio.StreamWriter, gateway: int = -1
     ) -> None:
         """Serve one connection, one command at a time."""
-        self.open.add(writer)
-        reader = Reader(stream)
+        self.connections.add(writer)
+        reader = CommandReader(stream)
         try:
-            if self.cut:
+            if self.is_cut_off:
                 writer.transport.pause_reading()  # type: ignore[attr-defined]
                 await self.restored.wait()
             while True:
-                words = await reader.command()
+                arguments = await reader.read_command()
                 if self.doors is not None:
                     await self.doors.apply_fault(gateway, writer)
                 done: list[bool] = []
                 reply = await self.answer(
-                    words,
+                    arguments,
                     str(gateway) if gateway >= 0 else "",
-                    lambda done=done: not done and waited_for(writer),
+                    lambda done=done: not done and is_peer_connected(writer),
                 )
-                if self.cut:
+                if self.is_cut_off:
                     await self.restored.wait()
                 if self.doors is not None:
                     await self.doors.unblocked[gateway].wait()
@@ -224,47 +224,49 @@
         except (asyncio.IncompleteReadError, ConnectionError, ValueError, asyncio.CancelledError):
             pass
         finally:
-            self.open.discard(writer)
+            self.connections.discard(writer)
             writer.transport.abort()
 
-    async def answer(self, words: list[bytes], gateway: str, live: Callable[[], bool]) -> bytes:
+    async def answer(self, arguments: list[bytes], gateway: str, live: Callable[[], bool]) -> bytes:
         """Execute one command; returns the reply."""
-        if words[0].upper() == b"PING":
+        if arguments[0].upper() == b"PING":
             return b"+PONG\r\n"
-        if words[0].upper() not in (b"API.READ", b"API.WRITE"):
+        if arguments[0].upper() not in (b"API.READ", b"API.WRITE"):
             return b"-ERR unknown command\r\n"
-        work = self.work_of()
-        self.seen(Arrival(time.time(), self.model.name, int(words[1], 16), int(words[2], 16), gateway, live))
-        self.weigh(work)
-        if self.fallen or len(self.waiting) >= self.model.queue:
+        work = self.draw_work()
+        self.on_arrival(
+            Arrival(time.time(), self.model.name, int(arguments[1], 16), int(arguments[2], 16), gateway, live)
+        )
+        self.record_work(work)
+        if self.fallen or len(self.queue) >= self.model.queue:
             return b"-BUSY\r\n"
         began = time.monotonic()
-        if self.busy >= self.model.cores:
-            mine = Waiting(work, asyncio.get_running_loop().create_future())
-            self.waiting.append(mine)
-            await mine.start
-        self.busy += 1
+        if self.busy_cores >= self.model.cores:
+            queued = QueuedRequest(work, asyncio.get_running_loop().create_future())
+            self.queue.append(queued)
+            await queued.start
+        self.busy_cores += 1
         try:
             started = time.monotonic()
-            await asyncio.sleep(work * self.slow / (self.model.speed * self.warmth()))
+            await asyncio.sleep(work * self.slow / (self.model.speed * self.warm_fraction()))
         finally:
-            self.busy -= 1
-            while self.waiting and self.busy < self.model.cores:
-                nextone = self.waiting.popleft()
-                if not nextone.start.done():
-                    nextone.start.set_result(None)
+            self.busy_cores -= 1
+            while self.queue and self.busy_cores < self.model.cores:
+                next_request = self.queue.popleft()
+                if not next_request.start.done():
+                    next_request.start.set_result(None)
                     break
         now = time.monotonic()
-        self.latency += 0.1 * (now - started - self.latency)
-        self.answered.append(now)
-        while self.answered and self.answered[0] < now - 1:
-            self.answered.popleft()
-        load = b"latency_ms=%d,qps=%d" % (self.latency * 1000, len(self.answered))
-        value = b"done %b after %d ms" % (words[2], (now - began) * 1000)
+        self.mean_latency += 0.1 * (now - started - self.mean_latency)
+        self.reply_times.append(now)
+        while self.reply_times and self.reply_times[0] < now - 1:
+            self.reply_times.popleft()
+        load = b"latency_ms=%d,qps=%d" % (self.mean_latency * 1000, len(self.reply_times))
+        value = b"done %b after %d ms" % (arguments[2], (now - began) * 1000)
         return b"*3\r\n$%d\r\n%b\r\n$-1\r\n$%d\r\n%b\r\n" % (len(value), value, len(load), load)
 
 
-def work_drawer(chance: random.Random, mean: float, cv: float) -> Callable[[], float]:
+def work_drawer(rng: random.Random, mean: float, cv: float) -> Callable[[], float]:
     """Draw work from a gamma distribution with that mean and coefficient of variation."""
     shape = 1 / cv**2
-    return lambda: max(0.005, chance.gammavariate(shape, mean / shape))
+    return lambda: max(0.005, rng.gammavariate(shape, mean / shape))
