--- a/tests/test_standin.py
+++ b/tests/test_standin.py
@@ -16,7 +16,7 @@
 from corkdeal.standin.servers import Model, Server
 
 
-async def ask(server, number=1):
+async def send_request(server, number=1):
     reader, writer = await asyncio.open_connection("127.0.0.1", server.port)
     words = [b"API.READ", b"%016x" % 7, b"%016x" % number, b"c=board-load,t=family,d=900"]
     writer.write(b"*4\r\n" + b"".join(b"$%d\r\n%b\r\n" % (len(w), w) for w in words))
@@ -29,7 +29,7 @@
         writer.close()
 
 
-def world(work, **more):
+def with_server(work, **more):
     async def play(script):
         server = Server(Model("s", "north-hall", **more), lambda: work, lambda a: None)
         await server.start()
@@ -43,32 +43,32 @@
 
 def test_a_server_serves_queues_and_turns_away():
     async def script(server):
-        answers = await asyncio.gather(*(ask(server, n) for n in range(5)))
+        answers = await asyncio.gather(*(send_request(server, n) for n in range(5)))
         return sorted(a[:5] for a in answers)
 
-    assert asyncio.run(world(0.2, cores=1, queue=2)(script)) == [b"-BUSY"] * 2 + [b"done "] * 3
+    assert asyncio.run(with_server(0.2, cores=1, queue=2)(script)) == [b"-BUSY"] * 2 + [b"done "] * 3
 
 
 def test_a_cold_server_that_is_sent_too_much_falls_over_and_a_warm_one_does_not():
     async def script(server):
         server.up_since = time.time()
-        await asyncio.gather(*(ask(server, n) for n in range(10)))
+        await asyncio.gather(*(send_request(server, n) for n in range(10)))
         return server.fallen
 
-    assert asyncio.run(world(0.5, cores=1, queue=99)(script))
-    assert not asyncio.run(world(0.001, cores=1, queue=99)(script))
+    assert asyncio.run(with_server(0.5, cores=1, queue=99)(script))
+    assert not asyncio.run(with_server(0.001, cores=1, queue=99)(script))
 
 
 def test_a_server_cut_off_is_silent_and_answers_once_restored():
     async def script(server):
         server.cut_off()
-        waiting = asyncio.ensure_future(ask(server))
+        waiting = asyncio.ensure_future(send_request(server))
         done, _ = await asyncio.wait({waiting}, timeout=0.1)
         assert not done
         server.restore()
         return await asyncio.wait_for(waiting, 20)
 
-    assert asyncio.run(world(0.001)(script)).startswith(b"done")
+    assert asyncio.run(with_server(0.001)(script)).startswith(b"done")
 
 
 def test_discovery_answers_the_watch_when_something_changed():
--- a/tests/tier/test_history.py
+++ b/tests/tier/test_history.py
@@ -4,19 +4,19 @@
 
 from corkdeal.standin.history import Attempt, Away, History, Quota, Told, Try, check
 
-Q = {7: Quota(rate=1.0, burst=3.0, bound=0.0)}
+QUOTAS = {7: Quota(rate=1.0, burst=3.0, bound=0.0)}
 
 
 def history(tries=(), attempts=(), told=(), away=()):
-    made = History()
-    made.tries = {t.id: t for t in tries}
-    made.attempts, made.away = list(attempts), list(away)
+    result = History()
+    result.tries = {t.id: t for t in tries}
+    result.attempts, result.away = list(attempts), list(away)
     for gateway, *rest in told:
-        made.told[gateway].append(Told(*rest))
-    return made
+        result.told[gateway].append(Told(*rest))
+    return result
 
 
-def tried(*answers):
+def client_attempt(*answers):
     return Try(1, 7, 0, 1.0, 1.0, 3.0, [(at, "$") for at in answers])
 
 
@@ -30,11 +30,11 @@
 @pytest.mark.parametrize(
     ("seen", "rule"),
     [
-        (history([tried(2.0)]), None),
-        (history([tried(2.0, 2.1)]), "one final answer"),
-        (history([tried()]), "one final answer"),
-        (history([tried()], away=[Away(0, 2.0, 9.0)]), None),
-        (history([tried()], away=[Away(1, 2.0, 9.0)]), "one final answer"),
+        (history([client_attempt(2.0)]), None),
+        (history([client_attempt(2.0, 2.1)]), "one final answer"),
+        (history([client_attempt()]), "one final answer"),
+        (history([client_attempt()], away=[Away(0, 2.0, 9.0)]), None),
+        (history([client_attempt()], away=[Away(1, 2.0, 9.0)]), "one final answer"),
         (history(attempts=[Attempt(1.0, "a", 0, 1, 7)]), None),
         (history(attempts=[Attempt(1.0, "a", 0, 1, 7, "b")]), "never two attempts at once"),
         (history(attempts=[Attempt(5.2, "a", 0, 1, 7)], told=LISTS), None),
@@ -52,5 +52,5 @@
     ],
 )
 def test_a_broken_rule_is_found_and_a_kept_one_is_not(seen, rule):
-    broken = check(seen, Q, 60.0, 0.0)
+    broken = check(seen, QUOTAS, 60.0, 0.0)
     assert [b.rule for b in broken] == ([rule] if rule else []) and all(b.lines for b in broken)
--- a/tests/tier/test_links.py
+++ b/tests/tier/test_links.py
@@ -11,52 +11,52 @@
 
 
 @contextlib.asynccontextmanager
-async def three():
+async def linked_sockets():
     """Three sockets in place of gateways, and the links between them."""
-    own = [socket.socket(socket.AF_INET, socket.SOCK_DGRAM) for _ in range(3)]
-    for s in own:
+    sockets = [socket.socket(socket.AF_INET, socket.SOCK_DGRAM) for _ in range(3)]
+    for s in sockets:
         s.bind(("127.0.0.1", 0))
         s.setblocking(False)
-    links = Links([f"127.0.0.1:{s.getsockname()[1]}" for s in own], random.Random(1))
+    links = Links([f"127.0.0.1:{s.getsockname()[1]}" for s in sockets], random.Random(1))
     await links.start()
 
-    def at(i, j):
+    def link_address(i, j):
         host, port = links.peers_of(i)[j].split(":")
         return host, int(port)
 
     try:
-        yield links, own, at
+        yield links, sockets, link_address
     finally:
         links.close()
-        for s in own:
+        for s in sockets:
             s.close()
 
 
-async def say(links, own, at, i, j, times, copies=1):
+async def send_datagrams(links, sockets, link_address, i, j, times, copies=1):
     """Send datagrams from i to j, and wait until all are handled; returns how many were forwarded."""
     done = asyncio.Event()
-    seen = []
+    handled = []
 
-    def heard(a, b, lost):
-        seen.append((a, b, lost))
-        if len(seen) == times * copies:
+    def on_datagram(a, b, lost):
+        handled.append((a, b, lost))
+        if len(handled) == times * copies:
             done.set()
 
-    links.heard = heard
+    links.heard = on_datagram
     for n in range(times):
-        own[i].sendto(b"%d" % n, at(i, j))
+        sockets[i].sendto(b"%d" % n, link_address(i, j))
     await asyncio.wait_for(done.wait(), 10)
-    return sum(not lost for _, _, lost in seen)
+    return sum(not lost for _, _, lost in handled)
 
 
 def test_a_datagram_comes_from_where_the_receiver_knows_the_sender():
     async def play():
-        async with three() as (links, own, at):
-            assert await say(links, own, at, 0, 2, 1) == 1
-            assert own[2].recvfrom(100) == (b"0", at(2, 0))
-            own[1].sendto(b"in another's name", at(0, 2))
-            await say(links, own, at, 0, 2, 1)
-            assert own[2].recvfrom(100)[0] == b"0" and links.carried["from a stranger"] == 1
+        async with linked_sockets() as (links, sockets, link_address):
+            assert await send_datagrams(links, sockets, link_address, 0, 2, 1) == 1
+            assert sockets[2].recvfrom(100) == (b"0", link_address(2, 0))
+            sockets[1].sendto(b"in another's name", link_address(0, 2))
+            await send_datagrams(links, sockets, link_address, 0, 2, 1)
+            assert sockets[2].recvfrom(100)[0] == b"0" and links.carried["from a stranger"] == 1
 
     asyncio.run(play())
 
@@ -66,13 +66,13 @@
 )
 def test_a_fault_is_one_way_and_ends(fault, through):
     async def play():
-        async with three() as (links, own, at):
+        async with linked_sockets() as (links, sockets, link_address):
             number = links.put({(0, 1)}, fault)
-            passed = await say(links, own, at, 0, 1, 20, 2 if fault.duplicate else 1)
+            passed = await send_datagrams(links, sockets, link_address, 0, 1, 20, 2 if fault.duplicate else 1)
             assert 0 < passed < 20 if through is None else passed == through
-            assert await say(links, own, at, 1, 0, 20) == 20
+            assert await send_datagrams(links, sockets, link_address, 1, 0, 20) == 20
             links.lift(number)
-            assert await say(links, own, at, 0, 1, 20) == 20
+            assert await send_datagrams(links, sockets, link_address, 0, 1, 20) == 20
 
     asyncio.run(play())
 
--- a/tests/tier/test_schedule.py
+++ b/tests/tier/test_schedule.py
@@ -11,11 +11,11 @@
 
 
 def test_steps_come_in_the_order_of_their_times_and_as_they_stand_within_one():
-    made = schedule.parse(
+    parsed = schedule.parse(
         'timeline "again" begin=2.0 every=3.0 repeat=2 { at 0.5 { start "down"; kill "0"; }; }\n'
         'at 3 { stop "1"; }'
     )
-    assert [(s.second, s.line, s.kind, s.what.gateways) for s in schedule.steps(made)] == [
+    assert [(s.second, s.line, s.kind, s.what.gateways) for s in schedule.steps(parsed)] == [
         (2.5, "again", "start", "down"),
         (2.5, "again", "kill", "0"),
         (3.0, "", "stop", "1"),
@@ -25,7 +25,7 @@
 
 
 @pytest.mark.parametrize(
-    ("text", "line", "column", "node", "said"),
+    ("text", "line", "column", "node", "message"),
     [
         ("tier gateways=21", 1, 15, "tier.gateways", "between 2 and 20"),
         ("tier\ntier", 2, 1, "tier", "second time"),
@@ -39,11 +39,11 @@
         ('timeline "x" repeat=2', 1, 1, "timeline", "`every`"),
     ],
 )
-def test_a_fault_is_told_with_its_place(text, line, column, node, said):
+def test_a_fault_is_told_with_its_place(text, line, column, node, message):
     with pytest.raises(OptionsError) as caught:
         schedule.parse(text)
     fault = caught.value.faults[0]
-    assert (fault.line, fault.column, fault.node) == (line, column, node) and said in fault.text
+    assert (fault.line, fault.column, fault.node) == (line, column, node) and message in fault.text
 
 
 def test_all_schedules_that_come_with_the_program_are_good():
--- a/tests/tier/test_tier.py
+++ b/tests/tier/test_tier.py
@@ -12,34 +12,34 @@
 
 from ..net_world import PATIENCE
 
-SMALL = "tier gateways=3 servers=3 load=0.3 settled=0.5 "
+SMALL_TIER = "tier gateways=3 servers=3 load=0.3 settled=0.5 "
 
 
-def play(text, folder, seed=1):
-    made = Play(schedule.parse(text), seed, pathlib.Path(folder))
-    return made, asyncio.run(made.run())
+def run_schedule(text, folder, seed=1):
+    play = Play(schedule.parse(text), seed, pathlib.Path(folder))
+    return play, asyncio.run(play.run())
 
 
-def timeless(seen):
+def without_delay_violations(seen):
     """Violations, without those that delays on a loaded machine can cause."""
     return [b for b in seen["broken"] if "no answer" not in b["lines"][0] and "told" not in b["rule"]]
 
 
-async def until(holds):
+async def wait_until(condition):
     """Poll until a condition holds."""
     async with asyncio.timeout(PATIENCE):
-        while not holds():
+        while not condition():
             await asyncio.sleep(0.01)
 
 
-async def failed_write(gateway, folder):
+async def wait_for_failed_write(gateway, folder):
     """Wait until a running gateway has failed to write: it creates a file in its folder and removes it."""
-    await until(lambda: gateway.up)
+    await wait_until(lambda: gateway.up)
     before = folder.stat().st_mtime_ns
-    await until(lambda: folder.stat().st_mtime_ns != before)
+    await wait_until(lambda: folder.stat().st_mtime_ns != before)
 
 
-def alive(gateway):
+def is_alive(gateway):
     try:
         os.kill(gateway.process.pid, 0)
     except ProcessLookupError:
@@ -48,36 +48,36 @@
 
 
 def test_gateways_killed_and_cut_off_under_load_keep_the_rules(tmp_path):
-    made, seen = play(
-        SMALL + 'seconds=5.0\nat 1.0 { link loss=0.4 seconds=2.0; link sender="0" to="1" cut=true; }\n'
+    play, seen = run_schedule(
+        SMALL_TIER + 'seconds=5.0\nat 1.0 { link loss=0.4 seconds=2.0; link sender="0" to="1" cut=true; }\n'
         'at 1.5 { kill "0,1"; }\nat 1.8 { start "down"; }',
         tmp_path,
     )
-    assert not timeless(seen)
+    assert not without_delay_violations(seen)
     assert len(seen["ready_s"]) == 2 and seen["links"]["cut"] and seen["links"]["lost"]
-    assert seen["outcomes"]["served"] > 0 and not any(alive(g) for g in made.gateways)
+    assert seen["outcomes"]["served"] > 0 and not any(is_alive(g) for g in play.gateways)
 
 
 def test_all_processes_end_with_a_run_that_fails_even_stopped_ones(tmp_path):
-    made = Play(
-        schedule.parse(SMALL + 'seconds=9.0\nat 0.1 { stop "0"; }\nat 0.2 { start "1"; }'), 1, tmp_path
+    play = Play(
+        schedule.parse(SMALL_TIER + 'seconds=9.0\nat 0.1 { stop "0"; }\nat 0.2 { start "1"; }'), 1, tmp_path
     )
 
     async def fail(kind, numbers):
         if kind == "start":
             raise RuntimeError("as the test wants")
-        await steps(kind, numbers)
+        await process(kind, numbers)
 
-    steps, made.process = made.process, fail
+    process, play.process = play.process, fail
     with pytest.raises(RuntimeError, match="as the test wants"):
-        asyncio.run(made.run())
-    assert made.gateways and not any(alive(g) for g in made.gateways)
-    assert made.gateways[0].process.returncode == -signal.SIGKILL
+        asyncio.run(play.run())
+    assert play.gateways and not any(is_alive(g) for g in play.gateways)
+    assert play.gateways[0].process.returncode == -signal.SIGKILL
 
 
 def test_gateways_that_stood_still_send_nothing_old_and_nothing_to_a_server_gone_meanwhile(tmp_path):
-    made, seen = play(
-        SMALL.replace("servers=3", "servers=4")
+    play, seen = run_schedule(
+        SMALL_TIER.replace("servers=3", "servers=4")
         + 'seconds=9.0\nat 1.0 { stop "0,1"; }\nat 2.0 { servers "0,1" what="gone"; }\n'
         'at 6.5 { continue "all"; }',
         tmp_path,
@@ -85,44 +85,44 @@
     assert not [b for b in seen["broken"] if "answer" not in b["rule"]]
     logs = [(tmp_path / f"n{i}.log").read_text() for i in range(3)]
     assert ["stood still" in log for log in logs] == [True, True, False]
-    assert made.history.attempts[-1].at > 6.5 and seen["outcomes"]["failed"] > 0
+    assert play.history.attempts[-1].at > 6.5 and seen["outcomes"]["failed"] > 0
 
 
 def test_a_gateway_whose_wall_clock_went_back_says_so_and_one_whose_disk_is_full_serves_on(tmp_path):
-    made = Play(
+    play = Play(
         schedule.parse(
-            SMALL + 'seconds=8.0 knowledge=true\nat 1.0 { kill "0,1"; clock "0" by=-60.0; }\n'
+            SMALL_TIER + 'seconds=8.0 knowledge=true\nat 1.0 { kill "0,1"; clock "0" by=-60.0; }\n'
             'at 1.2 { folders "0" what="empty"; folders "1" what="full"; }\n'
             'at 1.3 { start "down"; }\nat 3.0 { folders "1" what="freed"; }'
         ),
         1,
         tmp_path,
     )
-    step = made.step
+    step = play.step
 
     async def free_after_a_failed_write(each):
         is_freed = each.kind == "folders" and each.what.what == "freed"
         if is_freed:
-            await failed_write(made.gateways[1], tmp_path / "state" / "n1")
+            await wait_for_failed_write(play.gateways[1], tmp_path / "state" / "n1")
         await step(each)
         if is_freed:
-            await until(lambda: "knowledge_healed" in (tmp_path / "n1.log").read_text())
+            await wait_until(lambda: "knowledge_healed" in (tmp_path / "n1.log").read_text())
 
-    made.step = free_after_a_failed_write
-    seen = asyncio.run(made.run())
-    assert not timeless(seen) and seen["outcomes"]["served"] > 0
+    play.step = free_after_a_failed_write
+    seen = asyncio.run(play.run())
+    assert not without_delay_violations(seen) and seen["outcomes"]["served"] > 0
     logs = [(tmp_path / f"n{i}.log").read_text() for i in range(2)]
     assert "peers know a later start" in logs[0] and "peers know a later start" not in logs[1]
     assert "knowledge_healed" in logs[1]
 
 
 def test_a_gateway_that_no_other_hears_loses_its_slices_and_one_that_ends_has_left(tmp_path):
-    made, seen = play(
-        SMALL.replace("gateways=3", "gateways=4") + "membership=true seconds=12.0\n"
+    play, seen = run_schedule(
+        SMALL_TIER.replace("gateways=3", "gateways=4") + "membership=true seconds=12.0\n"
         'at 1.0 { link sender="0" to="all" cut=true both=true seconds=8.0; }\nat 10.0 { term "2"; }',
         tmp_path,
     )
-    assert not timeless(seen)
+    assert not without_delay_violations(seen)
     logs = [(tmp_path / f"n{i}.log").read_text() for i in range(4)]
     assert "what=slices_unsure" in logs[0] and "what=slices_sure" in logs[0]
     assert all("member=0 state=gone" in log for log in logs[1:])
