--- a/tests/discovery_world.py
+++ b/tests/discovery_world.py
@@ -19,10 +19,10 @@
 from .helpers import settings
 
 ADDRESS = ("127.0.0.1", 1)
-HELD = DiscoverySnapshot(41, True, (), {})
+HELD_SNAPSHOT = DiscoverySnapshot(41, True, (), {})
 ONE_WAY = 0.001  # s of latency of a request or a connection attempt
 BYTE_EVERY = 0.25  # s between the bytes of a slow response
-LINE = 2.0  # s in the queue of an overloaded discovery before a call is rejected
+QUEUE_TIME = 2.0  # s in the queue of an overloaded discovery before a call is rejected
 
 
 class Longest(random.Random):
@@ -56,10 +56,10 @@
         if not self.ended and not self.silent:
             self.protocol.dataReceived(data)
 
-    def end(self, why):
+    def end(self, reason):
         if not self.ended:
             self.ended = True
-            self.clock.callLater(0, self.protocol.connectionLost, Failure(why()))
+            self.clock.callLater(0, self.protocol.connectionLost, Failure(reason()))
 
     def loseConnection(self):
         self.end(ConnectionDone)
@@ -95,20 +95,20 @@
         self.factory = factory
         factory.doStart()
         factory.startedConnecting(self)
-        clock, fault = discovery.clock, discovery.fault_now()
+        clock, fault = discovery.clock, discovery.active_fault()
         if fault == "refused":
-            self.coming = clock.callLater(ONE_WAY, self.fail, ConnectionRefusedError)
+            self.pending_call = clock.callLater(ONE_WAY, self.fail, ConnectionRefusedError)
         elif fault == "never comes up":
-            self.coming = clock.callLater(timeout, self.fail, TimeoutError)
+            self.pending_call = clock.callLater(timeout, self.fail, TimeoutError)
         else:
-            self.coming = clock.callLater(ONE_WAY, discovery.accept, factory)
+            self.pending_call = clock.callLater(ONE_WAY, discovery.accept, factory)
 
-    def fail(self, why):
-        self.factory.clientConnectionFailed(self, Failure(why()))
+    def fail(self, reason):
+        self.factory.clientConnectionFailed(self, Failure(reason()))
 
     def stopConnecting(self):
-        if self.coming.active():
-            self.coming.cancel()
+        if self.pending_call.active():
+            self.pending_call.cancel()
 
     def getDestination(self):
         return IPv4Address("TCP", *ADDRESS)
@@ -125,7 +125,7 @@
         if begins is not None:
             clock.callLater(begins, self.fault_begins)
 
-    def fault_now(self):
+    def active_fault(self):
         active = self.begins is not None and self.begins <= self.clock.seconds() < self.ends
         return self.fault if active else None
 
@@ -146,7 +146,7 @@
 
     def revision(self):
         now = self.clock.seconds()
-        first = 2 if self.began_anew and now >= self.ends else HELD.revision
+        first = 2 if self.began_anew and now >= self.ends else HELD_SNAPSHOT.revision
         return first + (now >= self.drains_at)
 
     def body(self, complete):
@@ -156,26 +156,26 @@
 
     def request(self, connection, path):
         """Handle one call: a fault applies immediately, else the response waits for a change or a timeout."""
-        if self.fault_now():
+        if self.active_fault():
             return self.spoil(connection)
         query = dict(pair.split("=") for pair in path.partition("?")[2].split("&") if pair)
         wait = int(query.get("wait_ms", 0)) / 1000
-        self.answer_after(connection, int(query.get("after", -1)), self.clock.seconds() + wait)
+        self.respond_when_due(connection, int(query.get("after", -1)), self.clock.seconds() + wait)
 
-    def answer_after(self, connection, after, until):
+    def respond_when_due(self, connection, after, until):
         if connection.ended or connection.silent:
             return
         now = self.clock.seconds()
-        if self.fault_now():
+        if self.active_fault():
             self.spoil(connection)
         elif after < 0 or self.revision() != after:
             self.answer(connection, self.body(after < 0 or self.revision() < after))
         elif now >= until:
             self.answer(connection, b'{"revision":%d,"complete":false,"members":[]}' % after)
         else:
-            coming = [at for at in (self.begins, self.ends, self.drains_at) if at is not None and at > now]
-            wait = min([until, *coming]) - now
-            self.clock.callLater(wait, self.answer_after, connection, after, until)
+            upcoming = [at for at in (self.begins, self.ends, self.drains_at) if at is not None and at > now]
+            wait = min([until, *upcoming]) - now
+            self.clock.callLater(wait, self.respond_when_due, connection, after, until)
 
     def answer(self, connection, body, code=200, length=True):
         length_line = b"Content-Length: %d\r\n" % len(body) if length else b""
@@ -186,7 +186,7 @@
         FAULTS[self.fault](self, connection)
 
 
-STALLED = b"HTTP/1.1 200 OK\r\nContent-Length: 1000\r\n\r\n"
+HEAD_WITHOUT_BODY = b"HTTP/1.1 200 OK\r\nContent-Length: 1000\r\n\r\n"
 
 
 def fall_silent(discovery, connection):
@@ -203,21 +203,21 @@
         discovery.clock.callLater(BYTE_EVERY, trickle, discovery, connection, data[1:])
 
 
-def stall(discovery, connection):
-    connection.send(STALLED)
+def send_head_only(discovery, connection):
+    connection.send(HEAD_WITHOUT_BODY)
 
 
 def trickle_body(discovery, connection):
-    connection.send(STALLED)
+    connection.send(HEAD_WITHOUT_BODY)
     trickle(discovery, connection, discovery.body(True) + b" " * 500)
 
 
 def trickle_head(discovery, connection):
-    trickle(discovery, connection, STALLED)
+    trickle(discovery, connection, HEAD_WITHOUT_BODY)
 
 
 def cut_off(discovery, connection):
-    connection.send(STALLED + discovery.body(True)[:-20])
+    connection.send(HEAD_WITHOUT_BODY + discovery.body(True)[:-20])
     connection.end(ConnectionDone)
 
 
@@ -226,8 +226,8 @@
     connection.end(ConnectionDone)
 
 
-def turn_away_after_line(discovery, connection):
-    discovery.clock.callLater(LINE, discovery.answer, connection, b"busy", 503)
+def reject_after_queueing(discovery, connection):
+    discovery.clock.callLater(QUEUE_TIME, discovery.answer, connection, b"busy", 503)
 
 
 def answer_late(discovery, connection):
@@ -235,7 +235,7 @@
     discovery.clock.callLater(1.5, discovery.answer, connection, discovery.body(True))
 
 
-def always(body, code=200):
+def respond_with(body, code=200):
     return lambda discovery, connection: discovery.answer(connection, body, code)
 
 
@@ -245,16 +245,16 @@
     "silent": fall_silent,
     "watch falls silent": fall_silent,
     "reset": reset,
-    "head without body": stall,
+    "head without body": send_head_only,
     "body trickles": trickle_body,
     "head trickles": trickle_head,
     "list cut off": cut_off,
     "list without length cut off": cut_off_without_length,
-    "HTTP 500": always(b"down", 500),
-    "HTTP 503 at once": always(b"down", 503),
-    "HTTP 503 after a line": turn_away_after_line,
-    "no JSON": always(b"<html></html>"),
-    "wrong form": always(b'{"revision":-1,"complete":true,"members":[]}'),
+    "HTTP 500": respond_with(b"down", 500),
+    "HTTP 503 at once": respond_with(b"down", 503),
+    "HTTP 503 after a line": reject_after_queueing,
+    "no JSON": respond_with(b"<html></html>"),
+    "wrong form": respond_with(b'{"revision":-1,"complete":true,"members":[]}'),
     "slow answer": answer_late,
 }
 
@@ -267,19 +267,19 @@
         self.discovery = Discovery(self.clock, **script)
         self.settings = settings(is_endpoint_list_pushed=pushed, gateways=gateways, drain_grace=0.25)
         self.rng, self.told_at, self.told = rng or Longest(), None, []
-        self.watch = self.begin(HELD)
+        self.watch = self.start_watch(HELD_SNAPSHOT)
 
-    def begin(self, held):
-        watch = discovery_watch.Watch(self.clock, ADDRESS, self.settings, self.hear, held, self.rng)
+    def start_watch(self, held):
+        watch = discovery_watch.Watch(self.clock, ADDRESS, self.settings, self.on_snapshot, held, self.rng)
         watch.run()
         return watch
 
     def reload(self):
         """Replace the watch, as the gateway does on SIGHUP."""
         self.watch.stop()
-        self.watch = self.begin(None)
+        self.watch = self.start_watch(None)
 
-    def hear(self, snapshot):
+    def on_snapshot(self, snapshot):
         self.told.append(snapshot)
         if self.told_at is None and any(e.state is EndpointState.DRAINING for e in snapshot.entries):
             self.told_at = self.clock.seconds()
@@ -287,7 +287,7 @@
     def run_until(self, end, told=False):
         """Advance from event to event until `end`; with `told`, stop once the watch reported the drain."""
         while not (told and self.told_at is not None):
-            coming = min((c.getTime() for c in self.clock.getDelayedCalls()), default=end)
-            self.clock.advance(max(0.0, min(coming, end) - self.clock.seconds()))
+            upcoming = min((c.getTime() for c in self.clock.getDelayedCalls()), default=end)
+            self.clock.advance(max(0.0, min(upcoming, end) - self.clock.seconds()))
             if self.clock.seconds() >= end:
                 return
--- a/tests/helpers.py
+++ b/tests/helpers.py
@@ -72,11 +72,11 @@
         self.take(me, g.handle(self.now, [servers("a", "b", "c")]))
 
     def take(self, me, actions):
-        for tell in pick(actions, SendToPeer):
+        for send in pick(actions, SendToPeer):
             self.number += 1
-            if not self.lost(me, tell.peer, self.number):
+            if not self.lost(me, send.peer, self.number):
                 for copy in range(self.repeat):
-                    self.flight.append((self.now + self.delay * (1 + copy), me, tell.peer, tell.payload))
+                    self.flight.append((self.now + self.delay * (1 + copy), me, send.peer, send.payload))
 
     def run(self, seconds, ask=None):
         """Advance time in steps of 50 ms; `ask(gateway)` returns the units requested there in each step."""
@@ -86,8 +86,8 @@
             self.flight = [m for m in self.flight if m[0] > self.now]
             for _, sender, to, payload in arrived:
                 if to in self.gateways:
-                    got = self.gateways[to].handle(self.now, [PeerMessage(sender, payload)])
-                    self.take(to, got)
+                    replies = self.gateways[to].handle(self.now, [PeerMessage(sender, payload)])
+                    self.take(to, replies)
             for me, g in list(self.gateways.items()):
                 events = [TimerExpired(0)]
                 if ask and ask(me):
--- a/tests/net_fakes.py
+++ b/tests/net_fakes.py
@@ -9,7 +9,7 @@
 
 def connect(gateway):
     """A client connection that has received nothing yet; its transport keeps what is written to it."""
-    made = ClientConnections(gateway).buildProtocol(None)
+    connection = ClientConnections(gateway).buildProtocol(None)
     transport = StringTransport()
     transport.setTcpNoDelay = lambda on: None
     transport.connected, transport.producerPaused, transport.dataBuffer = True, False, b""
@@ -19,12 +19,12 @@
     transport.recv = unittest.mock.Mock(side_effect=BlockingIOError)
     transport.sendmsg = lambda parts: transport.write(b"".join(parts)) or sum(map(len, parts))
     transport.loseWriteConnection = lambda: None
-    transport.abortConnection = lambda: made.connectionLost()
+    transport.abortConnection = lambda: connection.connectionLost()
 
     def close_at_once(reason):
         transport.disconnecting = True
-        made.connectionLost(reason)
+        connection.connectionLost(reason)
 
     transport.connectionLost = close_at_once
-    made.makeConnection(transport)
-    return made
+    connection.makeConnection(transport)
+    return connection
--- a/tests/net_world.py
+++ b/tests/net_world.py
@@ -135,7 +135,7 @@
             "up_since_ms": 0,
             **more,
         }
-        threading.Thread(target=self.accept, daemon=True).start()
+        threading.Thread(target=self.accept_connections, daemon=True).start()
 
     def stop_listening(self):
         """Refuse connections from now on; after `close` alone, a pending accept could still take one more."""
@@ -143,12 +143,14 @@
             self.listener.shutdown(socket.SHUT_RDWR)
         self.listener.close()
 
-    def accept(self):
+    def accept_connections(self):
         with contextlib.suppress(OSError):
             while True:
-                threading.Thread(target=self.follow, args=(self.listener.accept()[0],), daemon=True).start()
+                threading.Thread(
+                    target=self.read_commands, args=(self.listener.accept()[0],), daemon=True
+                ).start()
 
-    def follow(self, sock):
+    def read_commands(self, sock):
         conn, asked = Conn(sock), []
         while True:
             try:
@@ -332,7 +334,7 @@
         return act(), time.monotonic() - began
 
 
-def slow_settings(**limits):
+def long_deadline_settings(**limits):
     """Settings with time limits so long that no waiting request times out during a test."""
     settings = copy.deepcopy(SETTINGS)
     for each in settings["classes"]:
@@ -345,8 +347,8 @@
     """Base of tests that control when events happen, with a program that is frozen in between."""
 
     def patient(self, sockets=256, **more):
-        """Start with the long time limits of `slow_settings`."""
-        self.start(config={"settings": slow_settings(), "limits": {"sockets": sockets}}, **more)
+        """Start with the long time limits of `long_deadline_settings`."""
+        self.start(config={"settings": long_deadline_settings(), "limits": {"sockets": sockets}}, **more)
 
     def seen(self, text):
         """Wait for a log line that may have been read already."""
