--- a/corkdeal/standin/fleet.py
+++ b/corkdeal/standin/fleet.py
@@ -107,7 +107,7 @@
 
 
 def limit_files(pid: int, full: bool) -> None:
-    """Simulate a full disk for a process, without root: RLIMIT_FSIZE 0 makes its writes to files fail."""
+    """Make a process's writes to files fail as on a full disk, by RLIMIT_FSIZE, or succeed again."""
     _, hard_limit = resource.prlimit(pid, resource.RLIMIT_FSIZE)
     resource.prlimit(pid, resource.RLIMIT_FSIZE, (0 if full else hard_limit, hard_limit))
 
--- a/corkdeal/standin/history.py
+++ b/corkdeal/standin/history.py
@@ -34,7 +34,8 @@
         """One line of the history."""
         replies = ", ".join(f"{what} at {at:.3f}" for at, what in self.answers) or "no answer"
         return (
-            f"{self.sent:.3f} attempt {self.id:x} of {self.customer:08x} at gateway {self.gateway}: {replies}"
+            f"{self.sent:.3f} client attempt {self.id:x} of {self.customer:08x} "
+            f"at gateway {self.gateway}: {replies}"
         )
 
 
--- a/corkdeal/standin/links.py
+++ b/corkdeal/standin/links.py
@@ -66,7 +66,7 @@
         """`gateways` are the addresses at which the gateways receive datagrams."""
         self.addresses = [(host, int(port)) for host, _, port in (g.rpartition(":") for g in gateways)]
         self.rng = rng
-        self.sockets: dict[tuple[int, int], socket.socket] = {}  # where a sender reaches a receiver
+        self.sockets: dict[tuple[int, int], socket.socket] = {}  # by sender and receiver
         self.active_faults: dict[int, tuple[frozenset[tuple[int, int]], Fault]] = {}
         self.combined_faults: dict[tuple[int, int], Fault] = {}  # the combined faults of each direction
         self.last_fault_id = 0
@@ -186,7 +186,7 @@
 
 
 def reserve_port() -> socket.socket:
-    """Reserve a port with a bound socket; SO_REUSEADDR still lets this process listen on it."""
+    """Reserve a port with a bound socket; a listener with SO_REUSEADDR can still bind it."""
     reserved = socket.socket()
     reserved.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
     reserved.bind(("127.0.0.1", 0))
@@ -206,7 +206,7 @@
         self.reserved_ports: list[socket.socket] = []  # reserve the ports while a listener is closed
         self.listeners: list[Any] = []
         self.faults: list[DoorFault] = []
-        self.unblocked: list[asyncio.Event] = []
+        self.unblocked: list[asyncio.Event] = []  # cleared while a fault silences the gateway
         self.connections: list[set[asyncio.StreamWriter]] = []
         self.connected: Callable[[int], None] = lambda gateway: None
 
--- a/corkdeal/standin/servers.py
+++ b/corkdeal/standin/servers.py
@@ -267,6 +267,6 @@
 
 
 def work_drawer(rng: random.Random, mean: float, cv: float) -> Callable[[], float]:
-    """Draw work from a gamma distribution with that mean and coefficient of variation."""
+    """A function that draws work from a gamma distribution with that mean and coefficient of variation."""
     shape = 1 / cv**2
     return lambda: max(0.005, rng.gammavariate(shape, mean / shape))
