--- a/corkdeal/standin/history.py
+++ b/corkdeal/standin/history.py
@@ -1,7 +1,7 @@
-"""What the outside of a tier saw, and whether the rules held; nothing here knows a decision.
+"""Records what clients, backends and discovery observe of a tier, and checks it against the tier's rules.
 
-Clients, servers and discovery write into one history, in seconds of one clock. `check` goes through it after
-the run and tells each broken rule with the lines of history that show it.
+All of them write into one history, in seconds of the same clock. After the run, `check` returns each
+violation with the lines of the history that show it. Nothing here reads the state of a gateway.
 """
 
 from __future__ import annotations
@@ -11,66 +11,69 @@
 from dataclasses import dataclass, field
 from typing import NamedTuple
 
-GRACE = 0.25  # s in which a gateway may still send to a server after it was told that it goes
-ANSWER_SLACK = 0.5  # s past its time in which a request may still get its answer
-WINDOWS = (1.0, 5.0, 30.0)  # s over which quotas are looked at
-LINES = 6  # of history that a broken rule shows
+REMOVAL_GRACE = 0.25  # s that a gateway may go on using a backend after a list without it
+ANSWER_SLACK = 0.5  # s past the deadline within which a request may still be answered
+WINDOWS = (1.0, 5.0, 30.0)  # s, the sliding windows over which quotas are checked
+MAX_LINES = 6  # lines of history that are shown for an exceeded quota
 
 
 @dataclass(slots=True)
 class Try:
-    """One try of a client."""
+    """One attempt of a client: a request with an ID of its own."""
 
     id: int
     customer: int
     gateway: int
-    planned: float
+    planned: float  # when the load model planned the request
     sent: float
-    until: float
+    deadline: float
     answers: list[tuple[float, str]] = field(default_factory=list)
-    cut_at: float | None = None  # its connection ended without an answer
+    cut_at: float | None = None  # when its connection ended or the client timed out without a reply
 
     def __str__(self) -> str:
         """One line of the history."""
-        said = ", ".join(f"{what} at {at:.3f}" for at, what in self.answers) or "no answer"
-        return f"{self.sent:.3f} try {self.id:x} of {self.customer:08x} at gateway {self.gateway}: {said}"
+        replies = ", ".join(f"{what} at {at:.3f}" for at, what in self.answers) or "no answer"
+        return (
+            f"{self.sent:.3f} client attempt {self.id:x} of {self.customer:08x} "
+            f"at gateway {self.gateway}: {replies}"
+        )
 
 
 class Attempt(NamedTuple):
-    """One attempt as its server took it."""
+    """One attempt of a gateway, as it arrived at its backend."""
 
     at: float
     server: str
     gateway: int
     request: int
     customer: int
-    beside: str = ""  # another server where an attempt of the same request was still waited for
+    concurrent_backend: str = ""  # a backend that had an open attempt of the same request
 
     def __str__(self) -> str:
         """One line of the history."""
-        beside = f", while one stood at {self.beside}" if self.beside else ""
+        other = f", while another was open at {self.concurrent_backend}" if self.concurrent_backend else ""
         return (
-            f"{self.at:.3f} attempt for {self.request:x} from gateway {self.gateway} at {self.server}{beside}"
+            f"{self.at:.3f} attempt for {self.request:x} from gateway {self.gateway} at {self.server}{other}"
         )
 
 
 class Told(NamedTuple):
-    """A list that a gateway was told: the servers that it may use."""
+    """An endpoint list that a gateway was sent: the backends in state ready."""
 
     at: float
     ready: frozenset[str]
 
 
 class Away(NamedTuple):
-    """A span in which a gateway was dead or stopped."""
+    """A period in which a gateway was down or stopped (SIGSTOP)."""
 
     gateway: int
     begin: float
     end: float
 
 
-class Broken(NamedTuple):
-    """A rule that did not hold, with the history that shows it."""
+class Violation(NamedTuple):
+    """The violation of a rule, with the history that shows it."""
 
     rule: str
     lines: tuple[str, ...]
@@ -79,13 +82,13 @@
 class Quota(NamedTuple):
     """A customer's quota over all gateways together."""
 
-    rate: float  # units a second
+    rate: float  # units/s
     burst: float  # units
-    bound: float  # units beyond it that may be let in over any window, by the formula in docs/recovery.md
+    bound: float  # units beyond it that may be admitted in any window, by the formula in docs/recovery.md
 
 
 class History:
-    """All that was seen, in the order in which it happened at each place."""
+    """All observations of a run; each list is in the order of the events."""
 
     def __init__(self) -> None:
         self.tries: dict[int, Try] = {}
@@ -95,76 +98,81 @@
         self.events: list[tuple[float, str]] = []
 
     def firsts(self) -> dict[int, list[float]]:
-        """When each request's first attempt arrived, by customer."""
+        """The arrival times of the first attempts of all requests, by customer."""
         seen: set[int] = set()
-        made: dict[int, list[float]] = defaultdict(list)
+        first_arrivals: dict[int, list[float]] = defaultdict(list)
         for a in sorted(self.attempts):
             if a.request not in seen:
                 seen.add(a.request)
-                made[a.customer].append(a.at)
-        return made
+                first_arrivals[a.customer].append(a.at)
+        return first_arrivals
 
-    def here(self, gateway: int, begin: float, end: float) -> bool:
-        """Whether a gateway was neither dead nor stopped at any moment between."""
+    def was_up(self, gateway: int, begin: float, end: float) -> bool:
+        """Whether a gateway was up and running throughout a period."""
         return not any(a.gateway == gateway and a.begin < end and a.end > begin for a in self.away)
 
 
-def check(history: History, quotas: dict[int, Quota], end: float, slack: float) -> list[Broken]:
-    """All rules; `end` is when clients stopped listening, `slack` what stand-ins may be late themselves."""
+def check(history: History, quotas: dict[int, Quota], end: float, slack: float) -> list[Violation]:
+    """Check all rules.
+
+    `end` is when clients stopped reading, `slack` the seconds by which this process itself may be late.
+    """
     return [
-        *final_answers(history, end),
-        *sent_too_late(history, slack),
-        *at_once(history),
-        *told_away(history, slack),
-        *beyond(history, quotas),
+        *check_replies(history, end),
+        *check_deadlines(history, slack),
+        *check_concurrent_attempts(history),
+        *check_endpoint_lists(history, slack),
+        *check_quotas(history, quotas),
     ]
 
 
-def final_answers(history: History, end: float) -> list[Broken]:
-    """Exactly one answer in time to each try, where its gateway was there all the while."""
-    made = []
+def check_replies(history: History, end: float) -> list[Violation]:
+    """Each client attempt gets exactly one reply in time, if its gateway was up and running throughout."""
+    violations = []
     for t in history.tries.values():
-        until = t.until + ANSWER_SLACK
+        until = t.deadline + ANSWER_SLACK
         if len(t.answers) > 1:
-            made.append(Broken("one final answer", (str(t),)))
-        elif not t.answers and until < end and history.here(t.gateway, t.sent - ANSWER_SLACK, until):
-            made.append(Broken("one final answer", (str(t), f"its time ended at {t.until:.3f}")))
-    return made
+            violations.append(Violation("one final answer", (str(t),)))
+        elif not t.answers and until < end and history.was_up(t.gateway, t.sent - ANSWER_SLACK, until):
+            violations.append(Violation("one final answer", (str(t), f"its deadline was {t.deadline:.3f}")))
+    return violations
 
 
-def sent_too_late(history: History, slack: float) -> list[Broken]:
-    """Nothing sent on after its client's time was over."""
+def check_deadlines(history: History, slack: float) -> list[Violation]:
+    """No attempt at a backend begins after the deadline of its client."""
     return [
-        Broken("nothing sent on after its time", (str(t), str(a)))
+        Violation("nothing sent on after its time", (str(t), str(a)))
         for a in history.attempts
-        if (t := history.tries.get(a.request)) is not None and a.at > t.until + slack
+        if (t := history.tries.get(a.request)) is not None and a.at > t.deadline + slack
     ]
 
 
-def at_once(history: History) -> list[Broken]:
-    """Never two attempts of one request at the same time."""
-    return [Broken("never two attempts at once", (str(a),)) for a in history.attempts if a.beside]
+def check_concurrent_attempts(history: History) -> list[Violation]:
+    """No two attempts of one request are open at the same time."""
+    return [
+        Violation("never two attempts at once", (str(a),)) for a in history.attempts if a.concurrent_backend
+    ]
 
 
-def told_away(history: History, slack: float) -> list[Broken]:
-    """Nothing to a server that the newest list told GRACE before does not hold as ready."""
-    made = []
+def check_endpoint_lists(history: History, slack: float) -> list[Violation]:
+    """Attempts go to backends that were ready in the list REMOVAL_GRACE s before, or in a later one."""
+    violations = []
     for a in history.attempts:
         lists = history.told.get(a.gateway, [])
-        newest = bisect.bisect_right(lists, a.at - GRACE - slack, key=lambda told: told.at) - 1
+        newest = bisect.bisect_right(lists, a.at - REMOVAL_GRACE - slack, key=lambda told: told.at) - 1
         since = lists[max(0, newest) :]
         if newest >= 0 and not any(a.server in told.ready for told in since if told.at <= a.at):
-            made.append(
-                Broken(
+            violations.append(
+                Violation(
                     "nothing new to a server told away",
-                    (f"{since[0].at:.3f} gateway {a.gateway} was told a list without it", str(a)),
+                    (f"{since[0].at:.3f} gateway {a.gateway} was sent a list without it", str(a)),
                 )
             )
-    return made
+    return violations
 
 
 def most_over(times: list[float], quota: Quota, window: float) -> tuple[float, float]:
-    """The most units beyond the quota in any window of that length, and when it began."""
+    """The most units beyond the quota in any window of that length, and the start of that window."""
     best, when, low = 0.0, 0.0, 0
     for high, at in enumerate(times):
         while times[low] < at - window:
@@ -176,9 +184,9 @@
     return best, when
 
 
-def beyond(history: History, quotas: dict[int, Quota]) -> list[Broken]:
-    """Units let in over any window within quota plus the stated bound."""
-    made = []
+def check_quotas(history: History, quotas: dict[int, Quota]) -> list[Violation]:
+    """The units admitted in any window stay within the quota plus its bound."""
+    violations = []
     for customer, times in sorted(history.firsts().items()):
         if (quota := quotas.get(customer)) is None:
             continue
@@ -191,8 +199,8 @@
                     if a.customer == customer and when <= a.at <= when + window
                 ]
                 lines = [
-                    f"{over:.2f} units beyond quota in {window:g} s from {when:.3f}, of {quota.bound:.2f}"
+                    f"{over:.2f} units beyond quota in {window:g} s from {when:.3f}, bound {quota.bound:.2f}"
                 ]
-                made.append(Broken("units within quota", (*lines, *map(str, mine[:LINES]))))
+                violations.append(Violation("units within quota", (*lines, *map(str, mine[:MAX_LINES]))))
                 break
-    return made
+    return violations
