--- a/corkdeal/net/application.py
+++ b/corkdeal/net/application.py
@@ -53,13 +53,13 @@
 
     def start_as_successor(self) -> None:
         """Start as the successor of a running process, if there is one, with the quota it hands over."""
-        from .upgrade import Succession
+        from .upgrade import UpgradeHandover
 
         try:
-            self.gateway.succession = Succession(self.reactor, self.gateway)
-            self.gateway.succession.begin(self.gateway.start)
+            self.gateway.upgrade_handover = UpgradeHandover(self.reactor, self.gateway)
+            self.gateway.upgrade_handover.begin(self.gateway.start)
         except OSError as error:
-            self.gateway.succession = None
+            self.gateway.upgrade_handover = None
             count("handover_off")
             logs.event("handover_off", error=str(error)[:200])
             self.gateway.start()
--- a/corkdeal/net/gateway.py
+++ b/corkdeal/net/gateway.py
@@ -65,7 +65,7 @@
 if TYPE_CHECKING:
     from .membership import Membership
     from .recovery import Recovery
-    from .upgrade import Succession
+    from .upgrade import UpgradeHandover
 
 FIRST_LIST_TIMEOUT = 0.25  # s that a start waits for discovery's first list before it accepts clients
 DRAIN_ACCEPT_TIME = 0.5  # s after SIGTERM in which connections are accepted; new ones keep arriving for 0.4 s
@@ -123,7 +123,7 @@
         self.peering_stopped = False  # whether the successor now communicates with the peers
         self.recovery: Recovery | None = None  # handles starts and stalls, if enabled
         self.membership: Membership | None = None  # tracks the tier's running gateways, if enabled
-        self.succession: Succession | None = None  # quota handover, with an inherited socket
+        self.upgrade_handover: UpgradeHandover | None = None  # only if the listening socket is inherited
         self.before_end: list[Any] = []  # their `stop(done)` is called after the last answer, before exit
         self.logged_counters = ""
         self.logged_rejections = 0
@@ -194,7 +194,7 @@
 
     def hear(self) -> None:
         """Listen for the peers' datagrams. During an upgrade, the predecessor has the port until it ends."""
-        waits = self.succession is not None and self.succession.waits
+        waits = self.upgrade_handover is not None and self.upgrade_handover.waits
         if not self.config.peer_listen or self.peering_stopped or waits:
             return
         host, port = self.config.peer_listen
@@ -298,8 +298,8 @@
 
     def close(self) -> None:
         """Stop accepting connections; requests on accepted ones are still answered."""
-        if self.succession is not None:
-            self.succession.end()
+        if self.upgrade_handover is not None:
+            self.upgrade_handover.end()
         if self.port:
             if self.config.inherited is None:  # the queue of an inherited socket is left to other processes
                 self.port.accept_queued()
--- a/corkdeal/net/membership.py
+++ b/corkdeal/net/membership.py
@@ -37,8 +37,8 @@
 
         While another incarnation of this gateway is running, that one holds the leases.
         """
-        succession = self.gateway.succession
-        self.members.set_delegated_share(succession is not None and succession.waits)
+        upgrade_handover = self.gateway.upgrade_handover
+        self.members.set_delegated_share(upgrade_handover is not None and upgrade_handover.waits)
         for event in self.members.take_events():
             logs.event("membership", **log_fields(event))
         self.reactor.callLater(POLL_INTERVAL, self.poll)
@@ -49,8 +49,8 @@
         A gateway that handed its quota over to its successor announces nothing. `done` is called in either
         case.
         """
-        succession = self.gateway.succession
-        if succession is None or not succession.done:
+        upgrade_handover = self.gateway.upgrade_handover
+        if upgrade_handover is None or not upgrade_handover.done:
             decisions = self.gateway.decisions
             decisions.now = self.gateway.now()
             decisions.actions = []
--- a/corkdeal/net/upgrade.py
+++ b/corkdeal/net/upgrade.py
@@ -30,7 +30,7 @@
 MAX_LOGGED_ERROR = 200  # characters
 
 
-class Succession:
+class UpgradeHandover:
     """The handover from this process's predecessor, and the one to its successor."""
 
     def __init__(self, reactor: Any, gateway: Any) -> None:
--- a/tests/membership/test_members.py
+++ b/tests/membership/test_members.py
@@ -301,7 +301,7 @@
 
 
 @pytest.mark.parametrize(
-    ("succession", "is_delegated", "announces_leave"),
+    ("upgrade_handover", "is_delegated", "announces_leave"),
     [
         (None, False, True),
         (SimpleNamespace(waits=True, done=False), True, True),
@@ -310,12 +310,14 @@
     ],
 )
 def test_beside_another_incarnation_the_share_is_delegated_and_after_a_handover_no_leave_is_announced(
-    succession, is_delegated, announces_leave
+    upgrade_handover, is_delegated, announces_leave
 ):
     tier = Tier(3)
     tier.run(2.0, tier.offered_units)
     decisions, sent, stopped = tier.gateways[0], [], []
-    gateway = SimpleNamespace(decisions=decisions, succession=succession, before_end=[], now=lambda: tier.now)
+    gateway = SimpleNamespace(
+        decisions=decisions, upgrade_handover=upgrade_handover, before_end=[], now=lambda: tier.now
+    )
     gateway.tell = sent.append
     membership = Membership(FakeReactor(), gateway)
     membership.start()
--- a/tests/persistence/test_upgrade.py
+++ b/tests/persistence/test_upgrade.py
@@ -9,7 +9,7 @@
 
 from corkdeal import logs
 from corkdeal.decisions.gateway import Gateway
-from corkdeal.net.upgrade import CHECK_INTERVAL, POLL_INTERVAL, POLL_TIMEOUT, Succession
+from corkdeal.net.upgrade import CHECK_INTERVAL, POLL_INTERVAL, POLL_TIMEOUT, UpgradeHandover
 from corkdeal.persistence.quota_handover import SUCCESSOR_FRACTION
 
 from .. import helpers
@@ -34,14 +34,14 @@
             hear=lambda: calls.append("hear"),
             be_silent=lambda: calls.append("be_silent"),
         )
-        succession = Succession(clock, gateway)
-        processes.append(succession)
+        upgrade_handover = UpgradeHandover(clock, gateway)
+        processes.append(upgrade_handover)
 
         def start():
             gateway.begun = True
 
-        succession.begin(start)
-        return succession, gateway, calls
+        upgrade_handover.begin(start)
+        return upgrade_handover, gateway, calls
 
     def advance_in_polls(seconds):
         for _ in range(round(seconds / POLL_INTERVAL)):
@@ -49,13 +49,13 @@
 
     yield SimpleNamespace(process=process, advance_in_polls=advance_in_polls, lines=lines, path=tmp_path)
     logs.configure(None)
-    for succession in processes:
-        succession.files.close()
+    for upgrade_handover in processes:
+        upgrade_handover.files.close()
 
 
 def test_a_first_process_starts_at_once_with_the_whole_quota(world):
-    succession, gateway, _ = world.process()
-    assert gateway.begun and not succession.waits and gateway.decisions.quota_fraction == 1.0
+    upgrade_handover, gateway, _ = world.process()
+    assert gateway.begun and not upgrade_handover.waits and gateway.decisions.quota_fraction == 1.0
 
 
 def test_the_quota_goes_over_in_two_parts_and_is_never_more_than_one(world):
--- a/tests/recovery/test_net_recovery.py
+++ b/tests/recovery/test_net_recovery.py
@@ -30,7 +30,7 @@
             tally=Counter(),
             out={1: self.attempt},
             begun=has_begun,
-            succession=None,
+            upgrade_handover=None,
             watch_again=self.query_discovery,
         )
         self.recovery = Recovery(self.clock, self.gateway)
