--- a/corkdeal/net/gateway.py
+++ b/corkdeal/net/gateway.py
@@ -194,7 +194,7 @@
 
     def hear(self) -> None:
         """Listen for the peers' datagrams. During an upgrade, the predecessor has the port until it ends."""
-        waits = self.upgrade_handover is not None and self.upgrade_handover.waits
+        waits = self.upgrade_handover is not None and self.upgrade_handover.is_awaiting_remainder
         if not self.config.peer_listen or self.peering_stopped or waits:
             return
         host, port = self.config.peer_listen
--- a/corkdeal/net/membership.py
+++ b/corkdeal/net/membership.py
@@ -38,7 +38,9 @@
         While another incarnation of this gateway is running, that one holds the leases.
         """
         upgrade_handover = self.gateway.upgrade_handover
-        self.members.set_delegated_share(upgrade_handover is not None and upgrade_handover.waits)
+        self.members.set_delegated_share(
+            upgrade_handover is not None and upgrade_handover.is_awaiting_remainder
+        )
         for event in self.members.take_events():
             logs.event("membership", **log_fields(event))
         self.reactor.callLater(POLL_INTERVAL, self.poll)
--- a/corkdeal/net/upgrade.py
+++ b/corkdeal/net/upgrade.py
@@ -49,7 +49,7 @@
         self.poll_count = 0
 
     @property
-    def waits(self) -> bool:
+    def is_awaiting_remainder(self) -> bool:
         """Whether the predecessor still has the ledgers and is expected to hand them over."""
         return self.predecessor is not None and self.given is not None
 
@@ -199,7 +199,7 @@
         self.done = True
         if self.takeover is not None:
             return
-        was_waiting = self.waits
+        was_waiting = self.is_awaiting_remainder
         self.predecessor = None
         if was_waiting:
             quota_handover.add_fraction(self.decisions, self.gateway.now(), self.predecessor_fraction)
--- a/tests/persistence/test_upgrade.py
+++ b/tests/persistence/test_upgrade.py
@@ -55,7 +55,11 @@
 
 def test_a_first_process_starts_at_once_with_the_whole_quota(world):
     upgrade_handover, gateway, _ = world.process()
-    assert gateway.begun and not upgrade_handover.waits and gateway.decisions.quota_fraction == 1.0
+    assert (
+        gateway.begun
+        and not upgrade_handover.is_awaiting_remainder
+        and gateway.decisions.quota_fraction == 1.0
+    )
 
 
 def test_the_quota_goes_over_in_two_parts_and_is_never_more_than_one(world):
@@ -63,14 +67,14 @@
     new, new_gateway, new_calls = world.process()
     assert not new_gateway.begun
     world.advance_in_polls(2 * CHECK_INTERVAL)
-    assert new_gateway.begun and new.waits
+    assert new_gateway.begun and new.is_awaiting_remainder
     assert new_gateway.decisions.quota_fraction == pytest.approx(SUCCESSOR_FRACTION)
     assert old_gateway.decisions.quota_fraction == pytest.approx(1 - SUCCESSOR_FRACTION)
     old.end()
     assert old.done and old_calls == ["be_silent"] and old_gateway.decisions.quota_fraction == 0.0
     world.advance_in_polls(2 * CHECK_INTERVAL)
     assert new_gateway.decisions.quota_fraction == pytest.approx(1.0)
-    assert not new.waits and new_calls == ["hear"]
+    assert not new.is_awaiting_remainder and new_calls == ["hear"]
     assert world.lines == ["handover_given", "handover_begun", "handover_rest", "handover_done"]
 
 
@@ -81,7 +85,7 @@
     old.done = True
     old.files.close()
     world.advance_in_polls(2 * CHECK_INTERVAL)
-    assert new_gateway.decisions.quota_fraction == pytest.approx(1.0) and not new.waits
+    assert new_gateway.decisions.quota_fraction == pytest.approx(1.0) and not new.is_awaiting_remainder
     assert world.lines[-1] == "handover_done"
 
 
