--- a/corkdeal/experiment/members.py
+++ b/corkdeal/experiment/members.py
@@ -34,7 +34,7 @@
 from ..decisions.gateway import Gateway
 from ..decisions.incarnations import is_later
 from ..membership.failure_detector import MemberState
-from ..membership.members import Members
+from ..membership.members import MembershipProtocol
 from ..recovery.resume import resume_after_stall
 from ..recovery.stall_detector import MIN_STALL
 from .explore import new_gateway
@@ -65,7 +65,7 @@
     def start(self, index: int) -> None:
         """Start a gateway without persisted state."""
         gateway = new_gateway(index, self.gateway_count)
-        gateway.membership = Members(gateway, is_later)
+        gateway.membership = MembershipProtocol(gateway, is_later)
         self.up[index] = gateway
         self.perform(index, gateway.handle(self.now, [ENDPOINT_LIST]))
 
--- a/corkdeal/membership/members.py
+++ b/corkdeal/membership/members.py
@@ -31,7 +31,7 @@
 MAX_RING_RECEIVERS = 14  # ring neighbours per round
 
 
-class Members:
+class MembershipProtocol:
     """Membership of one gateway, for the lifetime of the process."""
 
     def __init__(self, host: MembershipHost, is_later: Callable[[int, int], bool]) -> None:
--- a/corkdeal/net/membership.py
+++ b/corkdeal/net/membership.py
@@ -13,7 +13,7 @@
 from ..decisions.incarnations import is_later
 from ..membership.events import LeaseLost, LeaseRegained, MembershipEvent, SharesReturned, SharesTakenOver
 from ..membership.failure_detector import StateChange
-from ..membership.members import Members
+from ..membership.members import MembershipProtocol
 
 POLL_INTERVAL = 0.1  # s between polls for events
 
@@ -24,7 +24,7 @@
     def __init__(self, reactor: Any, gateway: Any) -> None:
         self.reactor = reactor
         self.gateway = gateway
-        self.members = Members(gateway.decisions, is_later)
+        self.members = MembershipProtocol(gateway.decisions, is_later)
         gateway.decisions.membership = self.members
 
     def start(self) -> None:
--- a/tests/membership/test_members.py
+++ b/tests/membership/test_members.py
@@ -14,7 +14,7 @@
 from corkdeal.membership import messages
 from corkdeal.membership.failure_detector import MIN_DEAD_SILENCE, FailureDetector, MemberState
 from corkdeal.membership.leases import KEPT_FRACTION, LEASE_TIME, TAKEOVER_TIME, Leases, TakeoverRequest
-from corkdeal.membership.members import MAX_ROUND_INTERVAL, Members
+from corkdeal.membership.members import MAX_ROUND_INTERVAL, MembershipProtocol
 from corkdeal.membership.messages import GossipEntry, GossipKind, Heartbeat, HeartbeatFlag
 from corkdeal.net.membership import Membership
 from corkdeal.recovery.quota_restore import QuotaRestore
@@ -31,7 +31,10 @@
 
     def start(self, index, gateways=None):
         gateway = Gateway(settings(index, self.size, plans=(PLAN,)), seed=index)
-        gateway.quota_restore, gateway.membership = QuotaRestore(gateway), Members(gateway, is_later)
+        gateway.quota_restore, gateway.membership = (
+            QuotaRestore(gateway),
+            MembershipProtocol(gateway, is_later),
+        )
         self.gateways[index] = gateway
         self.take(index, gateway.handle(self.now, [servers("a", "b", "c")]))
 
@@ -283,7 +286,7 @@
 @given(st.binary(max_size=300), words)
 def test_whatever_comes_costs_one_message_at_most(noise, beat):
     one = Gateway(settings(0, 5), seed=1)
-    one.membership = Members(one, is_later)
+    one.membership = MembershipProtocol(one, is_later)
     one.handle(100.0, [servers("a")])
     for payload in (noise, b"\x05" + noise, messages.pack(beat) + noise[:1]):
         one.handle(101.0, [PeerMessage(1, payload)])
--- a/tests/membership/test_parts.py
+++ b/tests/membership/test_parts.py
@@ -10,7 +10,7 @@
 from corkdeal.membership.failure_detector import FailureDetector, MemberState, StateChange
 from corkdeal.membership.heartbeats import REPLY_INTERVAL, HeartbeatSender
 from corkdeal.membership.leases import KEPT_FRACTION, LEASE_TIME, TAKEOVER_TIME, Leases, TakeoverRequest
-from corkdeal.membership.members import MAX_ROUND_INTERVAL, Members
+from corkdeal.membership.members import MAX_ROUND_INTERVAL, MembershipProtocol
 from corkdeal.membership.messages import GossipEntry, GossipKind, Heartbeat, HeartbeatFlag
 from corkdeal.membership.quota_shares import QuotaShares
 from corkdeal.membership.receiver import HeartbeatReceiver
@@ -224,7 +224,7 @@
 
 def test_members_contacts_ring_neighbours_at_once_and_keeps_its_interval():
     host = FakeHost()
-    members = Members(host, is_later)
+    members = MembershipProtocol(host, is_later)
     members.step()
     contacted = {action.peer for action in host.actions}
     host.actions = []
@@ -238,7 +238,7 @@
 
 def test_members_hands_each_event_out_once_and_counts_states():
     host = FakeHost()
-    members = Members(host, is_later)
+    members = MembershipProtocol(host, is_later)
     members.receive(0, heartbeat(flags=HeartbeatFlag.LEAVING))
     members.step()
     assert members.take_events() == [
@@ -283,7 +283,7 @@
 
 @pytest.mark.parametrize("is_accepted", [True, False])
 def test_a_payload_is_applied_if_it_is_a_heartbeat_that_the_decisions_accept(is_accepted):
-    members, asked = Members(FakeHost(), is_later), []
+    members, asked = MembershipProtocol(FakeHost(), is_later), []
 
     def accept(*arguments):
         asked.append(arguments)
