--- a/corkdeal/net/membership.py
+++ b/corkdeal/net/membership.py
@@ -52,7 +52,7 @@
         case.
         """
         upgrade_handover = self.gateway.upgrade_handover
-        if upgrade_handover is None or not upgrade_handover.done:
+        if upgrade_handover is None or not upgrade_handover.is_finished:
             decisions = self.gateway.decisions
             decisions.now = self.gateway.now()
             decisions.actions = []
--- a/corkdeal/net/upgrade.py
+++ b/corkdeal/net/upgrade.py
@@ -45,7 +45,7 @@
         self.successor: int | None = None  # incarnation that was given a fraction here
         self.successor_fraction = 0.0  # of the quota, which the successor was given
         self.takeover: Iterator[None] | None = None  # of the remainder, while in progress
-        self.done = False  # everything was handed over, or the folder can't be used
+        self.is_finished = False  # everything was handed over, or the folder can't be used
         self.poll_count = 0
 
     @property
@@ -164,8 +164,8 @@
     # As successor and as predecessor
 
     def _check(self) -> None:
-        """Check the predecessor and the successor, at intervals until `done`."""
-        if self.done:
+        """Check the predecessor and the successor, at intervals until `is_finished`."""
+        if self.is_finished:
             return
         self.reactor.callLater(CHECK_INTERVAL, self._check)
         try:
@@ -196,7 +196,7 @@
         """
         count("handover_off")
         logs.event("handover_off", error=truncated_text(error))
-        self.done = True
+        self.is_finished = True
         if self.takeover is not None:
             return
         was_waiting = self.is_awaiting_remainder
@@ -223,10 +223,10 @@
 
     def end(self) -> None:
         """Hand over the remainder to a successor that has its fraction; no new clients connect any more."""
-        if self.successor is None or self.done or not self.files.is_running(self.successor):
+        if self.successor is None or self.is_finished or not self.files.is_running(self.successor):
             return
         if self._write(self.successor, HandoverPart.FINAL):
-            self.done = True
+            self.is_finished = True
             quota_handover.release_all(self.decisions)
             self.gateway.be_silent()
             logs.event("handover_rest", life=self.files.incarnation, after=self.successor)
--- a/tests/membership/test_members.py
+++ b/tests/membership/test_members.py
@@ -307,9 +307,9 @@
     ("upgrade_handover", "is_delegated", "announces_leave"),
     [
         (None, False, True),
-        (SimpleNamespace(is_awaiting_remainder=True, done=False), True, True),
+        (SimpleNamespace(is_awaiting_remainder=True, is_finished=False), True, True),
         # its quota shares were handed over to its successor
-        (SimpleNamespace(is_awaiting_remainder=False, done=True), False, False),
+        (SimpleNamespace(is_awaiting_remainder=False, is_finished=True), False, False),
     ],
 )
 def test_beside_another_incarnation_the_share_is_delegated_and_after_a_handover_no_leave_is_announced(
--- a/tests/persistence/test_upgrade.py
+++ b/tests/persistence/test_upgrade.py
@@ -71,7 +71,7 @@
     assert new_gateway.decisions.quota_fraction == pytest.approx(SUCCESSOR_FRACTION)
     assert old_gateway.decisions.quota_fraction == pytest.approx(1 - SUCCESSOR_FRACTION)
     old.end()
-    assert old.done and old_calls == ["be_silent"] and old_gateway.decisions.quota_fraction == 0.0
+    assert old.is_finished and old_calls == ["be_silent"] and old_gateway.decisions.quota_fraction == 0.0
     world.advance_in_polls(2 * CHECK_INTERVAL)
     assert new_gateway.decisions.quota_fraction == pytest.approx(1.0)
     assert not new.is_awaiting_remainder and new_calls == ["hear"]
@@ -82,7 +82,7 @@
     old, _, _ = world.process()
     new, new_gateway, _ = world.process()
     world.advance_in_polls(2 * CHECK_INTERVAL)
-    old.done = True
+    old.is_finished = True
     old.files.close()
     world.advance_in_polls(2 * CHECK_INTERVAL)
     assert new_gateway.decisions.quota_fraction == pytest.approx(1.0) and not new.is_awaiting_remainder
@@ -93,7 +93,7 @@
     old, old_gateway, _ = world.process()
     new, _, _ = world.process()
     world.advance_in_polls(2 * CHECK_INTERVAL)
-    new.done = True
+    new.is_finished = True
     new.files.close()
     world.advance_in_polls(2 * CHECK_INTERVAL)
     assert old_gateway.decisions.quota_fraction == pytest.approx(1.0) and old.successor is None
@@ -117,4 +117,4 @@
     shutil.rmtree(world.path / "corkdeal-lives")
     new._disable(OSError("folder removed between two polls"))
     world.advance_in_polls(POLL_INTERVAL)
-    assert new_gateway.begun and new.done and new_gateway.decisions.quota_fraction == 1.0
+    assert new_gateway.begun and new.is_finished and new_gateway.decisions.quota_fraction == 1.0
