--- a/corkdeal/net/backend_connection.py
+++ b/corkdeal/net/backend_connection.py
@@ -1,4 +1,4 @@
-"""Backend connections and their pool: one attempt at a time on each, warm ones used again."""
+"""Backend connections and their pool: one attempt at a time on each; idle connections are reused."""
 
 from __future__ import annotations
 
@@ -24,16 +24,17 @@
 from .response_stream import ResponseStream
 from .rpc import RPC
 
-IDLE_PART = 0.8  # of the idle limit; a backend closes "at the latest" then, and a crossing send is a reset
-SETTLE = 0.007  # s that a connection rests after an answer: what comes behind it must not answer the next RPC
-REPLY_STALL, REPLY_LATE = 0.1, 0.3  # s without another byte of an answer, and from its first to its last
-CONNECT_PART = 0.25  # of the shortest aim, after which a connection that is not up is given up
+# of the idle timeout; a backend may close sooner than at the timeout, and a write that crosses it is reset
+IDLE_PART = 0.8
+SETTLE = 0.007  # s between a reply and reuse: bytes after the reply must not be read as the next RPC's
+REPLY_STALL, REPLY_LATE = 0.1, 0.3  # s without a further byte of a reply; s from its first byte to its last
+CONNECT_PART = 0.25  # of the shortest latency objective: timeout for connecting
 ABORTED = Failure(ConnectionAborted())
 
 
 @dataclass(slots=True, eq=False)
 class Attempt:
-    """One attempt of an RPC, or a probe where there is none."""
+    """One attempt of an RPC, or a health check if `rpc` is None."""
 
     rpc: RPC | None
     number: int
@@ -43,13 +44,13 @@
     parts: list[vectored_write.Part]
     conn: BackendConnection | None = None
     over: bool = False
-    first: float | None = None  # s from sending it to the first byte of a long answer, once that is passed on
-    decided_at: float = 0.0  # when it was decided on; unlike `sent_at` this stays as it is
-    write_by: float = math.inf  # when its last byte has to be written: a repeat is dropped for so long only
+    first: float | None = None  # s from sending it to the first byte of a large reply, once that is streamed
+    decided_at: float = 0.0  # when the decisions started it; unlike `sent_at`, never changed
+    write_by: float = math.inf  # deadline for its last byte: backends deduplicate a retry until then only
 
     @property
     def whole(self) -> bool:
-        """Whether its last byte was handed to the kernel, so that its backend may have begun it."""
+        """Whether its last byte was handed to the kernel, so that the backend may have executed it."""
         conn = self.conn
         return (
             conn is not None
@@ -59,7 +60,7 @@
 
 
 class BackendConnection(LineReceiver):
-    """One connection to a backend: a LineReceiver in raw mode; giving up its attempt ends it."""
+    """One connection to a backend: a LineReceiver in raw mode. Abandoning its attempt closes it."""
 
     line_mode = 0
 
@@ -67,18 +68,18 @@
         self.pool, self.server, self.parser = pool, server, Parser()
         self.attempt: Attempt | None = attempt
         self.up = self.ended = False
-        self.response_stream: ResponseStream | None = None  # the long answer that it is giving
-        self.sender: Sender | None = None  # what writes a long command, until it is whole
+        self.response_stream: ResponseStream | None = None  # the large reply being received
+        self.sender: Sender | None = None  # writer of a large command, until all is written
         self.idle_since = 0.0
         self.connector: Any = None
-        self.begun_at: float | None = None  # when its attempt was written, or began to be
+        self.begun_at: float | None = None  # when writing of the current attempt started
         attempt.conn = self
 
     def connectionMade(self) -> None:
-        """Up: write the attempt that it was opened for."""
+        """Connected: write the attempt for which the connection was opened."""
         self.up = True
         if self.pool.turn is not None:
-            self.pool.turn()  # may end the attempt, where the process stood still while it connected
+            self.pool.turn()  # abandons the attempt if the process stalled while connecting
         if self.ended:
             return
         self.transport.setTcpNoDelay(True)
@@ -88,7 +89,7 @@
             self.begin(self.attempt)
 
     def begin(self, attempt: Attempt) -> None:
-        """Write an attempt; from its first byte on it counts as sent. One that is too late to write ends."""
+        """Write an attempt, which counts as sent from its first byte; abandon it if `write_by` has passed."""
         self.attempt, attempt.conn = attempt, self
         now = self.pool.now()
         if now > attempt.write_by:
@@ -101,13 +102,16 @@
         self.sender.start()
 
     def sent(self) -> None:
-        """A long command is written whole. Its attempt counts from here: how slowly it went says little."""
+        """A large command is fully written.
+
+        Latency counts from here: the time that writing took says little about the backend.
+        """
         self.sender = None
         if self.attempt:
             self.attempt.sent_at = self.pool.now()
 
     def rawDataReceived(self, data: bytes) -> None:
-        """The answer; bytes that nobody asked for end the connection."""
+        """Parse a reply; unexpected bytes close the connection."""
         if self.attempt is None:
             if not self.ended:
                 count("backend_connection_unasked")
@@ -125,10 +129,10 @@
             if not frame and self.attempt.rpc:
                 check_head(*self.parser.head())
             elif reply and self.sender and reply.status is Status.OK:
-                raise Malformed("an answer to a command that it does not have whole")
+                raise Malformed("reply before the command was fully written")
         except Malformed:
             return self.spoilt(self.attempt)
-        if not reply and not begun:  # one that never ends would hold its request up to the deadline
+        if not reply and not begun:  # an incomplete reply must not hold its request until the deadline
             self.pool.reactor.callLater(
                 REPLY_STALL, self.stalled, self.attempt, self.pool.now() + REPLY_LATE, len(self.parser.buf)
             )
@@ -136,7 +140,7 @@
             self.answered(self.attempt, reply)
 
     def answered(self, attempt: Attempt, reply: Reply) -> None:
-        """The whole answer has come; the connection is kept unless more than that did."""
+        """The reply is complete; keep the connection unless further bytes were received."""
         if self.response_stream:
             self.response_stream.finish()
         self.attempt = self.response_stream = None
@@ -148,30 +152,33 @@
         self.pool.finish(attempt, reply)
 
     def long_answer(self, attempt: Attempt, frame: Frame) -> None:
-        """An answer has come up to a long value: it is passed on from here."""
+        """Start to stream a reply that was received up to a large value."""
         if attempt.rpc is None or self.sender:
-            raise Malformed("no answer to what was asked")
+            raise Malformed("unexpected large value")
         self.response_stream = ResponseStream(self, attempt, frame)
         self.response_stream.start()
 
     def stalled(self, attempt: Attempt, until: float, had: int) -> None:
-        """Whether an answer that had begun still comes."""
+        """Fail an attempt whose reply was begun and makes no progress."""
         have = len(self.parser.buf)
         if self.response_stream is not None:
-            return  # it looks after itself
+            return  # the stream has its own stall timer
         if not attempt.over and have > had and self.pool.now() < until:
             self.pool.reactor.callLater(REPLY_STALL, self.stalled, attempt, until, have)
         else:
             self.spoilt(attempt)
 
     def spoilt(self, attempt: Attempt) -> None:
-        """No sound answer came, or not the whole of one; the attempt may have run."""
+        """Fail an attempt whose reply is malformed or incomplete; the backend may have executed it."""
         if not attempt.over:
             count("backend_connection_malformed")
             self.pool.give_up(attempt, Status.RESET)
 
     def clean(self) -> bool:
-        """Whether nothing has come since the last answer, not even an end; the reactor may not know yet."""
+        """Return whether the socket holds neither bytes nor a close since the last reply.
+
+        The reactor may not have read them yet.
+        """
         try:
             self.transport.getHandle().recv(1, socket.MSG_PEEK | socket.MSG_DONTWAIT)
         except BlockingIOError:
@@ -183,7 +190,7 @@
         return False
 
     def close(self) -> None:
-        """End it now. Twisted's abort waits for the next turn, and by then another attempt may be out."""
+        """Close now; Twisted's abortConnection acts in the next reactor iteration, after further attempts."""
         if self.ended:
             return
         self.ended, self.attempt = True, None
@@ -201,12 +208,15 @@
             self.connector.stopConnecting()
 
     def drop(self) -> None:
-        """End an idle one for another's sake. Many may be opened in this turn, so its descriptor goes now."""
+        """Close an idle connection and free its descriptor at once.
+
+        Many connections may be opened in this reactor iteration.
+        """
         self.close()
         self.transport.connectionLost(ABORTED)
 
     def lost(self) -> None:
-        """It never came up, or broke: the attempt ran only if its last byte was written."""
+        """Connecting failed or the connection broke: the attempt may have run only if fully written."""
         if self.ended:
             return
         attempt, self.ended, self.attempt = self.attempt, True, None
@@ -218,13 +228,13 @@
             self.pool.finish(attempt, Reply(Status.RESET if whole else Status.CONNECT_FAILED))
 
     def connectionLost(self, reason: Any = None) -> None:
-        """Broken, closed by the backend, or closed here."""
+        """The connection is closed, by the backend or by this side, or broken."""
         self.pool.closing.discard(self)
         self.lost()
 
 
 class Dial(ClientFactory):
-    """Opens one backend connection."""
+    """Client factory for one backend connection."""
 
     noisy = False
 
@@ -232,20 +242,20 @@
         self.conn = conn
 
     def buildProtocol(self, addr: Any) -> BackendConnection:
-        """The backend connection that was waiting for it."""
+        """Return the backend connection that is being opened."""
         return self.conn
 
     def clientConnectionFailed(self, connector: Any, reason: Any) -> None:
-        """Refused, or not up in time."""
+        """The connection was refused, or timed out."""
         self.conn.lost()
 
 
 class Pool:
-    """All backend connections, by backend; `finished` hears how each attempt ended, exactly once.
+    """All backend connections, by backend; `finished` is called exactly once for each attempt that ended.
 
-    `passing` hears of the first bytes of a long answer, and tells whether somebody waits for it. `may_write`
-    tells whether an attempt may begin on a connection that has come up for it, and gives up one that may not.
-    `room` tells whether the process can spare a descriptor for one more.
+    `passing` is called at the first bytes of a large reply and returns whether a client still waits for it.
+    `may_write` returns whether an attempt may start on the connection opened for it, and abandons it if not.
+    `room` returns whether a descriptor is free for one more connection.
     """
 
     def __init__(
@@ -268,13 +278,13 @@
         self.addresses: dict[str, tuple[str, int]] = {}
         self.idle: dict[str, list[BackendConnection]] = {}
         self.open: set[BackendConnection] = set()
-        self.closing: set[BackendConnection] = set()  # closed here, with a descriptor until the next turn
-        self.opened = 0  # since the start
-        self.turn: Callable[[], bool] | None = None  # called before a write: whether the process stood still
+        self.closing: set[BackendConnection] = set()  # closed by this side, descriptor not yet freed
+        self.opened = 0  # connections opened since the start
+        self.turn: Callable[[], bool] | None = None  # stall check before a write; True on a stall
 
     def send(self, attempt: Attempt) -> None:
-        """Write the attempt on the connection that was used last and has settled, or on a new one."""
-        if self.turn is not None and self.turn():  # the process stood still since this was decided
+        """Write the attempt on the connection used last that has rested for `SETTLE`, or on a new one."""
+        if self.turn is not None and self.turn():  # the process stalled since this was decided
             return self.finish(attempt, Reply(Status.ABANDONED))
         now = self.now()
         for conn in reversed(self.idle.get(attempt.server, ())[:]):
@@ -288,7 +298,7 @@
             count("backend_connection_without_address")
             return self.finish(attempt, Reply(Status.CONNECT_FAILED))
         if (len(self.open) >= self.most or not self.room()) and not self.make_room():
-            # this gateway's own shortage, which says nothing of the backend
+            # the gateway is short of descriptors, which says nothing about the backend
             count("backend_connection_none_left")
             return self.finish(attempt, Reply(Status.ABANDONED))
         conn = BackendConnection(self, attempt.server, attempt)
@@ -297,53 +307,53 @@
         conn.connector = self.reactor.connectTCP(*at, Dial(conn), timeout=self.connect_timeout)
 
     def limit_write(self, attempt: Attempt) -> None:
-        """End the attempt at its `write_by`, unless its last byte is written by then."""
+        """Abandon the attempt at its `write_by`, unless it is fully written by then."""
         if attempt.write_by < math.inf and not attempt.over:
             self.reactor.callLater(max(0.0, attempt.write_by - self.now()), self.write_is_due, attempt)
 
     def write_is_due(self, attempt: Attempt) -> None:
-        """Its time to be written is over."""
+        """Abandon an attempt that is not fully written at its `write_by`."""
         if not attempt.over and not attempt.whole:
             self.too_late(attempt)
 
     def too_late(self, attempt: Attempt) -> None:
-        """End an attempt that was not written in time; this says nothing of its backend."""
+        """Abandon an attempt that was not written in time, which says nothing about its backend."""
         count("repeat_too_late_to_write")
         self.give_up(attempt, Status.ABANDONED)
 
     def drop_connecting(self) -> None:
-        """End the attempts that have not been written yet; this says nothing of their backends."""
+        """Abandon the attempts not yet written, which says nothing about their backends."""
         for conn in [c for c in self.open if c.attempt and not c.attempt.over and c.begun_at is None]:
             self.give_up(conn.attempt, Status.ABANDONED)
 
     def make_room(self) -> bool:
-        """Close the connection that has stood idle for longest, and free its descriptor in this turn."""
+        """Close the connection that was idle for longest and free its descriptor at once."""
         if spare := [conns[0] for conns in self.idle.values() if conns]:
             min(spare, key=lambda c: c.idle_since).drop()
         return bool(spare)
 
     def keep(self, conn: BackendConnection) -> None:
-        """Hold a connection for the next attempt, unless its backend has left the list meanwhile."""
+        """Keep a connection for reuse, unless its backend is no longer ready in the endpoint list."""
         if conn.server not in self.addresses:
             return conn.close()
         conn.idle_since = self.now()
         self.idle.setdefault(conn.server, []).append(conn)
 
     def forget(self, conn: BackendConnection) -> None:
-        """Let go of a connection that has ended."""
+        """Remove a closed connection from the pool."""
         self.open.discard(conn)
         if conn in (spare := self.idle.get(conn.server, [])):
             spare.remove(conn)
 
     def finish(self, attempt: Attempt, reply: Reply) -> None:
-        """Tell how an attempt ended."""
+        """Report the outcome of an attempt."""
         if holds(not attempt.over, "second_outcome"):
             attempt.over, attempt.conn, attempt.parts = True, None, []
             self.finished(attempt, reply)
-            attempt.rpc = None  # its timer holds the attempt until it is due, and must not hold the frame
+            attempt.rpc = None  # a pending timer keeps the attempt alive; free the frame
 
     def give_up(self, attempt: Attempt, status: Status) -> None:
-        """Stop waiting; its connection ends, so a late answer reaches nobody."""
+        """Abandon an attempt; its connection is closed, so that a late reply is discarded."""
         if not attempt.over:
             if attempt.conn:
                 attempt.conn.close()
@@ -355,9 +365,12 @@
             conn.close()
 
     def told(self, server: str, ready: bool, at: tuple[str, int]) -> None:
-        """Follow the list. Attempts connecting to a drained backend end: their first byte could come late."""
+        """Apply an endpoint-list update for one backend.
+
+        Attempts still connecting to a draining backend end, since they could be written after its grace.
+        """
         moved = self.addresses.pop(server, at) != at
-        if ready:  # of backends that left nothing is kept: over a long day there are many
+        if ready:  # nothing is kept of removed backends: there are many over a long run
             self.addresses[server] = at
         if not ready or moved:
             self.close_idle(server)
@@ -366,7 +379,7 @@
                 self.give_up(conn.attempt, Status.CONNECT_FAILED)
 
     def sweep(self) -> None:
-        """Retire connections before the backends do."""
+        """Close idle connections before the backends do."""
         oldest = self.now() - self.idle_limit
         for conns in self.idle.values():
             for conn in [c for c in conns if c.idle_since <= oldest]:
--- a/corkdeal/net/client_connection.py
+++ b/corkdeal/net/client_connection.py
@@ -1,4 +1,4 @@
-"""The clients' side: connections that carry RPCs and answer them in the order of their commands."""
+"""Client connections: read RPCs and write their replies in the order of the commands."""
 
 from __future__ import annotations
 
@@ -22,23 +22,24 @@
 from .rpc import READ, RPC, WRITE, BadRequest
 from .tcp_state import PeerState, peer_state, since_fin
 
-MOST_WAITING = 256  # commands of one client connection without an answer; past that it is not read on
-MOST_BAD = 16  # bad requests of one connection; past that it is closed, so that a flood of them costs little
-# A client that sends its request and its FIN together (`printf ... | nc`) still reads: its request may get to
-# a backend in the first LEFT_GRACE s. One that has closed looks the same, and no attempt for it may begin
-# more than 0.1 s after its close. The rest covers the tick in which the kernel dates a FIN (10 ms at most),
-# the way to the backend, and a process that loses the processor between its check and its write.
+MOST_WAITING = 256  # unanswered commands of one client connection at which the gateway stops reading from it
+MOST_BAD = 16  # bad requests at which a connection is closed, so that a flood of them costs little
+# A client that sends its request and its FIN together (`printf ... | nc`) still reads the reply, so attempts
+# for it may start within LEFT_GRACE of the FIN. A client that has closed the connection looks the same, and
+# no attempt for it may start more than 0.1 s after the close. The margin between the two covers the kernel
+# tick in which a FIN is timestamped (at most 10 ms), the network delay to the backend, and preemption of this
+# process between the check and the write.
 LEFT_GRACE = 0.05  # s
-KERNEL_TICK = 0.01  # s, the longest there is
-LINGER = 0.5  # s that a refused client connection stays open, unread, so that its client can read why
+KERNEL_TICK = 0.01  # s; the longest tick of any kernel configuration
+LINGER = 0.5  # s that a rejected connection stays open, unread, so that the client can read the error
 OK = b"+OK\r\n"
 TOO_MANY = b"-ERR max number of clients reached\r\n"
 CLOSED, ABORTED = Failure(ConnectionDone()), Failure(ConnectionAborted())
-STANDBY = b"-ERR standby\r\n"  # PING's answer on standby: the front takes anything but PONG as a no
+STANDBY = b"-ERR standby\r\n"  # reply to PING; the load balancer takes any reply but PONG as not ready
 
 
 class Ready:
-    """An answer that needs no RPC, in its place among the others."""
+    """A reply to a command that needs no RPC, queued in order with the RPCs."""
 
     __slots__ = ("reply",)
     response_stream = None
@@ -49,34 +50,34 @@
 
 @implementer(IHalfCloseableProtocol)
 class ClientConnection(LineReceiver):
-    """One client connection: a LineReceiver in raw mode, whose heads are parsed where they arrived."""
+    """One client connection: a LineReceiver in raw mode that parses RESP headers in the received buffers."""
 
     line_mode = 0
 
     def __init__(self, gateway: Any) -> None:
         self.gateway, self.parser = gateway, Parser()
         self.idle = gateway.descriptors.idle
-        self.waiting: deque[RPC | Ready] = deque()  # in the order of their commands
-        self.begun = 0.0  # when the first byte of a command that has not come whole was seen
-        self.since = gateway.now()  # when it was connected or last fell idle
-        self.spoke, self.asked = False, 0  # whether a whole command has come, and how many RPCs
+        self.waiting: deque[RPC | Ready] = deque()  # in command order
+        self.begun = 0.0  # when the first byte of an incomplete command was read
+        self.since = gateway.now()  # when it was accepted or last became idle
+        self.spoke, self.asked = False, 0  # whether a complete command was read; number of RPCs
         self.bad = 0
-        self.waited = 0.0  # s that what is being read lay here while the process stood still
+        self.waited = 0.0  # s that the bytes being read lay in the socket while the process was stalled
         self.half_closed = self.closing = self.refused = False
         self.held = self.reading = self.ended = False
-        self.closed_at: float | None = None  # when its client may have ended its sending, where that is known
-        self.left = False  # whether nothing more is begun for what its client asked
-        self.is_reset = False  # whether its client has closed both ways, so that nobody reads an answer
-        self.seen_open_at = self.since  # when its client was last known to send on
-        self.body: RequestStream | None = None  # a command's long value on its way in
-        self.kept = 0  # bytes of a long answer that its client has not taken, for the budget
+        self.closed_at: float | None = None  # earliest time at which the client may have sent its FIN
+        self.left = False  # whether no further attempts start for this client's requests
+        self.is_reset = False  # whether the client closed both directions and reads no reply
+        self.seen_open_at = self.since  # last time at which the client was known not to have sent its FIN
+        self.body: RequestStream | None = None  # the large value being received
+        self.kept = 0  # bytes of a large reply not yet sent to the client, for the memory budget
 
     def connectionMade(self) -> None:
-        """Join the others, unless all descriptors are in use for something better."""
+        """Register the connection, or reject it on overload or when no descriptor can be freed for it."""
         self.transport.setTcpNoDelay(True)
-        self.transport.registerProducer(self, True)  # a client that reads no answers is not read either
+        self.transport.registerProducer(self, True)  # backpressure: a client that does not read is not read
         self.gateway.client_connections.add(self)
-        self.closing = self.gateway.operators.standby  # served, then closed: no more come soon
+        self.closing = self.gateway.operators.standby  # on standby, serve and then close it
         self.idle.update(self)
         if self.gateway.lateness.is_overloaded and not self.gateway.draining:
             count("client_connection_shed")
@@ -86,7 +87,10 @@
             self.turn_away(TOO_MANY)
 
     def rawDataReceived(self, data: bytes) -> None:
-        """Take bytes; malformed ones cost this connection only. Answers go out together."""
+        """Parse received bytes and write all immediate replies together.
+
+        Malformed input ends this connection only.
+        """
         if self.refused:
             return
         now = self.seen_open_at = self.gateway.now()
@@ -113,7 +117,7 @@
         self.flush()
 
     def command(self, frame: Frame, now: float) -> None:
-        """One command; what is no request is answered here."""
+        """Handle one complete command; commands other than API.READ and API.WRITE are answered here."""
         if not frame.is_command():
             raise Malformed("expected an array of bulk strings")
         self.spoke = True
@@ -137,7 +141,7 @@
             self.ready(b"-ERR unknown command\r\n")
 
     def take(self, rpc: RPC) -> None:
-        """Hand on an RPC that has come whole, unless its client left while it lay here unread."""
+        """Pass a complete RPC to the gateway, or reject it if its client disconnected before it was read."""
         if self.left:
             rpc.reply = [self.gateway.turned_down(rpc, 0.0)]
             rpc.release()
@@ -145,7 +149,7 @@
             self.gateway.take(rpc)
 
     def line_up(self, rpc: RPC) -> None:
-        """One more answer is owed here; past so many the client connection is not read on."""
+        """Queue an RPC for its reply; stop reading from the client at `MOST_WAITING` pending replies."""
         rpc.client_connection = self
         self.asked += 1
         self.waiting.append(rpc)
@@ -155,14 +159,14 @@
             self.regulate()
 
     def bad_request(self, error: BadRequest) -> None:
-        """Tell what is wrong with it; many of them end the client connection."""
+        """Reply with the error; close the connection at `MOST_BAD` bad requests."""
         count("request_malformed")
         self.bad += 1
         tell = self.ready if self.bad < MOST_BAD else self.refuse
         tell(b"-ERR %b\r\n" % str(error).encode())
 
     def long_command(self, frame: Frame, now: float) -> bool:
-        """A part of a command with a long value; whether the next one can be looked for."""
+        """Handle part of a command with a large value; return whether the next frame can be parsed."""
         if self.body is None:
             self.spoke = True
             try:
@@ -185,13 +189,13 @@
         return self.body_comes()
 
     def body_comes(self) -> bool:
-        """Take what has come of a long value; whether that is all."""
+        """Take the available bytes of a large value; return whether the value is complete."""
         while (piece := self.parser.piece()) is not None:
             self.body.take(piece)
         return not self.parser.body
 
     def turn_down(self, body: RequestStream, after: float) -> None:
-        """Refuse a command whose long value has not come whole; the rest of it is read past."""
+        """Reject a command whose large value is still being received; the rest of it is discarded."""
         if body.rpc is not None:
             body.rpc.reply = [self.gateway.turned_down(body.rpc, after)]
             body.drop()
@@ -199,12 +203,12 @@
             self.flush()
 
     def body_late(self) -> None:
-        """A long value does not come on: what was to be an RPC is none, and the client connection ends."""
+        """Close the connection because a large value stalled; its RPC is dropped."""
         self.forget_body()
         self.refuse(b"-ERR timeout: the command does not come\r\n")
 
     def forget_body(self) -> None:
-        """The command whose long value was coming never comes whole; nothing was taken."""
+        """Drop the command whose large value is incomplete; the gateway has not accepted it yet."""
         body, self.body = self.body, None
         if body is not None:
             if body.rpc is not None:
@@ -214,46 +218,50 @@
             body.drop()
 
     def ready(self, reply: bytes) -> None:
-        """An answer at once, behind those that are still to come."""
+        """Queue an immediate reply behind the pending ones."""
         self.waiting.append(Ready(reply))
         self.flush()
 
     def answer(self, rpc: RPC, reply: list[vectored_write.Part]) -> None:
-        """The one final answer of an RPC."""
+        """Set the final reply of an RPC; an RPC has only one."""
         if holds(rpc.reply is None, "second_answer"):
             rpc.reply = reply
             self.flush()
 
     def pass_on(self, rpc: RPC, response_stream: ResponseStream) -> None:
-        """The one final answer of an RPC, yet to come whole; behind others its stream has to wait."""
+        """Set the final reply of an RPC as a stream, paused while earlier replies are pending."""
         if holds(rpc.reply is None, "second_answer"):
             rpc.response_stream, rpc.reply = response_stream, [response_stream.head]
             response_stream.resume() if self.first(rpc) else response_stream.pause()
 
     def passed(self, rpc: RPC) -> None:
-        """More of an answer has come."""
+        """Write what was received of a streamed response, if it is next in order."""
         if self.first(rpc):
             self.flush()
 
     def pace(self) -> None:
-        """A long answer goes on once its client has taken all of it so far: at most one piece waits here."""
+        """Pause a streamed response until the client has taken all bytes written so far.
+
+        So at most one piece of it is buffered here.
+        """
         if (unsent := self.unsent()) and not self.transport.producerPaused:
-            self.transport.producerPaused = True  # its mark is 64 KiB; this way it tells when all is taken
+            # Twisted pauses at 64 KiB only; with this set, it calls resumeProducing once its buffer is empty
+            self.transport.producerPaused = True
             self.pauseProducing()
         elif not unsent and self.waiting and (response_stream := self.waiting[0].response_stream) is not None:
             response_stream.resume()
         self.gateway.budget.hold(self, unsent)
 
     def first(self, rpc: RPC) -> bool:
-        """Whether this RPC's answer is the next to be written."""
+        """Return whether the reply of this RPC is the next to be written."""
         return bool(self.waiting) and rpc is self.waiting[0]
 
     def unsent(self) -> int:
-        """Bytes that the client has not taken yet."""
+        """Return the number of bytes written but not yet accepted by the socket."""
         return len(self.transport.dataBuffer) - self.transport.offset + self.transport._tempDataLen
 
     def flush(self) -> None:
-        """Write what is ready in order, by one vectored write; close where nothing is left to do."""
+        """Write the replies that are next in order by one vectored write; close a connection that is done."""
         if self.reading:
             return
         parts: list[vectored_write.Part] = []
@@ -283,21 +291,21 @@
                 self.ended = True
                 self.transport.unregisterProducer()
                 self.transport.loseWriteConnection()
-                self.transport.pauseProducing()  # 60 MB that nobody wants would cost more than its client
+                self.transport.pauseProducing()  # discarding 60 MB costs more than the connection itself
                 self.gateway.reactor.callLater(LINGER, self.transport.abortConnection)
             elif self.half_closed:
                 self.end()
             elif self.closing:
-                self.close_if_idle()  # half a command is waited for; the sweep bounds that wait
+                self.close_if_idle()  # waits for the rest of a partial command; the sweep bounds that wait
 
     def pauseProducing(self) -> None:
-        """The client does not take what is written: it is not read on, and neither is who answers it."""
+        """The send buffer is full: stop reading from the client and from the backend whose response it is."""
         self.regulate()
         if self.waiting and self.waiting[0].response_stream is not None:
             self.waiting[0].response_stream.pause()
 
     def resumeProducing(self) -> None:
-        """All is written."""
+        """The send buffer is empty: read from the client and the backend again."""
         self.regulate()
         if self.kept:
             self.gateway.budget.hold(self, 0)
@@ -305,7 +313,11 @@
             response_stream.resume()
 
     def regulate(self) -> None:
-        """Read the client or not: it takes no answers, is owed many, or what it sends finds no room."""
+        """Pause or resume reading from the client.
+
+        It is paused while the send buffer is full, too many replies are pending, or a large value waits for
+        memory.
+        """
         no_room = self.body is not None and self.body.waits is not None
         stop = self.held or self.transport.producerPaused or no_room
         if stop is self.paused:
@@ -318,9 +330,9 @@
             self.gateway.descriptors.paused.discard(self)
 
     def cut(self) -> None:
-        """An answer that was begun can't be finished: end here, so that its client can tell.
+        """Close the connection because a response that was partly sent can't be completed.
 
-        Nothing may be written behind it, for the client would take that for the rest.
+        Nothing may be written after it: the client would read that as the rest of the response.
         """
         count("answer_cut_off")
         self.refused = self.ended = True
@@ -330,60 +342,67 @@
         self.gateway.reactor.callLater(LINGER, self.transport.abortConnection)
 
     def end(self) -> None:
-        """Close once all is written. A transport with a paused producer would wait for it for ever."""
+        """Close once all is written; a transport with a paused producer would never close."""
         self.transport.unregisterProducer()
         self.transport.loseConnection()
 
     def refuse(self, reply: bytes) -> None:
-        """Answer what came before, then this, then end; closing at once could destroy it on its way."""
+        """Write the pending replies and this one, then close.
+
+        Closing at once, with input unread, would send a reset that may discard the reply at the client.
+        """
         self.refused = True
         self.ready(reply)
 
     def turn_away(self, reply: bytes) -> None:
-        """End one that has sent nothing, without lingering: a crowd of those could fill the table."""
+        """Write a reply and close at once, for a client that has sent nothing.
+
+        Many such connections lingering could fill the descriptor table.
+        """
         self.refused = True
         self.idle.discard(self)
         vectored_write.write(self.transport, [reply])
         self.transport.connectionLost(CLOSED)
 
     def drop(self) -> None:
-        """Close at once, for another connection's sake; nothing is open on this one.
+        """Close at once to free the descriptor for another connection; no request is pending on this one.
 
-        Twisted's abort waits for the next turn, and many connections may be accepted in this one.
+        Twisted's abortConnection frees it in the next reactor iteration only, and many connections may be
+        accepted in this one.
         """
         self.refused = True
         self.idle.discard(self)
         self.transport.connectionLost(ABORTED)
 
     def close_when_idle(self) -> None:
-        """Close between requests: now, or after the last answer. One that is about to be read is served."""
+        """Close between requests: now or after the last pending reply. Unread requests are served first."""
         if not self.closing and not self.refused:
             self.closing = True
             self.idle.update(self)
             self.close_if_idle()
 
     def close_if_idle(self) -> None:
-        """Close, unless there is a request to answer, or who has just connected may have one under way."""
+        """Close, unless a request is pending, or may be on its way on a new connection."""
         if self.refused or self.half_closed or self.waiting or self.parser.midway:
             return
         if self not in self.gateway.client_connections or self.transport.disconnecting:
-            return  # it was asked again and has ended meanwhile
+            return  # it has been closed since this call was scheduled
         if not self.spoke and (young := SILENT_LEAST - (self.gateway.now() - self.since)) > 0:
             self.gateway.reactor.callLater(young, self.close_if_idle)
         elif not self.unread():
             self.end()
 
     def unread(self) -> bool:
-        """Whether bytes have come that are still to be read: closing now would cut their request off."""
+        """Return whether the socket holds unread bytes, whose request would be lost by closing now."""
         try:
             return bool(self.transport.getHandle().recv(1, socket.MSG_PEEK | socket.MSG_DONTWAIT))
-        except OSError:  # nothing there, or no connection any more
+        except OSError:  # no bytes, or the connection is broken
             return False
 
     def readConnectionLost(self) -> None:
-        """The client sends no more, for it has gone or will only read on; which, is not told.
+        """The client has sent its FIN: it has closed, or only stopped sending; the two look the same.
 
-        What is on its way to a backend has a moment to get there, and each request has its answer first.
+        Attempts may still start within `LEFT_GRACE`, and each request gets its reply before the close.
         """
         self.half_closed = True
         self.idle.discard(self)
@@ -396,17 +415,17 @@
             self.half_close_seen(self.gateway.now())
 
     def may_begin(self, now: float) -> bool:
-        """Whether an attempt for a request of its client may begin at this moment.
+        """Return whether an attempt for a request of this client may start now.
 
-        The kernel is asked, not what was read: where this process is late, or does not read this connection,
-        a FIN or a reset lies there unseen. That costs one system call for an attempt.
+        The kernel is asked, because a FIN or a reset may not have been read yet if this process runs late or
+        has paused reading. That costs one system call per attempt.
         """
         if not self.left:
             self.look(now)
         return not self.left and (self.closed_at is None or now < self.closed_at + LEFT_GRACE)
 
     def look(self, now: float) -> None:
-        """Ask the kernel how far its client has ended the connection, and act on that."""
+        """Ask the kernel whether the client has closed or half-closed the connection, and act on that."""
         if not self.transport.connected:
             return
         state = peer_state(self.transport.getHandle())
@@ -420,35 +439,35 @@
             self.transport.abortConnection()
 
     def look_behind(self) -> None:
-        """Look at one that is not read, and so does not hear of its client's end."""
+        """Check the client's side of a paused connection, to which the reactor delivers no close events."""
         if not (self.left or self.refused or self.transport.getHandle() is None):
             self.look(self.gateway.now())
 
     def half_close_seen(self, now: float) -> None:
-        """Its client has sent its FIN: what is on its way to a backend has the grace to get there.
+        """Start the grace period after the client's FIN, in which attempts may still start.
 
-        The grace counts from when the FIN may have come, which is long ago where this process is late.
+        It counts from when the FIN may have arrived, which may be long ago if this process runs late.
         """
         if self.closed_at is not None:
             return
         self.closed_at = now - self.closed_for(now)
         wait = max(0.0, self.closed_at + LEFT_GRACE - now)
-        # By way of one more turn: answers that came while this process was late are seen first.
+        # One more reactor iteration, so that replies that arrived while this process was late are read first.
         later = self.gateway.reactor.callLater
         later(wait, later, 0, self.client_left)
 
     def closed_for(self, now: float) -> float:
-        """Seconds since its client's FIN may have come, at the most.
+        """Return an upper bound of the seconds since the client's FIN arrived.
 
-        Where the kernel does not tell, it came after the last look at a connection that is not read, and in
-        this turn of the loop, or in the time by which the turn is late, on one that is read.
+        If the kernel does not report it: on a paused connection the FIN arrived after the last check;
+        otherwise it arrived in this event-loop iteration, or in the time by which the iteration is late.
         """
         if (age := since_fin(self.transport.getHandle())) is not None:
             return age + KERNEL_TICK
         return now - self.seen_open_at if self.paused else self.gateway.timers.late
 
     def client_left(self) -> None:
-        """Nothing new is begun any more for what is open here, nor for what is still to be read."""
+        """Start no further attempts for pending requests, nor for those still unread."""
         if self.left:
             return
         self.left = True
@@ -456,10 +475,10 @@
             self.gateway.left(rpc)
 
     def writeConnectionLost(self) -> None:
-        """This side's own half-close; the other half ends the client connection."""
+        """This side has half-closed: nothing to do, since the client's close ends the connection."""
 
     def connectionLost(self, reason: Any = None) -> None:
-        """The client has gone away: nobody waits for what it asked."""
+        """The connection is closed: release what it holds and abandon its requests."""
         self.gateway.client_connections.discard(self)
         self.idle.discard(self)
         self.gateway.descriptors.paused.discard(self)
@@ -468,7 +487,7 @@
         self.gateway.client_connection_ended()
 
     def leave(self) -> None:
-        """Nobody waits any more for what is open here."""
+        """Abandon all pending requests and streamed responses."""
         self.forget_body()
         waiting, self.waiting = self.waiting, deque()
         for rpc in waiting:
@@ -479,7 +498,7 @@
 
 
 class ClientConnections(ServerFactory):
-    """Accepts clients."""
+    """Creates the protocol of each accepted client connection."""
 
     noisy = False
 
@@ -487,5 +506,5 @@
         self.gateway = gateway
 
     def buildProtocol(self, addr: Any) -> ClientConnection:
-        """The protocol of one connection."""
+        """Return the protocol of one new connection."""
         return ClientConnection(self.gateway)
