--- a/corkdeal/net/answers.py
+++ b/corkdeal/net/answers.py
@@ -1,4 +1,4 @@
-"""What a backend's answer means: its form, its outcome, and where its value and its report lie."""
+"""Parses backend replies: checks their form and extracts the outcome, the value and the load report."""
 
 from __future__ import annotations
 
@@ -8,12 +8,12 @@
 from .invariants import count
 from .resp import ARRAY, BULK, ERROR, SIMPLE, UNKNOWN, Frame, Item, Malformed, past
 
-REPLY_ITEMS = 3  # the value, the figures on use, the load report
+REPLY_ITEMS = 3  # the value, the usage metrics, the load report
 
 
 @dataclass(slots=True)
 class Reply:
-    """What a backend answered: an outcome, and where its value and its report lie."""
+    """A parsed backend reply: its outcome, with the value and the load report where it has them."""
 
     status: Status
     value: memoryview | None = None
@@ -21,28 +21,31 @@
 
 
 def check_head(kind: int, size: int) -> None:
-    """An answer begins as an array of three or as an error line; anything else need not be waited for."""
+    """Raise `Malformed` unless a reply begins as an array of three items or an error line.
+
+    A malformed reply so fails at its header, before the rest is received.
+    """
     if kind != ERROR and (kind != ARRAY or size not in (REPLY_ITEMS, UNKNOWN)):
-        raise Malformed("no answer to a request")
+        raise Malformed("reply is neither an error nor an array of 3 items")
 
 
 def check_value(items: list[Item]) -> None:
-    """An answer's value, from item 1 on, is a bulk string that is not null or an array that begins so."""
+    """Raise `Malformed` unless the value, item 1, is a non-null bulk string or an array that begins so."""
     first = items[2] if items[1].kind == ARRAY and items[1].size > 0 else items[1]
     if first.kind != BULK or first.size < 0:
-        raise Malformed("no value")
+        raise Malformed("reply value is not a bulk string")
 
 
 def report_in(frame: Frame, i: int) -> bytes:
-    """The load report, where item i holds one."""
+    """Return the load report if item `i` is a bulk string, else b""."""
     load = frame.items[i]
     return bytes(frame.buf[load.start : load.stop]) if load.kind == BULK else b""
 
 
 def read_reply(frame: Frame) -> Reply:
-    """The outcome that a backend's answer stands for; what has no form that it may have is malformed.
+    """Parse a complete reply to an RPC; raise `Malformed` if it has none of the allowed forms.
 
-    Only the value has to be sound: figures on use have no reader here, and an odd report is none.
+    Only the value is checked: usage metrics are not read here, and a malformed report counts as none.
     """
     top, items = frame.items[0], frame.items
     check_head(top.kind, top.size)
@@ -58,13 +61,13 @@
     if word == b"BUSY":
         return Reply(Status.REJECTED, report=rest)
     if word not in (b"ERR", b"SYNTAX", b"NOPERM"):
-        raise Malformed("unknown error")
+        raise Malformed("unknown error code")
     if word != b"ERR":
         count(f"backend_{word.decode().lower()}")
     return Reply(Status.ERROR, report=rest.rpartition(b" ")[2])
 
 
 def read_probe(frame: Frame) -> Reply:
-    """The outcome of a probe: a report, or any answer that is no error."""
+    """Parse the reply to a health check: a load report, or any other reply that is not an error."""
     ok = frame.items[0].kind in (BULK, SIMPLE) and frame.items[0].size >= 0
     return Reply(Status.OK if ok else Status.ERROR, report=frame.text(0) if ok else b"")
--- a/corkdeal/net/request_stream.py
+++ b/corkdeal/net/request_stream.py
@@ -1,9 +1,9 @@
-"""A long value of a command on its way in, kept in the pieces it came in, and how it is written to a backend.
+"""Receives the large value of a command, in the pieces it arrived in, and writes it to a backend.
 
-A command is kept whole here before it is sent: it may have to be sent again, and a client that writes
-slowly must not keep a server's place. What all of them hold together is bounded by the budget. One that the
-decisions would refuse, or that waits for room too long, is answered at its head or at once, and the rest of
-it is read past.
+A command is buffered whole before it is sent: it may have to be retried, and a client that sends slowly must
+not occupy a backend meanwhile. The memory budget bounds the total of all such buffers. A command that the
+decisions would reject, or that waits too long for memory, is answered before its value is complete, and the
+rest of the value is discarded.
 """
 
 from __future__ import annotations
@@ -19,29 +19,29 @@
     from .client_connection import ClientConnection
     from .rpc import RPC
 
-SMALL = 4096  # bytes; shorter pieces are put together: each one costs an object and a part of a write
-LOOK_EVERY = 2.5  # s between looks at whether a body still comes
-PACE = 16 * 1024  # bytes a second that a client is expected to write at least, looked at every LOOK_EVERY
-WAIT_MOST = 2.0  # s that a body may wait for room, after which its command is refused
-SEND_AT_ONCE = 256 * 1024  # bytes handed to a transport in one go
+SMALL = 4096  # bytes; shorter pieces are joined, since each costs an object and an entry of a vectored write
+LOOK_EVERY = 2.5  # s between checks of the receive rate
+PACE = 16 * 1024  # bytes/s; the least rate at which a client may send, checked every LOOK_EVERY
+WAIT_MOST = 2.0  # s that a value may wait for memory, after which its command is rejected
+SEND_AT_ONCE = 256 * 1024  # bytes passed to a transport at once
 
 
 class RequestStream:
-    """One command's long value; a holder of the budget. Without an RPC it is read past."""
+    """The large value of one command, which holds part of the memory budget; discarded if `rpc` is None."""
 
     def __init__(self, budget: Budget, client_connection: ClientConnection, rpc: RPC | None) -> None:
         self.budget, self.client_connection, self.rpc = budget, client_connection, rpc
         self.pieces: list[Any] = []
-        self.kept = 0  # bytes kept, for the budget
-        self.came = self.looked_at = 0  # bytes so far, and at the last look
-        self.waits: float | None = None  # since when it has waited for room, on the gateway's clock
-        self.over = False  # all of it has come, or its client connection has ended
+        self.kept = 0  # bytes held, for the memory budget
+        self.came = self.looked_at = 0  # bytes received so far, and at the last check
+        self.waits: float | None = None  # since when it waits for memory, on the gateway's clock
+        self.over = False  # whether it is complete, or its client connection is closed
         self.look_later()
         if rpc is not None:
             budget.join(self)
 
     def take(self, piece: memoryview) -> None:
-        """More of it."""
+        """Take a further piece of the value."""
         self.came += len(piece)
         if self.rpc is None:
             return
@@ -54,39 +54,39 @@
         self.budget.hold(self, self.kept + len(piece))
 
     def end(self) -> None:
-        """No more of it comes."""
+        """The value is complete, or will not be completed."""
         self.over = True
         self.budget.whole(self)
 
     def drop(self) -> None:
-        """Nobody wants it any more: what was kept is let go, and the rest is read past."""
+        """Free the buffered pieces; what is still received will be discarded."""
         self.budget.whole(self)
         self.rpc, self.pieces, self.waits = None, [], None
         self.budget.hold(self, 0)
 
     def hold_back(self) -> None:
-        """There is no room: its client is not read on."""
+        """Pause reading from the client, as the budget's callback: memory is short."""
         self.waits = self.client_connection.gateway.now()
         self.client_connection.regulate()
         self.client_connection.gateway.reactor.callLater(WAIT_MOST, self.waited)
 
     def go_on(self) -> None:
-        """There is room again."""
+        """Resume reading from the client, as the budget's callback: memory is free again."""
         self.waits = None
         self.client_connection.regulate()
 
     def waited(self) -> None:
-        """Refused if it has waited for all that time."""
+        """Reject the command if it has waited for memory for `WAIT_MOST`."""
         if self.waits is not None and self.client_connection.gateway.now() - self.waits >= WAIT_MOST * 0.99:
             count("body_without_room")
             self.client_connection.turn_down(self, WAIT_MOST)
 
     def look_later(self) -> None:
-        """Look whether it comes."""
+        """Schedule the next check of the receive rate."""
         self.client_connection.gateway.reactor.callLater(LOOK_EVERY, self.look)
 
     def look(self) -> None:
-        """One that hardly comes ends its client connection, as half a command does."""
+        """Close the client connection if the value arrives too slowly, as for a partial command."""
         if self.over:
             return
         if not self.client_connection.paused and self.came - self.looked_at < PACE * LOOK_EVERY:
@@ -97,7 +97,7 @@
 
 
 class Sender:
-    """Writes a long command as its backend takes it: a pull producer of a backend connection's transport."""
+    """Writes a large command as fast as its backend reads it: a pull producer of a transport."""
 
     def __init__(self, transport: Any, parts: list[Any], done: Any) -> None:
         self.transport, self.done = transport, done
@@ -105,11 +105,11 @@
         self.over = False
 
     def start(self) -> None:
-        """Write as much as goes."""
+        """Register with the transport, which pulls the first batch at once."""
         self.transport.registerProducer(self, False)
 
     def resumeProducing(self) -> None:
-        """The transport has written all that it had."""
+        """Write the next batches, until the socket accepts no more or all is written."""
         while not self.over and not vectored_write.pending(self.transport):
             batch, size = [], 0
             for part in self.parts:
@@ -122,8 +122,8 @@
                 self.transport.unregisterProducer()
                 self.done()
             elif not vectored_write.write(self.transport, batch):
-                self.over = True  # it never came whole, which its backend connection goes by
+                self.over = True  # broken; the backend connection sees that not all was written
 
     def stopProducing(self) -> None:
-        """The connection has ended; its backend connection hears of that."""
+        """The connection is closed, which the backend connection handles."""
         self.over = True
--- a/corkdeal/net/response_stream.py
+++ b/corkdeal/net/response_stream.py
@@ -1,8 +1,9 @@
-"""A long answer on its way: its bytes go on from the backend's connection to the client's as they come.
+"""Streams a large reply from its backend connection to its client connection as it is received.
 
-From its first byte on the attempt is final. Nothing is kept here: while the client does not take what was
-written, or an answer before this one is not through, the backend's side is not read. A backend that breaks
-off, spoils the value or gives nothing for long has the client's connection ended, so that the client knows.
+Once forwarding has started, the attempt is final and not retried. The stream buffers nothing: while the
+client does not read, or earlier replies are pending, reading from the backend is paused. If the backend
+closes early, sends a malformed value or stalls, the client connection is closed, so that the client detects
+it.
 """
 
 from __future__ import annotations
@@ -17,34 +18,34 @@
 if TYPE_CHECKING:
     from .backend_connection import Attempt, BackendConnection
 
-GIVE_STALL = 5.0  # s without a byte from a backend that is read, after which its answer is given up
-TAKE_STALL = 5.0  # s without a byte taken by the client, after which its connection is ended
+GIVE_STALL = 5.0  # s without a byte from a backend that is not paused, after which its reply is abandoned
+TAKE_STALL = 5.0  # s without a byte taken by the client, after which its connection is closed
 
 
 class ResponseStream:
-    """One long answer between its backend connection and its client connection."""
+    """One large reply on its way from a backend connection to a client connection."""
 
     def __init__(self, conn: BackendConnection, attempt: Attempt, frame: Frame) -> None:
-        """`frame` is the answer up to the content of its first long value; another form is malformed."""
+        """Take the reply as `frame`, up to its first large value; raise `Malformed` for any other form."""
         items = frame.items
         check_head(items[0].kind, items[0].size)
         check_value(items)
-        stop, self.inner = past(items, 1)  # items of the value behind the long one
+        stop, self.inner = past(items, 1)  # items of the value after the large one
         if stop < len(items):
-            raise Malformed("a long value where none belongs")
+            raise Malformed("unexpected large value")
         self.conn, self.attempt, self.rpc = conn, attempt, attempt.rpc
         self.head: memoryview | None = memoryview(frame.buf)[items[1].head : items[-1].start]
-        self.ended = False  # whether all of the value was handed to the client connection
-        self.begun = False  # whether its first bytes went to the client, which makes the attempt final
-        self.kept = 0  # bytes, for the budget
+        self.ended = False  # whether the whole value was passed to the client connection
+        self.begun = False  # whether forwarding has started, which makes the attempt final
+        self.kept = 0  # bytes held, for the memory budget
         self.timer: Any = None
         self.budget = conn.pool.budget
         self.paused = False
-        self.moved = conn.pool.now()  # when the backend last gave something, or was read again
-        self.unsent = -1  # what the client had not taken at the last look
+        self.moved = conn.pool.now()  # when the backend last sent bytes, or reading from it resumed
+        self.unsent = -1  # bytes not yet taken by the client at the last check; -1 for none
 
     def start(self) -> None:
-        """Begin, where there is room for one more long value; else it waits, and the backend is not read."""
+        """Start to forward the reply, or wait with the backend paused until the memory budget allows it."""
         if self.budget.full:
             count("answer_waits_for_room")
             self.budget.hold(self, len(self.conn.parser.buf))
@@ -53,11 +54,11 @@
             self.go_on()
 
     def hold_back(self) -> None:
-        """There is no room for it."""
+        """Pause, as the budget's callback: memory is short."""
         self.pause()
 
     def go_on(self) -> None:
-        """There is room: from here on the attempt is final, unless nobody waits for it."""
+        """Start to forward, as the budget's callback: the attempt is final, unless no client waits for it."""
         self.begun = True
         self.budget.hold(self, 0)
         self.timer = self.conn.pool.reactor.callLater(GIVE_STALL, self.look)
@@ -69,13 +70,13 @@
             self.conn.pool.give_up(self.attempt, Status.CANCELLED)
 
     def take(self, data: bytes) -> None:
-        """More of the answer."""
+        """Take further bytes of the reply from the backend."""
         self.moved = self.conn.pool.now()
         self.conn.parser.feed(data)
         self.advance()
 
     def advance(self) -> None:
-        """Pass on what has come of the value; behind it the report is read."""
+        """Forward the received part of the value, and finish once the load report after it is complete."""
         parts: list[Any] = []
         try:
             reply = self.read(parts)
@@ -87,7 +88,7 @@
             self.conn.answered(self.attempt, reply)
 
     def read(self, parts: list[Any]) -> Reply | None:
-        """Collect what has come of the value; the reply once the rest of the answer is there too."""
+        """Append the received parts of the value to `parts`; return the reply once it is complete."""
         parser = self.conn.parser
         while True:
             while (piece := parser.piece()) is not None:
@@ -107,23 +108,26 @@
                     continue
                 self.ended = True
             if not frame.last:
-                raise Malformed("a long value where none belongs")
+                raise Malformed("unexpected large value")
             return Reply(Status.OK, None, report_in(frame, past(frame.items, stop)[0]))
 
     def pause(self) -> None:
-        """Read the backend no further for now."""
+        """Pause reading from the backend."""
         if not self.paused and not self.conn.ended:
             self.paused, self.unsent = True, -1
             self.conn.transport.pauseProducing()
 
     def resume(self) -> None:
-        """Read on."""
+        """Resume reading from the backend."""
         if self.paused and not self.conn.ended:
             self.paused, self.moved = False, self.conn.pool.now()
             self.conn.transport.resumeProducing()
 
     def look(self) -> None:
-        """Whether it still moves. One that waits for an answer before it is that one's matter."""
+        """Check for progress, and end a stalled stream.
+
+        A stream that waits for earlier replies is not checked: those have checks of their own.
+        """
         if self.attempt.over:
             return
         wait = TAKE_STALL
@@ -140,14 +144,14 @@
         self.timer = self.conn.pool.reactor.callLater(wait, self.look)
 
     def finish(self) -> None:
-        """Nothing is left to look after, and nothing may hold the last piece: no timer, and no cycle."""
+        """Cancel the timer and break the reference cycle, so that the last piece is freed at once."""
         if self.timer is not None and self.timer.active():
             self.timer.cancel()
-        # all of the value is in its reply, or its client connection has ended
+        # the whole value is in `rpc.reply`, or the client connection is closed
         self.rpc.response_stream = None
 
     def broken(self) -> None:
-        """No more of it will come."""
+        """The backend connection is closed: end an incomplete response to the client."""
         self.budget.forget(self)
         self.budget.hold(self, 0)
         if self.begun and not self.ended:
@@ -156,7 +160,7 @@
         self.finish()
 
     def client_gone(self) -> None:
-        """Nobody takes the rest."""
+        """The client connection is closed: abandon the attempt."""
         if not self.ended:
             self.ended = True
             self.conn.pool.give_up(self.attempt, Status.CANCELLED)
--- a/corkdeal/net/vectored_write.py
+++ b/corkdeal/net/vectored_write.py
@@ -1,7 +1,7 @@
 """Vectored writes on Twisted's transports.
 
-ITransport.writeSequence only queues its parts: the transport joins them into one bytes object at the
-next turn of the reactor, which copies every body and costs two epoll_ctl and one more epoll_wait.
+ITransport.writeSequence only queues its parts: the transport joins them into one bytes object in the
+next reactor iteration, which copies every body and costs two epoll_ctl and one more epoll_wait.
 """
 
 from __future__ import annotations
@@ -11,18 +11,18 @@
 from .invariants import count
 
 Part = bytes | memoryview
-MOST_PARTS = 512  # in one sendmsg; Linux takes 1024 and calls more an error
+MOST_PARTS = 512  # per sendmsg; Linux fails above 1024 (IOV_MAX)
 
 
 def pending(transport: Any) -> bool:
-    """Whether bytes handed to the transport still wait to be written."""
+    """Return whether the transport has buffered bytes."""
     return bool(transport.dataBuffer or transport._tempDataBuffer)
 
 
 def write(transport: Any, parts: list[Part]) -> bool:
-    """Write parts by one sendmsg; only what the socket does not take at once is left to the transport.
+    """Write parts by one sendmsg; the transport buffers only what the socket does not accept at once.
 
-    False on a connection that is broken.
+    Return False if the connection is broken.
     """
     if len(parts) > MOST_PARTS:
         parts = [b"".join(parts)]
@@ -33,7 +33,7 @@
         sent = transport.getHandle().sendmsg(parts)
     except BlockingIOError:
         sent = 0
-    except OSError:  # broken; the loss is reported at the next turn
+    except OSError:  # broken; connectionLost is called in the next reactor iteration
         count("write_on_broken_connection")
         transport.abortConnection()
         return False
