--- a/corkdeal/net/resp.py
+++ b/corkdeal/net/resp.py
@@ -1,7 +1,7 @@
-"""RESP2 heads, parsed in place as bytes come in; no sockets and no decisions.
+"""An incremental RESP2 parser that works in place on received buffers; no sockets and no decisions.
 
-A frame is a buffer and the offsets of its items, so values are never copied on their way through. A frame
-stays whole as long as no value in it is over `WHOLE` bytes; a longer one is handed out in pieces as it comes.
+A frame is a buffer and the offsets of its items, so values are never copied while being forwarded. A value of
+at most `WHOLE` bytes stays within its frame; a larger one is returned in pieces as it is received.
 """
 
 from __future__ import annotations
@@ -9,24 +9,24 @@
 import re
 from dataclasses import dataclass
 
-MOST_VALUE = 4 << 20  # bytes in one value; the longest that the operators' clients and backends hold
-WHOLE = 64 * 1024  # bytes in a value that is kept whole with its frame
+MOST_VALUE = 4 << 20  # bytes in one value; the largest that clients and backends support
+WHOLE = 64 * 1024  # bytes in a value that is kept within its frame; larger ones are "large values"
 MOST_LINE = 4096  # bytes in a simple string or an error line
-MOST_FRAME = 4 * WHOLE  # bytes kept of one frame
-MOST_ITEMS = 64  # items in one frame, nested ones counted
+MOST_FRAME = 4 * WHOLE  # bytes buffered of one frame
+MOST_ITEMS = 64  # items in one frame, including nested ones
 ARRAY, BULK, SIMPLE, ERROR, INTEGER = b"*$+-:"
-UNKNOWN = -2  # a size that has not come yet
-FIGURE = re.compile(rb"[0-9]{1,12}(?:\.[0-9]{1,12})?").fullmatch  # float() takes `1_0` and `nan` as well
+UNKNOWN = -2  # a size not received yet
+FIGURE = re.compile(rb"[0-9]{1,12}(?:\.[0-9]{1,12})?").fullmatch  # float() would also accept `1_0` and `nan`
 KINDS = frozenset((ARRAY, BULK, SIMPLE, ERROR, INTEGER))
 
 
 class Malformed(ValueError):
-    """Bytes that are no RESP2, or more of them than allowed."""
+    """Input that is not valid RESP2, or exceeds a limit."""
 
 
 @dataclass(slots=True)
 class Item:
-    """One item: offsets of its head, its content and its end; `size` is -1 for null."""
+    """One item: offsets of its header, its content and its end; `size` is -1 for null."""
 
     kind: int
     head: int
@@ -38,22 +38,22 @@
 
 @dataclass(slots=True)
 class Frame:
-    """One command or reply, left where it arrived: whole, or in parts where it holds long values.
+    """One command or reply in the buffer it arrived in, or a part of one that has large values.
 
-    The last item of a part that is not the last one is a long value, whose content comes in pieces.
+    Unless `last` is set, the last item is a large value, whose content `Parser.piece` returns.
     """
 
     buf: bytes | bytearray
     items: list[Item]
-    last: bool = True  # whether nothing of the command or reply comes behind it
+    last: bool = True  # whether this is the end of the command or reply
 
     def text(self, i: int) -> bytes:
-        """A copy of an item's content, for the short ones."""
+        """Return a copy of an item's content; meant for short items."""
         item = self.items[i]
         return bytes(self.buf[item.start : item.stop])
 
     def is_command(self) -> bool:
-        """An array of bulk strings, one at least and none of them null."""
+        """Return whether this is a non-empty array of bulk strings, none of them null."""
         top, words = self.items[0], self.items[1:]
         return (
             top.kind == ARRAY
@@ -63,55 +63,55 @@
 
 
 class Parser:
-    """Frames from bytes fed in pieces; it keeps its place, so no byte is looked at twice.
+    """Parses frames from bytes fed in pieces; it keeps its position, so that no byte is parsed twice.
 
-    After a part that is not the last one, `piece` gives the long value's bytes until `body` is 0, and `next`
-    goes on behind it.
+    After a frame that is not the last part, call `piece` for the bytes of the large value until `body` is 0;
+    `next` then continues after the value.
     """
 
     def __init__(self) -> None:
         self.buf: bytes | bytearray = b""
         self.at = 0  # first byte not yet parsed
         self.begin = 0  # first byte of the frame being parsed
-        self.need = 0  # bytes the buffer must hold before another look pays
-        self.left = 1  # items to come
+        self.need = 0  # bytes that the buffer must hold before parsing can go on
+        self.left = 1  # items still to be parsed
         self.items: list[Item] = []
-        self.body = 0  # bytes to come of a long value, its end of line counted
-        self.seen = 0  # items of the frame in parts that were handed out; 0 where none was
+        self.body = 0  # bytes still to be received of a large value, including its CRLF
+        self.seen = 0  # items in the parts of this frame returned so far; 0 if there are none
 
     @property
     def midway(self) -> bool:
-        """Whether part of a frame has come."""
+        """Whether part of a frame was received."""
         return len(self.buf) > self.begin or self.seen > 0
 
     def feed(self, data: bytes) -> None:
-        """Take more bytes; a frame that came whole in one piece stays in that piece."""
+        """Add received bytes; a frame that arrives in one piece is not copied."""
         if len(self.buf) == self.begin:
             self.buf, self.at, self.begin, self.need = data, 0, 0, 0
         elif self.begin or not isinstance(self.buf, bytearray):
             self.shift()
             self.buf += data
         else:
-            self.buf += data  # grows in place; earlier frames never share a growing buffer
+            self.buf += data  # grows in place; no earlier frame refers to this buffer
 
     def shift(self) -> None:
-        """Move an unfinished frame to a buffer of its own."""
+        """Copy the incomplete frame to a buffer of its own."""
         by, self.buf = self.begin, bytearray(memoryview(self.buf)[self.begin :])
         self.at, self.need, self.begin = self.at - by, self.need - by, 0
         for i in self.items:
             i.head, i.start, i.stop, i.end = i.head - by, i.start - by, i.stop - by, i.end - by
 
     def head(self) -> tuple[int, int]:
-        """Kind and size of the frame that has begun to come, as far as they can be told."""
+        """Return kind and size of the incomplete frame; `UNKNOWN` for a size not received yet."""
         return (self.items[0].kind, self.items[0].size) if self.items else (self.buf[self.begin], UNKNOWN)
 
     def piece(self) -> memoryview | None:
-        """What has come of the long value that has begun, its end of line included; None for nothing."""
+        """Return the received bytes of the current large value and its CRLF, or None if there are none."""
         at = self.at
         if not (take := min(len(self.buf) - at, self.body)):
             return None
         end, self.body = at + take, self.body - take
-        if self.body < 2:  # the last byte, or the one before it, is in this piece
+        if self.body < 2:  # this piece holds one or both bytes of the CRLF
             tail = b"\r\n"[max(0, 2 - self.body - take) : 2 - self.body]
             if self.buf[end - len(tail) : end] != tail:
                 raise Malformed("value does not end where it should")
@@ -119,7 +119,7 @@
         return memoryview(self.buf)[at:end]
 
     def next(self) -> Frame | None:
-        """The next frame that is whole or has come to a long value, or None until more bytes come."""
+        """Return the next frame, complete or up to a large value; None if more bytes are needed."""
         buf, have = self.buf, len(self.buf)
         if have < self.need:
             return None
@@ -166,7 +166,7 @@
         return frame
 
     def part(self, value: Item) -> Frame:
-        """The frame as far as it has come, up to the content of a long value."""
+        """Return the frame so far, up to the content of a large value."""
         self.left -= 1
         frame = Frame(self.buf, [*self.items, value], False)
         self.at = self.begin = value.start
@@ -174,7 +174,7 @@
         return frame
 
     def number(self, start: int, stop: int) -> int:
-        """The length in a head; -1 stands for null."""
+        """Return the length in a header; -1 stands for null."""
         raw = self.buf[start:stop]
         if raw == b"-1":
             return -1
@@ -186,7 +186,7 @@
 
 
 def past(items: list[Item], i: int, left: int = 1) -> tuple[int, int]:
-    """Index of the item behind the next `left`, nested ones passed over, and how many are missing."""
+    """Skip `left` items from `i`, nested ones included; return the next index and how many are missing."""
     while left and i < len(items):
         left += max(0, items[i].size) - 1 if items[i].kind == ARRAY else -1
         i += 1
@@ -194,17 +194,17 @@
 
 
 def command(*words: bytes) -> bytes:
-    """A short command, written whole."""
+    """Encode a short command."""
     return b"*%d\r\n" % len(words) + b"".join(b"$%d\r\n%b\r\n" % (len(w), w) for w in words)
 
 
 def fields_of(raw: bytes) -> list[tuple[bytes, bytes]]:
-    """Names and values of `a=1,b=2`; parts without a name are left out."""
+    """Split `a=1,b=2` into names and values; parts without `=` are ignored."""
     return [(name, value) for part in raw.split(b",") for name, eq, value in (part.partition(b"="),) if eq]
 
 
 def report_of(raw: bytes, names: dict[str, str]) -> dict[str, float]:
-    """A load report: the fields that the settings name, as numbers; anything else is left out."""
+    """Parse a load report: the fields named in the settings, as numbers; anything else is ignored."""
     return {
         known: float(value)
         for name, value in fields_of(raw)
