--- a/corkdeal/net/client_port.py
+++ b/corkdeal/net/client_port.py
@@ -1,7 +1,7 @@
-"""The listening socket of clients: new connections are taken in a few at a time.
+"""The listening socket for clients, which accepts a few connections per reactor iteration.
 
-Twisted accepts up to a hundred connections in a row at first and then as many as keep coming. Timers, the
-peers' datagrams and clients that leave wait for all of them.
+Twisted accepts up to a hundred connections in a row at first, and later as many as keep arriving. Timers,
+peer datagrams and client disconnects would have to wait for all of them.
 """
 
 from __future__ import annotations
@@ -12,40 +12,41 @@
 
 from twisted.internet import tcp
 
-ACCEPTS_MOST = 16  # connections accepted in one turn of the loop, some 0.3 ms each; the others stay queued
+ACCEPTS_MOST = 16  # connections accepted in one reactor iteration, at about 0.3 ms each; the rest stay queued
 
 
 class ClientPort(tcp.Port):
-    """A listening socket that accepts at most `ACCEPTS_MOST` connections in a turn."""
+    """A listening socket that accepts at most `ACCEPTS_MOST` connections per reactor iteration."""
 
     def doRead(self) -> None:
-        """Accept some of those that wait. The reactor comes again while any are left."""
+        """Accept some of the queued connections; the reactor calls again while any are left."""
         self.numberAccepts = min(self.numberAccepts, ACCEPTS_MOST)
         super().doRead()
 
     def accept_queued(self) -> None:
-        """Accept all connections that the kernel holds for this port: closing it would reset them.
+        """Accept all connections that the kernel has queued for this port: closing it would reset them.
 
-        Their clients may have written a request already, and what this machine accepted counts as taken.
+        Their clients may have sent a request already, and a connection that the kernel has accepted must be
+        served.
         """
         self.numberAccepts = socket.SOMAXCONN
         super().doRead()
 
 
 def listen(reactor: Any, at: tuple[str, int], factory: Any) -> ClientPort:
-    """Open the port, on this address only."""
+    """Listen on this address only."""
     port = ClientPort(at[1], factory, socket.SOMAXCONN, at[0], reactor)
     port.startListening()
     return port
 
 
 def adopt(reactor: Any, fd: int, factory: Any) -> ClientPort:
-    """Accept on a listening socket that was handed down, shared with the process before this one.
+    """Accept on an inherited listening socket, which the predecessor process shares.
 
-    Twisted takes a copy of the descriptor, and the one handed down is closed: when this process stops
-    listening, only the copy closes, and connections that wait in the socket's queue are left to the others.
+    Twisted duplicates the descriptor, and the inherited one is closed here. When this process stops
+    listening, only the duplicate is closed, and queued connections are left to the other processes.
     """
-    os.set_blocking(fd, False)  # Twisted accepts until EAGAIN: on a blocking socket it would wait there
+    os.set_blocking(fd, False)  # Twisted accepts until EAGAIN and would block on a blocking socket
     port = ClientPort._fromListeningDescriptor(reactor, fd, socket.AF_INET, factory)
     port.startListening()
     os.close(fd)
--- a/corkdeal/net/idle_connections.py
+++ b/corkdeal/net/idle_connections.py
@@ -1,9 +1,9 @@
-"""Client connections without work in hand, in the order in which they are to end; no I/O.
+"""Queues of idle client connections, in the order in which they expire or are evicted; no I/O.
 
-Each connection stands in at most one queue by what it is waited for (see `Awaited`), from which it expires,
-and in at most one by how much it was used (see `Use`), from which it can be evicted for another one. A
-queue is in the order of its times, because a connection that joins one does so with the present time.
-So each change and each look at a head is O(1), however many connections are open.
+A connection is in at most one queue by what it is waiting for (see `Awaited`), from which it expires, and in
+at most one by how much it was used (see `Use`), from which it can be evicted in favour of another connection.
+Queues are ordered by time, because a connection always joins one with the current time. So each change and
+each access to a head is O(1), however many connections are open.
 """
 
 from __future__ import annotations
@@ -15,77 +15,78 @@
 
 
 class Awaited(enum.IntEnum):
-    """What a connection is waited for, and from when on."""
+    """What the gateway awaits on a connection, and since when."""
 
     FIRST_COMMAND = 0  # since it was accepted
-    REST_OF_COMMAND = 1  # since the first byte of a command that has not come whole
-    NEXT_COMMAND = 2  # since it fell idle
+    REST_OF_COMMAND = 1  # since the first byte of an incomplete command
+    NEXT_COMMAND = 2  # since it became idle
 
 
 class Use(enum.IntEnum):
-    """How many requests a connection has brought; the lower, the sooner it is evicted."""
+    """How many requests a connection has sent so far; the fewer, the sooner it is evicted."""
 
     NEVER_ASKED = 0
     ASKED_ONCE = 1
     ASKED_OFTEN = 2
 
 
-Place = tuple[Awaited, Use | None]  # None where it is not evicted
+Place = tuple[Awaited, Use | None]  # None if it can't be evicted
 USES = tuple(Use)
-PLACES: dict[Place, Place] = {(a, use): (a, use) for a in Awaited for use in (*Use, None)}  # one object each
+# one shared object for each place, so that places compare by identity
+PLACES: dict[Place, Place] = {(a, use): (a, use) for a in Awaited for use in (*Use, None)}
 
 
 class Parsing(Protocol):
-    """What is asked of a connection's parser."""
+    """The part of a connection's parser that is used here."""
 
     @property
     def midway(self) -> bool:
-        """Whether part of a command has come."""
+        """Whether part of a command was received."""
 
 
 class Connection(Protocol):
-    """What is asked of a client connection."""
+    """The part of a client connection that is used here."""
 
-    waiting: Any  # answers that are owed; true where there are any
-    body: Any  # a long value on its way in, which has time limits of its own, or None
+    waiting: Any  # pending replies; true if there are any
+    body: Any  # a large value being received, which has its own timeouts, or None
     parser: Parsing
-    refused: bool  # whether it gets no more answers and ends
-    half_closed: bool  # whether its client sends no more
-    closing: bool  # whether it ends once it is idle
-    spoke: bool  # whether a whole command has come
-    asked: int  # requests so far
-    since: float  # s; when it was accepted or last fell idle
-    begun: float  # s; when the first byte of a command that has not come whole was seen
+    refused: bool  # whether it is being closed and gets no further replies
+    half_closed: bool  # whether its client has sent its FIN
+    closing: bool  # whether it is closed once idle
+    spoke: bool  # whether a complete command was read
+    asked: int  # RPCs so far
+    since: float  # s; when it was accepted or last became idle
+    begun: float  # s; when the first byte of an incomplete command was read
 
 
 class TimeOrderedQueue:
-    """A set of connections in the order of their times; times of those that join must not decrease."""
+    """A set of connections ordered by time; the times of connections added must not decrease."""
 
     def __init__(self) -> None:
         self.times: OrderedDict[Connection, float] = OrderedDict()
 
     def put(self, connection: Connection, time: float) -> None:
-        """Move to the end, unless it stands here with that time already."""
+        """Add a connection at the end, or move it there; keep its position if its time is the same."""
         if self.times.get(connection) != time:
             self.times[connection] = time
             self.times.move_to_end(connection)
 
     def discard(self, connection: Connection) -> None:
-        """Take it out, if it is here."""
+        """Remove a connection, if it is in the queue."""
         self.times.pop(connection, None)
 
     def until(self, latest: float) -> list[Connection]:
-        """Those with this time or an earlier one, the earliest first."""
+        """Return the connections with a time up to `latest`, the earliest first."""
         return list(itertools.takewhile(lambda connection: self.times[connection] <= latest, self.times))
 
     def head_until(self, latest: float) -> Connection | None:
-        """The first one, if its time is this or an earlier one."""
+        """Return the first connection, if its time is `latest` or before."""
         head = next(iter(self.times), None)
         return head if head is not None and self.times[head] <= latest else None
 
 
 class IdleConnections:
-    """The queues of all idle client connections; `update` has to be called after each change of one."""
+    """The queues of all idle client connections; call `update` after each change of a connection."""
 
     def __init__(self) -> None:
         self.expiring = {awaited: TimeOrderedQueue() for awaited in Awaited}
@@ -93,7 +94,7 @@
         self.places: dict[Connection, Place] = {}
 
     def update(self, connection: Connection) -> None:
-        """Put a connection where it belongs by its present state."""
+        """Move a connection to the queues for its current state."""
         place = place_of(connection)
         if place is None:
             return self.discard(connection)
@@ -109,14 +110,14 @@
             self.evictable[use].put(connection, connection.since)
 
     def leave(self, connection: Connection, was: Place, place: Place) -> None:
-        """Take a connection from the queues in which it was and is no more; in others it keeps its turn."""
+        """Remove a connection from its former queues; in queues that it stays in, it keeps its position."""
         if was[0] is not place[0]:
             self.expiring[was[0]].discard(connection)
         if was[1] is not None and was[1] is not place[1]:
             self.evictable[was[1]].discard(connection)
 
     def discard(self, connection: Connection) -> None:
-        """It has got work or has ended."""
+        """Remove a connection that has got work or is closed."""
         if (was := self.places.pop(connection, None)) is None:
             return
         awaited, use = was
@@ -125,24 +126,27 @@
             self.evictable[use].discard(connection)
 
     def next_to_evict(self, latest: dict[Use, float]) -> Connection | None:
-        """The least used one, idle for longest among those, that has been so since `latest` of its use."""
+        """Return the least used connection, idle for longest among those, or None.
+
+        Only connections idle since `latest[use]` or before are considered.
+        """
         for use, queue in self.evictable.items():
             if (connection := queue.head_until(latest[use])) is not None:
                 return connection
         return None
 
     def keep_until_read(self, connection: Connection) -> None:
-        """It has bytes to be read: it is not evicted before they were, which updates it."""
+        """Do not evict a connection with unread bytes; reading them will call `update`."""
         for queue in self.evictable.values():
             queue.discard(connection)
 
 
 def place_of(connection: Connection) -> Place | None:
-    """What a connection is waited for and as what it is evictable; None for one that has work or ends.
+    """Return what is awaited on a connection, and its use if it can be evicted; None if it is in no queue.
 
-    One with a long value on its way in is neither: that has time limits of its own. Half a command is no
-    work before the first whole one. One that is closing and has sent nothing still expires, because a
-    connection accepted on standby is closing from its start.
+    A connection that has work or is being closed is in no queue. Nor is one that is receiving a large value,
+    which has its own timeouts. A partial command counts as work only after a complete one. A closing
+    connection that has sent nothing still expires: those accepted on standby are closing from the start.
     """
     if connection.waiting or connection.refused or connection.half_closed or connection.body is not None:
         return None
--- a/corkdeal/net/tcp_state.py
+++ b/corkdeal/net/tcp_state.py
@@ -1,4 +1,4 @@
-"""What the kernel knows of the other side of a TCP connection, beyond the bytes read from it."""
+"""The state of a TCP peer as the kernel knows it, independent of the bytes read so far."""
 
 from __future__ import annotations
 
@@ -8,24 +8,24 @@
 import struct
 from typing import Any
 
-CLOSE_WAIT = 8  # of the kernel's TCP states: the other side has sent its FIN, this one has not
+CLOSE_WAIT = 8  # kernel TCP state: the peer has sent its FIN, this side has not
 STATE_AT = 0  # offset of tcpi_state, one byte, in struct tcp_info
 ARRIVALS = struct.Struct("@II")  # tcpi_last_data_recv and tcpi_last_ack_recv, ms
 ARRIVALS_AT, INFO_BYTES = 52, 64
 
 
 class PeerState(enum.Enum):
-    """How far the other side has ended a connection."""
+    """How far the peer has closed a connection."""
 
     OPEN = enum.auto()
-    HALF_CLOSED = enum.auto()  # it has sent its FIN: it has closed, or merely sends no more and still reads
-    CLOSED = enum.auto()  # it has reset the connection, or both sides have ended their sending
+    HALF_CLOSED = enum.auto()  # it has sent its FIN: it has closed, or only stopped sending and still reads
+    CLOSED = enum.auto()  # it has reset the connection, or both sides have sent a FIN
 
 
 def peer_state(handle: Any) -> PeerState:
-    """Ask the kernel now: bytes that were not read yet hide neither a FIN nor a reset from it.
+    """Ask the kernel, which reports a FIN or a reset even behind unread bytes.
 
-    A socket that is closed on this side is told of as open, for nothing is known of its other side.
+    A socket that this side has closed counts as open, since nothing is known about its peer.
     """
     if handle.fileno() < 0:
         return PeerState.OPEN
@@ -37,16 +37,16 @@
 
 
 def since_last_data(handle: Any) -> float | None:
-    """Seconds since the kernel took the newest bytes of a connection; None where it does not tell."""
+    """Return the seconds since the kernel received the latest bytes; None if it does not report that."""
     info = tcp_info(handle)
     return ARRIVALS.unpack_from(info, ARRIVALS_AT)[0] / 1000 if info else None
 
 
 def since_fin(handle: Any) -> float | None:
-    """Seconds since the kernel took the FIN of a peer that reads no more; None where it does not tell.
+    """Return the seconds since the kernel received a peer's FIN; None if it does not report that.
 
-    This is the age of the newest segment, with or without data: a peer that has closed sends nothing after
-    its FIN but a reset. One that still reads also acknowledges what it is sent, so its FIN may be older.
+    This is the age of the latest segment, with or without data: a peer that has closed sends nothing after
+    its FIN but a reset. A peer that still reads also sends acknowledgements, so its FIN may be older.
     """
     info = tcp_info(handle)
     if not info or info[STATE_AT] != CLOSE_WAIT:
@@ -55,7 +55,7 @@
 
 
 def tcp_info(handle: Any) -> bytes:
-    """The kernel's struct tcp_info, or nothing where it gives none that is long enough."""
+    """Return the kernel's struct tcp_info, or b"" if it provides none or a shorter one."""
     try:
         info = handle.getsockopt(socket.IPPROTO_TCP, socket.TCP_INFO, INFO_BYTES)
     except OSError:
