--- a/corkdeal/net/discovery_snapshot.py
+++ b/corkdeal/net/discovery_snapshot.py
@@ -1,4 +1,4 @@
-"""Discovery's list of backends: checked, and read into the module's terms. Without I/O."""
+"""Checks discovery's endpoint list and converts it to the events of the decisions. Without I/O."""
 
 from __future__ import annotations
 
@@ -12,12 +12,12 @@
 
 
 class ListError(ValueError):
-    """A list that can't be used; the text names the entry and the key."""
+    """An invalid endpoint list; the message names the entry and the key."""
 
 
 @dataclass(slots=True, frozen=True)
 class DiscoverySnapshot:
-    """What discovery told: entries for the module, and the addresses that they stand for."""
+    """An endpoint list from discovery: entries for the decisions, and their addresses."""
 
     revision: int
     complete: bool
@@ -26,17 +26,17 @@
 
 
 def index(names: tuple[str, ...], name: object) -> int:
-    """Position of a name in the settings; one past the end for a name they don't hold."""
+    """Return the position of a name in the settings; one past the end for an unknown name."""
     return names.index(name) if name in names else len(names)
 
 
 def parse_list(raw: Any, settings: Settings) -> DiscoverySnapshot:
-    """Check one list, in discovery's form, and turn it into the module's terms."""
+    """Check one decoded endpoint list and convert it; raise `ListError` if it is invalid."""
     if not isinstance(raw, dict):
-        raise ListError("the list is no object")
+        raise ListError("endpoint list must be an object")
     revision, members = raw.get("revision"), raw.get("members")
     if type(revision) is not int or revision < 0:
-        raise ListError("revision must be a whole number")
+        raise ListError("revision must be an integer, 0 or more")
     if not isinstance(raw.get("complete"), bool):
         raise ListError("complete must be true or false")
     if not isinstance(members, list):
@@ -47,19 +47,19 @@
         path = f"members.{number}"
         entry, address = parse_member(member, path, settings)
         if entry.backend in addresses:
-            raise ListError(f"{path}.id comes twice: {entry.backend!r:.40}")
+            raise ListError(f"{path}.id is a duplicate: {entry.backend!r:.40}")
         entries.append(entry)
         addresses[entry.backend] = address
     return DiscoverySnapshot(revision, raw["complete"], tuple(entries), addresses)
 
 
 def parse_member(member: Any, path: str, settings: Settings) -> tuple[Endpoint, tuple[str, int]]:
-    """One backend of a list, and its address."""
+    """Convert one backend of a list; return its entry and its address."""
     if not isinstance(member, dict):
-        raise ListError(f"{path} is no object")
+        raise ListError(f"{path} must be an object")
     name, phase = member.get("id"), member.get("phase")
     if not isinstance(name, str) or not name:
-        raise ListError(f"{path}.id must be text")
+        raise ListError(f"{path}.id must be non-empty text")
     if not isinstance(phase, str) or phase not in STATES:
         raise ListError(f"{path}.phase is unknown: {phase!r:.40}")
     address = parse_address(member.get("host_port"), path)
@@ -76,15 +76,15 @@
 
 
 def parse_address(raw: Any, path: str) -> tuple[str, int]:
-    """Host and port of a backend."""
+    """Parse host and port of a backend."""
     host, _, port = raw.rpartition(":") if isinstance(raw, str) else ("", "", "")
     if not host or not port.isdecimal() or not 0 < int(port) < 65536:
-        raise ListError(f"{path}.host_port is no address: {raw!r:.40}")
+        raise ListError(f"{path}.host_port must be host:port, not {raw!r:.40}")
     return host, int(port)
 
 
 def figure(member: dict[str, Any], key: str, default: float, path: str) -> float:
-    """A number of a backend's, 0 or more."""
+    """Return a number of a backend, 0 or more; `default` if it has none."""
     value = member.get(key, default)
     if type(value) not in (int, float) or value < 0:
         raise ListError(f"{path}.{key} must be a number, 0 or more")
--- a/corkdeal/net/discovery_watch.py
+++ b/corkdeal/net/discovery_watch.py
@@ -1,4 +1,4 @@
-"""The watch that fetches discovery's list of backends, call after call."""
+"""Watches discovery's endpoint list by repeated long-polling calls."""
 
 from __future__ import annotations
 
@@ -24,37 +24,38 @@
 from .discovery_snapshot import DiscoverySnapshot, ListError, parse_list
 from .invariants import count
 
-WAIT_MS = 2000  # how long one call of the watch may wait; one whose connection died tells nothing for so long
-ANSWER_LATE = 1.0  # s past that after which a call counts as lost; the rules deem us told at 2 s
-PLAIN_LATE = 3.0  # s for a call that need not wait
-CONNECT_LATE = 1.0  # s
-MOST_BODY = 32 << 20  # bytes of one answer; a list of thousands of backends takes under one
-TURNED_AWAY = {429, 503}  # what an overloaded service answers
-IN_LINE = 1.0  # s after which it has waited in line before: at once, it has cost no work
+WAIT_MS = 2000  # how long one call may wait for a change; a call on a dead connection is silent for that long
+ANSWER_LATE = 1.0  # s after WAIT_MS at which a call counts as lost; the rules deem a gateway notified at 2 s
+PLAIN_LATE = 3.0  # s; timeout of a call that does not wait for a change
+CONNECT_LATE = 1.0  # s; timeout for connecting
+MOST_BODY = 32 << 20  # bytes of one response; a list of thousands of backends takes less than 1 MiB
+TURNED_AWAY = {429, 503}  # HTTP status codes of an overloaded service
+# s; a call rejected later than this had been queued by discovery; one rejected sooner has cost it no work
+IN_LINE = 1.0
 
 
 class UnavailableError(Exception):
-    """Discovery has no answer now; the list held, and its revision, go on."""
+    """Discovery is unavailable; the current list and its revision stay in use."""
 
 
 class OverloadedError(UnavailableError):
-    """Discovery turned a call away that had waited in its line."""
+    """Discovery rejected a call after queueing it."""
 
 
 @implementer(IAgentEndpointFactory)
 class Endpoint:
-    """The one address there is. Agent's own endpoints look names up, in a thread, even for an address."""
+    """The one address of discovery. Agent's own endpoints look names up in a thread, even for an address."""
 
     def __init__(self, reactor: Any, at: tuple[str, int]) -> None:
         self.made = TCP4ClientEndpoint(reactor, *at, timeout=CONNECT_LATE)
 
     def endpointForURI(self, uri: Any) -> TCP4ClientEndpoint:
-        """Discovery's endpoint."""
+        """Return the endpoint of discovery, whatever the URI."""
         return self.made
 
 
 class Body(Protocol):
-    """The body of one answer. Given up, it closes the connection, which Twisted's `readBody` leaves open."""
+    """The body of one response. Cancelled, it closes the connection, which Twisted's `readBody` does not."""
 
     def __init__(self) -> None:
         self.parts: list[bytes] = []
@@ -62,12 +63,12 @@
         self.done: Deferred[bytes] = Deferred(lambda _: self.close())
 
     def close(self) -> None:
-        """Take no more of it."""
+        """Close the connection."""
         if self.transport is not None:
             self.transport.loseConnection()
 
     def dataReceived(self, data: bytes) -> None:
-        """Keep a part, unless there are too many already."""
+        """Keep received bytes, or close the connection past `MOST_BODY`."""
         self.size += len(data)
         if self.size > MOST_BODY:
             self.parts.clear()
@@ -76,11 +77,11 @@
             self.parts.append(data)
 
     def connectionLost(self, reason: Failure) -> None:  # type: ignore[override]
-        """The end of the body; one without a length ends with its connection, and cut off it is no JSON."""
+        """The body ended. Without a length it ends with its connection; a truncated one is invalid JSON."""
         if self.done.called:
             return
         if self.size > MOST_BODY:
-            self.done.errback(ListError(f"a list of over {MOST_BODY} bytes"))
+            self.done.errback(ListError(f"response exceeds {MOST_BODY} bytes"))
         elif reason.check(ResponseDone, PotentialDataLoss):
             self.done.callback(b"".join(self.parts))
         else:
@@ -88,11 +89,12 @@
 
 
 class Watch:
-    """One endless watch; each good list goes to `told`, a bad one is logged and kept out.
+    """A watch that runs until stopped; valid lists are passed to `told`, invalid ones are logged and ignored.
 
-    It begins from the list `held`, if there is one, and asks for what is newer. Lines cost discovery work;
-    where it is one service of fixed capacity, all gateways asking for all lines at once, again after each
-    failure, keep it from answering anybody. There calls are also spread over the tier's time, by chance.
+    It starts from the list `held`, if given, and asks for changes since. Each entry of a list costs discovery
+    work. Where discovery is a single service of fixed capacity, a tier of gateways that all ask for the whole
+    list at once, and again after each failure, would keep it from answering any of them. For such a service,
+    calls are also spread at random over a time proportional to the size of the tier.
     """
 
     def __init__(
@@ -106,18 +108,18 @@
     ) -> None:
         self.reactor, self.settings, self.told = reactor, settings, told
         self.revision = held.revision if held and held.complete else None  # None asks for the whole list
-        self.met = False  # whether it was told anything yet
+        self.met = False  # whether any list was received yet
         self.pauses = RetryPauses(settings, rng or random.Random())
         self.url = f"http://{at[0]}:{at[1]}/v1/servers".encode()
         self.pool = HTTPConnectionPool(reactor, persistent=True)
         self.pool.retryAutomatically = False
         self.agent = Agent.usingEndpointFactory(reactor, Endpoint(reactor, at), self.pool)
         self.running = False
-        self.waiting: Any = None  # what the call that is out waits for
+        self.waiting: Any = None  # the Deferred that the pending call waits for
 
     @inlineCallbacks
     def run(self) -> Any:
-        """Call again and again: after a bad list for all of it, after a mere failure for what is newer."""
+        """Call discovery until stopped: for the whole list after an invalid one, else for changes."""
         self.running = True
         if self.revision is not None and (wait := self.pauses.before_first_call()):
             yield deferLater(self.reactor, wait)
@@ -126,24 +128,24 @@
             try:
                 result = yield from self.call()
                 self.take(result)
-            except Exception as error:  # discovery may be down, silent or wrong: the list held goes on
+            except Exception as error:  # discovery may be down, silent or faulty; the list is kept
                 if self.running:
                     yield deferLater(self.reactor, self.failed(error, self.reactor.seconds() - begun))
             else:
                 self.pauses.after_success()
 
     def failed(self, error: Exception, took: float) -> float:
-        """Note a failed call; how many seconds to wait until the next one."""
+        """Record a failed call; return the seconds until the next one."""
         count("discovery_failed")
         if not self.pauses.failing:
             logs.event("discovery_failed", error=f"{type(error).__name__}: {error}")
         if isinstance(error, ListError):
             self.revision = None
-        self.pool.closeCachedConnections()  # one that fell silent in the pause would cost another call
+        self.pool.closeCachedConnections()  # a connection that died during the pause would fail the next call
         return self.pauses.after_failure(took, isinstance(error, OverloadedError))
 
     def take(self, result: DiscoverySnapshot) -> None:
-        """Follow a good list: tell it, or ask for all of it where discovery began anew."""
+        """Apply a valid list, or ask for the whole list if discovery has restarted its revisions."""
         if self.revision is not None and result.revision < self.revision:
             count("discovery_began_anew")
             self.revision = None
@@ -151,10 +153,10 @@
         first, self.met = not self.met, True
         if self.running and (first or result.complete or result.entries):
             self.tell(result)
-        self.revision = result.revision  # last: what could not be told is asked for again
+        self.revision = result.revision  # last: a list that was not applied is asked for again
 
     def tell(self, result: DiscoverySnapshot) -> None:
-        """Tell a list; a fault in who is told fails the call, and must not end the watch."""
+        """Pass a list to `told`; an exception there fails the call and must not end the watch."""
         try:
             self.told(result)
         except Exception:
@@ -164,15 +166,15 @@
 
     @inlineCallbacks
     def call(self) -> Any:
-        """One call: the whole list at once, or what is newer than the list held."""
+        """Make one call, for the whole list or for changes since the current one."""
         url, limit, wait = self.url, PLAIN_LATE, 0
         if self.revision is not None:
-            # the first word lets clients in; after a failure there may be a line, and no time to wait as well
+            # clients are accepted after the first list; after a failure the call may be queued already
             wait = WAIT_MS if self.met and not self.pauses.failing else 0
             url = b"%b?after=%d&wait_ms=%d" % (url, self.revision, wait)
             limit = WAIT_MS / 1000 + ANSWER_LATE
         begun = self.reactor.seconds()
-        until = begun + limit  # for head and body together: either may fall silent
+        until = begun + limit  # for headers and body together: either may stall
         self.waiting = asked = self.agent.request(b"GET", url)
         asked.addTimeout(limit, self.reactor)
         response = yield asked
@@ -182,15 +184,15 @@
         response.deliverBody(body)
         text = yield reading
         if response.code in TURNED_AWAY and not wait and self.reactor.seconds() - begun >= IN_LINE:
-            raise OverloadedError(f"discovery answered {response.code}")
+            raise OverloadedError(f"discovery returned HTTP status {response.code}")
         if response.code >= 500 or response.code in TURNED_AWAY:
-            raise UnavailableError(f"discovery answered {response.code}")
+            raise UnavailableError(f"discovery returned HTTP status {response.code}")
         if response.code != 200:
-            raise ListError(f"discovery answered {response.code}")
+            raise ListError(f"discovery returned HTTP status {response.code}")
         return parse_list(orjson.loads(text), self.settings)
 
     def stop(self) -> None:
-        """Make no further call, end the one that is out, and tell nothing more."""
+        """Stop: cancel the pending call, make no further ones and pass on no further list."""
         if self.running:
             self.running = False
             if self.waiting is not None:
