--- a/tests/test_bodies.py
+++ b/tests/test_bodies.py
@@ -1,4 +1,4 @@
-"""Long values: any cutting gives the same bytes, and each way in which a response stream may end."""
+"""Large values: the same bytes for any segmentation, and each way in which a response stream can end."""
 
 import dataclasses
 import gc
@@ -43,7 +43,7 @@
 
 
 def cut(raw, at):
-    """The bytes in pieces, cut at these places."""
+    """Split the bytes at these offsets."""
     marks = [0, *sorted({a % len(raw) for a in at}), len(raw)]
     return [raw[a:b] for a, b in itertools.pairwise(marks) if a < b]
 
@@ -71,7 +71,7 @@
 
 
 def read_all(pieces):
-    """All bytes that a parser hands out, in order, and how many frames ended."""
+    """Return all bytes from a parser in order, the number of complete frames, and whether one is partial."""
     parser, out, frames = resp.Parser(), [], 0
     for data in pieces:
         parser.feed(data)
@@ -95,7 +95,7 @@
 
 
 class Wire:
-    """A transport that keeps what is written, and takes only as much of it as it is let."""
+    """A fake transport whose peer accepts only a limited number of bytes."""
 
     offset, _tempDataBuffer, _tempDataLen, connected = 0, (), 0, True
 
@@ -139,7 +139,7 @@
         self.write(b"".join(parts))
 
     def take(self):
-        """The other side reads all, and has room again."""
+        """The peer reads all and has free space again."""
         self.taken += self.dataBuffer
         self.dataBuffer, self.room = b"", 1 << 40
         if self.producer and (self.producerPaused or not self.streaming):
@@ -166,7 +166,7 @@
 
 
 class Pair:
-    """A gateway between one client connection and backend connections, all on a fake reactor."""
+    """A gateway with one client connection, and backend connections, on a fake reactor."""
 
     def __init__(self):
         self.reactor = MemoryReactorClock()
@@ -186,13 +186,13 @@
         invariants.counts.clear()
 
     def ask(self, rid):
-        """One request, and the connection that its attempt goes out on."""
+        """Send one request; return the backend connection of its attempt, and its transport."""
         params = b"c=look,t=large,d=3000,units=1,spread=1,first=0"
         self.client_connection.dataReceived(command(b"API.READ", b"%016x" % 7, b"%016x" % rid, params))
         return self.back()
 
     def back(self):
-        """The last connection to a backend comes up."""
+        """Establish the backend connection opened last; return it and its transport."""
         conn, wire = self.reactor.tcpClients[-1][2].buildProtocol(None), Wire()
         conn.makeConnection(wire)
         return conn, wire
@@ -209,7 +209,7 @@
 def test_a_value_arrives_whole_whatever_the_cuts_and_however_the_client_takes_it(at, takes):
     pair = Pair()
     first, _ = pair.ask(1)
-    conn, wire = pair.ask(2)  # its answer has to wait for the first one's
+    conn, wire = pair.ask(2)  # its reply has to wait for that of the first
     pair.client.room = 1000
     pieces, held, takes = deque(cut(HEAD + VALUE + TAIL, at)), 0, deque(takes)
     while pieces:
@@ -229,7 +229,7 @@
     assert pair.outcomes() == [Status.OK] * 2
     assert held <= 2 * len(max(cut(HEAD + VALUE + TAIL, at), key=len)) + WHOLE
     assert not pair.client_connection.waiting and not pair.gateway.rpcs
-    gc.disable()  # nothing may wait for the collector, which comes rarely here
+    gc.disable()  # must be freed without the garbage collector, which runs rarely in the gateway
     try:
         conn, _ = pair.ask(3)
         conn.dataReceived((HEAD + VALUE + TAIL)[:90000])
@@ -241,7 +241,7 @@
         gc.enable()
 
 
-ENDS = [  # what the backend gives, what happens then, its outcome, a count, whether the client is cut off
+ENDS = [  # bytes from the backend and other events, outcome, counter, whether the client connection is closed
     ([HEAD + VALUE[:90000], None], Status.RESET, "answer_cut_off", True),
     ([HEAD + VALUE[:90000], response_stream.GIVE_STALL], Status.RESET, "answer_stalled", True),
     ([HEAD + VALUE[:-2] + b"xx"], Status.RESET, "backend_connection_malformed", True),
@@ -287,7 +287,7 @@
     conn.dataReceived(HEAD + VALUE[:90000])
     server = pair.gateway.decisions.backends.records["a"]
     assert not server.in_flight and len(server.streaming) == 1
-    for _ in range(8):  # far past its deadline, a byte now and then
+    for _ in range(8):  # far past its deadline, a byte every second
         pair.reactor.advance(1.0)
         conn.dataReceived(b"v")
     conn.dataReceived(VALUE[90008:] + TAIL)
@@ -328,7 +328,7 @@
     pair = Pair()
     raw = command(b"API.READ", b"%016x" % 7, b"%016x" % 1, b"c=look,t=large,d=900,units=1,spread=1,first=0")
     pair.client_connection.dataReceived(raw[:-2])
-    pair.reactor.advance(2.0)  # as long as clients may take
+    pair.reactor.advance(2.0)  # as long as a client may take
     pair.gateway.descriptors.sweep()
     pair.client_connection.dataReceived(raw[-2:])
     (request,) = [e for e in pair.heard if isinstance(e, Request)]
@@ -336,7 +336,7 @@
 
 
 def write(rid=1, size=3 * LONG, cls=b"note", plan=b"large", more=b",k=ab", d=3000):
-    """A command with a long value."""
+    """Return a command with a large value."""
     params = b"c=%b,t=%b,d=%d%b,units=1,spread=1,first=0" % (cls, plan, d, more)
     customer = 1 if plan == b"small" else 7
     return command(b"API.WRITE", b"%016x" % customer, b"%016x" % rid, params, b"b" * size)
@@ -351,7 +351,7 @@
     pair = Pair()
     raw = write()
     for piece in cut(raw, at):
-        assert not pair.reactor.tcpClients  # nothing is sent before the last byte has come
+        assert not pair.reactor.tcpClients  # nothing is sent before the last byte was received
         pair.client_connection.dataReceived(piece)
         pair.reactor.advance(0.01)
     conn, wire = pair.reactor.tcpClients[-1][2].buildProtocol(None), Wire()
@@ -362,7 +362,7 @@
         wire.room = n * LONG
     wire.take()
     assert without_wait(wire.taken) == without_wait(raw)
-    assert pair.gateway.budget.total >= 3 * LONG  # until its answer: it may have to be sent again
+    assert pair.gateway.budget.total >= 3 * LONG  # until its reply, since it may have to be retried
     conn.dataReceived(served())
     assert bytes(pair.client.taken) == bulk(1) and pair.outcomes() == [Status.OK]
     assert pair.gateway.budget.total == 0
@@ -370,7 +370,7 @@
 
 def test_a_long_command_that_broke_off_is_sent_again_and_counts_as_never_come():
     pair = Pair()
-    # may be sent again only because nothing of it ran
+    # may be retried only because it can't have run
     pair.client_connection.dataReceived(write(cls=b"pay", more=b""))
     conn, wire = pair.reactor.tcpClients[-1][2].buildProtocol(None), Wire()
     wire.room = LONG
@@ -408,7 +408,7 @@
 
 
 PING, PONG = command(b"PING"), b"+PONG\r\n"
-BAD = [  # a command with a long value, and the answer before the PING's
+BAD = [  # a command with a large value, and the reply before that to PING
     (command(b"ECHO", b"x" * LONG), b"-ERR only the last"),
     (command(b"PING", b"x" * LONG, b"x" * LONG), b"-ERR only the last"),
     (command(b"API.READ", b"x" * LONG, b"1", b"c=look"), b"-ERR only the last"),
@@ -433,18 +433,18 @@
 
 def test_what_is_beyond_a_quota_is_refused_at_the_head_and_read_past():
     pair = Pair()
-    for rid in range(2):  # all that the plan allows at once
+    for rid in range(2):  # the burst that the plan allows
         pair.client_connection.dataReceived(write(rid, plan=b"small"))
     raw = write(9, plan=b"small")
     pair.client_connection.dataReceived(raw[:300])
     assert invariants.counts["refused_at_head"] == 1
     pair.back()[0].dataReceived(served())
-    assert not pair.client.taken  # the first one's answer is still to come
+    assert not pair.client.taken  # the reply to the first is still pending
     pair.client_connection.dataReceived(raw[300:] + PING)
     assert len(pair.reactor.tcpClients) == 2 and pair.gateway.operators.tally["busy"] == 1
 
 
-LEAVES = [  # what happens in the middle of a body, what the client reads, a count
+LEAVES = [  # event in the middle of a body, what the client reads, counter
     (lambda pair: pair.client_connection.readConnectionLost(), b"", "command_cut_short"),
     (lambda pair: pair.client_connection.connectionLost(), b"", None),
     (lambda pair: pair.reactor.pump([request_stream.LOOK_EVERY] * 2), b"-ERR timeout", "body_stalled"),
@@ -466,7 +466,7 @@
     assert bytes(pair.client.taken).startswith(answer) and bool(answer) == bool(pair.client.taken)
     assert not name or invariants.counts[name] == 1
     assert not pair.gateway.reader.open and pair.gateway.budget.total == 0 and not pair.gateway.rpcs
-    pair.reactor.advance(60.0)  # no timer of it does anything any more
+    pair.reactor.advance(60.0)  # no timer of the command has any further effect
     assert not pair.reactor.tcpClients
 
 
@@ -506,7 +506,7 @@
     asker.dataReceived(command(b"API.READ", b"%016x" % 7, b"%016x" % 3, b"c=look,t=large,d=3000"))
     conn, wire = pair.back()
     budget.hold(hog, budget.high)
-    assert other.paused and not pair.client_connection.paused  # the oldest may come whole
+    assert other.paused and not pair.client_connection.paused  # the oldest body may be completed
     conn.dataReceived(HEAD + VALUE)
     assert wire.reading_paused and not taker.taken
     pair.reactor.advance(request_stream.WAIT_MOST)
@@ -516,7 +516,7 @@
 
 
 class Hog:
-    """A holder of a budget that only counts."""
+    """A holder of the memory budget that only records its size."""
 
     def __init__(self, budget, body=False):
         self.budget, self.kept, self.back = budget, 0, False
@@ -546,7 +546,7 @@
         elif what == "taken" and (one := pick(answers_)):
             answers_.remove(one)
             budget.hold(one, 0)
-        elif what == "grow":  # all that may come, piece by piece, some of them to their end
+        elif what == "grow":  # all bodies that may grow, piece by piece, some until complete
             for _ in range(n):
                 for one in [b for b in bodies if not b.back]:
                     if not one.back and one.kept < resp.MOST_VALUE:
@@ -565,7 +565,7 @@
 
 
 class LongValues(Program):
-    """The release build on real sockets."""
+    """Large values with the release build on real sockets."""
 
     build = ("-O",)
 
--- a/tests/test_full_table.py
+++ b/tests/test_full_table.py
@@ -1,6 +1,7 @@
-"""Idle clients fill the table of descriptors, and all else that needs one still gets it: on the real program.
+"""With the descriptor table full of idle clients, whatever needs a descriptor still gets one.
 
-The kernel lets the program open no more than `limits.sockets`, so one too many is an error that shows.
+These tests run the real gateway. RLIMIT_NOFILE is set to `limits.sockets`, so that opening one descriptor too
+many is an error.
 """
 
 import collections
@@ -29,12 +30,12 @@
 
 
 class Crowd:
-    """More clients than the table holds; each rests between PINGs and comes again when it is closed."""
+    """More clients than there are descriptors; each sends PINGs and reconnects when it is closed."""
 
     def __init__(self, address, pid):
         self.address, self.pid = address, pid
         self.ended = threading.Event()
-        self.turned_over = threading.Event()  # the table is full: many had to go for others
+        self.turned_over = threading.Event()  # the table is full: many connections were evicted
         self.answers = collections.Counter()
         self.most_descriptors = 0
         self.selector = selectors.DefaultSelector()
@@ -57,7 +58,7 @@
         self.selector.close()
 
     def descriptors(self):
-        with contextlib.suppress(OSError):  # it has ended
+        with contextlib.suppress(OSError):  # the process has ended
             return len(os.listdir(f"/proc/{self.pid}/fd"))
         return 0
 
@@ -104,7 +105,7 @@
         resource.prlimit(self.process.pid, resource.RLIMIT_NOFILE, (SOCKETS, SOCKETS))
 
     def start_full(self, config=None, **more):
-        """Start, and have a crowd fill the table."""
+        """Start the gateway and wait until a crowd of clients fills its descriptor table."""
         self.ops = reserve_address()
         self.start(config={"limits": {"sockets": SOCKETS}, "ops": self.ops, **(config or {})}, **more)
         host, port = self.config["listen"].split(":")
@@ -113,9 +114,9 @@
         self.assertTrue(self.crowd.turned_over.wait(PATIENCE))
 
     def admitted(self, requests):
-        """A client that is let in with these requests; another one's place may not be free at once.
+        """Return a client that was accepted and has sent these requests; retry while no descriptor is free.
 
-        They come together with its PING, for one that has asked nothing yet can go for another.
+        The requests are sent together with the PING, since a client without a request can be evicted.
         """
         until = time.monotonic() + PATIENCE
         while time.monotonic() < until:
@@ -124,10 +125,10 @@
                 client.send(PING + requests)
                 if client.read() == [b"PONG"]:
                     return client
-        self.fail("refused for all the time")
+        self.fail("no client was accepted before the timeout")
 
     def request(self, rid):
-        """A request of a customer of its own."""
+        """Return a request with a customer of its own."""
         return command(*self.words(b"look", d=4000, rid=rid, customer=rid + 10))
 
     def figures(self):
@@ -138,12 +139,12 @@
         return json.loads(conn.getresponse().read())
 
     def answer_all(self, world, seen):
-        """Answer what reaches that world's backends, and note which ones it reached."""
+        """Answer all requests at the backends of `world`, and add the backends' names to `seen`."""
 
         def run():
             while (asked := world.asked.get()) is not None:
                 seen.add(asked.backend.name)
-                with contextlib.suppress(OSError):  # given up meanwhile, and tried elsewhere
+                with contextlib.suppress(OSError):  # abandoned meanwhile, and retried elsewhere
                     asked.conn.send(served())
 
         thread = threading.Thread(target=run, daemon=True)
@@ -179,8 +180,8 @@
         self.start_full(a={})
         self.crowd.end()
         self.crowd = None
-        clients = [self.client() for _ in range(SOCKETS)]  # a table full of those who rest
-        deadline = time.monotonic() + 0.4  # so long that each of them may go for another
+        clients = [self.client() for _ in range(SOCKETS)]  # a table full of idle clients
+        deadline = time.monotonic() + 0.4  # by then each of them may be evicted
         for client in clients:
             with contextlib.suppress(OSError):
                 client.send(PING)
@@ -192,14 +193,14 @@
             client.send(PING)
         for client in burst:
             answer = client.read()
-            self.assertIsNotNone(answer)  # closed with no answer: none was left to accept it with
+            self.assertIsNotNone(answer)  # None: closed without a reply, for lack of a descriptor
         self.assertEqual(self.figures()["app_hosts_listed"], 1)
 
     def test_the_operators_and_the_peers_are_heard(self):
         self.start_full(a={})
         self.assertEqual(self.figures()["app_hosts_listed"], 1)
-        self.admitted(self.request(1).replace(b"spread=1", b"spread=2"))  # a customer of both gateways
-        self.assertTrue(self.peer.recv(2048))  # the peer hears of what was asked
+        self.admitted(self.request(1).replace(b"spread=1", b"spread=2"))  # a customer at both gateways
+        self.assertTrue(self.peer.recv(2048))  # the peer is notified of its demand
         self.assertLess(self.crowd.most_descriptors, SOCKETS)
 
     def test_a_planned_end_answers_all_and_ends_well(self):
--- a/tests/test_idle_connections.py
+++ b/tests/test_idle_connections.py
@@ -1,4 +1,4 @@
-"""Queues of idle client connections choose as a look through all connections would, and cost no such look."""
+"""The queues of idle client connections choose as a scan of all connections would, without such a scan."""
 
 import dataclasses
 import itertools
@@ -32,12 +32,12 @@
 
 
 def has_work_or_ends(c):
-    """The plain definition, over all connections: no spare one."""
+    """The reference: whether a connection has work or is being closed."""
     return c.waiting or c.refused or c.half_closed or (c.closing and not c.parser.midway)
 
 
 def to_evict(connections, now):
-    """The plain definition: who would go for another connection, the first one first."""
+    """The reference: the connections that may be evicted, in order."""
     idle = [
         c
         for c in connections
@@ -49,7 +49,7 @@
 
 
 def expired(connections, now, many):
-    """The plain definition: whom a sweep ends, and why."""
+    """The reference: the connections that a sweep closes, with what was awaited on them."""
     found = {}
     for c in connections:
         if has_work_or_ends(c) and not (c.closing and not c.spoke and not c.refused and not c.half_closed):
@@ -68,7 +68,7 @@
 
 
 def asks(connection):
-    """A request, which the decisions hold as there is no server."""
+    """Send a request, which the decisions hold because there is no backend."""
     if not connection.parser.midway:
         number = next(REQUEST_NUMBERS)
         params = b"c=look,t=large,d=4000,units=1,spread=1,first=0"
@@ -92,7 +92,7 @@
 
 
 def bad_long_command(connection):
-    """A command with a long value of a customer that can't be: it is read past."""
+    """Send the start of a large command with an invalid customer, whose value is discarded."""
     if not connection.parser.midway:
         connection.dataReceived(b"*5\r\n$9\r\nAPI.WRITE\r\n$1\r\nx\r\n$1\r\nx\r\n$1\r\nx\r\n$70000\r\n..")
 
@@ -116,11 +116,11 @@
     "is_lost": lambda c: c.connectionLost(),
 }
 REQUEST_NUMBERS = itertools.count(1)
-AT_ANY_TIME = ("is_answered", "is_lost")  # the others come from a client that still sends
+AT_ANY_TIME = ("is_answered", "is_lost")  # all others need a client that still sends
 
 
 def happens(name, connection):
-    """Have an event happen, unless the connection has come to an end that rules it out."""
+    """Apply an event, unless the connection is closed in a way that rules it out."""
     ending = connection.refused or connection.half_closed or connection.transport.disconnecting
     if not ending or name in AT_ANY_TIME:
         EVENTS[name](connection)
@@ -147,7 +147,7 @@
             connect(made)
         elif open_now:
             happens(name, open_now[which % len(open_now)])
-        reactor.rightNow = now + wait  # timers of the connections stay out of this
+        reactor.rightNow = now + wait  # without running the timers of the connections
         check_expiry(made, reactor.seconds())
     check_evictions(made, reactor, chance)
 
@@ -166,7 +166,7 @@
 
 
 def check_evictions(made, reactor, chance):
-    """Evict all that go, some of which turn out to have bytes to be read."""
+    """Evict all connections that can be, while some turn out to have unread bytes."""
     unread = {c: chance.random() < 0.3 for c in made.client_connections}
     for c, has_bytes in unread.items():
         c.unread = lambda has_bytes=has_bytes: has_bytes
@@ -205,7 +205,7 @@
     reactor.rightNow += descriptors.SILENT_LEAST
     for _ in range(100):
         connect(made)
-    assert looks == list(range(100))  # who was accepted first goes first, one look each
+    assert looks == list(range(100))  # in the order of acceptance, one check each
 
 
 def test_only_paused_connections_are_looked_behind():
--- a/tests/test_net_departures.py
+++ b/tests/test_net_departures.py
@@ -1,8 +1,9 @@
-"""What a client asked that has left is not sent on: departures at every moment, on real connections.
+"""Requests of disconnected clients are not sent to backends, at whatever moment they disconnect.
 
-A gateway that is stopped (SIGSTOP) while it waits finds all that came meanwhile in one turn: overdue timers
-first, then the connections in the order in which they had something. So what begins an attempt is seen before
-the end of its client, which by then is longer ago than any attempt may begin.
+The failure to guard against: a gateway that runs late starts an attempt before it reads the client's close.
+A gateway stopped by SIGSTOP handles all events of that time in one reactor iteration: overdue timers first,
+then the connections in the order of their events. So an event that starts an attempt comes before the
+client's close, which by then is longer ago than an attempt may start after it.
 """
 
 import copy
@@ -22,18 +23,18 @@
 from .test_bodies import Wire
 
 BUSY, GONE = b"BUSY", b"ERR failed"
-STOPPED = 0.3  # s for which the process is stopped after a client's end; no attempt may begin after 0.1
+STOPPED = 0.3  # s that the process is stopped after a client's close; no attempt may start after 0.1
 
 
 class Departures(Moments):
-    """What a client asked that has left is not sent on once a moment has passed."""
+    """No attempt starts for a client that has disconnected, after a short grace period."""
 
     def test_while_the_connection_to_its_backend_comes_up(self):
         self.crowded()
         self.patient()
         client = self.client()
         self.ask(client, b"pay", d=80000, body=b"x")
-        client.sock.shutdown(socket.SHUT_WR)  # as a client that closes, but it can see what becomes of it
+        client.sock.shutdown(socket.SHUT_WR)  # like a client that closes, but it still sees the reply
         self.assertEqual(client.read(), [BUSY])
         self.assertIsNone(client.read())
 
@@ -45,11 +46,11 @@
         self.ask(other, b"pay", d=80000, rid=2, body=b"of one who left later")
         client.reset()
         other.sock.shutdown(socket.SHUT_WR)
-        self.assertEqual(other.read(), [BUSY])  # by now the reset was seen too
+        self.assertEqual(other.read(), [BUSY])  # by now the reset has been handled too
         staying = self.client()
         self.ask(staying, b"pay", d=80000, rid=3, body=b"of one who stays")
         listener.settimeout(PATIENCE)
-        while True:  # what filled the queue, connections given up, and at last one that brings a request
+        while True:  # sockets that filled the queue, abandoned connections, then one with a request
             conn = listener.accept()[0]
             conn.settimeout(PATIENCE)
             if data := conn.recv(65536, socket.MSG_DONTWAIT) if self.has_bytes(conn) else b"":
@@ -58,7 +59,7 @@
 
     @staticmethod
     def has_bytes(conn):
-        """Whether the other side wrote something; the sockets that filled the queue never do."""
+        """Return whether the peer wrote something; the sockets that filled the queue never do."""
         conn.settimeout(1.5)
         try:
             return bool(conn.recv(1, socket.MSG_PEEK))
@@ -66,7 +67,7 @@
             return False
 
     def test_while_the_decisions_hold_it(self):
-        self.patient()  # no backend at all
+        self.patient()  # without a backend
         client, staying = self.client(), self.client()
         self.ask(client, b"pay", d=80000, body=b"x")
         self.ask(staying, b"pay", d=80000, rid=2, body=b"y")
@@ -86,7 +87,7 @@
         self.ask(client, d=80000)
         asked = self.world.next()
         self.world.tell(a="Terminating")
-        self.ask(marker, d=80000, rid=2)  # held: there is no backend for it
+        self.ask(marker, d=80000, rid=2)  # held, as no backend is left
         client.sock.shutdown(socket.SHUT_WR)
         self.mark(marker)
         self.world.add("b")
@@ -96,7 +97,7 @@
         self.assertTrue(self.world.asked.empty())
 
     def mark(self, marker):
-        """Returns once the gateway has acted on whatever left before this client with its held request."""
+        """Disconnect this client and wait for its rejection: earlier disconnects have been handled then."""
         marker.sock.shutdown(socket.SHUT_WR)
         self.assertEqual(marker.read(), [BUSY])
 
@@ -115,7 +116,7 @@
 
     def test_behind_so_many_others_that_its_client_connection_is_not_read(self):
         self.patient()
-        client, many = self.client(), 900  # not all are read in one go; the rest fits the kernel's buffer
+        client, many = self.client(), 900  # not all read at once; the rest fits the kernel's buffer
         client.send(b"".join(command(*self.words(b"look", d=80000, rid=rid)) for rid in range(many)))
         client.sock.shutdown(socket.SHUT_WR)
         for _ in range(many):
@@ -129,7 +130,7 @@
         self.ask(marker, d=80000, rid=5000, customer=8)
         self.ask(staying, b"pay", d=80000, rid=5001, customer=9, body=b"y")
         client.reset()
-        self.mark(marker)  # a look at the client connections that are not read comes more often than this
+        self.mark(marker)  # paused connections are checked more often than this takes
         self.world.add("a")
         self.world.tell()
         asked = self.world.next()
@@ -156,7 +157,7 @@
         self.assertTrue(self.world.asked.empty())
 
     def test_on_a_drain(self):
-        self.start()  # no backend, so the decisions hold it, and would refuse it with advice after a second
+        self.start()  # without a backend it is held; after 1 s it would be rejected with a retry-after
         client = self.client()
         self.ask(client, b"pay", d=4000, body=b"x")
         client.send(command(b"PING"))
@@ -170,24 +171,24 @@
 
 
 class StoppedProcess(Moments):
-    """A client ends while the process is stopped, and what begins an attempt comes first at its return."""
+    """A client disconnects while the process is stopped; an event that starts an attempt is handled first."""
 
     def leave(self, client, reset):
-        """End a client's sending, or reset its connection."""
+        """Half-close a client's connection, or reset it."""
         if reset:
             client.reset()
         else:
             client.sock.shutdown(socket.SHUT_WR)
 
     def nothing_sent(self):
-        """Once a request of a client that stays has got to a backend, nothing else has."""
+        """Check that only the request of a client that stays connected reaches a backend."""
         marker = self.client()
         self.ask(marker, d=80000, rid=9999, customer=9)
         self.assertEqual(self.world.next().words[2], b"%016x" % 9999)
         self.assertTrue(self.world.asked.empty())
 
     def warm(self):
-        """Have a connection to each of the two backends: an attempt is written there at once."""
+        """Open a connection to each of the two backends, so that attempts are written at once."""
         clients = [self.client() for _ in "ab"]
         for rid, client in enumerate(clients):
             self.ask(client, d=80000, rid=1000 + rid)
@@ -230,7 +231,7 @@
         self.freeze()
         stopped = time.monotonic()
         self.leave(client, reset)
-        self.thaw(after=2.6, since=stopped)  # late enough to give it up, early enough for a further one
+        self.thaw(after=2.6, since=stopped)  # late enough to time out, early enough for a retry
         self.assertTrue(asked.ended.wait(PATIENCE))
         if not reset:
             self.assertIn(client.read(), ([BUSY], [GONE]))
@@ -263,7 +264,7 @@
 
     @staticmethod
     def received(sock):
-        """What comes until the other side's end."""
+        """Return the bytes received before the peer's close."""
         try:
             return sock.recv(65536)
         except ConnectionError:
@@ -289,7 +290,7 @@
 
     def test_requests_are_read_with_others_and_a_fin_unread_behind_them(self):
         self.patient(a={})
-        client, many = self.client(), 900  # more than are read in one go, or at all before some are answered
+        client, many = self.client(), 900  # more than are read at once, or before some are answered
         client.send(command(b"PING"))
         self.assertEqual(client.read(), [b"PONG"])
         self.freeze()
@@ -303,7 +304,7 @@
     def test_two_hundred_leave_a_process_short_of_processor_time(self):
         self.patient(sockets=1024, a={}, b={}, c={}, d={})
         clients = []
-        for _ in range(200):  # each asks at once: of so many, one silent for 0.25 s is closed
+        for _ in range(200):  # each sends at once: of so many, a connection silent for 0.25 s is closed
             clients.append(self.client())
             clients[-1].send(command(b"PING"))
             self.assertEqual(clients[-1].read(), [b"PONG"])
@@ -312,7 +313,7 @@
             self.ask(client, d=80000, rid=rid, customer=rid + 10)
             self.leave(client, reset=rid % 2 == 1)
         time.sleep(STOPPED)
-        for _ in range(40):  # it runs for some milliseconds at a time, and stands still for longer
+        for _ in range(40):  # it runs for a few milliseconds at a time and is stopped for longer
             self.process.send_signal(signal.SIGCONT)
             time.sleep(0.004)
             self.process.send_signal(signal.SIGSTOP)
@@ -324,7 +325,7 @@
 
 
 class OnAFakeClock(unittest.TestCase):
-    """Where the kernel dates no FIN, as on the local sockets here, it counts from when it may have come."""
+    """If the kernel does not date the FIN, as on these Unix sockets, its earliest possible time counts."""
 
     def setUp(self):
         self.reactor = MemoryReactorClock()
@@ -342,7 +343,7 @@
         invariants.counts.clear()
 
     def listed(self):
-        """A backend is there."""
+        """Add a ready backend."""
         self.gateway.pool.told("a", True, ("127.0.0.1", 3))
         self.gateway.feed(EndpointUpdate(UpdateKind.COMPLETE, (Endpoint("a", EndpointState.READY),)))
 
@@ -351,7 +352,7 @@
         self.connection.dataReceived(command(b"API.READ", b"%016x" % 7, b"%016x" % rid, params))
 
     def come_up(self):
-        """The last connection to a backend does; what is written on it."""
+        """Establish the backend connection opened last; return what is written on it."""
         wire = Wire()
         self.reactor.tcpClients[-1][2].buildProtocol(None).makeConnection(wire)
         return bytes(wire.taken)
@@ -364,36 +365,36 @@
         self.reactor.advance(client_connection.LEFT_GRACE / 2)
         self.assertIn(b"API.READ", self.come_up())
         self.reactor.advance(client_connection.LEFT_GRACE)
-        self.assertFalse(self.wire.taken)  # its backend has it, and answers
+        self.assertFalse(self.wire.taken)  # its backend has the request and will reply
 
     def test_a_connection_to_a_backend_that_comes_up_after_the_grace_gets_nothing(self):
         self.listed()
         self.ask()
         self.theirs.shutdown(socket.SHUT_WR)
         self.connection.look_behind()
-        self.reactor.rightNow += client_connection.LEFT_GRACE  # and no timer has run yet
+        self.reactor.rightNow += client_connection.LEFT_GRACE  # without running timers
         self.assertEqual(self.come_up(), b"")
         self.assertEqual(bytes(self.wire.taken), b"-BUSY\r\n")
 
     def test_a_reset_ends_an_attempt_that_still_connects_at_once(self):
         self.listed()
         self.ask()
-        self.theirs.close()  # both ways: to the kernel that is the end of this connection
+        self.theirs.close()  # closes both directions, which the kernel reports as a closed connection
         self.assertEqual(self.come_up(), b"")
         self.assertTrue(self.wire.aborted)
         self.assertFalse(self.gateway.rpcs)
 
     def test_a_late_turn_counts_an_end_as_having_come_before_it(self):
-        self.ask()  # held: there is no backend
+        self.ask()  # held, as there is no backend
         self.listed()
         self.theirs.shutdown(socket.SHUT_WR)
-        self.reactor.advance(STOPPED)  # the held one's timer is late
+        self.reactor.advance(STOPPED)  # the timer of the held request is late
         self.assertFalse(self.reactor.tcpClients)
         self.assertEqual(bytes(self.wire.taken), b"-BUSY\r\n")
 
     def test_a_turn_in_time_counts_it_from_when_it_is_seen(self):
         self.ask()
-        self.reactor.advance(STOPPED)  # a late turn before this one changes nothing
+        self.reactor.advance(STOPPED)  # an earlier late iteration has no effect
         self.listed()
         self.theirs.shutdown(socket.SHUT_WR)
         self.reactor.pump([timers.LATE_LEAST / 2] * 100)
@@ -411,7 +412,7 @@
 
 
 class PeerStates(unittest.TestCase):
-    """What the kernel tells of the other side of a TCP connection."""
+    """What the kernel reports about a TCP peer."""
 
     def setUp(self):
         with socket.create_server(("127.0.0.1", 0)) as listener:
--- a/tests/test_net_edges.py
+++ b/tests/test_net_edges.py
@@ -1,6 +1,6 @@
-"""Moments at the edge of a rule on real connections: cut answers, floods, late and slow bytes, late lists.
+"""Edge cases on real connections: truncated responses, floods, late and slow bytes, late endpoint lists.
 
-tests/test_net_moments.py explains how a stopped gateway makes a bad order come every time.
+tests/test_net_moments.py explains how stopping the gateway makes an adverse order of events reproducible.
 """
 
 import contextlib
@@ -22,22 +22,22 @@
 
 
 def reset(sock):
-    """End a connection with a reset, whatever is still to be sent on it."""
+    """Reset a connection, even with bytes still to be sent."""
     sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, b"\1\0\0\0\0\0\0\0")
-    sock.shutdown(socket.SHUT_RD)  # else a thread that reads it would keep it open
+    sock.shutdown(socket.SHUT_RD)  # otherwise a thread that reads it would keep it open
     sock.close()
 
 
 class Edges(Moments):
-    """What these tests have in common."""
+    """Base class of these tests."""
 
     def descriptors(self):
-        """How many descriptors the program has open."""
+        """Return how many descriptors the gateway has open."""
         return len(os.listdir(f"/proc/{self.process.pid}/fd"))
 
 
 class CutAnswers(Discovery):
-    """Discovery whose answers have no length; `world.endings` tells how the next ones end."""
+    """A discovery whose responses have no length; `world.endings` says how the next ones end."""
 
     def answer(self, body):
         ending = self.server.world.endings.pop(0) if self.server.world.endings else "whole"
@@ -56,7 +56,7 @@
 
 
 class DiscoveryAnswers(Edges):
-    """A reset is no end of an answer, and the end of the connection is."""
+    """A response without a length is ended by a close of the connection, but not by a reset."""
 
     def setUp(self):
         super().setUp()
@@ -64,13 +64,13 @@
         self.world.http.RequestHandlerClass = CutAnswers
 
     def watching(self):
-        """Wait until a watch is open; the revision that it has."""
+        """Wait until a watch is open; return its revision."""
         self.assertEqual(self.world.calls.get(timeout=PATIENCE), -1)
         self.assertEqual(self.world.calls.get(timeout=PATIENCE), self.world.revision)
         return self.world.revision
 
     def publish(self):
-        """Publish what the test changed."""
+        """Publish the endpoint list as the test changed it."""
         with self.world.changed:
             self.world.revision += 1
             self.world.changed.notify_all()
@@ -80,7 +80,7 @@
         self.watching()
         self.world.backends["a"].entry["phase"] = "Terminating"
         self.publish()
-        self.assertEqual(self.world.calls.get(timeout=PATIENCE), self.world.revision)  # it was taken
+        self.assertEqual(self.world.calls.get(timeout=PATIENCE), self.world.revision)  # it was applied
         client = self.client()
         self.assertEqual({self.serve(client, rid).backend.name for rid in range(6)}, {"b"})
 
@@ -92,7 +92,7 @@
         self.addCleanup(self.world.backends.pop("a").listener.close)
         self.publish()
         calls = [self.world.calls.get(timeout=PATIENCE) for _ in range(6)]
-        self.assertEqual(calls, [held] * 5 + [held + 1])  # each asks for what the list held does not have
+        self.assertEqual(calls, [held] * 5 + [held + 1])  # each asks for changes since the list held
         client = self.client()
         self.assertEqual({self.serve(client, rid).backend.name for rid in range(6)}, {"b"})
 
@@ -109,7 +109,7 @@
 
 
 class Floods(Edges):
-    """Who sends much at once, and goes, costs nobody else anything."""
+    """Clients that send a lot at once and disconnect do not affect other clients."""
 
     def test_bad_clients_that_send_much_and_go(self):
         self.start(a={})
@@ -126,10 +126,10 @@
         for client in clients[1::2]:
             client.sock.close()
         self.serve(good, 1)
-        self.wait_for(lambda: self.descriptors() == before + 1)  # the one more is the backend's connection
+        self.wait_for(lambda: self.descriptors() == before + 1)  # one more: the backend connection
 
     def test_pipelines_of_clients_that_go(self):
-        self.patient()  # no backend, so what is inside a quota waits for the whole test
+        self.patient()  # without a backend, requests inside a quota wait for the whole test
         before = self.descriptors()
         clients = [self.client() for _ in range(6)]
         for n, client in enumerate(clients):
@@ -157,10 +157,10 @@
 
 
 class SpoiltAnswers(Edges):
-    """A backend's answer that breaks off, is none or never ends."""
+    """Replies that are truncated, malformed or never end."""
 
     def trickle(self, asked, start):
-        """Write an answer byte by byte, for as long as somebody takes it."""
+        """Write a reply byte by byte, until the connection is closed."""
 
         def write():
             with contextlib.suppress(OSError):
@@ -172,7 +172,7 @@
         threading.Thread(target=write, daemon=True).start()
 
     def break_off(self, asked, part):
-        """Write a part of an answer, and end; the gateway may have seen at once that it is none."""
+        """Write part of a reply and close; the gateway may have closed already if it is malformed."""
         with contextlib.suppress(OSError):
             asked.conn.send(part)
             asked.conn.end()
@@ -231,13 +231,13 @@
         first = self.world.next()
         first.conn.send(b"*3\r\n$5\r\nab")
         again = self.world.next()
-        self.assertTrue(first.ended.wait(PATIENCE))  # before the other one began
+        self.assertTrue(first.ended.wait(PATIENCE))  # before the other attempt started
         again.conn.send(served())
         self.assertEqual(client.read(), [b"v"])
 
 
 class Slow(Edges):
-    """Clients that write slowly, and connections to backends that come up late."""
+    """Clients that write slowly, and backend connections that are established late."""
 
     def test_commands_that_come_byte_by_byte(self):
         self.patient(a={})
@@ -245,14 +245,14 @@
         client.sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
         commands = [command(*self.words(b"pay", d=80000, rid=rid, body=b"slow")) for rid in (1, 2)]
         raw, size = commands[0] + commands[1], len(commands[0])
-        began, step = time.monotonic(), 1.7 / size  # each one comes in time, and both together do not
+        began, step = time.monotonic(), 1.7 / size  # each command is in time; both together are not
         for i in range(len(raw)):
             if i != size:
-                client.send(raw[i : i + 1] if i != size - 1 else raw[i : i + 2])  # one ends, one begins
+                client.send(raw[i : i + 1] if i != size - 1 else raw[i : i + 2])  # one ends, the next starts
             time.sleep(max(0.0, began + (i + 1) * step - time.monotonic()))
             if i == size:
                 asked = self.world.next()
-                self.assertGreater(int(asked.params[b"d"]), 79_000)  # its time counts from its last byte
+                self.assertGreater(int(asked.params[b"d"]), 79_000)  # its timeout counts from its last byte
                 asked.conn.send(served(b"first"))
         self.world.next().conn.send(served(b"second"))
         self.assertEqual([client.read(), client.read()], [[b"first"], [b"second"]])
@@ -261,10 +261,10 @@
         late = self.crowded("a")
         self.start(b={})
         client, seen = self.client(), 0
-        for rid in range(8):  # those that try the late one are moved, as nothing of them ran
+        for rid in range(8):  # attempts at the late one are retried, as they can't have run
             self.assertEqual(self.serve(client, rid, b"pay", body=b"x").backend.name, "b")
         late.settimeout(2.5)
-        with contextlib.suppress(TimeoutError):  # it takes connections by now; what was given up never comes
+        with contextlib.suppress(TimeoutError):  # it accepts by now; abandoned connections never send
             while True:
                 conn = late.accept()[0]
                 conn.setblocking(False)
@@ -275,13 +275,13 @@
 
 
 class WholeLists(Edges):
-    """What a whole list does not name is gone, also where it still answers."""
+    """A backend that a complete list omits is removed, even if it still responds."""
 
     def test_a_backend_that_is_left_out_gets_nothing_more(self):
         self.patient(a={}, b={})
         client = self.client()
         used, rids = set(), itertools.count(100)
-        while len(used) < 2:  # a connection to each is kept
+        while len(used) < 2:  # an idle connection to each is kept
             used.add(self.serve(client, next(rids), d=80000).backend.name)
         self.ask(client, d=80000, rid=30)
         out = self.world.next()
@@ -291,7 +291,7 @@
         other = self.client()
         for rid in range(40, 52):
             self.assertIsNot(self.serve(other, rid, d=80000).backend, gone)
-        out.conn.send(served(b"finished"))  # what it has it may finish
+        out.conn.send(served(b"finished"))  # its current request may finish
         self.assertEqual(client.read(), [b"finished"])
         for rid in range(60, 72):
             self.assertIsNot(self.serve(client, rid, d=80000).backend, gone)
@@ -326,13 +326,13 @@
 
 
 class SilentWatches(Edges):
-    """A watch that was fine for long falls silent, and its connection with it."""
+    """A watch that has worked for long gets no more responses, as its connection is dead."""
 
     def test_the_list_is_asked_for_on_a_new_connection(self):
         self.start(a={}, b={})
         for _ in range(3):
-            self.world.tell()  # it has told much, always by the same connection
-        self.world.silent = True  # the call that is out is never answered
+            self.world.tell()  # several updates, all on the same connection
+        self.world.silent = True  # the pending call is never answered
         self.world.backends["a"].entry["phase"] = "Terminating"
         with self.world.changed:
             self.world.revision += 1
@@ -346,12 +346,12 @@
 
 
 class Windows(Edges):
-    """A repeat of a request with a key is written inside the window or not at all."""
+    """A retry with an idempotency key is written within the deduplication window or not at all."""
 
     WINDOW = 1.0  # s
 
     def repeat_that_connects(self):
-        """A repeat that was decided on inside the window, on a connection that comes up a second later."""
+        """Start a retry within the window, on a connection that is established a second later."""
         settings = copy.deepcopy(SETTINGS)
         settings["policy_limits"]["connect_timeout_us"] = 60_000_000
         for each in settings["classes"]:
@@ -370,24 +370,24 @@
         time.sleep(max(0.0, began + 0.8 * self.WINDOW - time.monotonic()))
         asked.conn.send(b"-ERR failed\r\n")
         self.wait_for(lambda: self.connecting() > before)
-        threading.Thread(target=self.accept, daemon=True).start()  # the kernel asks again a second later
+        threading.Thread(target=self.accept, daemon=True).start()  # the SYN is retransmitted a second later
         return client, began
 
     def connecting(self):
-        """Connections to the late backend that the kernel has asked for and that are not up."""
+        """Return the number of connections to the late backend in state SYN_SENT."""
         to = f":{self.late.getsockname()[1]:04X}"
         rows = [line.split() for line in pathlib.Path("/proc/net/tcp").read_text().splitlines()]
         return sum(row[2].endswith(to) and row[3] == "02" for row in rows)
 
     def accept(self):
-        """Accept all that comes to the late backend."""
+        """Accept all connections to the late backend."""
         self.accepted = []
         with contextlib.suppress(OSError):
             while True:
                 self.accepted.append(self.late.accept()[0])
 
     def assert_nothing_came(self):
-        """The program has ended, so what it wrote is there by now."""
+        """Kill the gateway, so that all that it wrote has arrived; check that it wrote nothing."""
         self.process.kill()
         self.process.wait()
         for conn in self.accepted:
@@ -399,7 +399,7 @@
     def test_the_connection_comes_up_after_the_window(self):
         client, began = self.repeat_that_connects()
         self.assertEqual(client.read(), [GONE])
-        time.sleep(max(0.0, began + 2.3 * self.WINDOW - time.monotonic()))  # it would be up by then
+        time.sleep(max(0.0, began + 2.3 * self.WINDOW - time.monotonic()))  # it would be established by then
         self.assert_nothing_came()
 
     def test_the_gateway_learns_only_after_the_window_that_the_connection_is_up(self):
--- a/tests/test_net_parsers.py
+++ b/tests/test_net_parsers.py
@@ -1,4 +1,4 @@
-"""Tables of cases for what is parsed, and the gateway's guards that need no socket."""
+"""Table tests of the parsers, and tests of the gateway's limits that need no socket."""
 
 import dataclasses
 import json
@@ -34,7 +34,7 @@
 
 
 def changed(base, path, value):
-    """A copy with one value set, or taken out where it is None."""
+    """Return a copy with one value replaced."""
     copy = at = json.loads(json.dumps(base))
     *way, last = path.split(".")
     for key in way:
@@ -75,7 +75,7 @@
                 while (frame := parser.next()) is not None:
                     got.append((frame, bytes(frame.buf[frame.items[0].head : frame.items[-1].end])))
             self.assertEqual([text for _, text in got], self.FRAMES)
-            for frame, text in got:  # later bytes must not change what a frame holds
+            for frame, text in got:  # later bytes must not change the content of a frame
                 self.assertEqual(bytes(frame.buf[frame.items[0].head : frame.items[-1].end]), text)
             self.assertFalse(parser.midway)
 
@@ -154,7 +154,7 @@
         self.assertEqual((got.request.is_retry, got.request.is_write, got.id), (True, True, 0))
 
     def test_bad_ones_never_reach_the_module(self):
-        for old, bad in (  # Python's int() and float() take most of these figures
+        for old, bad in (  # Python's int() and float() accept most of these numbers
             (b"d=900", (b"d=+900", b"d=9_0", b"d= 900", b"d=", b"d=0", b"d=-1", b"d=1e3", b"d=nan", b"x=1")),
             (b"units=1", (b"units=1_0", b"units=+1", b"units=nan", b"units=inf", b"units=0", b"units=2")),
             (b"spread=2", (b"spread=0", b"spread=3", b"spread=1_0", b"spread=\xd9\xa2", b"spread=99999999")),
@@ -176,7 +176,7 @@
             with self.subTest(more), self.assertRaises(rpc.BadRequest):
                 self.read(self.GOOD, **more)
         with self.assertRaises(rpc.BadRequest):
-            self.read(self.GOOD, b"body")  # API.READ has none
+            self.read(self.GOOD, b"body")  # API.READ has no body
         self.assertFalse(self.reader.open)
 
     def test_the_id_of_an_open_request_is_refused(self):
@@ -274,13 +274,13 @@
         return connect(self.gateway)
 
     def asks(self, connection):
-        """Have it bring a request, which is not answered yet."""
+        """Add a request to the connection that has no reply yet."""
         connection.spoke = True
         connection.line_up(types.SimpleNamespace(reply=None, response_stream=None, attempt=None))
         return connection.waiting[-1]
 
     def is_served(self, connection):
-        """Have it bring a request that is answered."""
+        """Add a request to the connection and complete it."""
         self.asks(connection).reply = []
         connection.flush()
 
@@ -298,7 +298,7 @@
         for each in (new, asked, idle):
             each.close_when_idle()
         self.assertEqual([c.transport.disconnecting for c in (new, asked, idle)], [False, False, True])
-        # they are read, answered and then closed
+        # they are read, served and then closed
         for each in (new, asked):
             each.transport.getHandle = lambda each=each: each.transport
             each.dataReceived(b"*1\r\n$4\r\nPING\r\n")
@@ -309,12 +309,12 @@
         self.assertTrue(silent.transport.disconnecting)
 
     def clock(self):
-        """Have the gateway go by the reactor's clock."""
+        """Make the gateway use the reactor's clock; return its descriptors."""
         self.gateway.now = self.gateway.descriptors.now = self.reactor.seconds
         return self.gateway.descriptors
 
     def test_client_connections_that_hold_a_descriptor_for_nothing_end(self):
-        descriptors = self.clock()  # for ever, they would turn usual clients away
+        descriptors = self.clock()  # otherwise they would keep other clients out
         silent, half, idle, busy = [self.client_connection() for _ in range(4)]
         half.dataReceived(b"*1\r\n$4\r\nPI")
         idle.dataReceived(b"*1\r\n$4\r\nPING\r\n")
@@ -354,35 +354,35 @@
         self.is_served(idle)
         self.reactor.advance(descriptors_module.IDLE_LEAST)
         silent = [self.client_connection() for _ in range(most - 2)]
-        for each in silent[::2]:  # a PING is no reason to keep one either
+        for each in silent[::2]:  # a PING does not protect a connection from eviction
             each.dataReceived(b"*1\r\n$4\r\nPING\r\n")
         self.reactor.advance(descriptors_module.SILENT_LEAST)
-        for left in (most - 3, most - 4):  # first those that never asked anything
+        for left in (most - 3, most - 4):  # first those without a request so far
             new = self.client_connection()
             self.assertEqual(new.transport.value(), b"")
             self.assertEqual(len(self.gateway.client_connections & set(silent)), left)
         for each in self.gateway.client_connections - {idle}:
             self.asks(each)
         self.client_connection()
-        self.assertFalse(idle in self.gateway.client_connections)  # then the one idle for longest
-        refused = self.client_connection()  # but none with work in hand
+        self.assertFalse(idle in self.gateway.client_connections)  # then the connection idle for longest
+        refused = self.client_connection()  # but none that has work
         self.assertIn(b"-ERR max number", refused.transport.value())
-        self.assertEqual(len(self.gateway.client_connections), most)  # it is closed in the same turn
+        self.assertEqual(len(self.gateway.client_connections), most)  # it is closed within the same iteration
 
     def test_answers_to_a_flood_go_out_together_and_end_it(self):
         made, sent = self.client_connection(), []
         made.transport.sendmsg = lambda parts: sent.append(parts) or sum(map(len, parts))
-        made.dataReceived(b"*1\r\n$8\r\nAPI.READ\r\n" * 500)  # each was parsed, and written by itself
+        made.dataReceived(b"*1\r\n$8\r\nAPI.READ\r\n" * 500)  # must not cause a write for each
         self.assertEqual((len(sent), len(sent[0])), (1, client_connection_module.MOST_BAD))
         made.dataReceived(b"*1\r\n$4\r\nPING\r\n" * 500)
         self.assertEqual(len(sent), 1)
-        pings = self.client_connection()  # the system takes no more than 1024 parts at once
+        pings = self.client_connection()  # sendmsg accepts at most 1024 parts
         pings.transport.sendmsg = made.transport.sendmsg
         pings.dataReceived(b"*1\r\n$4\r\nPING\r\n" * 1500)
         self.assertEqual((len(sent[1]), len(sent[1][0])), (1, 1500 * 7))
 
     def test_nothing_is_kept_of_backends_that_left(self):
-        pool, attempt = self.dial()  # a long day replaces them again and again
+        pool, attempt = self.dial()  # backends are replaced again and again in a long run
         connection, _ = self.up()
         attempt.rpc = rpc = types.SimpleNamespace(body=None)
         pool.finished = lambda attempt, reply: self.assertIs(attempt.rpc, rpc)
@@ -417,7 +417,7 @@
         self.assertEqual(invariants.counts["module_failed"], 1)
 
     def dial(self):
-        """An attempt on a pool whose connection is still on its way."""
+        """Return a pool and an attempt whose connection is still being established."""
         self.ended = []
         hear = lambda attempt, reply: self.ended.append(reply.status)  # noqa: E731
         yes = lambda *_: True  # noqa: E731
@@ -437,7 +437,7 @@
         return pool, attempt
 
     def up(self):
-        """Have the last connection come up."""
+        """Establish the connection opened last; return it and its transport."""
         connection = self.reactor.tcpClients[-1][2].buildProtocol(None)
         transport = StringTransport()
         transport.setTcpNoDelay, transport.connected = (lambda on: None), True
@@ -450,7 +450,7 @@
         return connection, transport
 
     def test_an_attempt_still_connecting_ends_when_its_backend_drains(self):
-        pool, _ = self.dial()  # a send counts from its first byte, which could come after the grace
+        pool, _ = self.dial()  # a send counts from its first byte, which could follow the drain grace
         pool.told("a", False, ("127.0.0.1", 1))
         self.assertEqual((self.ended, pool.open), ([Status.CONNECT_FAILED], set()))
         self.assertEqual(self.up()[1].value(), b"")
@@ -458,7 +458,7 @@
     def test_an_attempt_that_is_too_late_to_write_is_not_written(self):
         pool, attempt = self.dial()
         attempt.write_by = self.reactor.seconds() + 1.0
-        self.reactor.advance(1.1)  # this turn began before, so its timer has not run
+        self.reactor.advance(1.1)  # its timer has not run in this reactor iteration
         self.assertEqual(self.up()[1].value(), b"")
         self.assertEqual((self.ended, pool.open), ([Status.ABANDONED], set()))
 
@@ -478,7 +478,7 @@
         self.reactor.advance(2 * backend_connection.SETTLE)
         pool.send(backend_connection.Attempt(None, 0, "a", 0.0, 9.0, [b"y"]))
         self.assertEqual((transport.value(), len(self.reactor.tcpClients)), (b"xy", 1))
-        # one connection is the most here
+        # at most one connection may be open here
         pool.send(backend_connection.Attempt(None, 0, "a", 0.0, 9.0, [b"z"]))
         self.assertEqual(self.ended[-1], Status.ABANDONED)
         connection.dataReceived(b"+PONG\r\n")
@@ -491,10 +491,10 @@
     def test_one_that_goes_for_another_frees_its_descriptor_in_the_same_turn(self):
         pool, _ = self.dial()
         connection, transport = self.up()
-        transport.abortConnection = lambda: None  # what Twisted's has to do comes a turn later
+        transport.abortConnection = lambda: None  # Twisted's acts in the next reactor iteration only
         transport.connectionLost = connection.connectionLost
         connection.dataReceived(b"+PONG\r\n")
-        # the connection has not settled, and one is the most here
+        # the connection has not rested long enough, and at most one may be open here
         pool.send(backend_connection.Attempt(None, 0, "a", 0.0, 9.0, [b"y"]))
         self.assertEqual(len(self.reactor.tcpClients), 2)
         self.assertEqual(len(pool.open) + len(pool.closing), 1)
@@ -505,9 +505,9 @@
         connection, transport = self.up()
         connection.dataReceived(b"+PONG\r\n")
         pool.send(backend_connection.Attempt(None, 0, "a", 0.0, 9.0, [b"y"]))
-        self.assertEqual(len(self.reactor.tcpClients), 2)  # it has not settled: a second copy may follow
+        self.assertEqual(len(self.reactor.tcpClients), 2)  # no reuse yet: a second reply may follow
         self.reactor.advance(2 * backend_connection.SETTLE)
-        transport.recv = lambda n, flags: b"*"  # it lies there, and no event has told of it
+        transport.recv = lambda n, flags: b"*"  # unread in the socket, without a reactor event so far
         pool.send(backend_connection.Attempt(None, 0, "a", 0.0, 9.0, [b"z"]))
         self.assertEqual((len(self.reactor.tcpClients), transport.value()), (3, b"x"))
 
@@ -541,7 +541,7 @@
             self.assertEqual(self.ended, [status])
 
     def test_a_connection_that_does_not_come_up_leaves_time_for_another(self):
-        self.dial()  # the whole timeout of the settings may be most of a short aim
+        self.dial()  # the timeout in the settings may be most of a short latency objective
         self.assertEqual(self.reactor.tcpClients[-1][3], 0.25)
         aims = [dataclasses.replace(c, latency_objective=0.4) for c in self.gateway.settings.classes]
         self.gateway.settings = dataclasses.replace(self.gateway.settings, classes=tuple(aims))
