--- a/tests/test_discovery_outages.py
+++ b/tests/test_discovery_outages.py
@@ -1,8 +1,8 @@
-"""From the moment discovery has a change and can be reached, to the moment the watch tells it.
+"""The time from when discovery has a change and is reachable until the watch passes it on.
 
-Every way in which a call can fail, in tiers of all sizes, with lists pushed and asked for, in virtual time.
-Chance always draws the longest pause, and the return is tried at many moments between two calls.
-`docs/discovery.md` has the table of sums and of what this measures.
+Covers every way in which a call can fail, tiers of all sizes, and pushed and polled lists, in virtual time.
+The random generator always draws the longest pause, and the outage ends at many moments between two calls.
+`docs/discovery.md` has the calculated and the measured times.
 """
 
 import itertools
@@ -17,14 +17,14 @@
 from .discovery_world import ONE_WAY, Longest, World
 from .helpers import settings
 
-TOLD_AFTER = 6.0  # s, the rule
-FOR_THE_CALL = 1.0  # s of these kept for the call that brings the change; here it takes 3 ms
+TOLD_AFTER = 6.0  # s; the rule, on purpose not read from discovery_retry
+FOR_THE_CALL = 1.0  # s of TOLD_AFTER reserved for the call that returns the change; here it takes 3 ms
 SLACK = 0.01  # s
 GRACE = 0.25  # s, of a drain
-OUTAGE_BEGINS = 12.0  # s: all watches have begun
-MOMENTS = [0.47 * i for i in range(8)]  # s, of the return after the shortest outage
+OUTAGE_BEGINS = 12.0  # s; all watches are running by then
+MOMENTS = [0.47 * i for i in range(8)]  # s; ends of an outage, relative to the shortest one
 
-LONGEST_CALL = {  # s that a failed call takes, by its fault
+LONGEST_CALL = {  # s that a failed call takes, by fault
     "refused": 0.0,
     "never comes up": 1.0,
     "reset": 0.0,
@@ -44,7 +44,10 @@
 
 
 def told_after(pushed, gateways, reloads_at=None, since=None, **script):
-    """Seconds until it was told, from `since` or from when discovery had the drain and could be reached."""
+    """Return the seconds until the drain is passed on.
+
+    They count from `since`, or from when discovery had the drain and was reachable.
+    """
     world = World(pushed, gateways, **script)
     if reloads_at is not None:
         world.clock.callLater(reloads_at, world.reload)
@@ -67,7 +70,7 @@
 
 
 def longest(pushed, call):
-    """What the sum of a failed call and a pause may be."""
+    """Return the longest time that a failed call and a pause may take together."""
     return call + GRACE + SLACK if pushed else TOLD_AFTER - FOR_THE_CALL + SLACK
 
 
@@ -93,7 +96,7 @@
 
 
 def worst_after_silence(pushed, gateways, fault="watch falls silent", outage=0.0):
-    """Counted from the silence, or from the end of an outage that follows on it."""
+    """The time counts from when the watch stops responding, or from the end of an outage that follows."""
     worst = 0.0
     for moment in MOMENTS:
         falls_silent = OUTAGE_BEGINS + moment / 2
--- a/tests/test_discovery_watch.py
+++ b/tests/test_discovery_watch.py
@@ -1,4 +1,4 @@
-"""The watch against a discovery of fixed capacity, under a fake clock; many gateways share it."""
+"""The watch against a discovery of fixed capacity that many gateways share, with a fake clock."""
 
 import itertools
 import random
@@ -14,18 +14,18 @@
 from .helpers import settings
 
 HELD = discovery_snapshot.DiscoverySnapshot(3, True, (), {})
-PATIENCE = 2.0  # s that a call waits in discovery's line
+PATIENCE = 2.0  # s that discovery queues a call before it rejects it
 
 
 class Discovery:
-    """Serves calls in turn, works also on those that nobody waits for; watches that go on cost nothing."""
+    """Serves calls one by one, also those already abandoned; calls of a continuing watch cost nothing."""
 
     def __init__(self, clock, a_call=0.13, a_line=0.005, lines=60):
         self.clock, self.a_call, self.whole = clock, a_call, a_line * lines
         self.free_at, self.watching, self.calls = 0.0, {}, []
 
     def call(self, watch):
-        """In place of the watch's own call over HTTP."""
+        """Replaces the watch's own call over HTTP."""
         now, done = self.clock.seconds(), Deferred()
         if watch.revision is not None and now - self.watching.get(watch, -1.0) <= 0.2:
             self.later(watch, done, 2.0)
@@ -116,7 +116,7 @@
 
 
 class Halved:
-    """An agent whose answers come up to the end of their heads; their bodies never do."""
+    """An agent whose responses have headers, but whose bodies never arrive."""
 
     code = 200
 
@@ -133,7 +133,7 @@
         protocol.makeConnection(self)
 
     def loseConnection(self):
-        """The call was given up."""
+        """The call was abandoned."""
         self.given_up += 1
 
 
@@ -150,7 +150,7 @@
     gaps = [b - a for a, b in zip(agent.calls, agent.calls[1:], strict=False)]
     assert len(gaps) >= 5 and max(gaps) <= limit + 0.25 + 0.11
     assert told == []
-    assert agent.given_up >= len(agent.calls) - 1  # else each leaves an open connection behind
+    assert agent.given_up >= len(agent.calls) - 1  # otherwise each would leave an open connection
 
 
 def test_a_pushed_list_is_asked_for_again_within_the_grace_of_a_drain():
@@ -160,7 +160,7 @@
     )
     calls = []
 
-    def call():  # refused at once, for as long as discovery is down
+    def call():  # fails at once, as discovery is down
         calls.append(clock.seconds())
         done = Deferred()
         done.errback(discovery_watch.UnavailableError("down"))
@@ -174,7 +174,7 @@
 
 
 class FallsSilent(Halved):
-    """An agent that answers each call after its wait, but for the one that is out as it falls silent."""
+    """An agent that answers each call after its wait, except the one pending at `silent_at`."""
 
     def __init__(self, clock, silent_at):
         super().__init__(clock, 0.0)
@@ -204,5 +204,5 @@
     watch.run()
     advance(clock, 20.0)
     anew = next(at for at in agent.calls if at > silent_at)
-    assert anew - silent_at <= 6.0  # from then on what it misses counts as told
+    assert anew - silent_at <= 6.0  # by then a gateway counts as notified of a change
     assert len([at for at in agent.calls if at > anew]) >= 1 and told
