--- a/corkdeal/net/descriptors.py
+++ b/corkdeal/net/descriptors.py
@@ -43,12 +43,12 @@
         """Close the least used client connection, idle for longest among those; none that has work."""
         now = self.now()
         latest = {
-            Use.NEVER_ASKED: now - SILENT_LEAST,
-            Use.ASKED_ONCE: now - IDLE_LEAST,
-            Use.ASKED_OFTEN: now - IDLE_LEAST,
+            Use.NO_REQUEST: now - SILENT_LEAST,
+            Use.ONE_REQUEST: now - IDLE_LEAST,
+            Use.SEVERAL_REQUESTS: now - IDLE_LEAST,
         }
         while (victim := self.idle.next_to_evict(latest)) is not None:
-            if not victim.unread():
+            if not victim.has_unread_bytes():
                 count("client_connection_closed_for_another")
                 victim.drop()
                 return True
@@ -58,7 +58,7 @@
     def sweep(self) -> None:
         """Close connections that are silent, idle, late with a command, or whose clients disconnected."""
         for each in list(self.paused):
-            each.look_behind()
+            each.check_paused()
         now, many = self.now(), len(self.client_connections) > self.most // 8
         self.sweep_half_commands(now - COMMAND_LATE)
         self.sweep_silent(now - (SILENT_LEAST if many else COMMAND_LATE))
@@ -69,13 +69,13 @@
     def sweep_half_commands(self, latest: float) -> None:
         """Close connections with an incomplete command that started at `latest` or before."""
         for each in self.idle.expiring[Awaited.REST_OF_COMMAND].until(latest):
-            if not each.unread():
+            if not each.has_unread_bytes():
                 count("client_connection_without_command")
-                each.refuse(LATE)
+                each.reply_and_close(LATE)
 
     def sweep_silent(self, latest: float) -> None:
         """Close connections that were accepted at `latest` or before and have sent nothing."""
         for each in self.idle.expiring[Awaited.FIRST_COMMAND].until(latest):
-            if not each.unread():
+            if not each.has_unread_bytes():
                 count("client_connection_silent")
-                each.turn_away(LATE)
+                each.reply_and_drop(LATE)
--- a/corkdeal/net/idle_connections.py
+++ b/corkdeal/net/idle_connections.py
@@ -25,9 +25,9 @@
 class Use(enum.IntEnum):
     """How many requests a connection has sent so far; the fewer, the sooner it is evicted."""
 
-    NEVER_ASKED = 0
-    ASKED_ONCE = 1
-    ASKED_OFTEN = 2
+    NO_REQUEST = 0
+    ONE_REQUEST = 1
+    SEVERAL_REQUESTS = 2
 
 
 Place = tuple[Awaited, Use | None]  # None if it can't be evicted
@@ -47,16 +47,16 @@
 class Connection(Protocol):
     """The part of a client connection that is used here."""
 
-    waiting: Any  # pending replies; true if there are any
+    pending_replies: Any  # pending replies; true if there are any
     body: Any  # a large value being received, which has its own timeouts, or None
     parser: Parsing
-    refused: bool  # whether it is being closed and gets no further replies
+    terminating: bool  # whether it is being closed and gets no further replies
     half_closed: bool  # whether its client has sent its FIN
     closing: bool  # whether it is closed once idle
-    spoke: bool  # whether a complete command was read
-    asked: int  # RPCs so far
-    since: float  # s; when it was accepted or last became idle
-    begun: float  # s; when the first byte of an incomplete command was read
+    has_sent_command: bool  # whether a complete command was read
+    request_count: int  # RPCs so far
+    idle_since: float  # s; when it was accepted or last became idle
+    command_started_at: float  # s; when the first byte of an incomplete command was read
 
 
 class TimeOrderedQueue:
@@ -105,9 +105,11 @@
                 self.leave(connection, was, place)
         awaited, use = place
         begins_with_command = awaited is Awaited.REST_OF_COMMAND
-        self.expiring[awaited].put(connection, connection.begun if begins_with_command else connection.since)
+        self.expiring[awaited].put(
+            connection, connection.command_started_at if begins_with_command else connection.idle_since
+        )
         if use is not None:
-            self.evictable[use].put(connection, connection.since)
+            self.evictable[use].put(connection, connection.idle_since)
 
     def leave(self, connection: Connection, was: Place, place: Place) -> None:
         """Remove a connection from its former queues; in queues that it stays in, it keeps its position."""
@@ -148,14 +150,21 @@
     which has its own timeouts. A partial command counts as work only after a complete one. A closing
     connection that has sent nothing still expires: those accepted on standby are closing from the start.
     """
-    if connection.waiting or connection.refused or connection.half_closed or connection.body is not None:
+    if (
+        connection.pending_replies
+        or connection.terminating
+        or connection.half_closed
+        or connection.body is not None
+    ):
         return None
     if connection.parser.midway:
-        awaited, is_evictable = Awaited.REST_OF_COMMAND, not connection.spoke
-    elif not connection.spoke:
+        awaited, is_evictable = Awaited.REST_OF_COMMAND, not connection.has_sent_command
+    elif not connection.has_sent_command:
         awaited, is_evictable = Awaited.FIRST_COMMAND, not connection.closing
     elif connection.closing:
         return None
     else:
         awaited, is_evictable = Awaited.NEXT_COMMAND, True
-    return PLACES[awaited, USES[min(connection.asked, Use.ASKED_OFTEN)] if is_evictable else None]
+    return PLACES[
+        awaited, USES[min(connection.request_count, Use.SEVERAL_REQUESTS)] if is_evictable else None
+    ]
--- a/corkdeal/net/request_stream.py
+++ b/corkdeal/net/request_stream.py
@@ -67,19 +67,19 @@
     def hold_back(self) -> None:
         """Pause reading from the client, as the budget's callback: memory is short."""
         self.waits = self.client_connection.gateway.now()
-        self.client_connection.regulate()
+        self.client_connection.update_reading()
         self.client_connection.gateway.reactor.callLater(WAIT_MOST, self.waited)
 
     def go_on(self) -> None:
         """Resume reading from the client, as the budget's callback: memory is free again."""
         self.waits = None
-        self.client_connection.regulate()
+        self.client_connection.update_reading()
 
     def waited(self) -> None:
         """Reject the command if it has waited for memory for `WAIT_MOST`."""
         if self.waits is not None and self.client_connection.gateway.now() - self.waits >= WAIT_MOST * 0.99:
             count("body_without_room")
-            self.client_connection.turn_down(self, WAIT_MOST)
+            self.client_connection.reject_body(self, WAIT_MOST)
 
     def look_later(self) -> None:
         """Schedule the next check of the receive rate."""
@@ -91,7 +91,7 @@
             return
         if not self.client_connection.paused and self.came - self.looked_at < PACE * LOOK_EVERY:
             count("body_stalled")
-            return self.client_connection.body_late()
+            return self.client_connection.body_timed_out()
         self.looked_at = self.came
         self.look_later()
 
--- a/corkdeal/net/response_stream.py
+++ b/corkdeal/net/response_stream.py
@@ -83,7 +83,7 @@
         except Malformed:
             return self.conn.spoilt(self.attempt)
         self.rpc.reply += parts
-        self.rpc.client_connection.passed(self.rpc)
+        self.rpc.client_connection.forward_response(self.rpc)
         if reply and not self.attempt.over:
             self.conn.answered(self.attempt, reply)
 
@@ -136,10 +136,10 @@
             if wait <= 0:
                 count("answer_stalled")
                 return self.conn.spoilt(self.attempt)
-        elif self.rpc.client_connection.first(self.rpc):
-            if (unsent := self.rpc.client_connection.unsent()) == self.unsent:
+        elif self.rpc.client_connection.is_next(self.rpc):
+            if (unsent := self.rpc.client_connection.unsent_bytes()) == self.unsent:
                 count("answer_not_taken")
-                return self.rpc.client_connection.cut()
+                return self.rpc.client_connection.abort_response()
             self.unsent = unsent
         self.timer = self.conn.pool.reactor.callLater(wait, self.look)
 
@@ -156,7 +156,7 @@
         self.budget.hold(self, 0)
         if self.begun and not self.ended:
             self.ended = True
-            self.rpc.client_connection.cut()
+            self.rpc.client_connection.abort_response()
         self.finish()
 
     def client_gone(self) -> None:
--- a/tests/test_bodies.py
+++ b/tests/test_bodies.py
@@ -228,7 +228,7 @@
     assert bytes(pair.client.taken) == bulk(1) + VALUE
     assert pair.outcomes() == [Status.OK] * 2
     assert held <= 2 * len(max(cut(HEAD + VALUE + TAIL, at), key=len)) + WHOLE
-    assert not pair.client_connection.waiting and not pair.gateway.rpcs
+    assert not pair.client_connection.pending_replies and not pair.gateway.rpcs
     gc.disable()  # must be freed without the garbage collector, which runs rarely in the gateway
     try:
         conn, _ = pair.ask(3)
@@ -473,7 +473,7 @@
 def test_a_body_that_comes_whole_after_its_client_has_left_is_refused_and_kept_no_longer():
     pair, raw = Pair(), write()
     pair.client_connection.dataReceived(raw[:LONG])
-    pair.client_connection.client_left()
+    pair.client_connection.stop_attempts()
     assert pair.gateway.budget.total > 0
     pair.client_connection.dataReceived(raw[LONG:])
     assert bytes(pair.client.taken) == b"-BUSY\r\n"
--- a/tests/test_idle_connections.py
+++ b/tests/test_idle_connections.py
@@ -33,7 +33,7 @@
 
 def has_work_or_ends(c):
     """The reference: whether a connection has work or is being closed."""
-    return c.waiting or c.refused or c.half_closed or (c.closing and not c.parser.midway)
+    return c.pending_replies or c.terminating or c.half_closed or (c.closing and not c.parser.midway)
 
 
 def to_evict(connections, now):
@@ -42,27 +42,29 @@
         c
         for c in connections
         if not has_work_or_ends(c)
-        and not (c.spoke and c.parser.midway)
-        and now - c.since >= (descriptors.IDLE_LEAST if c.asked else descriptors.SILENT_LEAST)
+        and not (c.has_sent_command and c.parser.midway)
+        and now - c.idle_since >= (descriptors.IDLE_LEAST if c.request_count else descriptors.SILENT_LEAST)
     ]
-    return sorted(idle, key=lambda c: (min(c.asked, 2), c.since))
+    return sorted(idle, key=lambda c: (min(c.request_count, 2), c.idle_since))
 
 
 def expired(connections, now, many):
     """The reference: the connections that a sweep closes, with what was awaited on them."""
     found = {}
     for c in connections:
-        if has_work_or_ends(c) and not (c.closing and not c.spoke and not c.refused and not c.half_closed):
+        if has_work_or_ends(c) and not (
+            c.closing and not c.has_sent_command and not c.terminating and not c.half_closed
+        ):
             continue
         if c.body is not None:
             continue
         if c.parser.midway:
-            if now - c.begun >= descriptors.COMMAND_LATE:
+            if now - c.command_started_at >= descriptors.COMMAND_LATE:
                 found[c] = Awaited.REST_OF_COMMAND
-        elif not c.spoke:
-            if now - c.since >= (descriptors.SILENT_LEAST if many else descriptors.COMMAND_LATE):
+        elif not c.has_sent_command:
+            if now - c.idle_since >= (descriptors.SILENT_LEAST if many else descriptors.COMMAND_LATE):
                 found[c] = Awaited.FIRST_COMMAND
-        elif now - c.since >= (descriptors.IDLE_LEAST if many else descriptors.IDLE_MOST):
+        elif now - c.idle_since >= (descriptors.IDLE_LEAST if many else descriptors.IDLE_MOST):
             found[c] = Awaited.NEXT_COMMAND
     return found
 
@@ -76,7 +78,7 @@
 
 
 def is_answered(connection):
-    owed = [rpc for rpc in connection.waiting if rpc.reply is None]
+    owed = [rpc for rpc in connection.pending_replies if rpc.reply is None]
     if owed:
         connection.gateway.fail(Fail(owed[0].request.id))
 
@@ -121,7 +123,7 @@
 
 def happens(name, connection):
     """Apply an event, unless the connection is closed in a way that rules it out."""
-    ending = connection.refused or connection.half_closed or connection.transport.disconnecting
+    ending = connection.terminating or connection.half_closed or connection.transport.disconnecting
     if not ending or name in AT_ANY_TIME:
         EVENTS[name](connection)
 
@@ -140,7 +142,7 @@
     made, reactor = made_gateway()
     for name, which, wait in steps:
         now = reactor.seconds()
-        open_now = sorted(made.client_connections, key=lambda c: c.since)
+        open_now = sorted(made.client_connections, key=lambda c: c.idle_since)
         if name == "standby":
             made.operators.standby = not made.operators.standby
         elif name == "accept":
@@ -169,7 +171,7 @@
     """Evict all connections that can be, while some turn out to have unread bytes."""
     unread = {c: chance.random() < 0.3 for c in made.client_connections}
     for c, has_bytes in unread.items():
-        c.unread = lambda has_bytes=has_bytes: has_bytes
+        c.has_unread_bytes = lambda has_bytes=has_bytes: has_bytes
     while True:
         before = set(made.client_connections)
         plain = next((c for c in to_evict(before, reactor.seconds()) if not unread[c]), None)
@@ -184,10 +186,10 @@
     made, reactor = made_gateway()
     connection = connect(made)
     reactor.advance(descriptors.SILENT_LEAST)
-    connection.unread = lambda: True
+    connection.has_unread_bytes = lambda: True
     assert not made.descriptors.evict()
     connection.dataReceived(PING)
-    connection.unread = lambda: False
+    connection.has_unread_bytes = lambda: False
     reactor.advance(descriptors.SILENT_LEAST)
     assert made.descriptors.evict()
 
@@ -199,7 +201,7 @@
     room = made.descriptors.most - made.descriptors.for_pool()
     for number in range(room):
         connection = connect(made)
-        connection.unread = lambda number=number: looks.append(number)
+        connection.has_unread_bytes = lambda number=number: looks.append(number)
         if spoken:
             connection.dataReceived(PING)
     reactor.rightNow += descriptors.SILENT_LEAST
@@ -213,12 +215,12 @@
     looked = []
     connections = [connect(made) for _ in range(5)]
     for connection in connections:
-        connection.look_behind = lambda connection=connection: looked.append(connection)
+        connection.check_paused = lambda connection=connection: looked.append(connection)
     for connection in connections[1:3]:
-        connection.held = True
-        connection.regulate()
-    connections[2].held = False
-    connections[2].regulate()
+        connection.at_reply_limit = True
+        connection.update_reading()
+    connections[2].at_reply_limit = False
+    connections[2].update_reading()
     made.descriptors.sweep()
     assert looked == connections[1:2]
 
@@ -251,8 +253,8 @@
 def test_the_least_used_goes_first_even_if_another_was_idle_for_longer():
     idle = IdleConnections()
     often, once = object(), object()
-    idle.evictable[Use.ASKED_OFTEN].put(often, 1.0)
-    idle.evictable[Use.ASKED_ONCE].put(once, 2.0)
+    idle.evictable[Use.SEVERAL_REQUESTS].put(often, 1.0)
+    idle.evictable[Use.ONE_REQUEST].put(once, 2.0)
     latest = dict.fromkeys(Use, 5.0)
     assert idle.next_to_evict(latest) is once
-    assert idle.next_to_evict(latest | {Use.ASKED_ONCE: 1.5}) is often
+    assert idle.next_to_evict(latest | {Use.ONE_REQUEST: 1.5}) is often
--- a/tests/test_net_departures.py
+++ b/tests/test_net_departures.py
@@ -362,17 +362,17 @@
         self.theirs.shutdown(socket.SHUT_WR)
         self.ask()
         self.connection.readConnectionLost()
-        self.reactor.advance(client_connection.LEFT_GRACE / 2)
+        self.reactor.advance(client_connection.HALF_CLOSE_GRACE / 2)
         self.assertIn(b"API.READ", self.come_up())
-        self.reactor.advance(client_connection.LEFT_GRACE)
+        self.reactor.advance(client_connection.HALF_CLOSE_GRACE)
         self.assertFalse(self.wire.taken)  # its backend has the request and will reply
 
     def test_a_connection_to_a_backend_that_comes_up_after_the_grace_gets_nothing(self):
         self.listed()
         self.ask()
         self.theirs.shutdown(socket.SHUT_WR)
-        self.connection.look_behind()
-        self.reactor.rightNow += client_connection.LEFT_GRACE  # without running timers
+        self.connection.check_paused()
+        self.reactor.rightNow += client_connection.HALF_CLOSE_GRACE  # without running timers
         self.assertEqual(self.come_up(), b"")
         self.assertEqual(bytes(self.wire.taken), b"-BUSY\r\n")
 
@@ -401,14 +401,14 @@
         self.assertEqual(len(self.reactor.tcpClients), 1)
 
     def test_on_a_connection_that_is_not_read_it_counts_from_the_last_look(self):
-        for rid in range(client_connection.MOST_WAITING):
+        for rid in range(client_connection.MAX_PENDING_REPLIES):
             self.ask(rid)
         self.assertTrue(self.connection.paused)
         self.listed()
         self.theirs.shutdown(socket.SHUT_WR)
         self.reactor.pump([timers.LATE_LEAST / 2] * 100)
         self.assertFalse(self.reactor.tcpClients)
-        self.assertEqual(self.wire.taken.count(b"-BUSY"), client_connection.MOST_WAITING)
+        self.assertEqual(self.wire.taken.count(b"-BUSY"), client_connection.MAX_PENDING_REPLIES)
 
 
 class PeerStates(unittest.TestCase):
--- a/tests/test_net_parsers.py
+++ b/tests/test_net_parsers.py
@@ -275,9 +275,9 @@
 
     def asks(self, connection):
         """Add a request to the connection that has no reply yet."""
-        connection.spoke = True
-        connection.line_up(types.SimpleNamespace(reply=None, response_stream=None, attempt=None))
-        return connection.waiting[-1]
+        connection.has_sent_command = True
+        connection.enqueue(types.SimpleNamespace(reply=None, response_stream=None, attempt=None))
+        return connection.pending_replies[-1]
 
     def is_served(self, connection):
         """Add a request to the connection and complete it."""
@@ -373,7 +373,7 @@
         made, sent = self.client_connection(), []
         made.transport.sendmsg = lambda parts: sent.append(parts) or sum(map(len, parts))
         made.dataReceived(b"*1\r\n$8\r\nAPI.READ\r\n" * 500)  # must not cause a write for each
-        self.assertEqual((len(sent), len(sent[0])), (1, client_connection_module.MOST_BAD))
+        self.assertEqual((len(sent), len(sent[0])), (1, client_connection_module.MAX_BAD_REQUESTS))
         made.dataReceived(b"*1\r\n$4\r\nPING\r\n" * 500)
         self.assertEqual(len(sent), 1)
         pings = self.client_connection()  # sendmsg accepts at most 1024 parts
