--- a/corkdeal/net/backend_connection.py
+++ b/corkdeal/net/backend_connection.py
@@ -19,16 +19,17 @@
 from .answers import Reply, check_head, read_probe, read_reply
 from .budget import Budget
 from .invariants import count, holds
-from .request_stream import Sender
+from .request_stream import CommandWriter
 from .resp import Frame, Malformed, Parser
 from .response_stream import ResponseStream
 from .rpc import RPC
 
 # of the idle timeout; a backend may close sooner than at the timeout, and a write that crosses it is reset
-IDLE_PART = 0.8
-SETTLE = 0.007  # s between a reply and reuse: bytes after the reply must not be read as the next RPC's
-REPLY_STALL, REPLY_LATE = 0.1, 0.3  # s without a further byte of a reply; s from its first byte to its last
-CONNECT_PART = 0.25  # of the shortest latency objective: timeout for connecting
+IDLE_TIMEOUT_SHARE = 0.8
+REUSE_DELAY = 0.007  # s between a reply and reuse: bytes after the reply must not be read as the next RPC's
+# s without a further byte of a reply; s from its first byte to its last
+REPLY_STALL_TIMEOUT, REPLY_TIMEOUT = 0.1, 0.3
+CONNECT_TIMEOUT_SHARE = 0.25  # of the shortest latency objective: timeout for connecting
 ABORTED = Failure(ConnectionAborted())
 
 
@@ -54,8 +55,8 @@
         conn = self.conn
         return (
             conn is not None
-            and conn.begun_at is not None
-            and not (conn.sender or vectored_write.pending(conn.transport))
+            and conn.write_started_at is not None
+            and not (conn.command_writer or vectored_write.pending(conn.transport))
         )
 
 
@@ -67,17 +68,17 @@
     def __init__(self, pool: Pool, server: str, attempt: Attempt) -> None:
         self.pool, self.server, self.parser = pool, server, Parser()
         self.attempt: Attempt | None = attempt
-        self.up = self.ended = False
+        self.is_connected = self.ended = False
         self.response_stream: ResponseStream | None = None  # the large reply being received
-        self.sender: Sender | None = None  # writer of a large command, until all is written
+        self.command_writer: CommandWriter | None = None  # writer of a large command, until all is written
         self.idle_since = 0.0
         self.connector: Any = None
-        self.begun_at: float | None = None  # when writing of the current attempt started
+        self.write_started_at: float | None = None  # when writing of the current attempt started
         attempt.conn = self
 
     def connectionMade(self) -> None:
         """Connected: write the attempt for which the connection was opened."""
-        self.up = True
+        self.is_connected = True
         if self.pool.turn is not None:
             self.pool.turn()  # abandons the attempt if the process stalled while connecting
         if self.ended:
@@ -86,27 +87,27 @@
         if self.attempt is None:
             return self.close()
         if self.pool.may_write(self.attempt):
-            self.begin(self.attempt)
+            self.write_attempt(self.attempt)
 
-    def begin(self, attempt: Attempt) -> None:
+    def write_attempt(self, attempt: Attempt) -> None:
         """Write an attempt, which counts as sent from its first byte; abandon it if `write_by` has passed."""
         self.attempt, attempt.conn = attempt, self
         now = self.pool.now()
         if now > attempt.write_by:
-            return self.pool.too_late(attempt)
-        self.begun_at = now
+            return self.pool.abandon_unwritten(attempt)
+        self.write_started_at = now
         if attempt.rpc is None or attempt.rpc.body is None:
             vectored_write.write(self.transport, attempt.parts)
             return
-        self.sender = Sender(self.transport, attempt.parts, self.sent)
-        self.sender.start()
+        self.command_writer = CommandWriter(self.transport, attempt.parts, self.command_written)
+        self.command_writer.start()
 
-    def sent(self) -> None:
+    def command_written(self) -> None:
         """A large command is fully written.
 
         Latency counts from here: the time that writing took says little about the backend.
         """
-        self.sender = None
+        self.command_writer = None
         if self.attempt:
             self.attempt.sent_at = self.pool.now()
 
@@ -124,57 +125,63 @@
             self.parser.feed(data)
             frame = self.parser.next()
             if frame and not frame.last:
-                return self.long_answer(self.attempt, frame)
+                return self.start_response_stream(self.attempt, frame)
             reply = frame and (read_reply if self.attempt.rpc else read_probe)(frame)
             if not frame and self.attempt.rpc:
                 check_head(*self.parser.head())
-            elif reply and self.sender and reply.status is Status.OK:
+            elif reply and self.command_writer and reply.status is Status.OK:
                 raise Malformed("reply before the command was fully written")
         except Malformed:
-            return self.spoilt(self.attempt)
+            return self.fail_malformed(self.attempt)
         if not reply and not begun:  # an incomplete reply must not hold its request until the deadline
             self.pool.reactor.callLater(
-                REPLY_STALL, self.stalled, self.attempt, self.pool.now() + REPLY_LATE, len(self.parser.buf)
+                REPLY_STALL_TIMEOUT,
+                self.check_reply_stall,
+                self.attempt,
+                self.pool.now() + REPLY_TIMEOUT,
+                len(self.parser.buf),
             )
         if reply:
-            self.answered(self.attempt, reply)
+            self.finish_reply(self.attempt, reply)
 
-    def answered(self, attempt: Attempt, reply: Reply) -> None:
+    def finish_reply(self, attempt: Attempt, reply: Reply) -> None:
         """The reply is complete; keep the connection unless further bytes were received."""
         if self.response_stream:
             self.response_stream.finish()
         self.attempt = self.response_stream = None
-        if self.parser.midway or self.sender:
-            count("backend_connection_answered_early" if self.sender else "backend_connection_unasked")
+        if self.parser.midway or self.command_writer:
+            count(
+                "backend_connection_answered_early" if self.command_writer else "backend_connection_unasked"
+            )
             self.close()
         else:
             self.pool.keep(self)
         self.pool.finish(attempt, reply)
 
-    def long_answer(self, attempt: Attempt, frame: Frame) -> None:
+    def start_response_stream(self, attempt: Attempt, frame: Frame) -> None:
         """Start to stream a reply that was received up to a large value."""
-        if attempt.rpc is None or self.sender:
+        if attempt.rpc is None or self.command_writer:
             raise Malformed("unexpected large value")
         self.response_stream = ResponseStream(self, attempt, frame)
         self.response_stream.start()
 
-    def stalled(self, attempt: Attempt, until: float, had: int) -> None:
+    def check_reply_stall(self, attempt: Attempt, until: float, had: int) -> None:
         """Fail an attempt whose reply was begun and makes no progress."""
         have = len(self.parser.buf)
         if self.response_stream is not None:
             return  # the stream has its own stall timer
         if not attempt.over and have > had and self.pool.now() < until:
-            self.pool.reactor.callLater(REPLY_STALL, self.stalled, attempt, until, have)
+            self.pool.reactor.callLater(REPLY_STALL_TIMEOUT, self.check_reply_stall, attempt, until, have)
         else:
-            self.spoilt(attempt)
+            self.fail_malformed(attempt)
 
-    def spoilt(self, attempt: Attempt) -> None:
+    def fail_malformed(self, attempt: Attempt) -> None:
         """Fail an attempt whose reply is malformed or incomplete; the backend may have executed it."""
         if not attempt.over:
             count("backend_connection_malformed")
             self.pool.give_up(attempt, Status.RESET)
 
-    def clean(self) -> bool:
+    def is_reusable(self) -> bool:
         """Return whether the socket holds neither bytes nor a close since the last reply.
 
         The reactor may not have read them yet.
@@ -194,10 +201,10 @@
         if self.ended:
             return
         self.ended, self.attempt = True, None
-        self.pool.forget(self)
+        self.pool.remove(self)
         if self.response_stream:
             self.response_stream.broken()
-        if self.up:
+        if self.is_connected:
             self.pool.closing.add(self)
             try:
                 self.transport.getHandle().shutdown(socket.SHUT_RDWR)
@@ -215,25 +222,27 @@
         self.close()
         self.transport.connectionLost(ABORTED)
 
-    def lost(self) -> None:
+    def handle_loss(self) -> None:
         """Connecting failed or the connection broke: the attempt may have run only if fully written."""
         if self.ended:
             return
         attempt, self.ended, self.attempt = self.attempt, True, None
-        self.pool.forget(self)
+        self.pool.remove(self)
         if self.response_stream:
             self.response_stream.broken()
         if attempt:
-            whole = self.up and not self.sender and not vectored_write.pending(self.transport)
-            self.pool.finish(attempt, Reply(Status.RESET if whole else Status.CONNECT_FAILED))
+            was_written = (
+                self.is_connected and not self.command_writer and not vectored_write.pending(self.transport)
+            )
+            self.pool.finish(attempt, Reply(Status.RESET if was_written else Status.CONNECT_FAILED))
 
     def connectionLost(self, reason: Any = None) -> None:
         """The connection is closed, by the backend or by this side, or broken."""
         self.pool.closing.discard(self)
-        self.lost()
+        self.handle_loss()
 
 
-class Dial(ClientFactory):
+class BackendConnectionFactory(ClientFactory):
     """Client factory for one backend connection."""
 
     noisy = False
@@ -247,34 +256,40 @@
 
     def clientConnectionFailed(self, connector: Any, reason: Any) -> None:
         """The connection was refused, or timed out."""
-        self.conn.lost()
+        self.conn.handle_loss()
 
 
 class Pool:
-    """All backend connections, by backend; `finished` is called exactly once for each attempt that ended.
+    """All backend connections, by backend; `on_finish` is called exactly once for each attempt that ended.
 
-    `passing` is called at the first bytes of a large reply and returns whether a client still waits for it.
+    `on_stream_start` is called at the first bytes of a large reply and returns whether a client still waits.
     `may_write` returns whether an attempt may start on the connection opened for it, and abandons it if not.
-    `room` returns whether a descriptor is free for one more connection.
+    `has_free_descriptor` returns whether a descriptor is free for one more connection.
     """
 
     def __init__(
         self,
         reactor: Any,
         settings: Settings,
-        most: int,
+        max_connections: int,
         now: Callable[[], float],
-        finished: Callable[[Attempt, Reply], None],
-        room: Callable[[], bool],
-        passing: Callable[[Attempt, ResponseStream], bool],
+        on_finish: Callable[[Attempt, Reply], None],
+        has_free_descriptor: Callable[[], bool],
+        on_stream_start: Callable[[Attempt, ResponseStream], bool],
         may_write: Callable[[Attempt], bool],
         budget: Budget,
     ) -> None:
-        self.reactor, self.most, self.now, self.finished, self.room = reactor, most, now, finished, room
-        self.passing, self.may_write, self.budget = passing, may_write, budget
-        aim = min(c.latency_objective for c in settings.classes)
-        self.connect_timeout = min(settings.connect_timeout, CONNECT_PART * aim)
-        self.idle_limit = settings.idle_timeout * IDLE_PART
+        self.reactor, self.max_connections, self.now, self.on_finish, self.has_free_descriptor = (
+            reactor,
+            max_connections,
+            now,
+            on_finish,
+            has_free_descriptor,
+        )
+        self.on_stream_start, self.may_write, self.budget = on_stream_start, may_write, budget
+        latency_objective = min(c.latency_objective for c in settings.classes)
+        self.connect_timeout = min(settings.connect_timeout, CONNECT_TIMEOUT_SHARE * latency_objective)
+        self.idle_limit = settings.idle_timeout * IDLE_TIMEOUT_SHARE
         self.addresses: dict[str, tuple[str, int]] = {}
         self.idle: dict[str, list[BackendConnection]] = {}
         self.open: set[BackendConnection] = set()
@@ -283,50 +298,54 @@
         self.turn: Callable[[], bool] | None = None  # stall check before a write; True on a stall
 
     def send(self, attempt: Attempt) -> None:
-        """Write the attempt on the connection used last that has rested for `SETTLE`, or on a new one."""
+        """Write the attempt on the latest idle connection past `REUSE_DELAY`, or on a new one."""
         if self.turn is not None and self.turn():  # the process stalled since this was decided
             return self.finish(attempt, Reply(Status.ABANDONED))
         now = self.now()
         for conn in reversed(self.idle.get(attempt.server, ())[:]):
-            if conn.idle_since > now - SETTLE:
+            if conn.idle_since > now - REUSE_DELAY:
                 continue
-            if conn.idle_since > now - self.idle_limit and conn.clean():
+            if conn.idle_since > now - self.idle_limit and conn.is_reusable():
                 self.idle[attempt.server].remove(conn)
-                return conn.begin(attempt)
+                return conn.write_attempt(attempt)
             conn.close()
         if (at := self.addresses.get(attempt.server)) is None:
             count("backend_connection_without_address")
             return self.finish(attempt, Reply(Status.CONNECT_FAILED))
-        if (len(self.open) >= self.most or not self.room()) and not self.make_room():
+        if (
+            len(self.open) >= self.max_connections or not self.has_free_descriptor()
+        ) and not self.evict_idle():
             # the gateway is short of descriptors, which says nothing about the backend
             count("backend_connection_none_left")
             return self.finish(attempt, Reply(Status.ABANDONED))
         conn = BackendConnection(self, attempt.server, attempt)
         self.open.add(conn)
         self.opened += 1
-        conn.connector = self.reactor.connectTCP(*at, Dial(conn), timeout=self.connect_timeout)
+        conn.connector = self.reactor.connectTCP(
+            *at, BackendConnectionFactory(conn), timeout=self.connect_timeout
+        )
 
     def limit_write(self, attempt: Attempt) -> None:
         """Abandon the attempt at its `write_by`, unless it is fully written by then."""
         if attempt.write_by < math.inf and not attempt.over:
-            self.reactor.callLater(max(0.0, attempt.write_by - self.now()), self.write_is_due, attempt)
+            self.reactor.callLater(max(0.0, attempt.write_by - self.now()), self.check_written, attempt)
 
-    def write_is_due(self, attempt: Attempt) -> None:
+    def check_written(self, attempt: Attempt) -> None:
         """Abandon an attempt that is not fully written at its `write_by`."""
         if not attempt.over and not attempt.whole:
-            self.too_late(attempt)
+            self.abandon_unwritten(attempt)
 
-    def too_late(self, attempt: Attempt) -> None:
+    def abandon_unwritten(self, attempt: Attempt) -> None:
         """Abandon an attempt that was not written in time, which says nothing about its backend."""
         count("repeat_too_late_to_write")
         self.give_up(attempt, Status.ABANDONED)
 
     def drop_connecting(self) -> None:
         """Abandon the attempts not yet written, which says nothing about their backends."""
-        for conn in [c for c in self.open if c.attempt and not c.attempt.over and c.begun_at is None]:
+        for conn in [c for c in self.open if c.attempt and not c.attempt.over and c.write_started_at is None]:
             self.give_up(conn.attempt, Status.ABANDONED)
 
-    def make_room(self) -> bool:
+    def evict_idle(self) -> bool:
         """Close the connection that was idle for longest and free its descriptor at once."""
         if spare := [conns[0] for conns in self.idle.values() if conns]:
             min(spare, key=lambda c: c.idle_since).drop()
@@ -339,7 +358,7 @@
         conn.idle_since = self.now()
         self.idle.setdefault(conn.server, []).append(conn)
 
-    def forget(self, conn: BackendConnection) -> None:
+    def remove(self, conn: BackendConnection) -> None:
         """Remove a closed connection from the pool."""
         self.open.discard(conn)
         if conn in (spare := self.idle.get(conn.server, [])):
@@ -349,7 +368,7 @@
         """Report the outcome of an attempt."""
         if holds(not attempt.over, "second_outcome"):
             attempt.over, attempt.conn, attempt.parts = True, None, []
-            self.finished(attempt, reply)
+            self.on_finish(attempt, reply)
             attempt.rpc = None  # a pending timer keeps the attempt alive; free the frame
 
     def give_up(self, attempt: Attempt, status: Status) -> None:
@@ -374,7 +393,7 @@
             self.addresses[server] = at
         if not ready or moved:
             self.close_idle(server)
-            for conn in [c for c in self.open if c.server == server and not c.up and c.attempt]:
+            for conn in [c for c in self.open if c.server == server and not c.is_connected and c.attempt]:
                 count("backend_connection_drained_while_connecting")
                 self.give_up(conn.attempt, Status.CONNECT_FAILED)
 
--- a/corkdeal/net/request_stream.py
+++ b/corkdeal/net/request_stream.py
@@ -96,7 +96,7 @@
         self.look_later()
 
 
-class Sender:
+class CommandWriter:
     """Writes a large command as fast as its backend reads it: a pull producer of a transport."""
 
     def __init__(self, transport: Any, parts: list[Any], done: Any) -> None:
--- a/corkdeal/net/response_stream.py
+++ b/corkdeal/net/response_stream.py
@@ -62,7 +62,7 @@
         self.begun = True
         self.budget.hold(self, 0)
         self.timer = self.conn.pool.reactor.callLater(GIVE_STALL, self.look)
-        if self.conn.pool.passing(self.attempt, self):
+        if self.conn.pool.on_stream_start(self.attempt, self):
             self.head = None
             self.advance()
         else:
@@ -81,11 +81,11 @@
         try:
             reply = self.read(parts)
         except Malformed:
-            return self.conn.spoilt(self.attempt)
+            return self.conn.fail_malformed(self.attempt)
         self.rpc.reply += parts
         self.rpc.client_connection.forward_response(self.rpc)
         if reply and not self.attempt.over:
-            self.conn.answered(self.attempt, reply)
+            self.conn.finish_reply(self.attempt, reply)
 
     def read(self, parts: list[Any]) -> Reply | None:
         """Append the received parts of the value to `parts`; return the reply once it is complete."""
@@ -135,7 +135,7 @@
             wait = self.moved + GIVE_STALL - self.conn.pool.now()
             if wait <= 0:
                 count("answer_stalled")
-                return self.conn.spoilt(self.attempt)
+                return self.conn.fail_malformed(self.attempt)
         elif self.rpc.client_connection.is_next(self.rpc):
             if (unsent := self.rpc.client_connection.unsent_bytes()) == self.unsent:
                 count("answer_not_taken")
--- a/tests/test_net_parsers.py
+++ b/tests/test_net_parsers.py
@@ -385,14 +385,14 @@
         pool, attempt = self.dial()  # backends are replaced again and again in a long run
         connection, _ = self.up()
         attempt.rpc = rpc = types.SimpleNamespace(body=None)
-        pool.finished = lambda attempt, reply: self.assertIs(attempt.rpc, rpc)
+        pool.on_finish = lambda attempt, reply: self.assertIs(attempt.rpc, rpc)
         pool.told("a", False, ("127.0.0.1", 1))
         connection.dataReceived(b"*3\r\n$1\r\nv\r\n$-1\r\n$-1\r\n")
         self.assertEqual((pool.open, pool.idle, pool.addresses, attempt.rpc), (set(), {}, {}, None))
 
     def test_a_shortage_of_descriptors_says_nothing_of_a_backend(self):
         pool, _ = self.dial()
-        pool.room = lambda: False
+        pool.has_free_descriptor = lambda: False
         pool.send(backend_connection.Attempt(None, 0, "a", 0.0, 9.0, [b"x"]))
         self.assertEqual(self.ended, [Status.ABANDONED])
 
@@ -475,7 +475,7 @@
         connection, transport = self.up()
         connection.dataReceived(b"+PONG\r\n")
         self.assertEqual(self.ended, [Status.OK])
-        self.reactor.advance(2 * backend_connection.SETTLE)
+        self.reactor.advance(2 * backend_connection.REUSE_DELAY)
         pool.send(backend_connection.Attempt(None, 0, "a", 0.0, 9.0, [b"y"]))
         self.assertEqual((transport.value(), len(self.reactor.tcpClients)), (b"xy", 1))
         # at most one connection may be open here
@@ -501,12 +501,12 @@
 
     def test_what_lies_in_a_warm_connection_answers_no_rpc(self):
         pool, _ = self.dial()
-        pool.most = 9
+        pool.max_connections = 9
         connection, transport = self.up()
         connection.dataReceived(b"+PONG\r\n")
         pool.send(backend_connection.Attempt(None, 0, "a", 0.0, 9.0, [b"y"]))
         self.assertEqual(len(self.reactor.tcpClients), 2)  # no reuse yet: a second reply may follow
-        self.reactor.advance(2 * backend_connection.SETTLE)
+        self.reactor.advance(2 * backend_connection.REUSE_DELAY)
         transport.recv = lambda n, flags: b"*"  # unread in the socket, without a reactor event so far
         pool.send(backend_connection.Attempt(None, 0, "a", 0.0, 9.0, [b"z"]))
         self.assertEqual((len(self.reactor.tcpClients), transport.value()), (3, b"x"))
@@ -516,8 +516,8 @@
             (b"*2\r\n", 0.0),
             (b"$9\r\n", 0.0),
             (b"*3\r\n$3000000000\r\n", 0.0),
-            (b"*3\r\n$9\r\nabc", backend_connection.REPLY_STALL),
-            (b"-ERR with no end", backend_connection.REPLY_STALL),
+            (b"*3\r\n$9\r\nabc", backend_connection.REPLY_STALL_TIMEOUT),
+            (b"-ERR with no end", backend_connection.REPLY_STALL_TIMEOUT),
         ):
             with self.subTest(data):
                 pool, attempt = self.dial()
