--- a/corkdeal/net/answers.py
+++ b/corkdeal/net/answers.py
@@ -20,7 +20,7 @@
     report: bytes = b""
 
 
-def check_head(kind: int, size: int) -> None:
+def check_header(kind: int, size: int) -> None:
     """Raise `Malformed` unless a reply begins as an array of three items or an error line.
 
     A malformed reply so fails at its header, before the rest is received.
@@ -36,7 +36,7 @@
         raise Malformed("reply value is not a bulk string")
 
 
-def report_in(frame: Frame, i: int) -> bytes:
+def load_report_at(frame: Frame, i: int) -> bytes:
     """Return the load report if item `i` is a bulk string, else b""."""
     load = frame.items[i]
     return bytes(frame.buf[load.start : load.stop]) if load.kind == BULK else b""
@@ -48,14 +48,14 @@
     Only the value is checked: usage metrics are not read here, and a malformed report counts as none.
     """
     top, items = frame.items[0], frame.items
-    check_head(top.kind, top.size)
+    check_header(top.kind, top.size)
     if top.kind == ARRAY:
         stop = past(items, 1)[0]
         check_value(items)
         return Reply(
             Status.OK,
             memoryview(frame.buf)[items[1].head : items[stop - 1].end],
-            report_in(frame, past(items, stop)[0]),
+            load_report_at(frame, past(items, stop)[0]),
         )
     word, _, rest = frame.text(0).partition(b" ")
     if word == b"BUSY":
@@ -67,7 +67,7 @@
     return Reply(Status.ERROR, report=rest.rpartition(b" ")[2])
 
 
-def read_probe(frame: Frame) -> Reply:
+def read_health_check(frame: Frame) -> Reply:
     """Parse the reply to a health check: a load report, or any other reply that is not an error."""
     ok = frame.items[0].kind in (BULK, SIMPLE) and frame.items[0].size >= 0
     return Reply(Status.OK if ok else Status.ERROR, report=frame.text(0) if ok else b"")
--- a/corkdeal/net/backend_connection.py
+++ b/corkdeal/net/backend_connection.py
@@ -16,7 +16,7 @@
 from ..decisions.events import Status
 from ..decisions.settings import Settings
 from . import vectored_write
-from .answers import Reply, check_head, read_probe, read_reply
+from .answers import Reply, check_header, read_health_check, read_reply
 from .budget import Budget
 from .invariants import count, holds
 from .request_stream import CommandWriter
@@ -119,16 +119,16 @@
                 self.close()
             return
         if self.response_stream is not None:
-            return self.response_stream.take(data)
+            return self.response_stream.receive(data)
         begun = self.parser.midway
         try:
             self.parser.feed(data)
             frame = self.parser.next()
             if frame and not frame.last:
                 return self.start_response_stream(self.attempt, frame)
-            reply = frame and (read_reply if self.attempt.rpc else read_probe)(frame)
+            reply = frame and (read_reply if self.attempt.rpc else read_health_check)(frame)
             if not frame and self.attempt.rpc:
-                check_head(*self.parser.head())
+                check_header(*self.parser.head())
             elif reply and self.command_writer and reply.status is Status.OK:
                 raise Malformed("reply before the command was fully written")
         except Malformed:
@@ -203,7 +203,7 @@
         self.ended, self.attempt = True, None
         self.pool.remove(self)
         if self.response_stream:
-            self.response_stream.broken()
+            self.response_stream.handle_backend_close()
         if self.is_connected:
             self.pool.closing.add(self)
             try:
@@ -229,7 +229,7 @@
         attempt, self.ended, self.attempt = self.attempt, True, None
         self.pool.remove(self)
         if self.response_stream:
-            self.response_stream.broken()
+            self.response_stream.handle_backend_close()
         if attempt:
             was_written = (
                 self.is_connected and not self.command_writer and not vectored_write.pending(self.transport)
--- a/corkdeal/net/client_connection.py
+++ b/corkdeal/net/client_connection.py
@@ -502,7 +502,7 @@
         waiting, self.pending_replies = self.pending_replies, deque()
         for rpc in waiting:
             if rpc.response_stream is not None:
-                rpc.response_stream.client_gone()
+                rpc.response_stream.handle_client_close()
             elif rpc.reply is None:
                 self.gateway.gone(rpc)
 
--- a/corkdeal/net/response_stream.py
+++ b/corkdeal/net/response_stream.py
@@ -11,15 +11,15 @@
 from typing import TYPE_CHECKING, Any
 
 from ..decisions.events import Status
-from .answers import Reply, check_head, check_value, report_in
+from .answers import Reply, check_header, check_value, load_report_at
 from .invariants import count
 from .resp import Frame, Malformed, past
 
 if TYPE_CHECKING:
     from .backend_connection import Attempt, BackendConnection
 
-GIVE_STALL = 5.0  # s without a byte from a backend that is not paused, after which its reply is abandoned
-TAKE_STALL = 5.0  # s without a byte taken by the client, after which its connection is closed
+BACKEND_STALL_TIMEOUT = 5.0  # s without a byte from an unpaused backend, after which its reply is abandoned
+CLIENT_STALL_TIMEOUT = 5.0  # s without a byte taken by the client, after which its connection is closed
 
 
 class ResponseStream:
@@ -28,21 +28,21 @@
     def __init__(self, conn: BackendConnection, attempt: Attempt, frame: Frame) -> None:
         """Take the reply as `frame`, up to its first large value; raise `Malformed` for any other form."""
         items = frame.items
-        check_head(items[0].kind, items[0].size)
+        check_header(items[0].kind, items[0].size)
         check_value(items)
-        stop, self.inner = past(items, 1)  # items of the value after the large one
+        stop, self.remaining_items = past(items, 1)  # items of the value after the large one
         if stop < len(items):
             raise Malformed("unexpected large value")
         self.conn, self.attempt, self.rpc = conn, attempt, attempt.rpc
         self.head: memoryview | None = memoryview(frame.buf)[items[1].head : items[-1].start]
         self.ended = False  # whether the whole value was passed to the client connection
-        self.begun = False  # whether forwarding has started, which makes the attempt final
+        self.is_forwarding = False  # whether forwarding has started, which makes the attempt final
         self.kept = 0  # bytes held, for the memory budget
         self.timer: Any = None
         self.budget = conn.pool.budget
         self.paused = False
-        self.moved = conn.pool.now()  # when the backend last sent bytes, or reading from it resumed
-        self.unsent = -1  # bytes not yet taken by the client at the last check; -1 for none
+        self.progressed_at = conn.pool.now()  # when the backend last sent bytes, or reading from it resumed
+        self.last_unsent = -1  # bytes not yet taken by the client at the last check; -1 for none
 
     def start(self) -> None:
         """Start to forward the reply, or wait with the backend paused until the memory budget allows it."""
@@ -59,23 +59,23 @@
 
     def go_on(self) -> None:
         """Start to forward, as the budget's callback: the attempt is final, unless no client waits for it."""
-        self.begun = True
+        self.is_forwarding = True
         self.budget.hold(self, 0)
-        self.timer = self.conn.pool.reactor.callLater(GIVE_STALL, self.look)
+        self.timer = self.conn.pool.reactor.callLater(BACKEND_STALL_TIMEOUT, self.check_progress)
         if self.conn.pool.on_stream_start(self.attempt, self):
             self.head = None
-            self.advance()
+            self.forward()
         else:
             count("answer_for_nobody")
             self.conn.pool.give_up(self.attempt, Status.CANCELLED)
 
-    def take(self, data: bytes) -> None:
+    def receive(self, data: bytes) -> None:
         """Take further bytes of the reply from the backend."""
-        self.moved = self.conn.pool.now()
+        self.progressed_at = self.conn.pool.now()
         self.conn.parser.feed(data)
-        self.advance()
+        self.forward()
 
-    def advance(self) -> None:
+    def forward(self) -> None:
         """Forward the received part of the value, and finish once the load report after it is complete."""
         parts: list[Any] = []
         try:
@@ -95,12 +95,12 @@
                 parts.append(piece)
             if parser.body:
                 return None
-            self.ended = not self.inner
+            self.ended = not self.remaining_items
             if (frame := parser.next()) is None:
                 return None
             stop = 0
             if not self.ended:
-                stop, self.inner = past(frame.items, 0, self.inner)
+                stop, self.remaining_items = past(frame.items, 0, self.remaining_items)
                 long = not frame.last and stop == len(frame.items)
                 last = frame.items[stop - 1]
                 parts.append(memoryview(frame.buf)[frame.items[0].head : last.start if long else last.end])
@@ -109,39 +109,39 @@
                 self.ended = True
             if not frame.last:
                 raise Malformed("unexpected large value")
-            return Reply(Status.OK, None, report_in(frame, past(frame.items, stop)[0]))
+            return Reply(Status.OK, None, load_report_at(frame, past(frame.items, stop)[0]))
 
     def pause(self) -> None:
         """Pause reading from the backend."""
         if not self.paused and not self.conn.ended:
-            self.paused, self.unsent = True, -1
+            self.paused, self.last_unsent = True, -1
             self.conn.transport.pauseProducing()
 
     def resume(self) -> None:
         """Resume reading from the backend."""
         if self.paused and not self.conn.ended:
-            self.paused, self.moved = False, self.conn.pool.now()
+            self.paused, self.progressed_at = False, self.conn.pool.now()
             self.conn.transport.resumeProducing()
 
-    def look(self) -> None:
+    def check_progress(self) -> None:
         """Check for progress, and end a stalled stream.
 
         A stream that waits for earlier replies is not checked: those have checks of their own.
         """
         if self.attempt.over:
             return
-        wait = TAKE_STALL
+        wait = CLIENT_STALL_TIMEOUT
         if not self.paused:
-            wait = self.moved + GIVE_STALL - self.conn.pool.now()
+            wait = self.progressed_at + BACKEND_STALL_TIMEOUT - self.conn.pool.now()
             if wait <= 0:
                 count("answer_stalled")
                 return self.conn.fail_malformed(self.attempt)
         elif self.rpc.client_connection.is_next(self.rpc):
-            if (unsent := self.rpc.client_connection.unsent_bytes()) == self.unsent:
+            if (unsent := self.rpc.client_connection.unsent_bytes()) == self.last_unsent:
                 count("answer_not_taken")
                 return self.rpc.client_connection.abort_response()
-            self.unsent = unsent
-        self.timer = self.conn.pool.reactor.callLater(wait, self.look)
+            self.last_unsent = unsent
+        self.timer = self.conn.pool.reactor.callLater(wait, self.check_progress)
 
     def finish(self) -> None:
         """Cancel the timer and break the reference cycle, so that the last piece is freed at once."""
@@ -150,16 +150,16 @@
         # the whole value is in `rpc.reply`, or the client connection is closed
         self.rpc.response_stream = None
 
-    def broken(self) -> None:
+    def handle_backend_close(self) -> None:
         """The backend connection is closed: end an incomplete response to the client."""
         self.budget.forget(self)
         self.budget.hold(self, 0)
-        if self.begun and not self.ended:
+        if self.is_forwarding and not self.ended:
             self.ended = True
             self.rpc.client_connection.abort_response()
         self.finish()
 
-    def client_gone(self) -> None:
+    def handle_client_close(self) -> None:
         """The client connection is closed: abandon the attempt."""
         if not self.ended:
             self.ended = True
--- a/tests/test_bodies.py
+++ b/tests/test_bodies.py
@@ -243,7 +243,7 @@
 
 ENDS = [  # bytes from the backend and other events, outcome, counter, whether the client connection is closed
     ([HEAD + VALUE[:90000], None], Status.RESET, "answer_cut_off", True),
-    ([HEAD + VALUE[:90000], response_stream.GIVE_STALL], Status.RESET, "answer_stalled", True),
+    ([HEAD + VALUE[:90000], response_stream.BACKEND_STALL_TIMEOUT], Status.RESET, "answer_stalled", True),
     ([HEAD + VALUE[:-2] + b"xx"], Status.RESET, "backend_connection_malformed", True),
     ([HEAD + VALUE + TAIL + b"+more\r\n"], Status.OK, "backend_connection_unasked", False),
     ([HEAD + VALUE + b"junk\r\n"], Status.RESET, "backend_connection_malformed", False),
@@ -308,7 +308,7 @@
             pair.client_connection.connectionLost()
         else:
             for _ in range(4):
-                pair.reactor.advance(response_stream.TAKE_STALL)
+                pair.reactor.advance(response_stream.CLIENT_STALL_TIMEOUT)
             assert pair.client.closed and invariants.counts["answer_not_taken"] == 1
         assert conn.ended and pair.outcomes() == [Status.CANCELLED]
 
