--- a/corkdeal/net/client_connection.py
+++ b/corkdeal/net/client_connection.py
@@ -182,7 +182,7 @@
                 self.reject_bad_request(error)
         elif frame.last:
             body, self.body = self.body, None
-            body.end()
+            body.finish()
             if body.rpc is not None:
                 body.rpc.deadline = now + body.rpc.request.timeout
                 self.submit(body.rpc)
@@ -192,7 +192,7 @@
     def receive_body(self) -> bool:
         """Take the available bytes of a large value; return whether the value is complete."""
         while (piece := self.parser.piece()) is not None:
-            self.body.take(piece)
+            self.body.receive(piece)
         return not self.parser.body
 
     def reject_body(self, body: RequestStream, after: float) -> None:
@@ -215,7 +215,7 @@
             if body.rpc is not None:
                 self.pending_replies.remove(body.rpc)
                 self.gateway.reader.open.discard(body.rpc.id)
-            body.end()
+            body.finish()
             body.drop()
 
     def queue_reply(self, reply: bytes) -> None:
@@ -323,7 +323,7 @@
         It is paused while the send buffer is full, too many replies are pending, or a large value waits for
         memory.
         """
-        waits_for_memory = self.body is not None and self.body.waits is not None
+        waits_for_memory = self.body is not None and self.body.waiting_since is not None
         stop = self.at_reply_limit or self.transport.producerPaused or waits_for_memory
         if stop is self.paused:
             return
--- a/corkdeal/net/request_stream.py
+++ b/corkdeal/net/request_stream.py
@@ -19,11 +19,12 @@
     from .client_connection import ClientConnection
     from .rpc import RPC
 
-SMALL = 4096  # bytes; shorter pieces are joined, since each costs an object and an entry of a vectored write
-LOOK_EVERY = 2.5  # s between checks of the receive rate
-PACE = 16 * 1024  # bytes/s; the least rate at which a client may send, checked every LOOK_EVERY
-WAIT_MOST = 2.0  # s that a value may wait for memory, after which its command is rejected
-SEND_AT_ONCE = 256 * 1024  # bytes passed to a transport at once
+# bytes; shorter pieces are joined, since each costs an object and an entry of a vectored write
+MIN_PIECE = 4096
+RATE_CHECK_INTERVAL = 2.5  # s between checks of the receive rate
+MIN_RECEIVE_RATE = 16 * 1024  # bytes/s that a client must send at least, checked every RATE_CHECK_INTERVAL
+MEMORY_TIMEOUT = 2.0  # s that a value may wait for memory, after which its command is rejected
+WRITE_BATCH = 256 * 1024  # bytes passed to a transport at once
 
 
 class RequestStream:
@@ -33,67 +34,73 @@
         self.budget, self.client_connection, self.rpc = budget, client_connection, rpc
         self.pieces: list[Any] = []
         self.kept = 0  # bytes held, for the memory budget
-        self.came = self.looked_at = 0  # bytes received so far, and at the last check
-        self.waits: float | None = None  # since when it waits for memory, on the gateway's clock
-        self.over = False  # whether it is complete, or its client connection is closed
-        self.look_later()
+        self.received = self.received_at_check = 0  # bytes received so far, and at the last check
+        self.waiting_since: float | None = None  # since when it waits for memory, on the gateway's clock
+        self.is_finished = False  # whether it is complete, or its client connection is closed
+        self.schedule_rate_check()
         if rpc is not None:
             budget.join(self)
 
-    def take(self, piece: memoryview) -> None:
+    def receive(self, piece: memoryview) -> None:
         """Take a further piece of the value."""
-        self.came += len(piece)
+        self.received += len(piece)
         if self.rpc is None:
             return
-        if len(piece) >= SMALL:
+        if len(piece) >= MIN_PIECE:
             self.pieces.append(piece)
-        elif self.pieces and type(self.pieces[-1]) is bytearray and len(self.pieces[-1]) < SMALL:
+        elif self.pieces and type(self.pieces[-1]) is bytearray and len(self.pieces[-1]) < MIN_PIECE:
             self.pieces[-1] += piece
         else:
             self.pieces.append(bytearray(piece))
         self.budget.hold(self, self.kept + len(piece))
 
-    def end(self) -> None:
+    def finish(self) -> None:
         """The value is complete, or will not be completed."""
-        self.over = True
+        self.is_finished = True
         self.budget.whole(self)
 
     def drop(self) -> None:
         """Free the buffered pieces; what is still received will be discarded."""
         self.budget.whole(self)
-        self.rpc, self.pieces, self.waits = None, [], None
+        self.rpc, self.pieces, self.waiting_since = None, [], None
         self.budget.hold(self, 0)
 
     def hold_back(self) -> None:
         """Pause reading from the client, as the budget's callback: memory is short."""
-        self.waits = self.client_connection.gateway.now()
+        self.waiting_since = self.client_connection.gateway.now()
         self.client_connection.update_reading()
-        self.client_connection.gateway.reactor.callLater(WAIT_MOST, self.waited)
+        self.client_connection.gateway.reactor.callLater(MEMORY_TIMEOUT, self.memory_wait_expired)
 
     def go_on(self) -> None:
         """Resume reading from the client, as the budget's callback: memory is free again."""
-        self.waits = None
+        self.waiting_since = None
         self.client_connection.update_reading()
 
-    def waited(self) -> None:
-        """Reject the command if it has waited for memory for `WAIT_MOST`."""
-        if self.waits is not None and self.client_connection.gateway.now() - self.waits >= WAIT_MOST * 0.99:
+    def memory_wait_expired(self) -> None:
+        """Reject the command if it has waited for memory for `MEMORY_TIMEOUT`."""
+        if (
+            self.waiting_since is not None
+            and self.client_connection.gateway.now() - self.waiting_since >= MEMORY_TIMEOUT * 0.99
+        ):
             count("body_without_room")
-            self.client_connection.reject_body(self, WAIT_MOST)
+            self.client_connection.reject_body(self, MEMORY_TIMEOUT)
 
-    def look_later(self) -> None:
+    def schedule_rate_check(self) -> None:
         """Schedule the next check of the receive rate."""
-        self.client_connection.gateway.reactor.callLater(LOOK_EVERY, self.look)
+        self.client_connection.gateway.reactor.callLater(RATE_CHECK_INTERVAL, self.check_rate)
 
-    def look(self) -> None:
+    def check_rate(self) -> None:
         """Close the client connection if the value arrives too slowly, as for a partial command."""
-        if self.over:
+        if self.is_finished:
             return
-        if not self.client_connection.paused and self.came - self.looked_at < PACE * LOOK_EVERY:
+        if (
+            not self.client_connection.paused
+            and self.received - self.received_at_check < MIN_RECEIVE_RATE * RATE_CHECK_INTERVAL
+        ):
             count("body_stalled")
             return self.client_connection.body_timed_out()
-        self.looked_at = self.came
-        self.look_later()
+        self.received_at_check = self.received
+        self.schedule_rate_check()
 
 
 class CommandWriter:
@@ -102,7 +109,7 @@
     def __init__(self, transport: Any, parts: list[Any], done: Any) -> None:
         self.transport, self.done = transport, done
         self.parts: Iterator[Any] = iter(parts)
-        self.over = False
+        self.is_finished = False
 
     def start(self) -> None:
         """Register with the transport, which pulls the first batch at once."""
@@ -110,20 +117,20 @@
 
     def resumeProducing(self) -> None:
         """Write the next batches, until the socket accepts no more or all is written."""
-        while not self.over and not vectored_write.pending(self.transport):
+        while not self.is_finished and not vectored_write.pending(self.transport):
             batch, size = [], 0
             for part in self.parts:
                 batch.append(part)
                 size += len(part)
-                if size >= SEND_AT_ONCE or len(batch) >= vectored_write.MOST_PARTS:
+                if size >= WRITE_BATCH or len(batch) >= vectored_write.MOST_PARTS:
                     break
             if not batch:
-                self.over = True
+                self.is_finished = True
                 self.transport.unregisterProducer()
                 self.done()
             elif not vectored_write.write(self.transport, batch):
-                self.over = True  # broken; the backend connection sees that not all was written
+                self.is_finished = True  # broken; the backend connection sees that not all was written
 
     def stopProducing(self) -> None:
         """The connection is closed, which the backend connection handles."""
-        self.over = True
+        self.is_finished = True
--- a/tests/test_bodies.py
+++ b/tests/test_bodies.py
@@ -447,7 +447,11 @@
 LEAVES = [  # event in the middle of a body, what the client reads, counter
     (lambda pair: pair.client_connection.readConnectionLost(), b"", "command_cut_short"),
     (lambda pair: pair.client_connection.connectionLost(), b"", None),
-    (lambda pair: pair.reactor.pump([request_stream.LOOK_EVERY] * 2), b"-ERR timeout", "body_stalled"),
+    (
+        lambda pair: pair.reactor.pump([request_stream.RATE_CHECK_INTERVAL] * 2),
+        b"-ERR timeout",
+        "body_stalled",
+    ),
     (
         lambda pair: pair.client_connection.dataReceived(b"b" * 3 * LONG),
         b"-ERR Protocol error",
@@ -509,7 +513,7 @@
     assert other.paused and not pair.client_connection.paused  # the oldest body may be completed
     conn.dataReceived(HEAD + VALUE)
     assert wire.reading_paused and not taker.taken
-    pair.reactor.advance(request_stream.WAIT_MOST)
+    pair.reactor.advance(request_stream.MEMORY_TIMEOUT)
     assert other.transport.taken.startswith(b"-BUSY 500") and not other.paused
     budget.hold(hog, 0)
     assert bytes(taker.taken) == VALUE and not wire.reading_paused
