--- a/corkdeal/net/answers.py
+++ b/corkdeal/net/answers.py
@@ -6,7 +6,7 @@
 
 from ..decisions.events import Status
 from .invariants import count
-from .resp import ARRAY, BULK, ERROR, SIMPLE, UNKNOWN, Frame, Item, Malformed, past
+from .resp import ARRAY, BULK, ERROR, SIMPLE, UNKNOWN_SIZE, Frame, Item, Malformed, skip_items
 
 REPLY_ITEMS = 3  # the value, the usage metrics, the load report
 
@@ -25,7 +25,7 @@
 
     A malformed reply so fails at its header, before the rest is received.
     """
-    if kind != ERROR and (kind != ARRAY or size not in (REPLY_ITEMS, UNKNOWN)):
+    if kind != ERROR and (kind != ARRAY or size not in (REPLY_ITEMS, UNKNOWN_SIZE)):
         raise Malformed("reply is neither an error nor an array of 3 items")
 
 
@@ -50,12 +50,12 @@
     top, items = frame.items[0], frame.items
     check_header(top.kind, top.size)
     if top.kind == ARRAY:
-        stop = past(items, 1)[0]
+        stop = skip_items(items, 1)[0]
         check_value(items)
         return Reply(
             Status.OK,
             memoryview(frame.buf)[items[1].head : items[stop - 1].end],
-            load_report_at(frame, past(items, stop)[0]),
+            load_report_at(frame, skip_items(items, stop)[0]),
         )
     word, _, rest = frame.text(0).partition(b" ")
     if word == b"BUSY":
--- a/corkdeal/net/backend_connection.py
+++ b/corkdeal/net/backend_connection.py
@@ -120,15 +120,15 @@
             return
         if self.response_stream is not None:
             return self.response_stream.receive(data)
-        begun = self.parser.midway
+        begun = self.parser.has_partial_frame
         try:
             self.parser.feed(data)
             frame = self.parser.next()
-            if frame and not frame.last:
+            if frame and not frame.is_last:
                 return self.start_response_stream(self.attempt, frame)
             reply = frame and (read_reply if self.attempt.rpc else read_health_check)(frame)
             if not frame and self.attempt.rpc:
-                check_header(*self.parser.head())
+                check_header(*self.parser.header())
             elif reply and self.command_writer and reply.status is Status.OK:
                 raise Malformed("reply before the command was fully written")
         except Malformed:
@@ -149,7 +149,7 @@
         if self.response_stream:
             self.response_stream.finish()
         self.attempt = self.response_stream = None
-        if self.parser.midway or self.command_writer:
+        if self.parser.has_partial_frame or self.command_writer:
             count(
                 "backend_connection_answered_early" if self.command_writer else "backend_connection_unasked"
             )
--- a/corkdeal/net/client_connection.py
+++ b/corkdeal/net/client_connection.py
@@ -97,13 +97,13 @@
         now = self.seen_open_at = self.gateway.now()
         if self.gateway.recovery is not None:
             self.unread_time = self.gateway.recovery.unread_time(self.transport.getHandle(), now)
-        command_started_at = self.command_started_at if self.parser.midway else now
+        command_started_at = self.command_started_at if self.parser.has_partial_frame else now
         self.is_parsing = True
         try:
             self.parser.feed(data)
-            more = not self.parser.body or self.receive_body()
+            more = not self.parser.value_left or self.receive_body()
             while more and not self.terminating and (frame := self.parser.next()) is not None:
-                if frame.last and self.body is None:
+                if frame.is_last and self.body is None:
                     self.handle_command(frame, now)
                 else:
                     more = self.handle_large_command(frame, now)
@@ -171,7 +171,7 @@
         if self.body is None:
             self.has_sent_command = True
             try:
-                rpc = self.gateway.reader.read_head(frame, self.parser.left, now)
+                rpc = self.gateway.reader.read_head(frame, self.parser.items_left, now)
                 self.enqueue(rpc)
                 rpc.body = self.body = RequestStream(self.gateway.budget, self, rpc)
                 if (wait := self.gateway.beyond_quota(rpc.request)) is not None:
@@ -180,7 +180,7 @@
             except BadRequest as error:
                 self.body = RequestStream(self.gateway.budget, self, None)
                 self.reject_bad_request(error)
-        elif frame.last:
+        elif frame.is_last:
             body, self.body = self.body, None
             body.finish()
             if body.rpc is not None:
@@ -193,7 +193,7 @@
         """Take the available bytes of a large value; return whether the value is complete."""
         while (piece := self.parser.piece()) is not None:
             self.body.receive(piece)
-        return not self.parser.body
+        return not self.parser.value_left
 
     def reject_body(self, body: RequestStream, after: float) -> None:
         """Reject a command whose large value is still being received; the rest of it is discarded."""
@@ -388,7 +388,7 @@
 
     def close_if_idle(self) -> None:
         """Close, unless a request is pending, or may be on its way on a new connection."""
-        if self.terminating or self.half_closed or self.pending_replies or self.parser.midway:
+        if self.terminating or self.half_closed or self.pending_replies or self.parser.has_partial_frame:
             return
         if self not in self.gateway.client_connections or self.transport.disconnecting:
             return  # it has been closed since this call was scheduled
--- a/corkdeal/net/idle_connections.py
+++ b/corkdeal/net/idle_connections.py
@@ -40,7 +40,7 @@
     """The part of a connection's parser that is used here."""
 
     @property
-    def midway(self) -> bool:
+    def has_partial_frame(self) -> bool:
         """Whether part of a command was received."""
 
 
@@ -157,7 +157,7 @@
         or connection.body is not None
     ):
         return None
-    if connection.parser.midway:
+    if connection.parser.has_partial_frame:
         awaited, is_evictable = Awaited.REST_OF_COMMAND, not connection.has_sent_command
     elif not connection.has_sent_command:
         awaited, is_evictable = Awaited.FIRST_COMMAND, not connection.closing
--- a/corkdeal/net/resp.py
+++ b/corkdeal/net/resp.py
@@ -11,12 +11,12 @@
 
 MOST_VALUE = 4 << 20  # bytes in one value; the largest that clients and backends support
 WHOLE = 64 * 1024  # bytes in a value that is kept within its frame; larger ones are "large values"
-MOST_LINE = 4096  # bytes in a simple string or an error line
-MOST_FRAME = 4 * WHOLE  # bytes buffered of one frame
-MOST_ITEMS = 64  # items in one frame, including nested ones
+MAX_LINE = 4096  # bytes in a simple string or an error line
+MAX_FRAME = 4 * WHOLE  # bytes buffered of one frame
+MAX_ITEMS = 64  # items in one frame, including nested ones
 ARRAY, BULK, SIMPLE, ERROR, INTEGER = b"*$+-:"
-UNKNOWN = -2  # a size not received yet
-FIGURE = re.compile(rb"[0-9]{1,12}(?:\.[0-9]{1,12})?").fullmatch  # float() would also accept `1_0` and `nan`
+UNKNOWN_SIZE = -2  # a size not received yet
+DECIMAL = re.compile(rb"[0-9]{1,12}(?:\.[0-9]{1,12})?").fullmatch  # float() would also accept `1_0` and `nan`
 KINDS = frozenset((ARRAY, BULK, SIMPLE, ERROR, INTEGER))
 
 
@@ -40,12 +40,12 @@
 class Frame:
     """One command or reply in the buffer it arrived in, or a part of one that has large values.
 
-    Unless `last` is set, the last item is a large value, whose content `Parser.piece` returns.
+    Unless `is_last` is set, the last item is a large value, whose content `Parser.piece` returns.
     """
 
     buf: bytes | bytearray
     items: list[Item]
-    last: bool = True  # whether this is the end of the command or reply
+    is_last: bool = True  # whether this is the end of the command or reply
 
     def text(self, i: int) -> bytes:
         """Return a copy of an item's content; meant for short items."""
@@ -65,115 +65,123 @@
 class Parser:
     """Parses frames from bytes fed in pieces; it keeps its position, so that no byte is parsed twice.
 
-    After a frame that is not the last part, call `piece` for the bytes of the large value until `body` is 0;
-    `next` then continues after the value.
+    After a frame that is not the last part, call `piece` for the bytes of the large value until `value_left`
+    is 0; `next` then continues after the value.
     """
 
     def __init__(self) -> None:
         self.buf: bytes | bytearray = b""
-        self.at = 0  # first byte not yet parsed
-        self.begin = 0  # first byte of the frame being parsed
-        self.need = 0  # bytes that the buffer must hold before parsing can go on
-        self.left = 1  # items still to be parsed
+        self.position = 0  # first byte not yet parsed
+        self.frame_start = 0  # first byte of the frame being parsed
+        self.needed = 0  # bytes that the buffer must hold before parsing can go on
+        self.items_left = 1  # items still to be parsed
         self.items: list[Item] = []
-        self.body = 0  # bytes still to be received of a large value, including its CRLF
-        self.seen = 0  # items in the parts of this frame returned so far; 0 if there are none
+        self.value_left = 0  # bytes still to be received of a large value, including its CRLF
+        self.items_returned = 0  # items in the parts of this frame returned so far; 0 if there are none
 
     @property
-    def midway(self) -> bool:
+    def has_partial_frame(self) -> bool:
         """Whether part of a frame was received."""
-        return len(self.buf) > self.begin or self.seen > 0
+        return len(self.buf) > self.frame_start or self.items_returned > 0
 
     def feed(self, data: bytes) -> None:
         """Add received bytes; a frame that arrives in one piece is not copied."""
-        if len(self.buf) == self.begin:
-            self.buf, self.at, self.begin, self.need = data, 0, 0, 0
-        elif self.begin or not isinstance(self.buf, bytearray):
-            self.shift()
+        if len(self.buf) == self.frame_start:
+            self.buf, self.position, self.frame_start, self.needed = data, 0, 0, 0
+        elif self.frame_start or not isinstance(self.buf, bytearray):
+            self.detach_frame()
             self.buf += data
         else:
             self.buf += data  # grows in place; no earlier frame refers to this buffer
 
-    def shift(self) -> None:
+    def detach_frame(self) -> None:
         """Copy the incomplete frame to a buffer of its own."""
-        by, self.buf = self.begin, bytearray(memoryview(self.buf)[self.begin :])
-        self.at, self.need, self.begin = self.at - by, self.need - by, 0
+        by, self.buf = self.frame_start, bytearray(memoryview(self.buf)[self.frame_start :])
+        self.position, self.needed, self.frame_start = self.position - by, self.needed - by, 0
         for i in self.items:
             i.head, i.start, i.stop, i.end = i.head - by, i.start - by, i.stop - by, i.end - by
 
-    def head(self) -> tuple[int, int]:
-        """Return kind and size of the incomplete frame; `UNKNOWN` for a size not received yet."""
-        return (self.items[0].kind, self.items[0].size) if self.items else (self.buf[self.begin], UNKNOWN)
+    def header(self) -> tuple[int, int]:
+        """Return kind and size of the incomplete frame; `UNKNOWN_SIZE` for a size not received yet."""
+        return (
+            (self.items[0].kind, self.items[0].size)
+            if self.items
+            else (self.buf[self.frame_start], UNKNOWN_SIZE)
+        )
 
     def piece(self) -> memoryview | None:
         """Return the received bytes of the current large value and its CRLF, or None if there are none."""
-        at = self.at
-        if not (take := min(len(self.buf) - at, self.body)):
+        at = self.position
+        if not (take := min(len(self.buf) - at, self.value_left)):
             return None
-        end, self.body = at + take, self.body - take
-        if self.body < 2:  # this piece holds one or both bytes of the CRLF
-            tail = b"\r\n"[max(0, 2 - self.body - take) : 2 - self.body]
+        end, self.value_left = at + take, self.value_left - take
+        if self.value_left < 2:  # this piece holds one or both bytes of the CRLF
+            tail = b"\r\n"[max(0, 2 - self.value_left - take) : 2 - self.value_left]
             if self.buf[end - len(tail) : end] != tail:
                 raise Malformed("value does not end where it should")
-        self.at = self.begin = end
+        self.position = self.frame_start = end
         return memoryview(self.buf)[at:end]
 
     def next(self) -> Frame | None:
         """Return the next frame, complete or up to a large value; None if more bytes are needed."""
         buf, have = self.buf, len(self.buf)
-        if have < self.need:
+        if have < self.needed:
             return None
-        while self.left:
-            at = self.at
+        while self.items_left:
+            at = self.position
             if at >= have:
                 return None
-            if at - self.begin > MOST_FRAME:
+            if at - self.frame_start > MAX_FRAME:
                 raise Malformed("frame too long")
             kind = buf[at]
             if kind not in KINDS:
                 raise Malformed(f"unexpected byte {kind:#04x}")
-            stop = buf.find(b"\r\n", at + 1, at + MOST_LINE)
+            stop = buf.find(b"\r\n", at + 1, at + MAX_LINE)
             if stop < 0:
-                if have - at >= MOST_LINE:
+                if have - at >= MAX_LINE:
                     raise Malformed("line too long")
                 return None
             end = stop + 2
             if kind in (BULK, ARRAY):
-                size = self.number(at + 1, stop)
+                size = self.read_length(at + 1, stop)
                 if kind == BULK and size >= 0:
                     start, stop = end, end + size
                     if size > WHOLE:
-                        return self.part(Item(kind, at, start, stop, stop + 2, size))
+                        return self.large_value_frame(Item(kind, at, start, stop, stop + 2, size))
                     end = stop + 2
                     if have < end:
-                        self.need = end
+                        self.needed = end
                         return None
                     if buf[stop] != 13 or buf[stop + 1] != 10:
                         raise Malformed("value does not end where it should")
                     item = Item(kind, at, start, stop, end, size)
                 else:
                     item = Item(kind, at, end, end, end, size)
-                    self.left += max(0, size)
-                if self.seen + len(self.items) + self.left > MOST_ITEMS + 1:
+                    self.items_left += max(0, size)
+                if self.items_returned + len(self.items) + self.items_left > MAX_ITEMS + 1:
                     raise Malformed("too many items")
             else:
                 item = Item(kind, at, at + 1, stop, end, stop - at - 1)
             self.items.append(item)
-            self.left -= 1
-            self.at = end
+            self.items_left -= 1
+            self.position = end
         frame = Frame(buf, self.items)
-        self.begin, self.left, self.items, self.seen = self.at, 1, [], 0
+        self.frame_start, self.items_left, self.items, self.items_returned = self.position, 1, [], 0
         return frame
 
-    def part(self, value: Item) -> Frame:
+    def large_value_frame(self, value: Item) -> Frame:
         """Return the frame so far, up to the content of a large value."""
-        self.left -= 1
+        self.items_left -= 1
         frame = Frame(self.buf, [*self.items, value], False)
-        self.at = self.begin = value.start
-        self.body, self.items, self.seen = value.size + 2, [], self.seen + len(frame.items)
+        self.position = self.frame_start = value.start
+        self.value_left, self.items, self.items_returned = (
+            value.size + 2,
+            [],
+            self.items_returned + len(frame.items),
+        )
         return frame
 
-    def number(self, start: int, stop: int) -> int:
+    def read_length(self, start: int, stop: int) -> int:
         """Return the length in a header; -1 stands for null."""
         raw = self.buf[start:stop]
         if raw == b"-1":
@@ -185,7 +193,7 @@
         return size
 
 
-def past(items: list[Item], i: int, left: int = 1) -> tuple[int, int]:
+def skip_items(items: list[Item], i: int, left: int = 1) -> tuple[int, int]:
     """Skip `left` items from `i`, nested ones included; return the next index and how many are missing."""
     while left and i < len(items):
         left += max(0, items[i].size) - 1 if items[i].kind == ARRAY else -1
@@ -208,5 +216,5 @@
     return {
         known: float(value)
         for name, value in fields_of(raw)
-        if (known := names.get(name.decode("latin-1"))) and FIGURE(value)
+        if (known := names.get(name.decode("latin-1"))) and DECIMAL(value)
     }
--- a/corkdeal/net/response_stream.py
+++ b/corkdeal/net/response_stream.py
@@ -13,7 +13,7 @@
 from ..decisions.events import Status
 from .answers import Reply, check_header, check_value, load_report_at
 from .invariants import count
-from .resp import Frame, Malformed, past
+from .resp import Frame, Malformed, skip_items
 
 if TYPE_CHECKING:
     from .backend_connection import Attempt, BackendConnection
@@ -30,7 +30,7 @@
         items = frame.items
         check_header(items[0].kind, items[0].size)
         check_value(items)
-        stop, self.remaining_items = past(items, 1)  # items of the value after the large one
+        stop, self.remaining_items = skip_items(items, 1)  # items of the value after the large one
         if stop < len(items):
             raise Malformed("unexpected large value")
         self.conn, self.attempt, self.rpc = conn, attempt, attempt.rpc
@@ -93,23 +93,23 @@
         while True:
             while (piece := parser.piece()) is not None:
                 parts.append(piece)
-            if parser.body:
+            if parser.value_left:
                 return None
             self.ended = not self.remaining_items
             if (frame := parser.next()) is None:
                 return None
             stop = 0
             if not self.ended:
-                stop, self.remaining_items = past(frame.items, 0, self.remaining_items)
-                long = not frame.last and stop == len(frame.items)
+                stop, self.remaining_items = skip_items(frame.items, 0, self.remaining_items)
+                long = not frame.is_last and stop == len(frame.items)
                 last = frame.items[stop - 1]
                 parts.append(memoryview(frame.buf)[frame.items[0].head : last.start if long else last.end])
                 if long:
                     continue
                 self.ended = True
-            if not frame.last:
+            if not frame.is_last:
                 raise Malformed("unexpected large value")
-            return Reply(Status.OK, None, load_report_at(frame, past(frame.items, stop)[0]))
+            return Reply(Status.OK, None, load_report_at(frame, skip_items(frame.items, stop)[0]))
 
     def pause(self) -> None:
         """Pause reading from the backend."""
--- a/tests/test_bodies.py
+++ b/tests/test_bodies.py
@@ -78,14 +78,14 @@
         while True:
             if (part := parser.piece()) is not None:
                 out.append(bytes(part))
-            elif parser.body or (frame := parser.next()) is None:
+            elif parser.value_left or (frame := parser.next()) is None:
                 break
             else:
-                items, frames = frame.items, frames + frame.last
+                items, frames = frame.items, frames + frame.is_last
                 if items:
-                    end = items[-1].end if frame.last else items[-1].start
+                    end = items[-1].end if frame.is_last else items[-1].start
                     out.append(bytes(frame.buf[items[0].head : end]))
-    return b"".join(out), frames, parser.midway
+    return b"".join(out), frames, parser.has_partial_frame
 
 
 @given(MESSAGES, st.lists(st.integers(0, 10**6), max_size=12))
--- a/tests/test_idle_connections.py
+++ b/tests/test_idle_connections.py
@@ -33,7 +33,9 @@
 
 def has_work_or_ends(c):
     """The reference: whether a connection has work or is being closed."""
-    return c.pending_replies or c.terminating or c.half_closed or (c.closing and not c.parser.midway)
+    return (
+        c.pending_replies or c.terminating or c.half_closed or (c.closing and not c.parser.has_partial_frame)
+    )
 
 
 def to_evict(connections, now):
@@ -42,7 +44,7 @@
         c
         for c in connections
         if not has_work_or_ends(c)
-        and not (c.has_sent_command and c.parser.midway)
+        and not (c.has_sent_command and c.parser.has_partial_frame)
         and now - c.idle_since >= (descriptors.IDLE_LEAST if c.request_count else descriptors.SILENT_LEAST)
     ]
     return sorted(idle, key=lambda c: (min(c.request_count, 2), c.idle_since))
@@ -58,7 +60,7 @@
             continue
         if c.body is not None:
             continue
-        if c.parser.midway:
+        if c.parser.has_partial_frame:
             if now - c.command_started_at >= descriptors.COMMAND_LATE:
                 found[c] = Awaited.REST_OF_COMMAND
         elif not c.has_sent_command:
@@ -71,7 +73,7 @@
 
 def asks(connection):
     """Send a request, which the decisions hold because there is no backend."""
-    if not connection.parser.midway:
+    if not connection.parser.has_partial_frame:
         number = next(REQUEST_NUMBERS)
         params = b"c=look,t=large,d=4000,units=1,spread=1,first=0"
         connection.dataReceived(command(b"API.READ", b"%016x" % number, b"%016x" % number, params))
@@ -84,18 +86,18 @@
 
 
 def half_command(connection):
-    if not connection.parser.midway:
+    if not connection.parser.has_partial_frame:
         connection.dataReceived(PING[:7])
 
 
 def rest_of_command(connection):
-    if connection.parser.midway and connection.body is None:
+    if connection.parser.has_partial_frame and connection.body is None:
         connection.dataReceived(PING[7:])
 
 
 def bad_long_command(connection):
     """Send the start of a large command with an invalid customer, whose value is discarded."""
-    if not connection.parser.midway:
+    if not connection.parser.has_partial_frame:
         connection.dataReceived(b"*5\r\n$9\r\nAPI.WRITE\r\n$1\r\nx\r\n$1\r\nx\r\n$1\r\nx\r\n$70000\r\n..")
 
 
@@ -109,7 +111,7 @@
     "rest_of_command": rest_of_command,
     "bad_long_command": bad_long_command,
     "rest_of_long_command": rest_of_long_command,
-    "ping": lambda c: c.parser.midway or c.dataReceived(PING),
+    "ping": lambda c: c.parser.has_partial_frame or c.dataReceived(PING),
     "asks": asks,
     "is_answered": is_answered,
     "sends_no_more": lambda c: c.readConnectionLost(),
--- a/tests/test_net_parsers.py
+++ b/tests/test_net_parsers.py
@@ -77,7 +77,7 @@
             self.assertEqual([text for _, text in got], self.FRAMES)
             for frame, text in got:  # later bytes must not change the content of a frame
                 self.assertEqual(bytes(frame.buf[frame.items[0].head : frame.items[-1].end]), text)
-            self.assertFalse(parser.midway)
+            self.assertFalse(parser.has_partial_frame)
 
     def test_malformed(self):
         for raw in self.BAD:
