--- a/corkdeal/net/client_connection.py
+++ b/corkdeal/net/client_connection.py
@@ -14,7 +14,7 @@
 from zope.interface import implementer
 
 from . import vectored_write
-from .descriptors import SILENT_LEAST
+from .descriptors import MIN_SILENT_TIME
 from .invariants import count, holds
 from .request_stream import RequestStream
 from .resp import Frame, Malformed, Parser
@@ -83,7 +83,7 @@
         if self.gateway.lateness.is_overloaded and not self.gateway.draining:
             count("client_connection_shed")
             self.reply_and_drop(TOO_MANY_CLIENTS)
-        elif not self.gateway.descriptors.for_client_connection():
+        elif not self.gateway.descriptors.admit_client_connection():
             count("client_connection_refused")
             self.reply_and_drop(TOO_MANY_CLIENTS)
 
@@ -394,7 +394,7 @@
             return  # it has been closed since this call was scheduled
         if (
             not self.has_sent_command
-            and (remaining := SILENT_LEAST - (self.gateway.now() - self.idle_since)) > 0
+            and (remaining := MIN_SILENT_TIME - (self.gateway.now() - self.idle_since)) > 0
         ):
             self.gateway.reactor.callLater(remaining, self.close_if_idle)
         elif not self.has_unread_bytes():
--- a/corkdeal/net/idle_connections.py
+++ b/corkdeal/net/idle_connections.py
@@ -30,13 +30,13 @@
     SEVERAL_REQUESTS = 2
 
 
-Place = tuple[Awaited, Use | None]  # None if it can't be evicted
+Placement = tuple[Awaited, Use | None]  # None if it can't be evicted
 USES = tuple(Use)
-# one shared object for each place, so that places compare by identity
-PLACES: dict[Place, Place] = {(a, use): (a, use) for a in Awaited for use in (*Use, None)}
+# one shared object for each placement, so that placements compare by identity
+PLACEMENTS: dict[Placement, Placement] = {(a, use): (a, use) for a in Awaited for use in (*Use, None)}
 
 
-class Parsing(Protocol):
+class ParserState(Protocol):
     """The part of a connection's parser that is used here."""
 
     @property
@@ -49,7 +49,7 @@
 
     pending_replies: Any  # pending replies; true if there are any
     body: Any  # a large value being received, which has its own timeouts, or None
-    parser: Parsing
+    parser: ParserState
     terminating: bool  # whether it is being closed and gets no further replies
     half_closed: bool  # whether its client has sent its FIN
     closing: bool  # whether it is closed once idle
@@ -91,19 +91,19 @@
     def __init__(self) -> None:
         self.expiring = {awaited: TimeOrderedQueue() for awaited in Awaited}
         self.evictable = {use: TimeOrderedQueue() for use in Use}
-        self.places: dict[Connection, Place] = {}
+        self.placements: dict[Connection, Placement] = {}
 
     def update(self, connection: Connection) -> None:
         """Move a connection to the queues for its current state."""
-        place = place_of(connection)
-        if place is None:
+        placement = placement_of(connection)
+        if placement is None:
             return self.discard(connection)
-        was = self.places.get(connection)
-        if was is not place:
-            self.places[connection] = place
-            if was is not None:
-                self.leave(connection, was, place)
-        awaited, use = place
+        previous = self.placements.get(connection)
+        if previous is not placement:
+            self.placements[connection] = placement
+            if previous is not None:
+                self.leave_queues(connection, previous, placement)
+        awaited, use = placement
         begins_with_command = awaited is Awaited.REST_OF_COMMAND
         self.expiring[awaited].put(
             connection, connection.command_started_at if begins_with_command else connection.idle_since
@@ -111,18 +111,18 @@
         if use is not None:
             self.evictable[use].put(connection, connection.idle_since)
 
-    def leave(self, connection: Connection, was: Place, place: Place) -> None:
+    def leave_queues(self, connection: Connection, previous: Placement, placement: Placement) -> None:
         """Remove a connection from its former queues; in queues that it stays in, it keeps its position."""
-        if was[0] is not place[0]:
-            self.expiring[was[0]].discard(connection)
-        if was[1] is not None and was[1] is not place[1]:
-            self.evictable[was[1]].discard(connection)
+        if previous[0] is not placement[0]:
+            self.expiring[previous[0]].discard(connection)
+        if previous[1] is not None and previous[1] is not placement[1]:
+            self.evictable[previous[1]].discard(connection)
 
     def discard(self, connection: Connection) -> None:
         """Remove a connection that has got work or is closed."""
-        if (was := self.places.pop(connection, None)) is None:
+        if (previous := self.placements.pop(connection, None)) is None:
             return
-        awaited, use = was
+        awaited, use = previous
         self.expiring[awaited].discard(connection)
         if use is not None:
             self.evictable[use].discard(connection)
@@ -137,13 +137,13 @@
                 return connection
         return None
 
-    def keep_until_read(self, connection: Connection) -> None:
+    def defer_eviction(self, connection: Connection) -> None:
         """Do not evict a connection with unread bytes; reading them will call `update`."""
         for queue in self.evictable.values():
             queue.discard(connection)
 
 
-def place_of(connection: Connection) -> Place | None:
+def placement_of(connection: Connection) -> Placement | None:
     """Return what is awaited on a connection, and its use if it can be evicted; None if it is in no queue.
 
     A connection that has work or is being closed is in no queue. Nor is one that is receiving a large value,
@@ -165,6 +165,6 @@
         return None
     else:
         awaited, is_evictable = Awaited.NEXT_COMMAND, True
-    return PLACES[
+    return PLACEMENTS[
         awaited, USES[min(connection.request_count, Use.SEVERAL_REQUESTS)] if is_evictable else None
     ]
--- a/tests/test_idle_connections.py
+++ b/tests/test_idle_connections.py
@@ -45,7 +45,8 @@
         for c in connections
         if not has_work_or_ends(c)
         and not (c.has_sent_command and c.parser.has_partial_frame)
-        and now - c.idle_since >= (descriptors.IDLE_LEAST if c.request_count else descriptors.SILENT_LEAST)
+        and now - c.idle_since
+        >= (descriptors.MIN_IDLE_TIME if c.request_count else descriptors.MIN_SILENT_TIME)
     ]
     return sorted(idle, key=lambda c: (min(c.request_count, 2), c.idle_since))
 
@@ -61,12 +62,12 @@
         if c.body is not None:
             continue
         if c.parser.has_partial_frame:
-            if now - c.command_started_at >= descriptors.COMMAND_LATE:
+            if now - c.command_started_at >= descriptors.COMMAND_TIMEOUT:
                 found[c] = Awaited.REST_OF_COMMAND
         elif not c.has_sent_command:
-            if now - c.idle_since >= (descriptors.SILENT_LEAST if many else descriptors.COMMAND_LATE):
+            if now - c.idle_since >= (descriptors.MIN_SILENT_TIME if many else descriptors.COMMAND_TIMEOUT):
                 found[c] = Awaited.FIRST_COMMAND
-        elif now - c.idle_since >= (descriptors.IDLE_LEAST if many else descriptors.IDLE_MOST):
+        elif now - c.idle_since >= (descriptors.MIN_IDLE_TIME if many else descriptors.IDLE_TIMEOUT):
             found[c] = Awaited.NEXT_COMMAND
     return found
 
@@ -160,9 +161,9 @@
     for many in (False, True):
         plain = expired(made.client_connections, now, many)
         latest = {
-            Awaited.FIRST_COMMAND: descriptors.SILENT_LEAST if many else descriptors.COMMAND_LATE,
-            Awaited.REST_OF_COMMAND: descriptors.COMMAND_LATE,
-            Awaited.NEXT_COMMAND: descriptors.IDLE_LEAST if many else descriptors.IDLE_MOST,
+            Awaited.FIRST_COMMAND: descriptors.MIN_SILENT_TIME if many else descriptors.COMMAND_TIMEOUT,
+            Awaited.REST_OF_COMMAND: descriptors.COMMAND_TIMEOUT,
+            Awaited.NEXT_COMMAND: descriptors.MIN_IDLE_TIME if many else descriptors.IDLE_TIMEOUT,
         }
         queues = made.descriptors.idle.expiring
         ours = {c: awaited for awaited, s in latest.items() for c in queues[awaited].until(now - s)}
@@ -187,12 +188,12 @@
 def test_one_with_bytes_to_be_read_can_go_once_they_were():
     made, reactor = made_gateway()
     connection = connect(made)
-    reactor.advance(descriptors.SILENT_LEAST)
+    reactor.advance(descriptors.MIN_SILENT_TIME)
     connection.has_unread_bytes = lambda: True
     assert not made.descriptors.evict()
     connection.dataReceived(PING)
     connection.has_unread_bytes = lambda: False
-    reactor.advance(descriptors.SILENT_LEAST)
+    reactor.advance(descriptors.MIN_SILENT_TIME)
     assert made.descriptors.evict()
 
 
@@ -200,13 +201,13 @@
 def test_a_full_table_is_not_looked_through_for_each_connection_or_sweep(spoken):
     made, reactor = made_gateway(sockets=2048)
     looks = []
-    room = made.descriptors.most - made.descriptors.for_pool()
+    room = made.descriptors.limit - made.descriptors.reserved_for_backends()
     for number in range(room):
         connection = connect(made)
         connection.has_unread_bytes = lambda number=number: looks.append(number)
         if spoken:
             connection.dataReceived(PING)
-    reactor.rightNow += descriptors.SILENT_LEAST
+    reactor.rightNow += descriptors.MIN_SILENT_TIME
     for _ in range(100):
         connect(made)
     assert looks == list(range(100))  # in the order of acceptance, one check each
--- a/tests/test_net_parsers.py
+++ b/tests/test_net_parsers.py
@@ -305,7 +305,7 @@
         self.assertEqual([c.transport.disconnecting for c in (new, asked)], [True, True])
         silent = self.client_connection()
         silent.close_when_idle()
-        self.reactor.advance(descriptors_module.SILENT_LEAST + 0.01)
+        self.reactor.advance(descriptors_module.MIN_SILENT_TIME + 0.01)
         self.assertTrue(silent.transport.disconnecting)
 
     def clock(self):
@@ -319,14 +319,14 @@
         half.dataReceived(b"*1\r\n$4\r\nPI")
         idle.dataReceived(b"*1\r\n$4\r\nPING\r\n")
         self.asks(busy)
-        self.reactor.advance(descriptors_module.COMMAND_LATE + 0.1)
+        self.reactor.advance(descriptors_module.COMMAND_TIMEOUT + 0.1)
         descriptors.sweep()
         for each in (silent, half):
             self.assertIn(b"-ERR timeout", each.transport.value())
         self.reactor.advance(client_connection_module.LINGER)
         self.assertEqual(self.gateway.client_connections - {silent}, {idle, busy})
         self.assertTrue(silent.transport.disconnecting)
-        self.reactor.advance(descriptors_module.IDLE_MOST)
+        self.reactor.advance(descriptors_module.IDLE_TIMEOUT)
         descriptors.sweep()
         self.assertEqual((idle.transport.disconnecting, busy.transport.disconnecting), (True, False))
 
@@ -335,28 +335,28 @@
         idle, pinged, silent = [self.client_connection() for _ in range(3)]
         self.is_served(idle)
         pinged.dataReceived(b"*1\r\n$4\r\nPING\r\n")
-        crowd = [self.client_connection() for _ in range(descriptors.most // 8)]
+        crowd = [self.client_connection() for _ in range(descriptors.limit // 8)]
         for each in crowd:
             self.asks(each)
-        self.reactor.advance(descriptors_module.SILENT_LEAST + 0.01)
+        self.reactor.advance(descriptors_module.MIN_SILENT_TIME + 0.01)
         descriptors.sweep()
         ended = [c.transport.disconnecting for c in (idle, pinged, silent)]
         self.assertEqual(ended, [False, False, True])
-        self.reactor.advance(descriptors_module.IDLE_LEAST)
+        self.reactor.advance(descriptors_module.MIN_IDLE_TIME)
         descriptors.sweep()
         self.assertTrue(idle.transport.disconnecting and pinged.transport.disconnecting)
 
     def test_short_descriptors_go_to_who_asks(self):
         descriptors = self.clock()
-        most = descriptors.most - descriptors.for_pool()
+        most = descriptors.limit - descriptors.reserved_for_backends()
         busy, idle = self.client_connection(), self.client_connection()
         self.asks(busy)
         self.is_served(idle)
-        self.reactor.advance(descriptors_module.IDLE_LEAST)
+        self.reactor.advance(descriptors_module.MIN_IDLE_TIME)
         silent = [self.client_connection() for _ in range(most - 2)]
         for each in silent[::2]:  # a PING does not protect a connection from eviction
             each.dataReceived(b"*1\r\n$4\r\nPING\r\n")
-        self.reactor.advance(descriptors_module.SILENT_LEAST)
+        self.reactor.advance(descriptors_module.MIN_SILENT_TIME)
         for left in (most - 3, most - 4):  # first those without a request so far
             new = self.client_connection()
             self.assertEqual(new.transport.value(), b"")
