--- a/corkdeal/net/request_stream.py
+++ b/corkdeal/net/request_stream.py
@@ -122,7 +122,7 @@
             for part in self.parts:
                 batch.append(part)
                 size += len(part)
-                if size >= WRITE_BATCH or len(batch) >= vectored_write.MOST_PARTS:
+                if size >= WRITE_BATCH or len(batch) >= vectored_write.MAX_PARTS:
                     break
             if not batch:
                 self.is_finished = True
--- a/corkdeal/net/tcp_state.py
+++ b/corkdeal/net/tcp_state.py
@@ -9,9 +9,9 @@
 from typing import Any
 
 CLOSE_WAIT = 8  # kernel TCP state: the peer has sent its FIN, this side has not
-STATE_AT = 0  # offset of tcpi_state, one byte, in struct tcp_info
-ARRIVALS = struct.Struct("@II")  # tcpi_last_data_recv and tcpi_last_ack_recv, ms
-ARRIVALS_AT, INFO_BYTES = 52, 64
+STATE_OFFSET = 0  # offset of tcpi_state, one byte, in struct tcp_info
+ARRIVAL_AGES = struct.Struct("@II")  # tcpi_last_data_recv and tcpi_last_ack_recv, ms
+ARRIVAL_AGES_OFFSET, TCP_INFO_SIZE = 52, 64
 
 
 class PeerState(enum.Enum):
@@ -31,15 +31,15 @@
         return PeerState.OPEN
     poll = select.poll()
     poll.register(handle, select.POLLRDHUP)
-    for _, what in poll.poll(0):
-        return PeerState.CLOSED if what & (select.POLLERR | select.POLLHUP) else PeerState.HALF_CLOSED
+    for _, events in poll.poll(0):
+        return PeerState.CLOSED if events & (select.POLLERR | select.POLLHUP) else PeerState.HALF_CLOSED
     return PeerState.OPEN
 
 
 def since_last_data(handle: Any) -> float | None:
     """Return the seconds since the kernel received the latest bytes; None if it does not report that."""
     info = tcp_info(handle)
-    return ARRIVALS.unpack_from(info, ARRIVALS_AT)[0] / 1000 if info else None
+    return ARRIVAL_AGES.unpack_from(info, ARRIVAL_AGES_OFFSET)[0] / 1000 if info else None
 
 
 def since_fin(handle: Any) -> float | None:
@@ -49,15 +49,15 @@
     its FIN but a reset. A peer that still reads also sends acknowledgements, so its FIN may be older.
     """
     info = tcp_info(handle)
-    if not info or info[STATE_AT] != CLOSE_WAIT:
+    if not info or info[STATE_OFFSET] != CLOSE_WAIT:
         return None
-    return ARRIVALS.unpack_from(info, ARRIVALS_AT)[1] / 1000
+    return ARRIVAL_AGES.unpack_from(info, ARRIVAL_AGES_OFFSET)[1] / 1000
 
 
 def tcp_info(handle: Any) -> bytes:
     """Return the kernel's struct tcp_info, or b"" if it provides none or a shorter one."""
     try:
-        info = handle.getsockopt(socket.IPPROTO_TCP, socket.TCP_INFO, INFO_BYTES)
+        info = handle.getsockopt(socket.IPPROTO_TCP, socket.TCP_INFO, TCP_INFO_SIZE)
     except OSError:
         return b""
-    return info if len(info) >= INFO_BYTES else b""
+    return info if len(info) >= TCP_INFO_SIZE else b""
--- a/corkdeal/net/vectored_write.py
+++ b/corkdeal/net/vectored_write.py
@@ -11,7 +11,7 @@
 from .invariants import count
 
 Part = bytes | memoryview
-MOST_PARTS = 512  # per sendmsg; Linux fails above 1024 (IOV_MAX)
+MAX_PARTS = 512  # per sendmsg; Linux fails above 1024 (IOV_MAX)
 
 
 def pending(transport: Any) -> bool:
@@ -24,7 +24,7 @@
 
     Return False if the connection is broken.
     """
-    if len(parts) > MOST_PARTS:
+    if len(parts) > MAX_PARTS:
         parts = [b"".join(parts)]
     if pending(transport):
         transport.writeSequence([bytes(p) for p in parts])
