--- a/corkdeal/net/discovery_snapshot.py
+++ b/corkdeal/net/discovery_snapshot.py
@@ -8,7 +8,11 @@
 from ..decisions.events import Endpoint, EndpointState
 from ..decisions.settings import Settings
 
-STATES = {"Ready": EndpointState.READY, "Terminating": EndpointState.DRAINING, "Gone": EndpointState.GONE}
+STATES_BY_PHASE = {
+    "Ready": EndpointState.READY,
+    "Terminating": EndpointState.DRAINING,
+    "Gone": EndpointState.GONE,
+}
 
 
 class ListError(ValueError):
@@ -25,7 +29,7 @@
     addresses: dict[str, tuple[str, int]]
 
 
-def index(names: tuple[str, ...], name: object) -> int:
+def name_position(names: tuple[str, ...], name: object) -> int:
     """Return the position of a name in the settings; one past the end for an unknown name."""
     return names.index(name) if name in names else len(names)
 
@@ -43,8 +47,8 @@
         raise ListError("members must be a list")
     entries: list[Endpoint] = []
     addresses: dict[str, tuple[str, int]] = {}
-    for number, member in enumerate(members):
-        path = f"members.{number}"
+    for position, member in enumerate(members):
+        path = f"members.{position}"
         entry, address = parse_member(member, path, settings)
         if entry.backend in addresses:
             raise ListError(f"{path}.id is a duplicate: {entry.backend!r:.40}")
@@ -60,17 +64,17 @@
     name, phase = member.get("id"), member.get("phase")
     if not isinstance(name, str) or not name:
         raise ListError(f"{path}.id must be non-empty text")
-    if not isinstance(phase, str) or phase not in STATES:
+    if not isinstance(phase, str) or phase not in STATES_BY_PHASE:
         raise ListError(f"{path}.phase is unknown: {phase!r:.40}")
     address = parse_address(member.get("host_port"), path)
     entry = Endpoint(
         name,
-        STATES[phase],
-        index(settings.zones, member.get("locality")),
-        int(figure(member, "cell", 0, path)),
-        float(figure(member, "size", 1.0, path)),
-        index(settings.kinds, member.get("flavor")),
-        figure(member, "up_since_ms", 0, path) / 1000,
+        STATES_BY_PHASE[phase],
+        name_position(settings.zones, member.get("locality")),
+        int(non_negative_number(member, "cell", 0, path)),
+        float(non_negative_number(member, "size", 1.0, path)),
+        name_position(settings.kinds, member.get("flavor")),
+        non_negative_number(member, "up_since_ms", 0, path) / 1000,
     )
     return entry, address
 
@@ -83,7 +87,7 @@
     return host, int(port)
 
 
-def figure(member: dict[str, Any], key: str, default: float, path: str) -> float:
+def non_negative_number(member: dict[str, Any], key: str, default: float, path: str) -> float:
     """Return a number of a backend, 0 or more; `default` if it has none."""
     value = member.get(key, default)
     if type(value) not in (int, float) or value < 0:
