--- a/corkdeal/net/discovery_retry.py
+++ b/corkdeal/net/discovery_retry.py
@@ -1,10 +1,10 @@
 """Backoff between the watch's calls to discovery. Without I/O; the random generator is passed in.
 
-After a failed call two aims conflict. A gateway counts as notified of a change `TOLD_AFTER` after discovery
-has it and is reachable, so no pause may be longer. But a discovery that does not push its list is a single
-service of fixed capacity: a tier that retries all at once keeps it from answering any gateway. Pauses are
-therefore random and double with each failure, but a call starts at most `TOLD_AFTER - ANSWER_ALLOWANCE` after
-the start of the failed one. `docs/discovery.md` has the calculation.
+After a failed call two aims conflict. A gateway counts as notified of a change `NOTIFIED_AFTER` after
+discovery has it and is reachable, so no pause may be longer. But a discovery that does not push its list is a
+single service of fixed capacity: a tier that retries all at once keeps it from answering any gateway. Pauses
+are therefore random and double with each failure, but a call starts at most `NOTIFIED_AFTER - CALL_ALLOWANCE`
+after the start of the failed one. `docs/discovery.md` has the calculation.
 """
 
 from __future__ import annotations
@@ -13,32 +13,33 @@
 
 from ..decisions.settings import Settings
 
-TOLD_AFTER = 6.0  # s after discovery has a change and is reachable, at which a gateway counts as notified
-ANSWER_ALLOWANCE = 1.0  # s of TOLD_AFTER reserved for the call that returns the change
-LEAST, MOST = 0.1, 1.0  # s, bounds of a pause if discovery pushes its list and calls cost it nothing
+NOTIFIED_AFTER = 6.0  # s after discovery has a change and is reachable, at which a gateway counts as notified
+CALL_ALLOWANCE = 1.0  # s of NOTIFIED_AFTER reserved for the call that returns the change
+MIN_PAUSE, MAX_PAUSE = 0.1, 1.0  # s, bounds of a pause if discovery pushes its list and calls cost it nothing
 # of the drain grace: upper bound of a pause if the list is pushed, since changes that happened during an
 # outage count as notified as soon as discovery is back
-GRACE_PART = 0.8
-SHARE = 0.1  # s per gateway of the tier, over which calls are spread if the list is not pushed
-LONGEST = 4  # times that, at most: enough for a service four times slower than assumed
-STEADY = 0.5  # of the longest pause: lower bound from the second failure on; the first has spread the tier
+DRAIN_GRACE_SHARE = 0.8
+SPREAD_PER_GATEWAY = 0.1  # s per gateway of the tier, over which calls are spread if the list is not pushed
+MAX_SPREAD_FACTOR = 4  # times that, at most: enough for a service four times slower than assumed
+# of the longest pause: lower bound from the second failure on; the first has spread the tier
+MIN_RETRY_SHARE = 0.5
 
 
 class RetryPauses:
     """The pauses between the calls of one watch."""
 
     def __init__(self, settings: Settings, rng: random.Random) -> None:
-        self.rng, self.pushed = rng, settings.is_endpoint_list_pushed
+        self.rng, self.is_pushed = rng, settings.is_endpoint_list_pushed
         self.spread = 0.0  # s; upper bound of the last random pause, 0 after a success
-        if self.pushed:
-            self.least = LEAST
-            self.most = max(LEAST, min(MOST, GRACE_PART * settings.drain_grace))
-            self.at_start = 0.0
+        if self.is_pushed:
+            self.min_spread = MIN_PAUSE
+            self.max_spread = max(MIN_PAUSE, min(MAX_PAUSE, DRAIN_GRACE_SHARE * settings.drain_grace))
+            self.initial_spread = 0.0
         else:
-            self.least = SHARE * settings.gateway_count
-            self.most = LONGEST * self.least
+            self.min_spread = SPREAD_PER_GATEWAY * settings.gateway_count
+            self.max_spread = MAX_SPREAD_FACTOR * self.min_spread
             # a gateway that has not called for `poll_interval` counts as notified of the list as of then
-            self.at_start = min(self.least, max(0.0, settings.poll_interval - ANSWER_ALLOWANCE))
+            self.initial_spread = min(self.min_spread, max(0.0, settings.poll_interval - CALL_ALLOWANCE))
 
     @property
     def failing(self) -> bool:
@@ -47,20 +48,20 @@
 
     def before_first_call(self) -> float:
         """Return the seconds that a watch that starts with a list waits before its first call."""
-        return self.at_start * self.rng.random()
+        return self.initial_spread * self.rng.random()
 
-    def after_failure(self, took: float, overloaded: bool = False) -> float:
-        """Return the seconds until the next call, after one that failed `took` seconds after its start.
+    def after_failure(self, elapsed: float, overloaded: bool = False) -> float:
+        """Return the seconds until the next call, after one that failed `elapsed` seconds after its start.
 
         A call that was queued and then rejected has cost an overloaded service work. Only after such calls
-        may pauses exceed the bound by `TOLD_AFTER`: retrying sooner would keep the service overloaded.
+        may pauses exceed the bound by `NOTIFIED_AFTER`: retrying sooner would keep the service overloaded.
         """
         is_first = not self.failing
-        self.spread = min(self.most, max(self.least, 2 * self.spread))
+        self.spread = min(self.max_spread, max(self.min_spread, 2 * self.spread))
         longest = self.spread
         if not overloaded:
-            longest = min(longest, max(LEAST, TOLD_AFTER - ANSWER_ALLOWANCE - took))
-        return longest * (self.rng.random() if is_first else self.rng.uniform(STEADY, 1.0))
+            longest = min(longest, max(MIN_PAUSE, NOTIFIED_AFTER - CALL_ALLOWANCE - elapsed))
+        return longest * (self.rng.random() if is_first else self.rng.uniform(MIN_RETRY_SHARE, 1.0))
 
     def after_success(self) -> None:
         """Reset the backoff."""
--- a/tests/test_discovery_outages.py
+++ b/tests/test_discovery_outages.py
@@ -17,8 +17,8 @@
 from .discovery_world import ONE_WAY, Longest, World
 from .helpers import settings
 
-TOLD_AFTER = 6.0  # s; the rule, on purpose not read from discovery_retry
-FOR_THE_CALL = 1.0  # s of TOLD_AFTER reserved for the call that returns the change; here it takes 3 ms
+NOTIFIED_AFTER = 6.0  # s; the rule, on purpose not read from discovery_retry
+CALL_ALLOWANCE = 1.0  # s of NOTIFIED_AFTER reserved for the call that returns the change; here it takes 3 ms
 SLACK = 0.01  # s
 GRACE = 0.25  # s, of a drain
 OUTAGE_BEGINS = 12.0  # s; all watches are running by then
@@ -71,7 +71,7 @@
 
 def longest(pushed, call):
     """Return the longest time that a failed call and a pause may take together."""
-    return call + GRACE + SLACK if pushed else TOLD_AFTER - FOR_THE_CALL + SLACK
+    return call + GRACE + SLACK if pushed else NOTIFIED_AFTER - CALL_ALLOWANCE + SLACK
 
 
 @pytest.mark.parametrize("gateways", SIZES)
@@ -111,7 +111,7 @@
 @pytest.mark.parametrize("gateways", SIZES)
 @pytest.mark.parametrize("pushed", [True, False], ids=["pushed", "asked"])
 def test_a_watch_that_falls_silent_is_opened_anew_in_time(pushed, gateways):
-    assert worst_after_silence(pushed, gateways) <= TOLD_AFTER - FOR_THE_CALL + SLACK
+    assert worst_after_silence(pushed, gateways) <= NOTIFIED_AFTER - CALL_ALLOWANCE + SLACK
 
 
 @pytest.mark.parametrize("gateways", SIZES)
@@ -119,7 +119,7 @@
 @pytest.mark.parametrize("outage", [0.5, 2.0, 4.0, 12.0])
 def test_a_watch_that_falls_silent_just_before_an_outage_is_opened_anew_in_time(outage, pushed, gateways):
     worst = worst_after_silence(pushed, gateways, "never comes up", outage)
-    assert worst <= TOLD_AFTER - FOR_THE_CALL + SLACK
+    assert worst <= NOTIFIED_AFTER - CALL_ALLOWANCE + SLACK
 
 
 @pytest.mark.parametrize("gateways", SIZES)
@@ -133,7 +133,7 @@
 def test_a_gateway_that_starts_asks_before_it_counts_as_told_without(gateways):
     world = World(False, gateways, fault=None, begins=None, ends=0.0, drains_at=0.5)
     world.run_until(200.0, told=True)
-    assert world.told_at <= world.settings.poll_interval - FOR_THE_CALL + SLACK
+    assert world.told_at <= world.settings.poll_interval - CALL_ALLOWANCE + SLACK
 
 
 def test_a_list_without_length_that_ends_with_its_connection_is_told():
@@ -206,7 +206,7 @@
     pauses = RetryPauses(settings(gateways=gateways, is_endpoint_list_pushed=False), Longest())
     drawn = [pauses.after_failure(2.0, overloaded=True) for _ in range(5)]
     assert drawn == pytest.approx([gateways * s for s in (0.1, 0.2, 0.4, 0.4, 0.4)], rel=0.01)
-    assert pauses.after_failure(2.0) <= TOLD_AFTER - FOR_THE_CALL - 2.0
+    assert pauses.after_failure(2.0) <= NOTIFIED_AFTER - CALL_ALLOWANCE - 2.0
 
 
 def test_a_call_turned_away_after_a_line_leaves_the_service_time():
