--- a/corkdeal/net/discovery_watch.py
+++ b/corkdeal/net/discovery_watch.py
@@ -24,14 +24,16 @@
 from .discovery_snapshot import DiscoverySnapshot, ListError, parse_list
 from .invariants import count
 
-WAIT_MS = 2000  # how long one call may wait for a change; a call on a dead connection is silent for that long
-ANSWER_LATE = 1.0  # s after WAIT_MS at which a call counts as lost; the rules deem a gateway notified at 2 s
-PLAIN_LATE = 3.0  # s; timeout of a call that does not wait for a change
-CONNECT_LATE = 1.0  # s; timeout for connecting
-MOST_BODY = 32 << 20  # bytes of one response; a list of thousands of backends takes less than 1 MiB
-TURNED_AWAY = {429, 503}  # HTTP status codes of an overloaded service
+# how long one call may wait for a change; a call on a dead connection is silent for that long
+LONG_POLL_MS = 2000
+# s after LONG_POLL_MS at which a call counts as lost; the rules deem a gateway notified at 2 s
+RESPONSE_GRACE = 1.0
+CALL_TIMEOUT = 3.0  # s; timeout of a call that does not wait for a change
+CONNECT_TIMEOUT = 1.0  # s; timeout for connecting
+MAX_BODY = 32 << 20  # bytes of one response; a list of thousands of backends takes less than 1 MiB
+OVERLOAD_STATUSES = {429, 503}  # HTTP status codes of an overloaded service
 # s; a call rejected later than this had been queued by discovery; one rejected sooner has cost it no work
-IN_LINE = 1.0
+QUEUED_AFTER = 1.0
 
 
 class UnavailableError(Exception):
@@ -43,15 +45,15 @@
 
 
 @implementer(IAgentEndpointFactory)
-class Endpoint:
+class DiscoveryEndpointFactory:
     """The one address of discovery. Agent's own endpoints look names up in a thread, even for an address."""
 
     def __init__(self, reactor: Any, at: tuple[str, int]) -> None:
-        self.made = TCP4ClientEndpoint(reactor, *at, timeout=CONNECT_LATE)
+        self.endpoint = TCP4ClientEndpoint(reactor, *at, timeout=CONNECT_TIMEOUT)
 
     def endpointForURI(self, uri: Any) -> TCP4ClientEndpoint:
         """Return the endpoint of discovery, whatever the URI."""
-        return self.made
+        return self.endpoint
 
 
 class Body(Protocol):
@@ -68,9 +70,9 @@
             self.transport.loseConnection()
 
     def dataReceived(self, data: bytes) -> None:
-        """Keep received bytes, or close the connection past `MOST_BODY`."""
+        """Keep received bytes, or close the connection past `MAX_BODY`."""
         self.size += len(data)
-        if self.size > MOST_BODY:
+        if self.size > MAX_BODY:
             self.parts.clear()
             self.close()
         else:
@@ -80,8 +82,8 @@
         """The body ended. Without a length it ends with its connection; a truncated one is invalid JSON."""
         if self.done.called:
             return
-        if self.size > MOST_BODY:
-            self.done.errback(ListError(f"response exceeds {MOST_BODY} bytes"))
+        if self.size > MAX_BODY:
+            self.done.errback(ListError(f"response exceeds {MAX_BODY} bytes"))
         elif reason.check(ResponseDone, PotentialDataLoss):
             self.done.callback(b"".join(self.parts))
         else:
@@ -89,12 +91,12 @@
 
 
 class Watch:
-    """A watch that runs until stopped; valid lists are passed to `told`, invalid ones are logged and ignored.
+    """A watch that runs until stopped; valid lists go to `on_snapshot`, invalid ones are logged and ignored.
 
-    It starts from the list `held`, if given, and asks for changes since. Each entry of a list costs discovery
-    work. Where discovery is a single service of fixed capacity, a tier of gateways that all ask for the whole
-    list at once, and again after each failure, would keep it from answering any of them. For such a service,
-    calls are also spread at random over a time proportional to the size of the tier.
+    It starts from the list `initial`, if given, and asks for changes since. Each entry of a list costs
+    discovery work. Where discovery is a single service of fixed capacity, a tier of gateways that all ask for
+    the whole list at once, and again after each failure, would keep it from answering any of them. For such a
+    service, calls are also spread at random over a time proportional to the size of the tier.
     """
 
     def __init__(
@@ -102,20 +104,21 @@
         reactor: Any,
         at: tuple[str, int],
         settings: Settings,
-        told: Callable[[DiscoverySnapshot], None],
-        held: DiscoverySnapshot | None = None,
+        on_snapshot: Callable[[DiscoverySnapshot], None],
+        initial: DiscoverySnapshot | None = None,
         rng: random.Random | None = None,
     ) -> None:
-        self.reactor, self.settings, self.told = reactor, settings, told
-        self.revision = held.revision if held and held.complete else None  # None asks for the whole list
-        self.met = False  # whether any list was received yet
+        self.reactor, self.settings, self.on_snapshot = reactor, settings, on_snapshot
+        # None asks for the whole list
+        self.revision = initial.revision if initial and initial.complete else None
+        self.has_received = False  # whether any list was received yet
         self.pauses = RetryPauses(settings, rng or random.Random())
         self.url = f"http://{at[0]}:{at[1]}/v1/servers".encode()
         self.pool = HTTPConnectionPool(reactor, persistent=True)
         self.pool.retryAutomatically = False
-        self.agent = Agent.usingEndpointFactory(reactor, Endpoint(reactor, at), self.pool)
+        self.agent = Agent.usingEndpointFactory(reactor, DiscoveryEndpointFactory(reactor, at), self.pool)
         self.running = False
-        self.waiting: Any = None  # the Deferred that the pending call waits for
+        self.pending: Any = None  # the Deferred that the pending call waits for
 
     @inlineCallbacks
     def run(self) -> Any:
@@ -124,17 +127,19 @@
         if self.revision is not None and (wait := self.pauses.before_first_call()):
             yield deferLater(self.reactor, wait)
         while self.running:
-            begun = self.reactor.seconds()
+            started = self.reactor.seconds()
             try:
                 result = yield from self.call()
-                self.take(result)
+                self.apply(result)
             except Exception as error:  # discovery may be down, silent or faulty; the list is kept
                 if self.running:
-                    yield deferLater(self.reactor, self.failed(error, self.reactor.seconds() - begun))
+                    yield deferLater(
+                        self.reactor, self.handle_failure(error, self.reactor.seconds() - started)
+                    )
             else:
                 self.pauses.after_success()
 
-    def failed(self, error: Exception, took: float) -> float:
+    def handle_failure(self, error: Exception, elapsed: float) -> float:
         """Record a failed call; return the seconds until the next one."""
         count("discovery_failed")
         if not self.pauses.failing:
@@ -142,23 +147,23 @@
         if isinstance(error, ListError):
             self.revision = None
         self.pool.closeCachedConnections()  # a connection that died during the pause would fail the next call
-        return self.pauses.after_failure(took, isinstance(error, OverloadedError))
+        return self.pauses.after_failure(elapsed, isinstance(error, OverloadedError))
 
-    def take(self, result: DiscoverySnapshot) -> None:
+    def apply(self, result: DiscoverySnapshot) -> None:
         """Apply a valid list, or ask for the whole list if discovery has restarted its revisions."""
         if self.revision is not None and result.revision < self.revision:
             count("discovery_began_anew")
             self.revision = None
             return
-        first, self.met = not self.met, True
+        first, self.has_received = not self.has_received, True
         if self.running and (first or result.complete or result.entries):
-            self.tell(result)
+            self.notify(result)
         self.revision = result.revision  # last: a list that was not applied is asked for again
 
-    def tell(self, result: DiscoverySnapshot) -> None:
-        """Pass a list to `told`; an exception there fails the call and must not end the watch."""
+    def notify(self, result: DiscoverySnapshot) -> None:
+        """Pass a list to `on_snapshot`; an exception there fails the call and must not end the watch."""
         try:
-            self.told(result)
+            self.on_snapshot(result)
         except Exception:
             count("list_not_taken")
             logs.event("list_not_taken", revision=result.revision, trace=traceback.format_exc())
@@ -167,25 +172,29 @@
     @inlineCallbacks
     def call(self) -> Any:
         """Make one call, for the whole list or for changes since the current one."""
-        url, limit, wait = self.url, PLAIN_LATE, 0
+        url, limit, wait = self.url, CALL_TIMEOUT, 0
         if self.revision is not None:
             # clients are accepted after the first list; after a failure the call may be queued already
-            wait = WAIT_MS if self.met and not self.pauses.failing else 0
+            wait = LONG_POLL_MS if self.has_received and not self.pauses.failing else 0
             url = b"%b?after=%d&wait_ms=%d" % (url, self.revision, wait)
-            limit = WAIT_MS / 1000 + ANSWER_LATE
-        begun = self.reactor.seconds()
-        until = begun + limit  # for headers and body together: either may stall
-        self.waiting = asked = self.agent.request(b"GET", url)
-        asked.addTimeout(limit, self.reactor)
-        response = yield asked
+            limit = LONG_POLL_MS / 1000 + RESPONSE_GRACE
+        started = self.reactor.seconds()
+        until = started + limit  # for headers and body together: either may stall
+        self.pending = request = self.agent.request(b"GET", url)
+        request.addTimeout(limit, self.reactor)
+        response = yield request
         body = Body()
-        self.waiting = reading = body.done
-        reading.addTimeout(max(0.0, until - self.reactor.seconds()), self.reactor)
+        self.pending = body_received = body.done
+        body_received.addTimeout(max(0.0, until - self.reactor.seconds()), self.reactor)
         response.deliverBody(body)
-        text = yield reading
-        if response.code in TURNED_AWAY and not wait and self.reactor.seconds() - begun >= IN_LINE:
+        text = yield body_received
+        if (
+            response.code in OVERLOAD_STATUSES
+            and not wait
+            and self.reactor.seconds() - started >= QUEUED_AFTER
+        ):
             raise OverloadedError(f"discovery returned HTTP status {response.code}")
-        if response.code >= 500 or response.code in TURNED_AWAY:
+        if response.code >= 500 or response.code in OVERLOAD_STATUSES:
             raise UnavailableError(f"discovery returned HTTP status {response.code}")
         if response.code != 200:
             raise ListError(f"discovery returned HTTP status {response.code}")
@@ -195,6 +204,6 @@
         """Stop: cancel the pending call, make no further ones and pass on no further list."""
         if self.running:
             self.running = False
-            if self.waiting is not None:
-                self.waiting.cancel()
+            if self.pending is not None:
+                self.pending.cancel()
             self.pool.closeCachedConnections()
--- a/tests/test_discovery_outages.py
+++ b/tests/test_discovery_outages.py
@@ -158,7 +158,7 @@
     world = World(True, 3, fault="head without body", begins=1.0, ends=2.0, drains_at=1.5)
     world.discovery.spoil = lambda connection: (
         connection.send(b"HTTP/1.1 200 OK\r\n\r\n"),
-        connection.send(b" " * (discovery_watch.MOST_BODY + 1)),
+        connection.send(b" " * (discovery_watch.MAX_BODY + 1)),
     )
     world.run_until(4.0, told=True)
     assert world.told_at is not None
@@ -169,14 +169,14 @@
     written = []
     monkeypatch.setattr(logs, "event", lambda name, **pairs: written.append((EVENTS[name], pairs)))
     world = World(True, 3, fault=None, begins=None, ends=0.0, drains_at=1.0)
-    hear, faults = world.watch.told, [ValueError("a fault in the gateway")] * 3
+    hear, faults = world.watch.on_snapshot, [ValueError("a fault in the gateway")] * 3
 
     def told(snapshot):
         if snapshot.entries and faults:
             raise faults.pop()
         hear(snapshot)
 
-    world.watch.told = told
+    world.watch.on_snapshot = told
     world.run_until(10.0, told=True)
     assert world.told_at is not None and not faults
     assert sum("a fault in the gateway" in pairs.get("trace", "") for _, pairs in written) == 3
--- a/tests/test_discovery_watch.py
+++ b/tests/test_discovery_watch.py
@@ -146,7 +146,7 @@
     watch.agent = agent = Halved(clock, head_after)
     watch.run()
     advance(clock, 20.0)
-    limit = discovery_watch.WAIT_MS / 1000 + discovery_watch.ANSWER_LATE
+    limit = discovery_watch.LONG_POLL_MS / 1000 + discovery_watch.RESPONSE_GRACE
     gaps = [b - a for a, b in zip(agent.calls, agent.calls[1:], strict=False)]
     assert len(gaps) >= 5 and max(gaps) <= limit + 0.25 + 0.11
     assert told == []
@@ -183,7 +183,7 @@
     def request(self, method, url):
         self.calls.append(self.clock.seconds())
         done = Deferred()
-        answer_at = self.clock.seconds() + discovery_watch.WAIT_MS / 1000
+        answer_at = self.clock.seconds() + discovery_watch.LONG_POLL_MS / 1000
         if answer_at < self.silent_at or self.calls[-1] > self.silent_at:
             self.clock.callLater(answer_at - self.clock.seconds(), done.callback, self)
         return done
