--- a/tests/test_bodies.py
+++ b/tests/test_bodies.py
@@ -42,7 +42,7 @@
 LONG = WHOLE + 1
 
 
-def cut(raw, at):
+def split_at(raw, at):
     """Split the bytes at these offsets."""
     marks = [0, *sorted({a % len(raw) for a in at}), len(raw)]
     return [raw[a:b] for a, b in itertools.pairwise(marks) if a < b]
@@ -91,10 +91,10 @@
 @given(MESSAGES, st.lists(st.integers(0, 10**6), max_size=12))
 def test_any_cutting_of_any_messages_gives_the_same_bytes(messages, at):
     raw = b"".join(messages)
-    assert read_all(cut(raw, at)) == (raw, len(messages), False)
+    assert read_all(split_at(raw, at)) == (raw, len(messages), False)
 
 
-class Wire:
+class FakeTransport:
     """A fake transport whose peer accepts only a limited number of bytes."""
 
     offset, _tempDataBuffer, _tempDataLen, connected = 0, (), 0, True
@@ -165,7 +165,7 @@
         self.closed = True
 
 
-class Pair:
+class GatewayWithClient:
     """A gateway with one client connection, and backend connections, on a fake reactor."""
 
     def __init__(self):
@@ -178,27 +178,27 @@
         self.gateway.feed(EndpointUpdate(UpdateKind.COMPLETE, (entry,)))
         self.gateway.pool.told("a", True, ("127.0.0.1", 3))
         self.client_connection = gateway.client_connection.ClientConnection(self.gateway)
-        self.client = Wire()
+        self.client = FakeTransport()
         self.client_connection.makeConnection(self.client)
-        self.heard = []
+        self.events = []
         handle = self.gateway.decisions.handle
-        self.gateway.decisions.handle = lambda now, events: self.heard.extend(events) or handle(now, events)
+        self.gateway.decisions.handle = lambda now, events: self.events.extend(events) or handle(now, events)
         invariants.counts.clear()
 
     def ask(self, rid):
         """Send one request; return the backend connection of its attempt, and its transport."""
         params = b"c=look,t=large,d=3000,units=1,spread=1,first=0"
         self.client_connection.dataReceived(command(b"API.READ", b"%016x" % 7, b"%016x" % rid, params))
-        return self.back()
+        return self.establish()
 
-    def back(self):
+    def establish(self):
         """Establish the backend connection opened last; return it and its transport."""
-        conn, wire = self.reactor.tcpClients[-1][2].buildProtocol(None), Wire()
+        conn, wire = self.reactor.tcpClients[-1][2].buildProtocol(None), FakeTransport()
         conn.makeConnection(wire)
         return conn, wire
 
     def outcomes(self):
-        return [e.status for e in self.heard if isinstance(e, AttemptEnded)]
+        return [e.status for e in self.events if isinstance(e, AttemptEnded)]
 
 
 VALUE = bulk(4 * LONG)
@@ -207,11 +207,11 @@
 
 @given(st.lists(st.integers(0, 10**6), max_size=8), st.lists(st.integers(0, 3), max_size=12))
 def test_a_value_arrives_whole_whatever_the_cuts_and_however_the_client_takes_it(at, takes):
-    pair = Pair()
+    pair = GatewayWithClient()
     first, _ = pair.ask(1)
     conn, wire = pair.ask(2)  # its reply has to wait for that of the first
     pair.client.room = 1000
-    pieces, held, takes = deque(cut(HEAD + VALUE + TAIL, at)), 0, deque(takes)
+    pieces, held, takes = deque(split_at(HEAD + VALUE + TAIL, at)), 0, deque(takes)
     while pieces:
         if wire.reading_paused:
             if not first.attempt:
@@ -227,7 +227,7 @@
     pair.client.take()
     assert bytes(pair.client.taken) == bulk(1) + VALUE
     assert pair.outcomes() == [Status.OK] * 2
-    assert held <= 2 * len(max(cut(HEAD + VALUE + TAIL, at), key=len)) + WHOLE
+    assert held <= 2 * len(max(split_at(HEAD + VALUE + TAIL, at), key=len)) + WHOLE
     assert not pair.client_connection.pending_replies and not pair.gateway.rpcs
     gc.disable()  # must be freed without the garbage collector, which runs rarely in the gateway
     try:
@@ -241,7 +241,8 @@
         gc.enable()
 
 
-ENDS = [  # bytes from the backend and other events, outcome, counter, whether the client connection is closed
+# bytes from the backend and other events, outcome, counter, whether the client connection is closed
+BAD_REPLIES = [
     ([HEAD + VALUE[:90000], None], Status.RESET, "answer_cut_off", True),
     ([HEAD + VALUE[:90000], response_stream.BACKEND_STALL_TIMEOUT], Status.RESET, "answer_stalled", True),
     ([HEAD + VALUE[:-2] + b"xx"], Status.RESET, "backend_connection_malformed", True),
@@ -253,9 +254,9 @@
 ]
 
 
-@pytest.mark.parametrize(("given", "status", "name", "gone"), ENDS)
+@pytest.mark.parametrize(("given", "status", "name", "gone"), BAD_REPLIES)
 def test_a_backend_that_spoils_a_long_answer_costs_that_answer_only(given, status, name, gone):
-    pair = Pair()
+    pair = GatewayWithClient()
     conn, _ = pair.ask(1)
     for what in given:
         if what is None:
@@ -271,7 +272,7 @@
 
 
 def test_nothing_follows_a_value_that_is_not_whole():
-    pair = Pair()
+    pair = GatewayWithClient()
     conn, _ = pair.ask(1)
     other, _ = pair.ask(2)
     conn.dataReceived(HEAD + VALUE[:90000])
@@ -281,7 +282,7 @@
 
 
 def test_what_was_begun_is_neither_timed_out_nor_sent_again_and_loads_no_server():
-    pair = Pair()
+    pair = GatewayWithClient()
     conn, wire = pair.ask(1)
     pair.reactor.advance(0.25)
     conn.dataReceived(HEAD + VALUE[:90000])
@@ -292,14 +293,14 @@
         conn.dataReceived(b"v")
     conn.dataReceived(VALUE[90008:] + TAIL)
     assert bytes(pair.client.taken) == VALUE
-    last = [e for e in pair.heard if isinstance(e, AttemptEnded)][-1]
+    last = [e for e in pair.events if isinstance(e, AttemptEnded)][-1]
     assert (last.status, last.elapsed, last.report) == (Status.OK, 0.25, {"qps": 1.0})
     assert not server.streaming and len(pair.reactor.tcpClients) == 1
 
 
 def test_a_client_that_takes_nothing_ends_and_one_that_goes_away_frees_its_backend():
     for leave in (False, True):
-        pair = Pair()
+        pair = GatewayWithClient()
         conn, wire = pair.ask(1)
         pair.client.room = 0
         conn.dataReceived(HEAD + VALUE[:90000])
@@ -314,24 +315,24 @@
 
 
 def test_a_probe_has_no_long_answer():
-    pair = Pair()
+    pair = GatewayWithClient()
     pool = pair.gateway.pool
     pool.send(backend_connection.Attempt(None, 0, "a", 0.0, 9.0, [b"x"]))
-    conn, _ = pair.back()
+    conn, _ = pair.establish()
     conn.dataReceived(VALUE)
     assert conn.ended and invariants.counts["backend_connection_malformed"] == 1
-    assert [e.status for e in pair.heard if isinstance(e, HealthCheckResult)] == [Status.RESET]
+    assert [e.status for e in pair.events if isinstance(e, HealthCheckResult)] == [Status.RESET]
     assert dataclasses.is_dataclass(answers.Reply)
 
 
 def test_a_slow_commands_wait_counts_from_its_last_byte():
-    pair = Pair()
+    pair = GatewayWithClient()
     raw = command(b"API.READ", b"%016x" % 7, b"%016x" % 1, b"c=look,t=large,d=900,units=1,spread=1,first=0")
     pair.client_connection.dataReceived(raw[:-2])
     pair.reactor.advance(2.0)  # as long as a client may take
     pair.gateway.descriptors.sweep()
     pair.client_connection.dataReceived(raw[-2:])
-    (request,) = [e for e in pair.heard if isinstance(e, Request)]
+    (request,) = [e for e in pair.events if isinstance(e, Request)]
     assert request.timeout == pytest.approx(0.9, abs=0.01)
 
 
@@ -348,13 +349,13 @@
 
 @given(st.lists(st.integers(0, 10**6), max_size=12), st.lists(st.integers(1, 3), max_size=9))
 def test_a_long_command_reaches_its_backend_whole_whatever_the_cuts(at, takes):
-    pair = Pair()
+    pair = GatewayWithClient()
     raw = write()
-    for piece in cut(raw, at):
+    for piece in split_at(raw, at):
         assert not pair.reactor.tcpClients  # nothing is sent before the last byte was received
         pair.client_connection.dataReceived(piece)
         pair.reactor.advance(0.01)
-    conn, wire = pair.reactor.tcpClients[-1][2].buildProtocol(None), Wire()
+    conn, wire = pair.reactor.tcpClients[-1][2].buildProtocol(None), FakeTransport()
     wire.room = 1000
     conn.makeConnection(wire)
     for n in takes:
@@ -369,22 +370,22 @@
 
 
 def test_a_long_command_that_broke_off_is_sent_again_and_counts_as_never_come():
-    pair = Pair()
+    pair = GatewayWithClient()
     # may be retried only because it can't have run
     pair.client_connection.dataReceived(write(cls=b"pay", more=b""))
-    conn, wire = pair.reactor.tcpClients[-1][2].buildProtocol(None), Wire()
+    conn, wire = pair.reactor.tcpClients[-1][2].buildProtocol(None), FakeTransport()
     wire.room = LONG
     conn.makeConnection(wire)
     conn.connectionLost()
     assert pair.outcomes() == [Status.CONNECT_FAILED]
-    again, whole = pair.back()
+    again, whole = pair.establish()
     assert again is not conn and without_wait(whole.taken) == without_wait(write(cls=b"pay", more=b""))
 
 
 def test_a_connection_that_breaks_under_a_long_command_never_had_it_whole():
-    pair = Pair()
+    pair = GatewayWithClient()
     pair.client_connection.dataReceived(write())
-    conn, wire = pair.reactor.tcpClients[-1][2].buildProtocol(None), Wire()
+    conn, wire = pair.reactor.tcpClients[-1][2].buildProtocol(None), FakeTransport()
     wire.sendmsg = unittest.mock.Mock(side_effect=BrokenPipeError)
     conn.makeConnection(wire)
     assert wire.aborted and wire.sendmsg.call_count == 1
@@ -392,14 +393,14 @@
     assert pair.outcomes() == [Status.CONNECT_FAILED]
 
 
-EARLY = [(b"-BUSY\r\n", Status.REJECTED), (served(), Status.RESET), (HEAD + VALUE, Status.RESET)]
+EARLY_REPLIES = [(b"-BUSY\r\n", Status.REJECTED), (served(), Status.RESET), (HEAD + VALUE, Status.RESET)]
 
 
-@pytest.mark.parametrize(("answer", "status"), EARLY)
+@pytest.mark.parametrize(("answer", "status"), EARLY_REPLIES)
 def test_an_answer_to_a_command_that_is_not_whole_ends_its_connection(answer, status):
-    pair = Pair()
+    pair = GatewayWithClient()
     pair.client_connection.dataReceived(write())
-    conn, wire = pair.reactor.tcpClients[-1][2].buildProtocol(None), Wire()
+    conn, wire = pair.reactor.tcpClients[-1][2].buildProtocol(None), FakeTransport()
     wire.room = LONG
     conn.makeConnection(wire)
     conn.dataReceived(answer)
@@ -422,7 +423,7 @@
 @pytest.mark.parametrize(("raw", "answer"), BAD)
 def test_a_bad_command_with_a_long_value_is_read_past_and_the_client_connection_stays(raw, answer):
     for size in (len(raw), 5000):
-        pair = Pair()
+        pair = GatewayWithClient()
         for i in range(0, len(raw), size):
             pair.client_connection.dataReceived(raw[i : i + size])
         pair.client_connection.dataReceived(PING)
@@ -432,19 +433,19 @@
 
 
 def test_what_is_beyond_a_quota_is_refused_at_the_head_and_read_past():
-    pair = Pair()
+    pair = GatewayWithClient()
     for rid in range(2):  # the burst that the plan allows
         pair.client_connection.dataReceived(write(rid, plan=b"small"))
     raw = write(9, plan=b"small")
     pair.client_connection.dataReceived(raw[:300])
     assert invariants.counts["refused_at_head"] == 1
-    pair.back()[0].dataReceived(served())
+    pair.establish()[0].dataReceived(served())
     assert not pair.client.taken  # the reply to the first is still pending
     pair.client_connection.dataReceived(raw[300:] + PING)
     assert len(pair.reactor.tcpClients) == 2 and pair.gateway.operators.tally["busy"] == 1
 
 
-LEAVES = [  # event in the middle of a body, what the client reads, counter
+INCOMPLETE_BODIES = [  # event in the middle of a body, what the client reads, counter
     (lambda pair: pair.client_connection.readConnectionLost(), b"", "command_cut_short"),
     (lambda pair: pair.client_connection.connectionLost(), b"", None),
     (
@@ -460,9 +461,9 @@
 ]
 
 
-@pytest.mark.parametrize(("leave", "answer", "name"), LEAVES)
+@pytest.mark.parametrize(("leave", "answer", "name"), INCOMPLETE_BODIES)
 def test_a_body_that_does_not_come_whole_costs_its_own_command(leave, answer, name):
-    pair = Pair()
+    pair = GatewayWithClient()
     pair.client_connection.dataReceived(write()[:LONG])
     assert pair.gateway.reader.open
     pair.reactor.advance(0.1)
@@ -475,7 +476,7 @@
 
 
 def test_a_body_that_comes_whole_after_its_client_has_left_is_refused_and_kept_no_longer():
-    pair, raw = Pair(), write()
+    pair, raw = GatewayWithClient(), write()
     pair.client_connection.dataReceived(raw[:LONG])
     pair.client_connection.stop_attempts()
     assert pair.gateway.budget.total > 0
@@ -485,30 +486,30 @@
 
 
 def test_an_attempt_of_a_request_that_is_answered_does_not_begin_once_its_connection_comes_up():
-    pair = Pair()
+    pair = GatewayWithClient()
     params = b"c=look,t=large,d=3000,units=1,spread=1,first=0"
     pair.client_connection.dataReceived(command(b"API.READ", b"%016x" % 7, b"%016x" % 1, params))
     rpc = pair.gateway.rpcs[1]
     pair.gateway.answer(1, [b"-ERR failed\r\n"])
     pair.client_connection.connectionLost()
     pair.client.connected = False
-    _, wire = pair.back()
+    _, wire = pair.establish()
     assert not wire.taken and rpc.attempt is None and not pair.gateway.out
-    assert [e.status for e in pair.heard if isinstance(e, AttemptEnded)] == [Status.ABANDONED]
+    assert [e.status for e in pair.events if isinstance(e, AttemptEnded)] == [Status.ABANDONED]
 
 
 def test_a_body_without_room_waits_then_is_refused_and_an_answer_without_room_waits():
-    pair = Pair()
+    pair = GatewayWithClient()
     budget = pair.gateway.budget
-    hog = Hog(budget)
+    hog = BudgetHolder(budget)
     pair.client_connection.dataReceived(write(1, size=2 * LONG)[:LONG])
     other = gateway.client_connection.ClientConnection(pair.gateway)
-    other.makeConnection(Wire())
+    other.makeConnection(FakeTransport())
     other.dataReceived(write(2, size=2 * LONG)[:LONG])
     asker = gateway.client_connection.ClientConnection(pair.gateway)
-    asker.makeConnection(taker := Wire())
+    asker.makeConnection(taker := FakeTransport())
     asker.dataReceived(command(b"API.READ", b"%016x" % 7, b"%016x" % 3, b"c=look,t=large,d=3000"))
-    conn, wire = pair.back()
+    conn, wire = pair.establish()
     budget.hold(hog, budget.high)
     assert other.paused and not pair.client_connection.paused  # the oldest body may be completed
     conn.dataReceived(HEAD + VALUE)
@@ -519,19 +520,19 @@
     assert bytes(taker.taken) == VALUE and not wire.reading_paused
 
 
-class Hog:
+class BudgetHolder:
     """A holder of the memory budget that only records its size."""
 
     def __init__(self, budget, body=False):
-        self.budget, self.kept, self.back = budget, 0, False
+        self.budget, self.kept, self.is_held_back = budget, 0, False
         if body:
             budget.join(self)
 
     def hold_back(self):
-        self.back = True
+        self.is_held_back = True
 
     def go_on(self):
-        self.back = False
+        self.is_held_back = False
 
 
 STEPS = st.lists(st.tuples(st.sampled_from("join grow whole drop answer taken".split()), st.integers(0, 30)))
@@ -543,17 +544,17 @@
     for what, n in steps:
         pick = lambda some, n=n: some[n % len(some)] if some else None  # noqa: E731
         if what == "join":
-            bodies.append(Hog(budget, body=True))
+            bodies.append(BudgetHolder(budget, body=True))
         elif what == "answer" and not budget.full:
-            answers_.append(Hog(budget))
+            answers_.append(BudgetHolder(budget))
             budget.hold(answers_[-1], WHOLE)
         elif what == "taken" and (one := pick(answers_)):
             answers_.remove(one)
             budget.hold(one, 0)
         elif what == "grow":  # all bodies that may grow, piece by piece, some until complete
             for _ in range(n):
-                for one in [b for b in bodies if not b.back]:
-                    if not one.back and one.kept < resp.MOST_VALUE:
+                for one in [b for b in bodies if not b.is_held_back]:
+                    if not one.is_held_back and one.kept < resp.MOST_VALUE:
                         budget.hold(one, min(resp.MOST_VALUE, one.kept + WHOLE))
         elif what == "whole" and (one := next((b for b in bodies if b.kept == resp.MOST_VALUE), None)):
             bodies.remove(one)
@@ -564,8 +565,8 @@
             budget.whole(one)
             budget.hold(one, 0)
         assert budget.total == sum(h.kept for h in bodies + whole + answers_) <= budget.most + 2 * WHOLE
-        assert not bodies or any(not b.back for b in bodies)
-        assert budget.full or budget.total > budget.low or not any(b.back for b in bodies)
+        assert not bodies or any(not b.is_held_back for b in bodies)
+        assert budget.full or budget.total > budget.low or not any(b.is_held_back for b in bodies)
 
 
 class LongValues(Program):
--- a/tests/test_discovery_outages.py
+++ b/tests/test_discovery_outages.py
@@ -43,7 +43,7 @@
 SIZES = [3, 30, 200, 1100]
 
 
-def told_after(pushed, gateways, reloads_at=None, since=None, **script):
+def time_until_notified(pushed, gateways, reloads_at=None, since=None, **script):
     """Return the seconds until the drain is passed on.
 
     They count from `since`, or from when discovery had the drain and was reachable.
@@ -65,7 +65,7 @@
         for drains_at in (OUTAGE_BEGINS + 1.0, ends + 0.7):
             script = {"begins": OUTAGE_BEGINS, "ends": ends, "drains_at": drains_at, **more}
             reloads_at = ends - 1.3 if reload else None
-            worst = max(worst, told_after(pushed, gateways, reloads_at, fault=fault, **script))
+            worst = max(worst, time_until_notified(pushed, gateways, reloads_at, fault=fault, **script))
     return worst
 
 
@@ -104,7 +104,7 @@
             ends = falls_silent + max(outage, 0.01)
             since = falls_silent if not outage else ends
             script = {"begins": falls_silent, "ends": ends, "drains_at": falls_silent + drains_after}
-            worst = max(worst, told_after(pushed, gateways, since=since, fault=fault, **script))
+            worst = max(worst, time_until_notified(pushed, gateways, since=since, fault=fault, **script))
     return worst
 
 
@@ -126,7 +126,7 @@
 @pytest.mark.parametrize("pushed", [True, False], ids=["pushed", "asked"])
 def test_what_changes_while_an_answer_is_on_its_way_comes_with_the_next_call(pushed, gateways):
     script = {"begins": OUTAGE_BEGINS, "ends": OUTAGE_BEGINS + 2.2, "drains_at": OUTAGE_BEGINS + 3.0}
-    assert told_after(pushed, gateways, fault="slow answer", **script) <= 1.5 + SLACK
+    assert time_until_notified(pushed, gateways, fault="slow answer", **script) <= 1.5 + SLACK
 
 
 @pytest.mark.parametrize("gateways", SIZES)
--- a/tests/test_discovery_watch.py
+++ b/tests/test_discovery_watch.py
@@ -14,7 +14,7 @@
 from .helpers import settings
 
 HELD = discovery_snapshot.DiscoverySnapshot(3, True, (), {})
-PATIENCE = 2.0  # s that discovery queues a call before it rejects it
+QUEUE_TIMEOUT = 2.0  # s that discovery queues a call before it rejects it
 
 
 class Discovery:
@@ -32,10 +32,10 @@
             return done
         self.calls.append((now, watch.revision))
         self.free_at = max(now, self.free_at) + self.a_call + (self.whole if watch.revision is None else 0.0)
-        if self.free_at - now <= PATIENCE:
+        if self.free_at - now <= QUEUE_TIMEOUT:
             self.later(watch, done, self.free_at - now)
         else:
-            self.clock.callLater(PATIENCE, done.errback, discovery_watch.OverloadedError("503"))
+            self.clock.callLater(QUEUE_TIMEOUT, done.errback, discovery_watch.OverloadedError("503"))
         return done
 
     def later(self, watch, done, wait):
@@ -115,7 +115,7 @@
     assert not discovery.calls
 
 
-class Halved:
+class HeadersOnly:
     """An agent whose responses have headers, but whose bodies never arrive."""
 
     code = 200
@@ -143,7 +143,7 @@
     watch = discovery_watch.Watch(
         clock, ("127.0.0.1", 1), settings(drain_grace=0.25), told.append, HELD, random.Random(1)
     )
-    watch.agent = agent = Halved(clock, head_after)
+    watch.agent = agent = HeadersOnly(clock, head_after)
     watch.run()
     advance(clock, 20.0)
     limit = discovery_watch.LONG_POLL_MS / 1000 + discovery_watch.RESPONSE_GRACE
@@ -173,7 +173,7 @@
     assert max(b - a for a, b in itertools.pairwise(calls)) <= 0.25
 
 
-class FallsSilent(Halved):
+class FallsSilent(HeadersOnly):
     """An agent that answers each call after its wait, except the one pending at `silent_at`."""
 
     def __init__(self, clock, silent_at):
--- a/tests/test_net_departures.py
+++ b/tests/test_net_departures.py
@@ -20,9 +20,9 @@
 from corkdeal.net.resp import command
 
 from .net_world import PATIENCE, SETTINGS, Moments, served
-from .test_bodies import Wire
+from .test_bodies import FakeTransport
 
-BUSY, GONE = b"BUSY", b"ERR failed"
+BUSY, FAILED = b"BUSY", b"ERR failed"
 STOPPED = 0.3  # s that the process is stopped after a client's close; no attempt may start after 0.1
 
 
@@ -89,14 +89,14 @@
         self.world.tell(a="Terminating")
         self.ask(marker, d=80000, rid=2)  # held, as no backend is left
         client.sock.shutdown(socket.SHUT_WR)
-        self.mark(marker)
+        self.wait_for_disconnects(marker)
         self.world.add("b")
         self.world.tell()
         asked.conn.end()
-        self.assertEqual(client.read(), [GONE])
+        self.assertEqual(client.read(), [FAILED])
         self.assertTrue(self.world.asked.empty())
 
-    def mark(self, marker):
+    def wait_for_disconnects(self, marker):
         """Disconnect this client and wait for its rejection: earlier disconnects have been handled then."""
         marker.sock.shutdown(socket.SHUT_WR)
         self.assertEqual(marker.read(), [BUSY])
@@ -109,7 +109,7 @@
         self.world.tell(a="Terminating")
         self.ask(marker, d=80000, rid=2)
         client.sock.shutdown(socket.SHUT_WR)
-        self.mark(marker)
+        self.wait_for_disconnects(marker)
         asked.conn.send(served(b"mine"))
         self.assertEqual(client.read(), [b"mine"])
         self.assertIsNone(client.read())
@@ -130,7 +130,7 @@
         self.ask(marker, d=80000, rid=5000, customer=8)
         self.ask(staying, b"pay", d=80000, rid=5001, customer=9, body=b"y")
         client.reset()
-        self.mark(marker)  # paused connections are checked more often than this takes
+        self.wait_for_disconnects(marker)  # paused connections are checked more often than this takes
         self.world.add("a")
         self.world.tell()
         asked = self.world.next()
@@ -187,7 +187,7 @@
         self.assertEqual(self.world.next().words[2], b"%016x" % 9999)
         self.assertTrue(self.world.asked.empty())
 
-    def warm(self):
+    def open_backend_connections(self):
         """Open a connection to each of the two backends, so that attempts are written at once."""
         clients = [self.client() for _ in "ab"]
         for rid, client in enumerate(clients):
@@ -201,7 +201,7 @@
 
     def between_attempts(self, reset):
         self.patient(a={}, b={})
-        self.warm()
+        self.open_backend_connections()
         client = self.client()
         self.ask(client, d=80000)
         asked = self.world.next()
@@ -224,7 +224,7 @@
         settings = copy.deepcopy(SETTINGS)
         settings["classes"][0].update(aim_us=4_000_000, deadline_us=20_000_000)
         self.start(config={"settings": settings}, a={}, b={})
-        self.warm()
+        self.open_backend_connections()
         client = self.client()
         self.ask(client, d=20000)
         asked = self.world.next()
@@ -234,7 +234,7 @@
         self.thaw(after=2.6, since=stopped)  # late enough to time out, early enough for a retry
         self.assertTrue(asked.ended.wait(PATIENCE))
         if not reset:
-            self.assertIn(client.read(), ([BUSY], [GONE]))
+            self.assertIn(client.read(), ([BUSY], [FAILED]))
         self.nothing_sent()
 
     def test_the_timer_of_a_further_attempt_is_due_before_a_fin_is_read(self):
@@ -337,12 +337,12 @@
         self.addCleanup(self.ours.close)
         self.addCleanup(self.theirs.close)
         self.connection = client_connection.ClientConnection(self.gateway)
-        self.wire = Wire()
+        self.wire = FakeTransport()
         self.wire.fileno, self.wire.getsockopt = self.ours.fileno, self.ours.getsockopt
         self.connection.makeConnection(self.wire)
         invariants.counts.clear()
 
-    def listed(self):
+    def add_backend(self):
         """Add a ready backend."""
         self.gateway.pool.told("a", True, ("127.0.0.1", 3))
         self.gateway.feed(EndpointUpdate(UpdateKind.COMPLETE, (Endpoint("a", EndpointState.READY),)))
@@ -351,42 +351,42 @@
         params = b"c=look,t=large,d=3000,units=1,spread=1,first=0"
         self.connection.dataReceived(command(b"API.READ", b"%016x" % 7, b"%016x" % rid, params))
 
-    def come_up(self):
+    def establish(self):
         """Establish the backend connection opened last; return what is written on it."""
-        wire = Wire()
+        wire = FakeTransport()
         self.reactor.tcpClients[-1][2].buildProtocol(None).makeConnection(wire)
         return bytes(wire.taken)
 
     def test_a_request_that_comes_with_the_end_of_sending_still_gets_its_attempt(self):
-        self.listed()
+        self.add_backend()
         self.theirs.shutdown(socket.SHUT_WR)
         self.ask()
         self.connection.readConnectionLost()
         self.reactor.advance(client_connection.HALF_CLOSE_GRACE / 2)
-        self.assertIn(b"API.READ", self.come_up())
+        self.assertIn(b"API.READ", self.establish())
         self.reactor.advance(client_connection.HALF_CLOSE_GRACE)
         self.assertFalse(self.wire.taken)  # its backend has the request and will reply
 
     def test_a_connection_to_a_backend_that_comes_up_after_the_grace_gets_nothing(self):
-        self.listed()
+        self.add_backend()
         self.ask()
         self.theirs.shutdown(socket.SHUT_WR)
         self.connection.check_paused()
         self.reactor.rightNow += client_connection.HALF_CLOSE_GRACE  # without running timers
-        self.assertEqual(self.come_up(), b"")
+        self.assertEqual(self.establish(), b"")
         self.assertEqual(bytes(self.wire.taken), b"-BUSY\r\n")
 
     def test_a_reset_ends_an_attempt_that_still_connects_at_once(self):
-        self.listed()
+        self.add_backend()
         self.ask()
         self.theirs.close()  # closes both directions, which the kernel reports as a closed connection
-        self.assertEqual(self.come_up(), b"")
+        self.assertEqual(self.establish(), b"")
         self.assertTrue(self.wire.aborted)
         self.assertFalse(self.gateway.rpcs)
 
     def test_a_late_turn_counts_an_end_as_having_come_before_it(self):
         self.ask()  # held, as there is no backend
-        self.listed()
+        self.add_backend()
         self.theirs.shutdown(socket.SHUT_WR)
         self.reactor.advance(STOPPED)  # the timer of the held request is late
         self.assertFalse(self.reactor.tcpClients)
@@ -395,7 +395,7 @@
     def test_a_turn_in_time_counts_it_from_when_it_is_seen(self):
         self.ask()
         self.reactor.advance(STOPPED)  # an earlier late iteration has no effect
-        self.listed()
+        self.add_backend()
         self.theirs.shutdown(socket.SHUT_WR)
         self.reactor.pump([timers.LATE_LEAST / 2] * 100)
         self.assertEqual(len(self.reactor.tcpClients), 1)
@@ -404,7 +404,7 @@
         for rid in range(client_connection.MAX_PENDING_REPLIES):
             self.ask(rid)
         self.assertTrue(self.connection.paused)
-        self.listed()
+        self.add_backend()
         self.theirs.shutdown(socket.SHUT_WR)
         self.reactor.pump([timers.LATE_LEAST / 2] * 100)
         self.assertFalse(self.reactor.tcpClients)
--- a/tests/test_net_edges.py
+++ b/tests/test_net_edges.py
@@ -16,7 +16,7 @@
 
 from .net_world import PATIENCE, SETTINGS, Discovery, Moments, served
 
-GONE = b"ERR failed"
+FAILED = b"ERR failed"
 
 PING = command(b"PING")
 
@@ -28,7 +28,7 @@
     sock.close()
 
 
-class Edges(Moments):
+class EdgeCases(Moments):
     """Base class of these tests."""
 
     def descriptors(self):
@@ -36,7 +36,7 @@
         return len(os.listdir(f"/proc/{self.process.pid}/fd"))
 
 
-class CutAnswers(Discovery):
+class TruncatedResponses(Discovery):
     """A discovery whose responses have no length; `world.endings` says how the next ones end."""
 
     def answer(self, body):
@@ -55,13 +55,13 @@
             reset(self.connection)
 
 
-class DiscoveryAnswers(Edges):
+class DiscoveryResponses(EdgeCases):
     """A response without a length is ended by a close of the connection, but not by a reset."""
 
     def setUp(self):
         super().setUp()
         self.world.endings = []
-        self.world.http.RequestHandlerClass = CutAnswers
+        self.world.http.RequestHandlerClass = TruncatedResponses
 
     def watching(self):
         """Wait until a watch is open; return its revision."""
@@ -108,7 +108,7 @@
             self.assertEqual(self.serve(client, rid).backend.name, "a")
 
 
-class Floods(Edges):
+class Floods(EdgeCases):
     """Clients that send a lot at once and disconnect do not affect other clients."""
 
     def test_bad_clients_that_send_much_and_go(self):
@@ -156,7 +156,7 @@
         self.assertIsNone(client.read())
 
 
-class SpoiltAnswers(Edges):
+class BadReplies(EdgeCases):
     """Replies that are truncated, malformed or never end."""
 
     def trickle(self, asked, start):
@@ -171,7 +171,7 @@
 
         threading.Thread(target=write, daemon=True).start()
 
-    def break_off(self, asked, part):
+    def send_truncated(self, asked, part):
         """Write part of a reply and close; the gateway may have closed already if it is malformed."""
         with contextlib.suppress(OSError):
             asked.conn.send(part)
@@ -185,7 +185,7 @@
                 self.ask(client, b"pay", d=80000, rid=rid, body=b"x")
                 asked = self.world.next()
                 self.trickle(asked, start)
-                self.assertEqual(client.read(), [GONE])
+                self.assertEqual(client.read(), [FAILED])
                 self.assertTrue(asked.ended.wait(PATIENCE))
 
     def test_one_that_breaks_off_is_repeated_where_that_is_harmless_and_only_there(self):
@@ -195,11 +195,11 @@
             with self.subTest(part):
                 self.ask(client, b"pay", d=80000, rid=10 + rid, body=b"x")
                 asked = self.world.next()
-                self.break_off(asked, part)
-                self.assertEqual(client.read(), [GONE])
+                self.send_truncated(asked, part)
+                self.assertEqual(client.read(), [FAILED])
                 self.ask(client, d=80000, rid=rid)
                 asked = self.world.next()
-                self.break_off(asked, part)
+                self.send_truncated(asked, part)
                 again = self.world.next()
                 self.assertIsNot(again.backend, asked.backend)
                 again.conn.send(served(b"whole"))
@@ -221,7 +221,7 @@
         self.assertIsNot(again.backend, first.backend)
         again.conn.send(served())
         self.assertEqual(safe.read(), [b"v"])
-        self.assertEqual(unsafe.read(), [GONE])
+        self.assertEqual(unsafe.read(), [FAILED])
         self.assertTrue(self.world.asked.empty())
 
     def test_a_backend_that_hangs_in_the_middle_of_its_answer(self):
@@ -236,7 +236,7 @@
         self.assertEqual(client.read(), [b"v"])
 
 
-class Slow(Edges):
+class SlowPeers(EdgeCases):
     """Clients that write slowly, and backend connections that are established late."""
 
     def test_commands_that_come_byte_by_byte(self):
@@ -274,7 +274,7 @@
         self.assertEqual(seen, 0)
 
 
-class WholeLists(Edges):
+class CompleteLists(EdgeCases):
     """A backend that a complete list omits is removed, even if it still responds."""
 
     def test_a_backend_that_is_left_out_gets_nothing_more(self):
@@ -325,7 +325,7 @@
         late.close()
 
 
-class SilentWatches(Edges):
+class SilentWatches(EdgeCases):
     """A watch that has worked for long gets no more responses, as its connection is dead."""
 
     def test_the_list_is_asked_for_on_a_new_connection(self):
@@ -345,12 +345,12 @@
         self.assertEqual({self.serve(client, rid).backend.name for rid in range(8)}, {"b"})
 
 
-class Windows(Edges):
+class DeduplicationWindows(EdgeCases):
     """A retry with an idempotency key is written within the deduplication window or not at all."""
 
     WINDOW = 1.0  # s
 
-    def repeat_that_connects(self):
+    def start_connecting_retry(self):
         """Start a retry within the window, on a connection that is established a second later."""
         settings = copy.deepcopy(SETTINGS)
         settings["policy_limits"]["connect_timeout_us"] = 60_000_000
@@ -397,15 +397,15 @@
             conn.close()
 
     def test_the_connection_comes_up_after_the_window(self):
-        client, began = self.repeat_that_connects()
-        self.assertEqual(client.read(), [GONE])
+        client, began = self.start_connecting_retry()
+        self.assertEqual(client.read(), [FAILED])
         time.sleep(max(0.0, began + 2.3 * self.WINDOW - time.monotonic()))  # it would be established by then
         self.assert_nothing_came()
 
     def test_the_gateway_learns_only_after_the_window_that_the_connection_is_up(self):
-        client, began = self.repeat_that_connects()
+        client, began = self.start_connecting_retry()
         self.freeze()
         self.wait_for(lambda: not self.connecting())
         self.thaw(after=1.2 * self.WINDOW, since=began)
-        self.assertEqual(client.read(), [GONE])
+        self.assertEqual(client.read(), [FAILED])
         self.assert_nothing_came()
--- a/tests/test_net_parsers.py
+++ b/tests/test_net_parsers.py
@@ -43,7 +43,7 @@
     return copy
 
 
-class Heads(unittest.TestCase):
+class Frames(unittest.TestCase):
     FRAMES = [
         b"*2\r\n$4\r\nPING\r\n$0\r\n\r\n",
         b"+PONG\r\n",
@@ -262,7 +262,7 @@
             )
 
 
-class Guards(unittest.TestCase):
+class Limits(unittest.TestCase):
     def setUp(self):
         self.reactor = MemoryReactorClock()
         given = config.read(json.dumps({**GIVEN, "known": LIST}).encode(), {})
@@ -273,19 +273,19 @@
     def client_connection(self):
         return connect(self.gateway)
 
-    def asks(self, connection):
+    def add_request(self, connection):
         """Add a request to the connection that has no reply yet."""
         connection.has_sent_command = True
         connection.enqueue(types.SimpleNamespace(reply=None, response_stream=None, attempt=None))
         return connection.pending_replies[-1]
 
-    def is_served(self, connection):
+    def serve_request(self, connection):
         """Add a request to the connection and complete it."""
-        self.asks(connection).reply = []
+        self.add_request(connection).reply = []
         connection.flush()
 
     def test_a_request_not_read_yet_and_one_likely_under_way_keep_a_client_connection_from_closing(self):
-        self.clock()
+        self.use_reactor_clock()
         new, asked, idle = [self.client_connection() for _ in range(3)]
         for each in (asked, idle):
             each.dataReceived(b"*1\r\n$4\r\nPING\r\n")
@@ -308,17 +308,17 @@
         self.reactor.advance(descriptors_module.MIN_SILENT_TIME + 0.01)
         self.assertTrue(silent.transport.disconnecting)
 
-    def clock(self):
+    def use_reactor_clock(self):
         """Make the gateway use the reactor's clock; return its descriptors."""
         self.gateway.now = self.gateway.descriptors.now = self.reactor.seconds
         return self.gateway.descriptors
 
     def test_client_connections_that_hold_a_descriptor_for_nothing_end(self):
-        descriptors = self.clock()  # otherwise they would keep other clients out
+        descriptors = self.use_reactor_clock()  # otherwise they would keep other clients out
         silent, half, idle, busy = [self.client_connection() for _ in range(4)]
         half.dataReceived(b"*1\r\n$4\r\nPI")
         idle.dataReceived(b"*1\r\n$4\r\nPING\r\n")
-        self.asks(busy)
+        self.add_request(busy)
         self.reactor.advance(descriptors_module.COMMAND_TIMEOUT + 0.1)
         descriptors.sweep()
         for each in (silent, half):
@@ -331,13 +331,13 @@
         self.assertEqual((idle.transport.disconnecting, busy.transport.disconnecting), (True, False))
 
     def test_many_client_connections_make_idle_and_silent_ones_end_sooner(self):
-        descriptors = self.clock()
+        descriptors = self.use_reactor_clock()
         idle, pinged, silent = [self.client_connection() for _ in range(3)]
-        self.is_served(idle)
+        self.serve_request(idle)
         pinged.dataReceived(b"*1\r\n$4\r\nPING\r\n")
         crowd = [self.client_connection() for _ in range(descriptors.limit // 8)]
         for each in crowd:
-            self.asks(each)
+            self.add_request(each)
         self.reactor.advance(descriptors_module.MIN_SILENT_TIME + 0.01)
         descriptors.sweep()
         ended = [c.transport.disconnecting for c in (idle, pinged, silent)]
@@ -347,11 +347,11 @@
         self.assertTrue(idle.transport.disconnecting and pinged.transport.disconnecting)
 
     def test_short_descriptors_go_to_who_asks(self):
-        descriptors = self.clock()
+        descriptors = self.use_reactor_clock()
         most = descriptors.limit - descriptors.reserved_for_backends()
         busy, idle = self.client_connection(), self.client_connection()
-        self.asks(busy)
-        self.is_served(idle)
+        self.add_request(busy)
+        self.serve_request(idle)
         self.reactor.advance(descriptors_module.MIN_IDLE_TIME)
         silent = [self.client_connection() for _ in range(most - 2)]
         for each in silent[::2]:  # a PING does not protect a connection from eviction
@@ -362,7 +362,7 @@
             self.assertEqual(new.transport.value(), b"")
             self.assertEqual(len(self.gateway.client_connections & set(silent)), left)
         for each in self.gateway.client_connections - {idle}:
-            self.asks(each)
+            self.add_request(each)
         self.client_connection()
         self.assertFalse(idle in self.gateway.client_connections)  # then the connection idle for longest
         refused = self.client_connection()  # but none that has work
@@ -382,8 +382,8 @@
         self.assertEqual((len(sent[1]), len(sent[1][0])), (1, 1500 * 7))
 
     def test_nothing_is_kept_of_backends_that_left(self):
-        pool, attempt = self.dial()  # backends are replaced again and again in a long run
-        connection, _ = self.up()
+        pool, attempt = self.connecting_attempt()  # backends are replaced again and again in a long run
+        connection, _ = self.establish()
         attempt.rpc = rpc = types.SimpleNamespace(body=None)
         pool.on_finish = lambda attempt, reply: self.assertIs(attempt.rpc, rpc)
         pool.told("a", False, ("127.0.0.1", 1))
@@ -391,7 +391,7 @@
         self.assertEqual((pool.open, pool.idle, pool.addresses, attempt.rpc), (set(), {}, {}, None))
 
     def test_a_shortage_of_descriptors_says_nothing_of_a_backend(self):
-        pool, _ = self.dial()
+        pool, _ = self.connecting_attempt()
         pool.has_free_descriptor = lambda: False
         pool.send(backend_connection.Attempt(None, 0, "a", 0.0, 9.0, [b"x"]))
         self.assertEqual(self.ended, [Status.ABANDONED])
@@ -416,27 +416,27 @@
         self.assertEqual((answers, self.gateway.rpcs), ([[b"-ERR failed\r\n"]], {}))
         self.assertEqual(invariants.counts["module_failed"], 1)
 
-    def dial(self):
+    def connecting_attempt(self):
         """Return a pool and an attempt whose connection is still being established."""
         self.ended = []
-        hear = lambda attempt, reply: self.ended.append(reply.status)  # noqa: E731
-        yes = lambda *_: True  # noqa: E731
+        finished = lambda attempt, reply: self.ended.append(reply.status)  # noqa: E731
+        accept = lambda *_: True  # noqa: E731
         pool = backend_connection.Pool(
             self.reactor,
             self.gateway.settings,
             1,
             self.reactor.seconds,
-            hear,
-            yes,
-            yes,
-            yes,
+            finished,
+            accept,
+            accept,
+            accept,
             self.gateway.budget,
         )
         pool.told("a", True, ("127.0.0.1", 1))
         pool.send(attempt := backend_connection.Attempt(None, 0, "a", 0.0, 9.0, [b"x"]))
         return pool, attempt
 
-    def up(self):
+    def establish(self):
         """Establish the connection opened last; return it and its transport."""
         connection = self.reactor.tcpClients[-1][2].buildProtocol(None)
         transport = StringTransport()
@@ -450,29 +450,30 @@
         return connection, transport
 
     def test_an_attempt_still_connecting_ends_when_its_backend_drains(self):
-        pool, _ = self.dial()  # a send counts from its first byte, which could follow the drain grace
+        # a send counts from its first byte, which could follow the drain grace
+        pool, _ = self.connecting_attempt()
         pool.told("a", False, ("127.0.0.1", 1))
         self.assertEqual((self.ended, pool.open), ([Status.CONNECT_FAILED], set()))
-        self.assertEqual(self.up()[1].value(), b"")
+        self.assertEqual(self.establish()[1].value(), b"")
 
     def test_an_attempt_that_is_too_late_to_write_is_not_written(self):
-        pool, attempt = self.dial()
+        pool, attempt = self.connecting_attempt()
         attempt.write_by = self.reactor.seconds() + 1.0
         self.reactor.advance(1.1)  # its timer has not run in this reactor iteration
-        self.assertEqual(self.up()[1].value(), b"")
+        self.assertEqual(self.establish()[1].value(), b"")
         self.assertEqual((self.ended, pool.open), ([Status.ABANDONED], set()))
 
     def test_outcomes_by_where_the_connection_broke(self):
         for left, status in ((b"", Status.RESET), (b"rest", Status.CONNECT_FAILED)):
-            self.dial()
-            connection, transport = self.up()
+            self.connecting_attempt()
+            connection, transport = self.establish()
             transport.dataBuffer = left
             connection.connectionLost()
             self.assertEqual(self.ended, [status])
 
     def test_connections_are_used_again_and_retired_before_the_idle_limit(self):
-        pool, _ = self.dial()
-        connection, transport = self.up()
+        pool, _ = self.connecting_attempt()
+        connection, transport = self.establish()
         connection.dataReceived(b"+PONG\r\n")
         self.assertEqual(self.ended, [Status.OK])
         self.reactor.advance(2 * backend_connection.REUSE_DELAY)
@@ -489,8 +490,8 @@
         self.assertEqual(len(self.reactor.tcpClients), 2)
 
     def test_one_that_goes_for_another_frees_its_descriptor_in_the_same_turn(self):
-        pool, _ = self.dial()
-        connection, transport = self.up()
+        pool, _ = self.connecting_attempt()
+        connection, transport = self.establish()
         transport.abortConnection = lambda: None  # Twisted's acts in the next reactor iteration only
         transport.connectionLost = connection.connectionLost
         connection.dataReceived(b"+PONG\r\n")
@@ -500,9 +501,9 @@
         self.assertEqual(len(pool.open) + len(pool.closing), 1)
 
     def test_what_lies_in_a_warm_connection_answers_no_rpc(self):
-        pool, _ = self.dial()
+        pool, _ = self.connecting_attempt()
         pool.max_connections = 9
-        connection, transport = self.up()
+        connection, transport = self.establish()
         connection.dataReceived(b"+PONG\r\n")
         pool.send(backend_connection.Attempt(None, 0, "a", 0.0, 9.0, [b"y"]))
         self.assertEqual(len(self.reactor.tcpClients), 2)  # no reuse yet: a second reply may follow
@@ -520,9 +521,9 @@
             (b"-ERR with no end", backend_connection.REPLY_STALL_TIMEOUT),
         ):
             with self.subTest(data):
-                pool, attempt = self.dial()
+                pool, attempt = self.connecting_attempt()
                 attempt.rpc = types.SimpleNamespace(body=None)
-                connection, _ = self.up()
+                connection, _ = self.establish()
                 connection.dataReceived(data)
                 self.assertEqual(self.ended, [] if wait else [Status.RESET])
                 self.reactor.advance(wait)
@@ -530,9 +531,9 @@
 
     def test_an_answer_that_comes_in_pieces_is_waited_for_but_not_for_ever(self):
         for pieces, status in ((3, Status.OK), (9, Status.RESET)):
-            _, attempt = self.dial()
+            _, attempt = self.connecting_attempt()
             attempt.rpc = types.SimpleNamespace(body=None)
-            connection, _ = self.up()
+            connection, _ = self.establish()
             value = b"*3\r\n$%d\r\n%b\r\n$-1\r\n$-1\r\n" % (pieces, b"v" * pieces)
             for piece in [value[:8], *(value[8 + i : 9 + i] for i in range(pieces - 1))]:
                 connection.dataReceived(piece)
@@ -541,11 +542,11 @@
             self.assertEqual(self.ended, [status])
 
     def test_a_connection_that_does_not_come_up_leaves_time_for_another(self):
-        self.dial()  # the timeout in the settings may be most of a short latency objective
+        self.connecting_attempt()  # the timeout in the settings may be most of a short latency objective
         self.assertEqual(self.reactor.tcpClients[-1][3], 0.25)
         aims = [dataclasses.replace(c, latency_objective=0.4) for c in self.gateway.settings.classes]
         self.gateway.settings = dataclasses.replace(self.gateway.settings, classes=tuple(aims))
-        self.dial()
+        self.connecting_attempt()
         self.assertEqual(self.reactor.tcpClients[-1][3], 0.1)
 
     def test_invariants_are_asserted_or_counted_by_build(self):
