--- a/corkdeal/net/backend_connection.py
+++ b/corkdeal/net/backend_connection.py
@@ -24,7 +24,7 @@
 from .response_stream import ResponseStream
 from .rpc import RPC
 
-# of the idle timeout; a backend may close sooner than at the timeout, and a write that crosses it is reset
+# of the idle timeout; a backend closes at the timeout at the latest, and a write that crosses that is reset
 IDLE_TIMEOUT_SHARE = 0.8
 REUSE_DELAY = 0.007  # s between a reply and reuse: bytes after the reply must not be read as the next RPC's
 # s without a further byte of a reply; s from its first byte to its last
@@ -369,7 +369,7 @@
         if holds(not attempt.over, "second_outcome"):
             attempt.over, attempt.conn, attempt.parts = True, None, []
             self.on_finish(attempt, reply)
-            attempt.rpc = None  # a pending timer keeps the attempt alive; free the frame
+            attempt.rpc = None  # a pending timer may keep the attempt alive; free its frame
 
     def give_up(self, attempt: Attempt, status: Status) -> None:
         """Abandon an attempt; its connection is closed, so that a late reply is discarded."""
--- a/corkdeal/net/descriptors.py
+++ b/corkdeal/net/descriptors.py
@@ -12,7 +12,7 @@
 COMMAND_TIMEOUT = 2.5  # s within which a command must be complete; clients are promised 2 s
 IDLE_TIMEOUT = 10.0  # s without a pending RPC after which a client connection is closed
 MIN_IDLE_TIME = 2.0  # s, the same while descriptors are short; clients are promised no less
-MIN_SILENT_TIME = 0.25  # s, the same for silent connections, and for evicting one that sent only PINGs
+MIN_SILENT_TIME = 0.25  # s, the same for silent connections, and for evicting one that has sent only PINGs
 TIMEOUT_REPLY = b"-ERR timeout: no whole command has come\r\n"
 
 
@@ -26,7 +26,7 @@
         self.pool: Any = None
 
     def reserved_for_backends(self) -> int:
-        """Return the descriptors reserved for backends: an eighth, at least those in use and a sixteenth."""
+        """Return the descriptors reserved for backends: an eighth, or those in use and a sixteenth."""
         return max(self.limit // 8, len(self.pool.open) + self.limit // 16)
 
     def admit_client_connection(self) -> bool:
--- a/corkdeal/net/discovery_watch.py
+++ b/corkdeal/net/discovery_watch.py
@@ -174,7 +174,8 @@
         """Make one call, for the whole list or for changes since the current one."""
         url, limit, wait = self.url, CALL_TIMEOUT, 0
         if self.revision is not None:
-            # clients are accepted after the first list; after a failure the call may be queued already
+            # No long poll before the first list, after which clients are accepted; nor after a failure, when
+            # discovery may queue the call, which leaves no time to wait for a change as well.
             wait = LONG_POLL_MS if self.has_received and not self.pauses.failing else 0
             url = b"%b?after=%d&wait_ms=%d" % (url, self.revision, wait)
             limit = LONG_POLL_MS / 1000 + RESPONSE_GRACE
--- a/corkdeal/net/idle_connections.py
+++ b/corkdeal/net/idle_connections.py
@@ -1,6 +1,6 @@
 """Queues of idle client connections, in the order in which they expire or are evicted; no I/O.
 
-A connection is in at most one queue by what it is waiting for (see `Awaited`), from which it expires, and in
+A connection is in at most one queue by what is awaited on it (see `Awaited`), from which it expires, and in
 at most one by how much it was used (see `Use`), from which it can be evicted in favour of another connection.
 Queues are ordered by time, because a connection always joins one with the current time. So each change and
 each access to a head is O(1), however many connections are open.
