--- a/corkdeal/net/answers.py
+++ b/corkdeal/net/answers.py
@@ -57,13 +57,13 @@
             memoryview(frame.buf)[items[1].head : items[stop - 1].end],
             load_report_at(frame, skip_items(items, stop)[0]),
         )
-    word, _, rest = frame.text(0).partition(b" ")
-    if word == b"BUSY":
+    code, _, rest = frame.text(0).partition(b" ")
+    if code == b"BUSY":
         return Reply(Status.REJECTED, report=rest)
-    if word not in (b"ERR", b"SYNTAX", b"NOPERM"):
+    if code not in (b"ERR", b"SYNTAX", b"NOPERM"):
         raise Malformed("unknown error code")
-    if word != b"ERR":
-        count(f"backend_{word.decode().lower()}")
+    if code != b"ERR":
+        count(f"backend_{code.decode().lower()}")
     return Reply(Status.ERROR, report=rest.rpartition(b" ")[2])
 
 
--- a/corkdeal/net/backend_connection.py
+++ b/corkdeal/net/backend_connection.py
@@ -120,7 +120,7 @@
             return
         if self.response_stream is not None:
             return self.response_stream.receive(data)
-        begun = self.parser.has_partial_frame
+        had_partial_frame = self.parser.has_partial_frame
         try:
             self.parser.feed(data)
             frame = self.parser.next()
@@ -133,7 +133,8 @@
                 raise Malformed("reply before the command was fully written")
         except Malformed:
             return self.fail_malformed(self.attempt)
-        if not reply and not begun:  # an incomplete reply must not hold its request until the deadline
+        # an incomplete reply must not hold its request until the deadline
+        if not reply and not had_partial_frame:
             self.pool.reactor.callLater(
                 REPLY_STALL_TIMEOUT,
                 self.check_reply_stall,
@@ -165,13 +166,13 @@
         self.response_stream = ResponseStream(self, attempt, frame)
         self.response_stream.start()
 
-    def check_reply_stall(self, attempt: Attempt, until: float, had: int) -> None:
+    def check_reply_stall(self, attempt: Attempt, until: float, previous_size: int) -> None:
         """Fail an attempt whose reply was begun and makes no progress."""
-        have = len(self.parser.buf)
+        size = len(self.parser.buf)
         if self.response_stream is not None:
             return  # the stream has its own stall timer
-        if not attempt.over and have > had and self.pool.now() < until:
-            self.pool.reactor.callLater(REPLY_STALL_TIMEOUT, self.check_reply_stall, attempt, until, have)
+        if not attempt.over and size > previous_size and self.pool.now() < until:
+            self.pool.reactor.callLater(REPLY_STALL_TIMEOUT, self.check_reply_stall, attempt, until, size)
         else:
             self.fail_malformed(attempt)
 
@@ -347,9 +348,9 @@
 
     def evict_idle(self) -> bool:
         """Close the connection that was idle for longest and free its descriptor at once."""
-        if spare := [conns[0] for conns in self.idle.values() if conns]:
-            min(spare, key=lambda c: c.idle_since).drop()
-        return bool(spare)
+        if candidates := [conns[0] for conns in self.idle.values() if conns]:
+            min(candidates, key=lambda c: c.idle_since).drop()
+        return bool(candidates)
 
     def keep(self, conn: BackendConnection) -> None:
         """Keep a connection for reuse, unless its backend is no longer ready in the endpoint list."""
@@ -361,8 +362,8 @@
     def remove(self, conn: BackendConnection) -> None:
         """Remove a closed connection from the pool."""
         self.open.discard(conn)
-        if conn in (spare := self.idle.get(conn.server, [])):
-            spare.remove(conn)
+        if conn in (idle := self.idle.get(conn.server, [])):
+            idle.remove(conn)
 
     def finish(self, attempt: Attempt, reply: Reply) -> None:
         """Report the outcome of an attempt."""
--- a/corkdeal/net/client_connection.py
+++ b/corkdeal/net/client_connection.py
@@ -101,12 +101,12 @@
         self.is_parsing = True
         try:
             self.parser.feed(data)
-            more = not self.parser.value_left or self.receive_body()
-            while more and not self.terminating and (frame := self.parser.next()) is not None:
+            can_parse = not self.parser.value_left or self.receive_body()
+            while can_parse and not self.terminating and (frame := self.parser.next()) is not None:
                 if frame.is_last and self.body is None:
                     self.handle_command(frame, now)
                 else:
-                    more = self.handle_large_command(frame, now)
+                    can_parse = self.handle_large_command(frame, now)
                 command_started_at = now
         except Malformed as error:
             count("client_connection_malformed")
@@ -463,8 +463,8 @@
         self.half_closed_at = now - self.time_since_fin(now)
         wait = max(0.0, self.half_closed_at + HALF_CLOSE_GRACE - now)
         # One more reactor iteration, so that replies that arrived while this process was late are read first.
-        later = self.gateway.reactor.callLater
-        later(wait, later, 0, self.stop_attempts)
+        call_later = self.gateway.reactor.callLater
+        call_later(wait, call_later, 0, self.stop_attempts)
 
     def time_since_fin(self, now: float) -> float:
         """Return an upper bound of the seconds since the client's FIN arrived.
@@ -499,8 +499,8 @@
     def abandon_pending(self) -> None:
         """Abandon all pending requests and streamed responses."""
         self.drop_body()
-        waiting, self.pending_replies = self.pending_replies, deque()
-        for rpc in waiting:
+        abandoned, self.pending_replies = self.pending_replies, deque()
+        for rpc in abandoned:
             if rpc.response_stream is not None:
                 rpc.response_stream.handle_client_close()
             elif rpc.reply is None:
--- a/corkdeal/net/discovery_watch.py
+++ b/corkdeal/net/discovery_watch.py
@@ -155,8 +155,8 @@
             count("discovery_began_anew")
             self.revision = None
             return
-        first, self.has_received = not self.has_received, True
-        if self.running and (first or result.complete or result.entries):
+        is_first, self.has_received = not self.has_received, True
+        if self.running and (is_first or result.complete or result.entries):
             self.notify(result)
         self.revision = result.revision  # last: a list that was not applied is asked for again
 
@@ -180,13 +180,13 @@
             url = b"%b?after=%d&wait_ms=%d" % (url, self.revision, wait)
             limit = LONG_POLL_MS / 1000 + RESPONSE_GRACE
         started = self.reactor.seconds()
-        until = started + limit  # for headers and body together: either may stall
+        deadline = started + limit  # for headers and body together: either may stall
         self.pending = request = self.agent.request(b"GET", url)
         request.addTimeout(limit, self.reactor)
         response = yield request
         body = Body()
         self.pending = body_received = body.done
-        body_received.addTimeout(max(0.0, until - self.reactor.seconds()), self.reactor)
+        body_received.addTimeout(max(0.0, deadline - self.reactor.seconds()), self.reactor)
         response.deliverBody(body)
         text = yield body_received
         if (
--- a/corkdeal/net/resp.py
+++ b/corkdeal/net/resp.py
@@ -96,10 +96,15 @@
 
     def detach_frame(self) -> None:
         """Copy the incomplete frame to a buffer of its own."""
-        by, self.buf = self.frame_start, bytearray(memoryview(self.buf)[self.frame_start :])
-        self.position, self.needed, self.frame_start = self.position - by, self.needed - by, 0
+        offset, self.buf = self.frame_start, bytearray(memoryview(self.buf)[self.frame_start :])
+        self.position, self.needed, self.frame_start = self.position - offset, self.needed - offset, 0
         for i in self.items:
-            i.head, i.start, i.stop, i.end = i.head - by, i.start - by, i.stop - by, i.end - by
+            i.head, i.start, i.stop, i.end = (
+                i.head - offset,
+                i.start - offset,
+                i.stop - offset,
+                i.end - offset,
+            )
 
     def header(self) -> tuple[int, int]:
         """Return kind and size of the incomplete frame; `UNKNOWN_SIZE` for a size not received yet."""
@@ -124,12 +129,12 @@
 
     def next(self) -> Frame | None:
         """Return the next frame, complete or up to a large value; None if more bytes are needed."""
-        buf, have = self.buf, len(self.buf)
-        if have < self.needed:
+        buf, available = self.buf, len(self.buf)
+        if available < self.needed:
             return None
         while self.items_left:
             at = self.position
-            if at >= have:
+            if at >= available:
                 return None
             if at - self.frame_start > MAX_FRAME:
                 raise Malformed("frame too long")
@@ -138,7 +143,7 @@
                 raise Malformed(f"unexpected byte {kind:#04x}")
             stop = buf.find(b"\r\n", at + 1, at + MAX_LINE)
             if stop < 0:
-                if have - at >= MAX_LINE:
+                if available - at >= MAX_LINE:
                     raise Malformed("line too long")
                 return None
             end = stop + 2
@@ -149,7 +154,7 @@
                     if size > WHOLE:
                         return self.large_value_frame(Item(kind, at, start, stop, stop + 2, size))
                     end = stop + 2
-                    if have < end:
+                    if available < end:
                         self.needed = end
                         return None
                     if buf[stop] != 13 or buf[stop + 1] != 10:
--- a/corkdeal/net/response_stream.py
+++ b/corkdeal/net/response_stream.py
@@ -101,10 +101,12 @@
             stop = 0
             if not self.ended:
                 stop, self.remaining_items = skip_items(frame.items, 0, self.remaining_items)
-                long = not frame.is_last and stop == len(frame.items)
+                is_large = not frame.is_last and stop == len(frame.items)
                 last = frame.items[stop - 1]
-                parts.append(memoryview(frame.buf)[frame.items[0].head : last.start if long else last.end])
-                if long:
+                parts.append(
+                    memoryview(frame.buf)[frame.items[0].head : last.start if is_large else last.end]
+                )
+                if is_large:
                     continue
                 self.ended = True
             if not frame.is_last:
