--- a/corkdeal/net/descriptors.py
+++ b/corkdeal/net/descriptors.py
@@ -26,7 +26,7 @@
         self.pool: Any = None
 
     def reserved_for_backends(self) -> int:
-        """Return the descriptors reserved for backends: an eighth, or those in use and a sixteenth."""
+        """Return the descriptors kept for backends: at least an eighth, and a sixteenth beyond those open."""
         return max(self.limit // 8, len(self.pool.open) + self.limit // 16)
 
     def admit_client_connection(self) -> bool:
