--- a/corkdeal/net/request_stream.py
+++ b/corkdeal/net/request_stream.py
@@ -1,9 +1,9 @@
-"""A long value of a command on its way in, kept in the pieces it came in, and how it is written to a backend.
+"""Receives the large value of a command, in the pieces it arrived in, and writes it to a backend.
 
-A command is kept whole here before it is sent: it may have to be sent again, and a client that writes
-slowly must not keep a server's place. What all of them hold together is bounded by the budget. One that the
-decisions would refuse, or that waits for room too long, is answered at its head or at once, and the rest of
-it is read past.
+A command is buffered whole before it is sent: it may have to be retried, and a client that sends slowly must
+not occupy a backend meanwhile. The memory budget bounds the total of all such buffers. A command that the
+decisions would reject, or that waits too long for memory, is answered before its value is complete, and the
+rest of the value is discarded.
 """
 
 from __future__ import annotations
@@ -19,111 +19,118 @@
     from .client_connection import ClientConnection
     from .rpc import RPC
 
-SMALL = 4096  # bytes; shorter pieces are put together: each one costs an object and a part of a write
-LOOK_EVERY = 2.5  # s between looks at whether a body still comes
-PACE = 16 * 1024  # bytes a second that a client is expected to write at least, looked at every LOOK_EVERY
-WAIT_MOST = 2.0  # s that a body may wait for room, after which its command is refused
-SEND_AT_ONCE = 256 * 1024  # bytes handed to a transport in one go
+# bytes; shorter pieces are joined, since each costs an object and an entry of a vectored write
+MIN_PIECE = 4096
+RATE_CHECK_INTERVAL = 2.5  # s between checks of the receive rate
+MIN_RECEIVE_RATE = 16 * 1024  # bytes/s that a client must send at least, checked every RATE_CHECK_INTERVAL
+MEMORY_TIMEOUT = 2.0  # s that a value may wait for memory, after which its command is rejected
+WRITE_BATCH = 256 * 1024  # bytes passed to a transport at once
 
 
 class RequestStream:
-    """One command's long value; a holder of the budget. Without an RPC it is read past."""
+    """The large value of one command, which holds part of the memory budget; discarded if `rpc` is None."""
 
     def __init__(self, budget: Budget, client_connection: ClientConnection, rpc: RPC | None) -> None:
         self.budget, self.client_connection, self.rpc = budget, client_connection, rpc
         self.pieces: list[Any] = []
-        self.kept = 0  # bytes kept, for the budget
-        self.came = self.looked_at = 0  # bytes so far, and at the last look
-        self.waits: float | None = None  # since when it has waited for room, on the gateway's clock
-        self.over = False  # all of it has come, or its client connection has ended
-        self.look_later()
+        self.kept = 0  # bytes held, for the memory budget
+        self.received = self.received_at_check = 0  # bytes received so far, and at the last check
+        self.waiting_since: float | None = None  # since when it waits for memory, on the gateway's clock
+        self.is_finished = False  # whether it is complete, or its client connection is closed
+        self.schedule_rate_check()
         if rpc is not None:
             budget.join(self)
 
-    def take(self, piece: memoryview) -> None:
-        """More of it."""
-        self.came += len(piece)
+    def receive(self, piece: memoryview) -> None:
+        """Take a further piece of the value."""
+        self.received += len(piece)
         if self.rpc is None:
             return
-        if len(piece) >= SMALL:
+        if len(piece) >= MIN_PIECE:
             self.pieces.append(piece)
-        elif self.pieces and type(self.pieces[-1]) is bytearray and len(self.pieces[-1]) < SMALL:
+        elif self.pieces and type(self.pieces[-1]) is bytearray and len(self.pieces[-1]) < MIN_PIECE:
             self.pieces[-1] += piece
         else:
             self.pieces.append(bytearray(piece))
         self.budget.hold(self, self.kept + len(piece))
 
-    def end(self) -> None:
-        """No more of it comes."""
-        self.over = True
+    def finish(self) -> None:
+        """The value is complete, or will not be completed."""
+        self.is_finished = True
         self.budget.whole(self)
 
     def drop(self) -> None:
-        """Nobody wants it any more: what was kept is let go, and the rest is read past."""
+        """Free the buffered pieces; what is still received will be discarded."""
         self.budget.whole(self)
-        self.rpc, self.pieces, self.waits = None, [], None
+        self.rpc, self.pieces, self.waiting_since = None, [], None
         self.budget.hold(self, 0)
 
     def hold_back(self) -> None:
-        """There is no room: its client is not read on."""
-        self.waits = self.client_connection.gateway.now()
-        self.client_connection.regulate()
-        self.client_connection.gateway.reactor.callLater(WAIT_MOST, self.waited)
+        """Pause reading from the client, as the budget's callback: memory is short."""
+        self.waiting_since = self.client_connection.gateway.now()
+        self.client_connection.update_reading()
+        self.client_connection.gateway.reactor.callLater(MEMORY_TIMEOUT, self.memory_wait_expired)
 
     def go_on(self) -> None:
-        """There is room again."""
-        self.waits = None
-        self.client_connection.regulate()
-
-    def waited(self) -> None:
-        """Refused if it has waited for all that time."""
-        if self.waits is not None and self.client_connection.gateway.now() - self.waits >= WAIT_MOST * 0.99:
+        """Resume reading from the client, as the budget's callback: memory is free again."""
+        self.waiting_since = None
+        self.client_connection.update_reading()
+
+    def memory_wait_expired(self) -> None:
+        """Reject the command if it has waited for memory for `MEMORY_TIMEOUT`."""
+        if (
+            self.waiting_since is not None
+            and self.client_connection.gateway.now() - self.waiting_since >= MEMORY_TIMEOUT * 0.99
+        ):
             count("body_without_room")
-            self.client_connection.turn_down(self, WAIT_MOST)
+            self.client_connection.reject_body(self, MEMORY_TIMEOUT)
 
-    def look_later(self) -> None:
-        """Look whether it comes."""
-        self.client_connection.gateway.reactor.callLater(LOOK_EVERY, self.look)
+    def schedule_rate_check(self) -> None:
+        """Schedule the next check of the receive rate."""
+        self.client_connection.gateway.reactor.callLater(RATE_CHECK_INTERVAL, self.check_rate)
 
-    def look(self) -> None:
-        """One that hardly comes ends its client connection, as half a command does."""
-        if self.over:
+    def check_rate(self) -> None:
+        """Close the client connection if the value arrives too slowly, as for a partial command."""
+        if self.is_finished:
             return
-        if not self.client_connection.paused and self.came - self.looked_at < PACE * LOOK_EVERY:
+        if (
+            not self.client_connection.paused
+            and self.received - self.received_at_check < MIN_RECEIVE_RATE * RATE_CHECK_INTERVAL
+        ):
             count("body_stalled")
-            return self.client_connection.body_late()
-        self.looked_at = self.came
-        self.look_later()
+            return self.client_connection.body_timed_out()
+        self.received_at_check = self.received
+        self.schedule_rate_check()
 
 
-class Sender:
-    """Writes a long command as its backend takes it: a pull producer of a backend connection's transport."""
+class CommandWriter:
+    """Writes a large command as fast as its backend reads it: a pull producer of a transport."""
 
     def __init__(self, transport: Any, parts: list[Any], done: Any) -> None:
         self.transport, self.done = transport, done
         self.parts: Iterator[Any] = iter(parts)
-        self.over = False
+        self.is_finished = False
 
     def start(self) -> None:
-        """Write as much as goes."""
+        """Register with the transport, which pulls the first batch at once."""
         self.transport.registerProducer(self, False)
 
     def resumeProducing(self) -> None:
-        """The transport has written all that it had."""
-        while not self.over and not vectored_write.pending(self.transport):
+        """Write the next batches, until the socket accepts no more or all is written."""
+        while not self.is_finished and not vectored_write.pending(self.transport):
             batch, size = [], 0
             for part in self.parts:
                 batch.append(part)
                 size += len(part)
-                if size >= SEND_AT_ONCE or len(batch) >= vectored_write.MOST_PARTS:
+                if size >= WRITE_BATCH or len(batch) >= vectored_write.MAX_PARTS:
                     break
             if not batch:
-                self.over = True
+                self.is_finished = True
                 self.transport.unregisterProducer()
                 self.done()
             elif not vectored_write.write(self.transport, batch):
-                self.over = True  # it never came whole, which its backend connection goes by
+                self.is_finished = True  # broken; the backend connection sees that not all was written
 
     def stopProducing(self) -> None:
-        """The connection has ended; its backend connection hears of that."""
-        self.over = True
+        """The connection is closed, which the backend connection handles."""
+        self.is_finished = True
--- a/tests/test_discovery_outages.py
+++ b/tests/test_discovery_outages.py
@@ -1,8 +1,8 @@
-"""From the moment discovery has a change and can be reached, to the moment the watch tells it.
+"""The time from when discovery has a change and is reachable until the watch passes it on.
 
-Every way in which a call can fail, in tiers of all sizes, with lists pushed and asked for, in virtual time.
-Chance always draws the longest pause, and the return is tried at many moments between two calls.
-`docs/discovery.md` has the table of sums and of what this measures.
+Covers every way in which a call can fail, tiers of all sizes, and pushed and polled lists, in virtual time.
+The random generator always draws the longest pause, and the outage ends at many moments between two calls.
+`docs/discovery.md` has the calculated and the measured times.
 """
 
 import itertools
@@ -17,14 +17,14 @@
 from .discovery_world import ONE_WAY, Longest, World
 from .helpers import settings
 
-TOLD_AFTER = 6.0  # s, the rule
-FOR_THE_CALL = 1.0  # s of these kept for the call that brings the change; here it takes 3 ms
+NOTIFIED_AFTER = 6.0  # s; the rule, on purpose not read from discovery_retry
+CALL_ALLOWANCE = 1.0  # s of NOTIFIED_AFTER reserved for the call that returns the change; here it takes 3 ms
 SLACK = 0.01  # s
 GRACE = 0.25  # s, of a drain
-OUTAGE_BEGINS = 12.0  # s: all watches have begun
-MOMENTS = [0.47 * i for i in range(8)]  # s, of the return after the shortest outage
+OUTAGE_BEGINS = 12.0  # s; all watches are running by then
+MOMENTS = [0.47 * i for i in range(8)]  # s; ends of an outage, relative to the shortest one
 
-LONGEST_CALL = {  # s that a failed call takes, by its fault
+LONGEST_CALL = {  # s that a failed call takes, by fault
     "refused": 0.0,
     "never comes up": 1.0,
     "reset": 0.0,
@@ -43,8 +43,11 @@
 SIZES = [3, 30, 200, 1100]
 
 
-def told_after(pushed, gateways, reloads_at=None, since=None, **script):
-    """Seconds until it was told, from `since` or from when discovery had the drain and could be reached."""
+def time_until_notified(pushed, gateways, reloads_at=None, since=None, **script):
+    """Return the seconds until the drain is passed on.
+
+    They count from `since`, or from when discovery had the drain and was reachable.
+    """
     world = World(pushed, gateways, **script)
     if reloads_at is not None:
         world.clock.callLater(reloads_at, world.reload)
@@ -62,13 +65,13 @@
         for drains_at in (OUTAGE_BEGINS + 1.0, ends + 0.7):
             script = {"begins": OUTAGE_BEGINS, "ends": ends, "drains_at": drains_at, **more}
             reloads_at = ends - 1.3 if reload else None
-            worst = max(worst, told_after(pushed, gateways, reloads_at, fault=fault, **script))
+            worst = max(worst, time_until_notified(pushed, gateways, reloads_at, fault=fault, **script))
     return worst
 
 
 def longest(pushed, call):
-    """What the sum of a failed call and a pause may be."""
-    return call + GRACE + SLACK if pushed else TOLD_AFTER - FOR_THE_CALL + SLACK
+    """Return the longest time that a failed call and a pause may take together."""
+    return call + GRACE + SLACK if pushed else NOTIFIED_AFTER - CALL_ALLOWANCE + SLACK
 
 
 @pytest.mark.parametrize("gateways", SIZES)
@@ -93,7 +96,7 @@
 
 
 def worst_after_silence(pushed, gateways, fault="watch falls silent", outage=0.0):
-    """Counted from the silence, or from the end of an outage that follows on it."""
+    """The time counts from when the watch stops responding, or from the end of an outage that follows."""
     worst = 0.0
     for moment in MOMENTS:
         falls_silent = OUTAGE_BEGINS + moment / 2
@@ -101,14 +104,14 @@
             ends = falls_silent + max(outage, 0.01)
             since = falls_silent if not outage else ends
             script = {"begins": falls_silent, "ends": ends, "drains_at": falls_silent + drains_after}
-            worst = max(worst, told_after(pushed, gateways, since=since, fault=fault, **script))
+            worst = max(worst, time_until_notified(pushed, gateways, since=since, fault=fault, **script))
     return worst
 
 
 @pytest.mark.parametrize("gateways", SIZES)
 @pytest.mark.parametrize("pushed", [True, False], ids=["pushed", "asked"])
 def test_a_watch_that_falls_silent_is_opened_anew_in_time(pushed, gateways):
-    assert worst_after_silence(pushed, gateways) <= TOLD_AFTER - FOR_THE_CALL + SLACK
+    assert worst_after_silence(pushed, gateways) <= NOTIFIED_AFTER - CALL_ALLOWANCE + SLACK
 
 
 @pytest.mark.parametrize("gateways", SIZES)
@@ -116,21 +119,21 @@
 @pytest.mark.parametrize("outage", [0.5, 2.0, 4.0, 12.0])
 def test_a_watch_that_falls_silent_just_before_an_outage_is_opened_anew_in_time(outage, pushed, gateways):
     worst = worst_after_silence(pushed, gateways, "never comes up", outage)
-    assert worst <= TOLD_AFTER - FOR_THE_CALL + SLACK
+    assert worst <= NOTIFIED_AFTER - CALL_ALLOWANCE + SLACK
 
 
 @pytest.mark.parametrize("gateways", SIZES)
 @pytest.mark.parametrize("pushed", [True, False], ids=["pushed", "asked"])
 def test_what_changes_while_an_answer_is_on_its_way_comes_with_the_next_call(pushed, gateways):
     script = {"begins": OUTAGE_BEGINS, "ends": OUTAGE_BEGINS + 2.2, "drains_at": OUTAGE_BEGINS + 3.0}
-    assert told_after(pushed, gateways, fault="slow answer", **script) <= 1.5 + SLACK
+    assert time_until_notified(pushed, gateways, fault="slow answer", **script) <= 1.5 + SLACK
 
 
 @pytest.mark.parametrize("gateways", SIZES)
 def test_a_gateway_that_starts_asks_before_it_counts_as_told_without(gateways):
     world = World(False, gateways, fault=None, begins=None, ends=0.0, drains_at=0.5)
     world.run_until(200.0, told=True)
-    assert world.told_at <= world.settings.poll_interval - FOR_THE_CALL + SLACK
+    assert world.told_at <= world.settings.poll_interval - CALL_ALLOWANCE + SLACK
 
 
 def test_a_list_without_length_that_ends_with_its_connection_is_told():
@@ -155,7 +158,7 @@
     world = World(True, 3, fault="head without body", begins=1.0, ends=2.0, drains_at=1.5)
     world.discovery.spoil = lambda connection: (
         connection.send(b"HTTP/1.1 200 OK\r\n\r\n"),
-        connection.send(b" " * (discovery_watch.MOST_BODY + 1)),
+        connection.send(b" " * (discovery_watch.MAX_BODY + 1)),
     )
     world.run_until(4.0, told=True)
     assert world.told_at is not None
@@ -166,14 +169,14 @@
     written = []
     monkeypatch.setattr(logs, "event", lambda name, **pairs: written.append((EVENTS[name], pairs)))
     world = World(True, 3, fault=None, begins=None, ends=0.0, drains_at=1.0)
-    hear, faults = world.watch.told, [ValueError("a fault in the gateway")] * 3
+    hear, faults = world.watch.on_snapshot, [ValueError("a fault in the gateway")] * 3
 
     def told(snapshot):
         if snapshot.entries and faults:
             raise faults.pop()
         hear(snapshot)
 
-    world.watch.told = told
+    world.watch.on_snapshot = told
     world.run_until(10.0, told=True)
     assert world.told_at is not None and not faults
     assert sum("a fault in the gateway" in pairs.get("trace", "") for _, pairs in written) == 3
@@ -203,7 +206,7 @@
     pauses = RetryPauses(settings(gateways=gateways, is_endpoint_list_pushed=False), Longest())
     drawn = [pauses.after_failure(2.0, overloaded=True) for _ in range(5)]
     assert drawn == pytest.approx([gateways * s for s in (0.1, 0.2, 0.4, 0.4, 0.4)], rel=0.01)
-    assert pauses.after_failure(2.0) <= TOLD_AFTER - FOR_THE_CALL - 2.0
+    assert pauses.after_failure(2.0) <= NOTIFIED_AFTER - CALL_ALLOWANCE - 2.0
 
 
 def test_a_call_turned_away_after_a_line_leaves_the_service_time():
--- a/tests/test_idle_connections.py
+++ b/tests/test_idle_connections.py
@@ -1,4 +1,4 @@
-"""Queues of idle client connections choose as a look through all connections would, and cost no such look."""
+"""The queues of idle client connections choose as a scan of all connections would, without such a scan."""
 
 import dataclasses
 import itertools
@@ -32,68 +32,73 @@
 
 
 def has_work_or_ends(c):
-    """The plain definition, over all connections: no spare one."""
-    return c.waiting or c.refused or c.half_closed or (c.closing and not c.parser.midway)
+    """The reference: whether a connection has work or is being closed."""
+    return (
+        c.pending_replies or c.terminating or c.half_closed or (c.closing and not c.parser.has_partial_frame)
+    )
 
 
 def to_evict(connections, now):
-    """The plain definition: who would go for another connection, the first one first."""
+    """The reference: the connections that may be evicted, in order."""
     idle = [
         c
         for c in connections
         if not has_work_or_ends(c)
-        and not (c.spoke and c.parser.midway)
-        and now - c.since >= (descriptors.IDLE_LEAST if c.asked else descriptors.SILENT_LEAST)
+        and not (c.has_sent_command and c.parser.has_partial_frame)
+        and now - c.idle_since
+        >= (descriptors.MIN_IDLE_TIME if c.request_count else descriptors.MIN_SILENT_TIME)
     ]
-    return sorted(idle, key=lambda c: (min(c.asked, 2), c.since))
+    return sorted(idle, key=lambda c: (min(c.request_count, 2), c.idle_since))
 
 
 def expired(connections, now, many):
-    """The plain definition: whom a sweep ends, and why."""
+    """The reference: the connections that a sweep closes, with what was awaited on them."""
     found = {}
     for c in connections:
-        if has_work_or_ends(c) and not (c.closing and not c.spoke and not c.refused and not c.half_closed):
+        if has_work_or_ends(c) and not (
+            c.closing and not c.has_sent_command and not c.terminating and not c.half_closed
+        ):
             continue
         if c.body is not None:
             continue
-        if c.parser.midway:
-            if now - c.begun >= descriptors.COMMAND_LATE:
+        if c.parser.has_partial_frame:
+            if now - c.command_started_at >= descriptors.COMMAND_TIMEOUT:
                 found[c] = Awaited.REST_OF_COMMAND
-        elif not c.spoke:
-            if now - c.since >= (descriptors.SILENT_LEAST if many else descriptors.COMMAND_LATE):
+        elif not c.has_sent_command:
+            if now - c.idle_since >= (descriptors.MIN_SILENT_TIME if many else descriptors.COMMAND_TIMEOUT):
                 found[c] = Awaited.FIRST_COMMAND
-        elif now - c.since >= (descriptors.IDLE_LEAST if many else descriptors.IDLE_MOST):
+        elif now - c.idle_since >= (descriptors.MIN_IDLE_TIME if many else descriptors.IDLE_TIMEOUT):
             found[c] = Awaited.NEXT_COMMAND
     return found
 
 
 def asks(connection):
-    """A request, which the decisions hold as there is no server."""
-    if not connection.parser.midway:
+    """Send a request, which the decisions hold because there is no backend."""
+    if not connection.parser.has_partial_frame:
         number = next(REQUEST_NUMBERS)
         params = b"c=look,t=large,d=4000,units=1,spread=1,first=0"
         connection.dataReceived(command(b"API.READ", b"%016x" % number, b"%016x" % number, params))
 
 
 def is_answered(connection):
-    owed = [rpc for rpc in connection.waiting if rpc.reply is None]
+    owed = [rpc for rpc in connection.pending_replies if rpc.reply is None]
     if owed:
         connection.gateway.fail(Fail(owed[0].request.id))
 
 
 def half_command(connection):
-    if not connection.parser.midway:
+    if not connection.parser.has_partial_frame:
         connection.dataReceived(PING[:7])
 
 
 def rest_of_command(connection):
-    if connection.parser.midway and connection.body is None:
+    if connection.parser.has_partial_frame and connection.body is None:
         connection.dataReceived(PING[7:])
 
 
 def bad_long_command(connection):
-    """A command with a long value of a customer that can't be: it is read past."""
-    if not connection.parser.midway:
+    """Send the start of a large command with an invalid customer, whose value is discarded."""
+    if not connection.parser.has_partial_frame:
         connection.dataReceived(b"*5\r\n$9\r\nAPI.WRITE\r\n$1\r\nx\r\n$1\r\nx\r\n$1\r\nx\r\n$70000\r\n..")
 
 
@@ -107,7 +112,7 @@
     "rest_of_command": rest_of_command,
     "bad_long_command": bad_long_command,
     "rest_of_long_command": rest_of_long_command,
-    "ping": lambda c: c.parser.midway or c.dataReceived(PING),
+    "ping": lambda c: c.parser.has_partial_frame or c.dataReceived(PING),
     "asks": asks,
     "is_answered": is_answered,
     "sends_no_more": lambda c: c.readConnectionLost(),
@@ -116,12 +121,12 @@
     "is_lost": lambda c: c.connectionLost(),
 }
 REQUEST_NUMBERS = itertools.count(1)
-AT_ANY_TIME = ("is_answered", "is_lost")  # the others come from a client that still sends
+AT_ANY_TIME = ("is_answered", "is_lost")  # all others need a client that still sends
 
 
 def happens(name, connection):
-    """Have an event happen, unless the connection has come to an end that rules it out."""
-    ending = connection.refused or connection.half_closed or connection.transport.disconnecting
+    """Apply an event, unless the connection is closed in a way that rules it out."""
+    ending = connection.terminating or connection.half_closed or connection.transport.disconnecting
     if not ending or name in AT_ANY_TIME:
         EVENTS[name](connection)
 
@@ -140,14 +145,14 @@
     made, reactor = made_gateway()
     for name, which, wait in steps:
         now = reactor.seconds()
-        open_now = sorted(made.client_connections, key=lambda c: c.since)
+        open_now = sorted(made.client_connections, key=lambda c: c.idle_since)
         if name == "standby":
             made.operators.standby = not made.operators.standby
         elif name == "accept":
             connect(made)
         elif open_now:
             happens(name, open_now[which % len(open_now)])
-        reactor.rightNow = now + wait  # timers of the connections stay out of this
+        reactor.rightNow = now + wait  # without running the timers of the connections
         check_expiry(made, reactor.seconds())
     check_evictions(made, reactor, chance)
 
@@ -156,9 +161,9 @@
     for many in (False, True):
         plain = expired(made.client_connections, now, many)
         latest = {
-            Awaited.FIRST_COMMAND: descriptors.SILENT_LEAST if many else descriptors.COMMAND_LATE,
-            Awaited.REST_OF_COMMAND: descriptors.COMMAND_LATE,
-            Awaited.NEXT_COMMAND: descriptors.IDLE_LEAST if many else descriptors.IDLE_MOST,
+            Awaited.FIRST_COMMAND: descriptors.MIN_SILENT_TIME if many else descriptors.COMMAND_TIMEOUT,
+            Awaited.REST_OF_COMMAND: descriptors.COMMAND_TIMEOUT,
+            Awaited.NEXT_COMMAND: descriptors.MIN_IDLE_TIME if many else descriptors.IDLE_TIMEOUT,
         }
         queues = made.descriptors.idle.expiring
         ours = {c: awaited for awaited, s in latest.items() for c in queues[awaited].until(now - s)}
@@ -166,10 +171,10 @@
 
 
 def check_evictions(made, reactor, chance):
-    """Evict all that go, some of which turn out to have bytes to be read."""
+    """Evict all connections that can be, while some turn out to have unread bytes."""
     unread = {c: chance.random() < 0.3 for c in made.client_connections}
     for c, has_bytes in unread.items():
-        c.unread = lambda has_bytes=has_bytes: has_bytes
+        c.has_unread_bytes = lambda has_bytes=has_bytes: has_bytes
     while True:
         before = set(made.client_connections)
         plain = next((c for c in to_evict(before, reactor.seconds()) if not unread[c]), None)
@@ -183,12 +188,12 @@
 def test_one_with_bytes_to_be_read_can_go_once_they_were():
     made, reactor = made_gateway()
     connection = connect(made)
-    reactor.advance(descriptors.SILENT_LEAST)
-    connection.unread = lambda: True
+    reactor.advance(descriptors.MIN_SILENT_TIME)
+    connection.has_unread_bytes = lambda: True
     assert not made.descriptors.evict()
     connection.dataReceived(PING)
-    connection.unread = lambda: False
-    reactor.advance(descriptors.SILENT_LEAST)
+    connection.has_unread_bytes = lambda: False
+    reactor.advance(descriptors.MIN_SILENT_TIME)
     assert made.descriptors.evict()
 
 
@@ -196,16 +201,16 @@
 def test_a_full_table_is_not_looked_through_for_each_connection_or_sweep(spoken):
     made, reactor = made_gateway(sockets=2048)
     looks = []
-    room = made.descriptors.most - made.descriptors.for_pool()
+    room = made.descriptors.limit - made.descriptors.reserved_for_backends()
     for number in range(room):
         connection = connect(made)
-        connection.unread = lambda number=number: looks.append(number)
+        connection.has_unread_bytes = lambda number=number: looks.append(number)
         if spoken:
             connection.dataReceived(PING)
-    reactor.rightNow += descriptors.SILENT_LEAST
+    reactor.rightNow += descriptors.MIN_SILENT_TIME
     for _ in range(100):
         connect(made)
-    assert looks == list(range(100))  # who was accepted first goes first, one look each
+    assert looks == list(range(100))  # in the order of acceptance, one check each
 
 
 def test_only_paused_connections_are_looked_behind():
@@ -213,12 +218,12 @@
     looked = []
     connections = [connect(made) for _ in range(5)]
     for connection in connections:
-        connection.look_behind = lambda connection=connection: looked.append(connection)
+        connection.check_paused = lambda connection=connection: looked.append(connection)
     for connection in connections[1:3]:
-        connection.held = True
-        connection.regulate()
-    connections[2].held = False
-    connections[2].regulate()
+        connection.at_reply_limit = True
+        connection.update_reading()
+    connections[2].at_reply_limit = False
+    connections[2].update_reading()
     made.descriptors.sweep()
     assert looked == connections[1:2]
 
@@ -251,8 +256,8 @@
 def test_the_least_used_goes_first_even_if_another_was_idle_for_longer():
     idle = IdleConnections()
     often, once = object(), object()
-    idle.evictable[Use.ASKED_OFTEN].put(often, 1.0)
-    idle.evictable[Use.ASKED_ONCE].put(once, 2.0)
+    idle.evictable[Use.SEVERAL_REQUESTS].put(often, 1.0)
+    idle.evictable[Use.ONE_REQUEST].put(once, 2.0)
     latest = dict.fromkeys(Use, 5.0)
     assert idle.next_to_evict(latest) is once
-    assert idle.next_to_evict(latest | {Use.ASKED_ONCE: 1.5}) is often
+    assert idle.next_to_evict(latest | {Use.ONE_REQUEST: 1.5}) is often
