--- a/corkdeal/net/recovery.py
+++ b/corkdeal/net/recovery.py
@@ -111,7 +111,7 @@
         Its predecessor then runs beside it and has the other part.
         """
         upgrade_handover = self.gateway.upgrade_handover
-        return upgrade_handover is not None and upgrade_handover.given is not None
+        return upgrade_handover is not None and upgrade_handover.partial_state is not None
 
     def check_stall(self, now: float) -> bool:
         """Return whether the process was stalled until now, and resume the gateway if so.
--- a/corkdeal/net/upgrade.py
+++ b/corkdeal/net/upgrade.py
@@ -40,7 +40,7 @@
         folder = os.path.join(tempfile.gettempdir(), FOLDER_NAME)
         self.files = HandoverFiles(gateway_folder(folder, gateway.config.name))
         self.predecessor: int | None = None  # incarnation that still has a fraction of the quota
-        self.given: PartialState | None = None  # the first part, which it handed over
+        self.partial_state: PartialState | None = None  # the first part, which it handed over
         self.predecessor_fraction = 0.0  # of the quota, which the predecessor kept
         self.successor: int | None = None  # incarnation that was given a fraction here
         self.successor_fraction = 0.0  # of the quota, which the successor was given
@@ -51,7 +51,7 @@
     @property
     def is_awaiting_remainder(self) -> bool:
         """Whether the predecessor still has the ledgers and is expected to hand them over."""
-        return self.predecessor is not None and self.given is not None
+        return self.predecessor is not None and self.partial_state is not None
 
     # As the successor of another process
 
@@ -90,8 +90,8 @@
         """Restore the decisions from the first snapshot, with the quota fraction handed over."""
         total_fraction = snapshot.head.fleet.quota_fraction
         self.predecessor_fraction = total_fraction * (1 - SUCCESSOR_FRACTION)
-        self.given = PartialState(self._restored_state(snapshot), SUCCESSOR_FRACTION)
-        self.decisions.restore(self.given)
+        self.partial_state = PartialState(self._restored_state(snapshot), SUCCESSOR_FRACTION)
+        self.decisions.restore(self.partial_state)
         self.decisions.quota_fraction = total_fraction * SUCCESSOR_FRACTION
         logs.event(
             "handover_begun",
@@ -101,7 +101,7 @@
             part=round(self.decisions.quota_fraction, 3),
         )
 
-    def _follow_predecessor(self, predecessor: int, given: PartialState) -> None:
+    def _follow_predecessor(self, predecessor: int, partial_state: PartialState) -> None:
         """Take over the remainder once the predecessor has handed it over, or its rate once it has ended.
 
         Until then the predecessor exchanges messages with the peers, so their silence here has no meaning.
@@ -115,7 +115,7 @@
         if snapshot is not None:
             fraction = snapshot.head.fleet.quota_fraction
             self.takeover = quota_handover.take_rest(
-                self.decisions, self.gateway.now, given, self._restored_state(snapshot), fraction
+                self.decisions, self.gateway.now, partial_state, self._restored_state(snapshot), fraction
             )
             self._continue_takeover()
         elif has_ended:
@@ -177,8 +177,8 @@
         """Take over from the predecessor; hand over to the successor, or take back from one that ended."""
         if self.takeover is not None:
             return  # only a complete state may be handed over
-        if self.predecessor is not None and self.given is not None and self.gateway.begun:
-            self._follow_predecessor(self.predecessor, self.given)
+        if self.predecessor is not None and self.partial_state is not None and self.gateway.begun:
+            self._follow_predecessor(self.predecessor, self.partial_state)
         if self.successor is not None and not self.files.is_running(self.successor):
             logs.event("handover_taken_back", life=self.files.incarnation, after=self.successor)
             quota_handover.add_fraction(self.decisions, self.gateway.now(), self.successor_fraction)
--- a/tests/recovery/test_recovery.py
+++ b/tests/recovery/test_recovery.py
@@ -409,7 +409,7 @@
     gateway_decisions = Gateway(settings(0, 3), seed=1)
     gateway_decisions.peers.incarnations.resume(90_000, {1: 1, 2: 1})
     gateway = SimpleNamespace(decisions=gateway_decisions, pool=SimpleNamespace(), now=lambda: 100.0)
-    gateway.upgrade_handover = given and SimpleNamespace(given=given)
+    gateway.upgrade_handover = given and SimpleNamespace(partial_state=given)
     recovery = Recovery(None, gateway)
     recovery.withheld_retries, gateway_decisions.retries.budget = 10.0, 1.0
     recovery.apply(
