--- a/corkdeal/net/application.py
+++ b/corkdeal/net/application.py
@@ -57,7 +57,7 @@
 
         try:
             self.gateway.upgrade_handover = UpgradeHandover(self.reactor, self.gateway)
-            self.gateway.upgrade_handover.begin(self.gateway.start)
+            self.gateway.upgrade_handover.take_over(self.gateway.start)
         except OSError as error:
             self.gateway.upgrade_handover = None
             count("handover_off")
--- a/corkdeal/net/gateway.py
+++ b/corkdeal/net/gateway.py
@@ -299,7 +299,7 @@
     def close(self) -> None:
         """Stop accepting connections; requests on accepted ones are still answered."""
         if self.upgrade_handover is not None:
-            self.upgrade_handover.end()
+            self.upgrade_handover.hand_over_remainder()
         if self.port:
             if self.config.inherited is None:  # the queue of an inherited socket is left to other processes
                 self.port.accept_queued()
--- a/corkdeal/net/upgrade.py
+++ b/corkdeal/net/upgrade.py
@@ -55,7 +55,7 @@
 
     # As the successor of another process
 
-    def begin(self, start: Callable[[], None]) -> None:
+    def take_over(self, start: Callable[[], None]) -> None:
         """Take over the first part from the predecessor, if there is one, then call `start`."""
         self.predecessor = self.files.join()
         self.reactor.callLater(CHECK_INTERVAL, self._check)
@@ -221,7 +221,7 @@
             part=round(self.successor_fraction, 3),
         )
 
-    def end(self) -> None:
+    def hand_over_remainder(self) -> None:
         """Hand over the remainder to a successor that has its fraction; no new clients connect any more."""
         if self.successor is None or self.is_finished or not self.files.is_running(self.successor):
             return
--- a/tests/persistence/test_upgrade.py
+++ b/tests/persistence/test_upgrade.py
@@ -40,7 +40,7 @@
         def start():
             gateway.begun = True
 
-        upgrade_handover.begin(start)
+        upgrade_handover.take_over(start)
         return upgrade_handover, gateway, calls
 
     def advance_in_polls(seconds):
@@ -70,7 +70,7 @@
     assert new_gateway.begun and new.is_awaiting_remainder
     assert new_gateway.decisions.quota_fraction == pytest.approx(SUCCESSOR_FRACTION)
     assert old_gateway.decisions.quota_fraction == pytest.approx(1 - SUCCESSOR_FRACTION)
-    old.end()
+    old.hand_over_remainder()
     assert old.is_finished and old_calls == ["be_silent"] and old_gateway.decisions.quota_fraction == 0.0
     world.advance_in_polls(2 * CHECK_INTERVAL)
     assert new_gateway.decisions.quota_fraction == pytest.approx(1.0)
