--- a/corkdeal/net/backends.py
+++ b/corkdeal/net/backends.py
@@ -71,11 +71,11 @@
 
     def is_known(self, server: str) -> bool:
         """Whether the id is known: it is in the endpoint list, or held out."""
-        return server in self.listed or (self.overrides is not None and server in self.overrides.out)
+        return server in self.listed or (self.overrides is not None and server in self.overrides.held_out)
 
     def count_listed(self) -> tuple[int, int]:
         """How many backends are listed, and how many of those are not ready or held out by an operator."""
-        held_out = self.overrides.out if self.overrides else set()
+        held_out = self.overrides.held_out if self.overrides else set()
         down = sum(
             1 for e in self.listed.values() if e.state is not EndpointState.READY or e.backend in held_out
         )
--- a/corkdeal/net/manual_overrides.py
+++ b/corkdeal/net/manual_overrides.py
@@ -30,7 +30,7 @@
     def __init__(self, name: str, folder: str | None = None) -> None:
         safe_name = "".join(c if c.isalnum() or c in "-_." else "_" for c in name) or "gateway"
         self.path = os.path.join(folder or tempfile.gettempdir(), f"corkdeal-{safe_name}.held-out.json")
-        self.out: set[str] = set()
+        self.held_out: set[str] = set()
         self.back: dict[str, float] = {}  # by id, in the decisions' time
         self.known_file_id: tuple[int, int] | None = None  # inode and mtime of the file last read or written
 
@@ -47,7 +47,7 @@
                 or not all(isinstance(k, str) and type(v) is float for k, v in back.items())
             ):
                 raise ValueError("unexpected format")
-            self.out, self.back = set(out), back
+            self.held_out, self.back = set(out), back
         except FileNotFoundError:
             return
         except (OSError, ValueError, TypeError, KeyError, AttributeError) as error:
@@ -66,16 +66,16 @@
         """Read the file if another process of this gateway replaced it; returns the ids that changed."""
         if self.file_id() in (self.known_file_id, None):
             return set()
-        out, back = self.out, self.back
+        out, back = self.held_out, self.back
         self.load()
-        return (out ^ self.out) | {k for k, v in self.back.items() if back.get(k) != v}
+        return (out ^ self.held_out) | {k for k, v in self.back.items() if back.get(k) != v}
 
     def save(self) -> None:
         """Write the file; if that fails, only the next process lacks what is held out."""
         temporary_path = f"{self.path}.{os.getpid()}"
         try:
             with open(temporary_path, "wb") as file:
-                file.write(orjson.dumps({"format": FORMAT, "out": sorted(self.out), "back": self.back}))
+                file.write(orjson.dumps({"format": FORMAT, "out": sorted(self.held_out), "back": self.back}))
             os.replace(temporary_path, self.path)
             self.known_file_id = self.file_id()
         except OSError as error:
@@ -84,16 +84,16 @@
 
     def enter(self, backend: str) -> bool:
         """Hold a backend out; returns whether it was not held out before."""
-        is_new = backend not in self.out
-        self.out.add(backend)
+        is_new = backend not in self.held_out
+        self.held_out.add(backend)
         self.save()
         return is_new
 
     def exit(self, backend: str, now: float) -> bool:
         """Let a backend back in, as one that has just started; returns whether it was held out."""
-        if backend not in self.out:
+        if backend not in self.held_out:
             return False
-        self.out.discard(backend)
+        self.held_out.discard(backend)
         self.back[backend] = now
         self.save()
         return True
@@ -104,7 +104,7 @@
 
     def entry(self, endpoint: Endpoint) -> Endpoint:
         """Return one endpoint with the overrides applied."""
-        if endpoint.backend in self.out and endpoint.state is EndpointState.READY:
+        if endpoint.backend in self.held_out and endpoint.state is EndpointState.READY:
             return dataclasses.replace(endpoint, state=EndpointState.DRAINING)
         back = self.back.get(endpoint.backend)
         if back is not None and endpoint.started < back:
--- a/tests/test_net_ops.py
+++ b/tests/test_net_ops.py
@@ -90,10 +90,10 @@
     first.exit("b", 12.5)
     second = manual_overrides.ManualOverrides("n0", str(tmp_path))
     second.load()
-    assert (second.out, second.back) == ({"a"}, {"b": 12.5})
+    assert (second.held_out, second.back) == ({"a"}, {"b": 12.5})
     other = manual_overrides.ManualOverrides("n1", str(tmp_path))
     other.load()
-    assert other.out == set()
+    assert other.held_out == set()
     with open(other.path, "wb") as file:  # an invalid file is ignored and counted
         file.write(b'{"format":1,"out":[3],"back":{}}')
     before, lines = counts["held_out_unreadable"], []
@@ -102,7 +102,7 @@
         other.load()
     finally:
         logs.configure(None)
-    assert other.out == set() and counts["held_out_unreadable"] == before + 1
+    assert other.held_out == set() and counts["held_out_unreadable"] == before + 1
     assert lines == [("held_out_unreadable", other.path)]  # the line names the file
 
 
@@ -110,13 +110,13 @@
     old, new = (manual_overrides.ManualOverrides("n0", str(tmp_path)) for _ in range(2))
     assert old.follow() == new.follow() == set()  # no file yet
     old.enter("a")
-    assert (new.follow(), new.out, new.follow(), old.follow()) == ({"a"}, {"a"}, set(), set())
+    assert (new.follow(), new.held_out, new.follow(), old.follow()) == ({"a"}, {"a"}, set(), set())
     new.enter("b")
     new.exit("a", 7.0)
-    assert (old.follow(), old.out, old.back) == ({"a", "b"}, {"b"}, {"a": 7.0})
+    assert (old.follow(), old.held_out, old.back) == ({"a", "b"}, {"b"}, {"a": 7.0})
     with open(old.path, "wb") as file:  # damaged: the backends stay held out
         file.write(b"{")
-    assert (old.follow(), old.out) == (set(), {"b"})
+    assert (old.follow(), old.held_out) == (set(), {"b"})
 
 
 class OperationsTests:
