--- a/benchmarks/bodies.py
+++ b/benchmarks/bodies.py
@@ -1,11 +1,13 @@
-"""What long values cost by size, read and written: CPU, MB/s and memory, against other ways in the same run.
+"""Measures CPU, throughput and memory of a gateway by value size, for reads and writes.
 
-PYTHONPATH=. python -O benchmarks/bodies.py [--tree DIR] [--out FILE]      # DIR: another revision's checkout
-PYTHONPATH=. python -O benchmarks/bodies.py --paired --tree DIR            # the usual request's CPU alone;
-                                                    # --options FILE has this revision run with that
-PYTHONPATH=. python -O benchmarks/bodies.py --crowd [--out FILE]           # 200 slow clients with 4 MiB each
+PYTHONPATH=. python -O benchmarks/bodies.py [--tree DIR] [--out FILE]
+PYTHONPATH=. python -O benchmarks/bodies.py --paired --tree DIR [--options FILE] [--out FILE]
+PYTHONPATH=. python -O benchmarks/bodies.py --crowd [--out FILE]
 
-The other ways are Twisted's port forwarder, which looks at nothing, and the revision in DIR. Compare ratios.
+The first form runs the same load through Twisted's port forwarder, which parses nothing, and through the
+revision checked out in DIR. `--paired` compares only the CPU time of 4 KiB reads with the revision in DIR;
+`--options` gives this revision alone an operators' file. `--crowd` has 200 slow clients transfer 4 MiB each.
+Absolute figures depend on the machine: compare ratios within one run.
 """
 
 from __future__ import annotations
@@ -26,7 +28,7 @@
 from typing import Any
 
 ROOT = pathlib.Path(__file__).parents[1]
-SIZES = {4 << 10: 3000, 64 << 10: 1200, 1 << 20: 150, 4 << 20: 50}  # bytes a value: requests
+SIZES = {4 << 10: 3000, 64 << 10: 1200, 1 << 20: 150, 4 << 20: 50}  # value size in bytes: requests
 PAIRS, PAIR_REQUESTS = 20, 1200
 CLIENTS, CROWD, CROWD_S, MEMORY_MB = 4, 200, 20.0, 80
 TAIL = b"$-1\r\n$-1\r\n"
@@ -40,13 +42,13 @@
 
 
 def free() -> int:
-    """A free port."""
+    """Returns a free loopback port."""
     with socket.create_server(("127.0.0.1", 0)) as s:
         return s.getsockname()[1]
 
 
 def settings() -> dict[str, Any]:
-    """One class to read and one to write, and quotas that never bind."""
+    """Returns gateway settings with one class for reads, one for writes, and an unreachably high quota."""
     return {
         "balancers": 1,
         "me": 0,
@@ -73,17 +75,17 @@
 
 
 def exactly(sock: socket.socket, buf: memoryview) -> bytes:
-    """Read so many bytes, and keep the first 64."""
+    """Fills `buf` from the socket and returns its first 64 bytes."""
     got = 0
     while got < len(buf):
         if not (n := sock.recv_into(buf[got:])):
-            raise ConnectionError(f"ended after {got} of {len(buf)} bytes: {bytes(buf[:80])!r}")
+            raise ConnectionError(f"connection closed after {got} of {len(buf)} bytes: {bytes(buf[:80])!r}")
         got += n
     return bytes(buf[:64])
 
 
 def backend(port: int) -> None:
-    """Serves each command: the customer's number is the size of the value that it reads."""
+    """Replies to every request; a read's customer number is the size of the value to return."""
 
     def follow(sock: socket.socket) -> None:
         file = sock.makefile("rb", 1 << 18)
@@ -100,14 +102,14 @@
 
 
 def listed(to: int) -> dict[str, Any]:
-    """A list of backends that are all one process: many, so that none looks busy."""
+    """Returns an endpoint list whose backends share one port; many, so that none seems overloaded."""
     line = {"host_port": f"127.0.0.1:{to}", "locality": "a", "flavor": "x", "cell": 0, "phase": "Ready"}
     members = [{"id": f"s{i}", "size": 1.0, "up_since_ms": 0, **line} for i in range(CROWD)]
     return {"revision": 1, "complete": True, "members": members}
 
 
 def keep(results: dict[str, Any], out: str | None) -> None:
-    """Write the results where asked."""
+    """Writes the results as JSON if a path is given."""
     if out:
         pathlib.Path(out).write_text(json.dumps(results, indent=1) + "\n")
 
@@ -115,7 +117,7 @@
 def gateway(
     tree: pathlib.Path, port: int, to: int, folder: str, options: str = ""
 ) -> subprocess.Popen[bytes]:
-    """The program of a checkout, on the virtual environment that runs this."""
+    """Starts the gateway of a checkout with the Python interpreter that runs this benchmark."""
     path = pathlib.Path(folder, f"{port}.json")
     path.write_text(
         json.dumps(
@@ -144,7 +146,7 @@
 
 
 def up(port: int) -> None:
-    """Wait until somebody listens."""
+    """Waits until the port accepts connections, for at most 10 s."""
     for _ in range(200):
         try:
             return socket.create_connection(("127.0.0.1", port)).close()
@@ -154,18 +156,18 @@
 
 
 def cpu(pid: int) -> float:
-    """Seconds of processor time so far."""
+    """Returns the CPU time that a process has used, in seconds."""
     parts = pathlib.Path(f"/proc/{pid}/stat").read_text().rpartition(")")[2].split()
     return (int(parts[11]) + int(parts[12])) / os.sysconf("SC_CLK_TCK")
 
 
 def memory(pid: int, what: str) -> float:
-    """VmHWM or VmRSS in MB."""
+    """Returns VmHWM or VmRSS of a process in MB."""
     return int(re.search(rf"{what}:\s+(\d+)", pathlib.Path(f"/proc/{pid}/status").read_text())[1]) / 1024
 
 
 def command(rid: int, size: int, write: bool) -> list[bytes]:
-    """The parts of a request."""
+    """Encodes a request as chunks; a write has its value in a chunk of its own."""
     name, cls = (b"API.WRITE", b"pay") if write else (b"API.READ", b"look")
     words = [
         name,
@@ -178,7 +180,7 @@
 
 
 def load(port: int, size: int, requests: int, write: bool, plain: bool) -> float:
-    """Ask from a few clients; the seconds that all of it took."""
+    """Sends the requests from CLIENTS connections and returns the elapsed seconds."""
     answer = 1 if write else size
     whole = len(b"$%d\r\n" % answer) + answer + 2 + (len(b"*3\r\n") + len(TAIL) if plain else 0)
     faults: list[BaseException] = []
@@ -190,7 +192,7 @@
                 for i in range(requests // CLIENTS):
                     sock.sendall(b"".join(command(number * 1_000_000 + i, size, write)))
                     if exactly(sock, buf)[:1] not in b"$*":
-                        raise ValueError("refused")
+                        raise ValueError("request answered with an error")
         except BaseException as error:
             faults.append(error)
 
@@ -206,7 +208,7 @@
 
 
 def compare(tree: str | None, folder: str, to: int) -> dict[str, Any]:
-    """All ways, all sizes, read and written."""
+    """Measures reads and writes of each size through each target."""
     ways: dict[str, tuple[int, Any]] = {}
     ways["forwarder"] = (
         (port := free()),
@@ -222,7 +224,7 @@
         for write in (False, True):
             for size, requests in SIZES.items():
                 row = results[f"{'write' if write else 'read'} {size >> 10} KiB"] = {}
-                for _ in range(2):  # the better of two, the ways in turn
+                for _ in range(2):  # keeps the better of two runs, with the targets taken in turn
                     for way, (port, process) in ways.items():
                         try:
                             used = cpu(process.pid)
@@ -248,7 +250,10 @@
 
 
 def paired(tree: str, folder: str, to: int, options: str) -> dict[str, Any]:
-    """The usual request's CPU, this revision's over the other's, in many short turns: noise meets both."""
+    """Compares the CPU time of 4 KiB reads with another revision's, in short alternating runs.
+
+    Alternation spreads noise from other processes evenly over both.
+    """
     ways = {"this": ROOT, "before": pathlib.Path(tree).resolve()}
     lives = {
         way: (port := free(), gateway(at, port, to, folder, options if way == "this" else ""))
@@ -278,7 +283,7 @@
 
 
 def crowd(folder: str, to: int) -> dict[str, Any]:
-    """Slow clients, half of which read and half write 4 MiB each, at a gateway with a small limit."""
+    """Runs slow clients, half of them reading 4 MiB and half writing it, on a gateway with little memory."""
     process = gateway(ROOT, port := free(), to, folder)
     try:
         up(port)
@@ -330,13 +335,13 @@
 
 
 def main() -> int:
-    """Run one of the two, print it, and keep it where asked."""
+    """Runs the selected benchmark and prints its results."""
     asked = argparse.ArgumentParser(description=__doc__.splitlines()[0])
     asked.add_argument("--tree")
     asked.add_argument("--out")
     asked.add_argument("--crowd", action="store_true")
     asked.add_argument("--paired", action="store_true")
-    asked.add_argument("--options", help="the operators' file of this revision alone, with --paired")
+    asked.add_argument("--options", help="operators' file for this revision alone, with --paired")
     given = asked.parse_args()
     server = multiprocessing.Process(target=backend, args=(to := free(),), daemon=True)
     server.start()
--- a/benchmarks/crowd.py
+++ b/benchmarks/crowd.py
@@ -1,18 +1,18 @@
-"""What idle clients that fill a gateway's descriptors cost it, over loopback, against another revision.
+"""Measures what a full descriptor table of idle clients costs a gateway, optionally against another revision.
 
 PYTHONPATH=. python -O benchmarks/crowd.py [--seconds 10] [--rate 120] [--against CHECKOUT] [--out FILE]
 
-One gateway as `run` starts it, with room for `--sockets` descriptors. `PROBES` clients ask a request each
-`PROBE_EVERY` on a connection that they keep, all the while. Four phases of `--seconds` each:
+Starts one gateway on loopback, limited to `--sockets` descriptors. Throughout, `PROBES` clients with
+persistent connections send a request every `PROBE_EVERY` seconds. Four phases of `--seconds` each follow:
 
-- `probes`: nobody else
-- `passing`: `--rate` new connections a second that ask nothing or once, and are closed by their clients
-- `full`: the table is full of clients that rest between a PING each second
-- `crowd`: `--rate` more of those a second; each takes the place of one that is there
+- `probes`: no other clients
+- `passing`: `--rate` short connections per second with one request or none, closed by the client
+- `full`: the table is full of idle clients, each of which sends a PING per second
+- `crowd`: `--rate` further idle clients per second, for each of which the gateway closes an older connection
 
-Measured is the processor time of the gateway (its /proc/PID/stat): a passing connection's is `passing` less
-`probes`, one of the crowd's is `crowd` less `full`, each over the rate. A `PING` on a kept connection tells
-how late the gateway's loop is.
+CPU time is read from /proc/PID/stat. A short connection costs (`passing` - `probes`) / rate,
+an idle client's connection (`crowd` - `full`) / rate. The round trip of a PING on a persistent connection
+shows how late the gateway's event loop runs.
 """
 
 from __future__ import annotations
@@ -35,37 +35,37 @@
 from corkdeal.standin.servers import Model, Server, work_drawer
 
 SERVERS = 4
-PROBES, PROBE_EVERY = 4, 0.1  # connections that are kept; s between two requests of one
+PROBES, PROBE_EVERY = 4, 0.1  # persistent connections; s between two requests of one
 PING_EVERY = 0.02  # s
-FILL_RATE = 400  # connections a second until the table is full
-REST = 1.0  # s between two PINGs of an idle client, less than the gateway lets one be idle at the least
-PASSING_STAY = 0.1  # s that a passing client without a request stays
+FILL_RATE = 400  # connections per second until the table is full
+REST = 1.0  # s between two PINGs of an idle client; less than the gateway's shortest idle timeout
+PASSING_STAY = 0.1  # s that a short connection without a request stays open
 PLANS = [{"name": "open", "quota_rate": 100_000, "store_size": 100_000}]
 PING, PONG = b"*1\r\n$4\r\nPING\r\n", b"+PONG\r\n"
 TICK = 1 / os.sysconf("SC_CLK_TCK")  # s
 
 
 def request(number: int) -> bytes:
-    """A read request of a customer of its own."""
+    """Encodes a read request; each number is a separate customer."""
     params = b"c=board-load,t=open,d=4000,units=1,spread=1,first=0"
     words = (b"API.READ", b"%016x" % number, b"%016x" % number, params)
     return b"*%d\r\n%b" % (len(words), b"".join(b"$%d\r\n%b\r\n" % (len(w), w) for w in words))
 
 
 def processor_time(pid: int) -> float:
-    """Seconds of processor time that a process has used so far."""
+    """Returns the CPU time that a process has used, in seconds."""
     fields = pathlib.Path(f"/proc/{pid}/stat").read_text().rpartition(")")[2].split()
     return (int(fields[11]) + int(fields[12])) * TICK
 
 
 def percentile(values: list[float], part: float) -> float:
-    """The value below which that part of them lies, in ms."""
+    """Returns the percentile of values given in seconds, in ms; `part` is in [0, 1]."""
     ordered = sorted(values)
     return round(1000 * ordered[min(len(ordered) - 1, int(part * len(ordered)))], 2) if ordered else 0.0
 
 
 class Crowd:
-    """One play of one revision."""
+    """One run of one revision."""
 
     def __init__(self, given: argparse.Namespace, program: pathlib.Path | None) -> None:
         self.given, self.program = given, program
@@ -78,13 +78,13 @@
         self.tasks: set[asyncio.Task[None]] = set()
 
     def begin(self, work: Any) -> None:
-        """Run it beside the rest."""
+        """Runs a coroutine as a background task until the end of the run."""
         task = asyncio.create_task(work)
         self.tasks.add(task)
         task.add_done_callback(self.tasks.discard)
 
     async def run(self) -> dict[str, Any]:
-        """Play it; the figures."""
+        """Starts discovery, backends and the gateway, and returns the results."""
         models = [
             Model(f"s{i}", "north-hall", cell=i % 2, cores=8, queue=4000, fall_multiple=1000.0)
             for i in range(SERVERS)
@@ -112,7 +112,7 @@
                     each.die()
 
     async def play(self, gateway: Any) -> dict[str, Any]:
-        """Probes alone, then the table fills, then the crowd that is measured."""
+        """Runs the four phases against the started gateway."""
         host, port = gateway.listen.split(":")
         self.address, pid = (host, int(port)), gateway.process.pid
         for number in range(PROBES):
@@ -138,7 +138,7 @@
         }
 
     async def measured(self, pid: int, rate: float, client: Callable[[], Any]) -> dict[str, Any]:
-        """The figures of one phase, with so many such clients a second."""
+        """Runs one phase with `rate` new clients per second and returns its metrics."""
         self.lateness, self.answers, self.ends = [], Counter(), Counter()
         used, began = processor_time(pid), time.monotonic()
         await self.come(round(rate * self.given.seconds), rate, client)
@@ -155,14 +155,14 @@
         }
 
     async def come(self, many: int, rate: float, client: Callable[[], Any]) -> None:
-        """So many new clients, at even times."""
+        """Starts the clients at even intervals."""
         began = time.monotonic()
         for number in range(many):
             await asyncio.sleep(max(0.0, began + number / rate - time.monotonic()))
             self.begin(client())
 
     async def stay(self) -> None:
-        """One that sends a PING now and then and stays until the gateway ends it."""
+        """An idle client, which sends a PING every `REST` seconds until the gateway closes its connection."""
         try:
             reader, writer = await asyncio.open_connection(*self.address)
         except OSError:
@@ -181,7 +181,7 @@
             writer.close()
 
     async def passing(self) -> None:
-        """One that asks nothing or once, and goes."""
+        """A short connection, which sends one request or none and is closed by the client."""
         try:
             reader, writer = await asyncio.open_connection(*self.address)
             self.number += 1
@@ -197,7 +197,7 @@
             self.ends["reset"] += 1
 
     async def probe(self, number: int) -> None:
-        """Ask on a connection that is kept, or on a new one where it was closed."""
+        """Sends requests on a persistent connection, and reconnects when it is closed."""
         while True:
             try:
                 reader, writer = await asyncio.open_connection(*self.address)
@@ -214,12 +214,12 @@
                 self.answers["reset"] += 1
 
     async def rest_of_answer(self, reader: asyncio.StreamReader, head: bytes) -> None:
-        """Read a value to its end."""
+        """Reads the rest of a bulk reply."""
         if head.startswith(b"$"):
             await reader.readexactly(int(head[1:]) + 2)
 
     async def ping(self) -> None:
-        """How late the loop is, by a PING now and then on a connection that is kept."""
+        """Records PING round trips on a persistent connection."""
         while True:
             try:
                 reader, writer = await asyncio.open_connection(*self.address)
@@ -234,20 +234,20 @@
                 pass
 
     async def watch_descriptors(self, pid: int) -> None:
-        """The most that the process holds at a time, as seen now and then."""
+        """Records the highest number of descriptors that the process has open, sampled every 10 ms."""
         while True:
             self.descriptors_most = max(self.descriptors_most, len(os.listdir(f"/proc/{pid}/fd")))
             await asyncio.sleep(0.01)
 
 
 def summary(results: list[dict[str, Any]]) -> dict[str, Any]:
-    """The plays, and the median of what a connection cost."""
+    """Returns all runs and the median cost per connection."""
     names = ("cpu_us_a_passing_connection", "cpu_us_a_crowd_connection")
     return {**{name: statistics.median(r[name] for r in results) for name in names}, "plays": results}
 
 
 def main() -> None:
-    """Play both revisions in turn."""
+    """Runs the revisions in turn."""
     parser = argparse.ArgumentParser(description=__doc__.splitlines()[0])
     parser.add_argument("--seconds", type=float, default=5.0)
     parser.add_argument("--rate", type=float, default=120.0)
--- a/benchmarks/departures.py
+++ b/benchmarks/departures.py
@@ -1,18 +1,19 @@
-"""How many requests are sent on after their clients have left: over real gateways, against another revision.
+"""Counts attempts that gateways start after the client has disconnected, optionally against another revision.
 
 PYTHONPATH=. python -O benchmarks/departures.py [--gateways 3] [--departures 1000] [--revision NAME]
     [--out FILE] [--against CHECKOUT --against-revision NAME]
 
-Gateways as `run` starts them, six stand-in servers. Clients ask on connections of their own and leave after
-a while, by closing (FIN) or by a reset, some in bursts. Meanwhile requests have cause to wait: for part of
-the time discovery lists no server, so they are held, and two servers at a time take requests and do not
-answer, so they are sent again. Late are those of which an attempt reaches a server more than LATE s after
-their client left; what this process adds to that is counted against the gateways, and `own_delay_s` tells
-how late its own loop ran at most. Clients that stay, or that only end their sending (a half-close) at once
-or after a while, are counted by the kind of their answers ($ is served, and "" an end without one).
-
-`--out` adds its rows to a file of rows. Run one at a time, and 40 gateways only where the machine has little
-else to do: they are 40 processes.
+Starts gateway processes and six fake backends. Each client sends one request on its own connection and
+disconnects after a random time, by a close (FIN) or a reset, some of them in bursts. Meanwhile requests are
+made to wait: part of the time two backends accept requests without replying, so that they are retried, and
+part of the time discovery lists no backend, so that they are queued. A request is late if an attempt reaches
+a backend more than LATE seconds after its client disconnected. Delays of this process count against the
+gateways; `own_delay_s` is the longest delay of its event loop. Clients that wait for the reply, or that
+half-close (shutdown of the sending side) at once or later, are counted by the kind of reply: "$" is a served
+request, "" a connection closed without a reply.
+
+`--out` appends rows to a JSON file. Run one instance at a time, and 40 gateways (40 processes) only on an
+otherwise idle machine.
 """
 
 from __future__ import annotations
@@ -33,18 +34,18 @@
 from corkdeal.standin.fleet import tier
 from corkdeal.standin.servers import Arrival, Model, Server, work_drawer
 
-LATE = 0.1  # s after its client left, from which on no attempt may begin
+LATE = 0.1  # s after a disconnect, from which on an attempt of that client counts as late
 GATEWAYS, SERVERS = 3, 6
-START_AT_ONCE = 4  # gateways that are started side by side
-EVERY, STAY = 0.02, 0.5  # s between clients; s that one stays at the most
-ANSWERED_WITHIN = 10.0  # s that clients which wait for an answer do so at the most
-TICK = 0.005  # s between looks at how late this process is itself
-EMPTY_EVERY, EMPTY_FOR, HANG_FOR = 1.5, 0.6, 0.7  # s
+START_AT_ONCE = 4  # gateways started concurrently
+EVERY, STAY = 0.02, 0.5  # s between clients; longest s that one stays connected
+ANSWERED_WITHIN = 10.0  # s that clients wait for a reply at the end of a run
+TICK = 0.005  # s between samples of this process's event-loop delay
+EMPTY_EVERY, EMPTY_FOR, HANG_FOR = 1.5, 0.6, 0.7  # s; of the empty endpoint list, and of two hanging backends
 PLANS = [{"name": "open", "quota_rate": 100_000, "store_size": 100_000}]
 
 
 def ask(rid: int, write: bool, gateway: int) -> bytes:
-    """A request of a customer of its own, whose set is that gateway."""
+    """Encodes a request of a separate customer, whose only gateway is the given one."""
     params = f"c={'solve-record' if write else 'board-load'},t=open,d=4000,units=1,spread=1,first={gateway}"
     params += f",k={rid:016x}" if write else ""
     words = [b"API.WRITE" if write else b"API.READ", b"%016x" % rid, b"%016x" % rid, params.encode()]
@@ -53,14 +54,14 @@
 
 
 class Asking:
-    """A client's connection with one request, on a plain socket that ends just when it is told to."""
+    """A client's connection with one request, on a plain socket that closes at once when asked to."""
 
     def __init__(self, sock: socket.socket) -> None:
         self.sock = sock
 
     @classmethod
     async def open(cls, gateway: Any, rid: int) -> Asking:
-        """Connect, and ask."""
+        """Connects and sends the request."""
         loop, (host, port) = asyncio.get_running_loop(), gateway.listen.split(":")
         sock = socket.socket()
         sock.setblocking(False)
@@ -69,7 +70,7 @@
         return cls(sock)
 
     async def kind(self) -> str:
-        """The kind of its answer, by the first line without figures."""
+        """Waits for the reply and returns the start of its first line without digits."""
         try:
             data = await asyncio.get_running_loop().sock_recv(self.sock, 4096)
         except ConnectionError:
@@ -77,7 +78,7 @@
         return data.partition(b"\r\n")[0][:5].decode().strip("0123456789 ")
 
     def leave(self, reset: bool) -> float:
-        """Close, or reset; when, in wall time."""
+        """Closes or resets the connection; returns the wall time."""
         if reset:
             self.sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, struct.pack("ii", 1, 0))
         at = time.time()
@@ -85,20 +86,20 @@
         return at
 
     def end_sending(self) -> float:
-        """Half-close; when, in wall time."""
+        """Shuts down the sending side; returns the wall time."""
         at = time.time()
         self.sock.shutdown(socket.SHUT_WR)
         return at
 
 
 class Play:
-    """One play of one revision."""
+    """One run of one revision."""
 
     def __init__(self, seed: int, departures: int, gateways: int, program: pathlib.Path | None) -> None:
         self.chance, self.departures, self.program = random.Random(seed), departures, program
         self.gateways = gateways
-        self.left: dict[int, float] = {}  # when each client left, wall time
-        self.half_closed: dict[int, float] = {}  # when each client that reads on ended its sending
+        self.left: dict[int, float] = {}  # wall time of each disconnect, by request
+        self.half_closed: dict[int, float] = {}  # wall time of each half-close, by request
         self.arrived: dict[int, list[float]] = {}
         self.answers: dict[str, Counter[str]] = {
             who: Counter() for who in ("stayed", "half_closed_at_once", "half_closed_later")
@@ -107,24 +108,24 @@
         self.empty = False
 
     def seen(self, arrival: Arrival) -> None:
-        """A server has an attempt whole."""
+        """Called when a backend has received a whole attempt."""
         self.arrived.setdefault(arrival.request, []).append(arrival.at)
 
     async def watch_itself(self) -> None:
-        """Tell how late this process is."""
+        """Records the longest delay of this process's event loop."""
         while True:
             due = time.monotonic() + TICK
             await asyncio.sleep(TICK)
             self.own_delay = max(self.own_delay, time.monotonic() - due)
 
     async def leaver(self, gateway: Any, rid: int, stay: float, reset: bool) -> None:
-        """Ask, and leave after `stay` s."""
+        """Sends a request and disconnects after `stay` seconds."""
         asking = await Asking.open(gateway, rid)
         await asyncio.sleep(stay)
         self.left[rid] = asking.leave(reset)
 
     async def reader(self, gateway: Any, rid: int, who: str, half_close_after: float | None) -> None:
-        """Ask, end the sending after so many s or never, and read the answer."""
+        """Sends a request, half-closes after `half_close_after` seconds if given, and reads the reply."""
         asking = await Asking.open(gateway, rid)
         if half_close_after is not None:
             await asyncio.sleep(half_close_after)
@@ -133,7 +134,7 @@
         asking.sock.close()
 
     async def trouble(self, discovery: Discovery, servers: list[Server]) -> None:
-        """Give requests cause to wait."""
+        """Makes requests wait: backends hang in turn, and the endpoint list is empty at times."""
         while True:
             hung = self.chance.sample(servers, 2)
             for each in hung:
@@ -149,7 +150,7 @@
             await asyncio.sleep(EMPTY_EVERY - EMPTY_FOR)
 
     async def run(self) -> dict[str, Any]:
-        """Play it; the figures."""
+        """Starts discovery, backends and gateways, runs the clients, and returns the metrics."""
         models = [
             Model(f"s{i}", "north-hall", cell=i % 2, cores=8, queue=4000, fall_multiple=1000.0)
             for i in range(SERVERS)
@@ -182,7 +183,7 @@
         return self.figures()
 
     async def clients(self, gateways: list[Any]) -> None:
-        """All who leave, and beside every five of them one who stays and two who half-close."""
+        """Runs the clients; for every five that disconnect, one stays and two half-close."""
         asked, rid = [], 0
         while rid < self.departures:
             many = 25 if self.chance.random() < 0.013 else 1
@@ -201,10 +202,10 @@
             asked = [each if isinstance(each, asyncio.Task) else asyncio.create_task(each) for each in asked]
             await asyncio.sleep(EVERY)
         await asyncio.wait(asked, timeout=ANSWERED_WITHIN)
-        await asyncio.sleep(1.0)  # what would be sent on late still has time to be
+        await asyncio.sleep(1.0)  # late attempts still have time to reach a backend
 
     def figures(self) -> dict[str, Any]:
-        """What became of them."""
+        """Returns the metrics of the run."""
         waits = [max(ats) - self.left[rid] for rid, ats in self.arrived.items() if rid in self.left]
         late = [w for w in waits if w > LATE]
         half = [max(ats) - at for rid, at in self.half_closed.items() if (ats := self.arrived.get(rid))]
@@ -224,7 +225,7 @@
 
 
 def main() -> None:
-    """Play one revision, or both one after the other."""
+    """Runs one revision, or both one after the other."""
     parser = argparse.ArgumentParser(description=__doc__.splitlines()[0])
     parser.add_argument("--departures", type=int, default=1000)
     parser.add_argument("--gateways", type=int, default=GATEWAYS)
--- a/benchmarks/upgrade.py
+++ b/benchmarks/upgrade.py
@@ -1,10 +1,12 @@
-"""Units let in over an upgrade under load by both lives, against the quota: with and without hand-over.
+"""Measures the units that two incarnations admit during an upgrade under load, relative to the quota.
 
 PYTHONPATH=. python -O benchmarks/upgrade.py [--seeds 20] [--out FILE]
+PYTHONPATH=. python -O benchmarks/upgrade.py --turns ACCOUNTS
 
-Real processes on one listening socket. Each account asks for twice its rate over kept connections, and
-a new life starts beside the old one, which gets SIGTERM once the new one serves. Without hand-over the shared
-folder's place is taken by a file, so each life spends a whole quota.
+Starts gateway processes on one listening socket. Each account demands twice its rate over persistent
+connections. A successor starts beside its predecessor, which gets SIGTERM once the successor serves. For the
+runs without hand-over, a file stands where the hand-over folder should be, so that each incarnation spends a
+whole quota.
 """
 
 from __future__ import annotations
@@ -33,7 +35,7 @@
 
 
 def backend(sock: socket.socket, seen: Counter[bytes], lock: threading.Lock) -> None:
-    """Counts what is sent on, by customer."""
+    """Replies to every request and counts requests by customer."""
 
     def follow(conn: socket.socket) -> None:
         file = conn.makefile("rb")
@@ -51,7 +53,7 @@
 
 
 def client(port: int, number: int, until: float, chance: random.Random, faults: Counter[str]) -> None:
-    """Asks on one connection, and on a new one where that ends."""
+    """Sends requests on one connection; reconnects and retries once if it is closed."""
     made, file, rid = None, None, number << 32
     pause = CLIENTS / (ACCOUNTS * RATE * 2)
     while time.monotonic() < until:
@@ -81,7 +83,7 @@
 
 
 def play(seed: int, way: str) -> dict[str, Any]:
-    """One upgrade; the most that an account was let in above its quota, in units, and all as a share."""
+    """Runs one upgrade; returns the largest excess over a quota, and totals as shares of the quotas."""
     chance, seen, lock, faults = random.Random(seed), Counter(), threading.Lock(), Counter()
     listener, inner = (
         socket.create_server(("127.0.0.1", 0), backlog=256),
@@ -163,7 +165,10 @@
 
 
 def turns(accounts: int) -> dict[str, float]:
-    """The longest turns of both lives for so many accounts, in ms: the rest made and written, and taken."""
+    """Returns how long a hand-over blocks the reactor for that many accounts, in ms.
+
+    The predecessor encodes the remaining accounts in one step; the successor restores them in several.
+    """
     from benchmarks.knowledge import gateway_with
     from corkdeal.net.__main__ import GC_EVERY
     from corkdeal.persistence import clock, quota_handover
@@ -174,7 +179,7 @@
     old, now = gateway_with(accounts), 1000.0
     gc.collect()
     gc.freeze()
-    gc.set_threshold(GC_EVERY, 10, 50)  # as the program has it
+    gc.set_threshold(GC_EVERY, 10, 50)  # as in corkdeal/net/__main__.py
     began = time.perf_counter()
     capture = StateCapture(old, "n", "")
     for _ in capture.steps(lambda: now, clock.read_clocks, lambda: 0.0):
@@ -200,11 +205,11 @@
 
 
 def main() -> int:
-    """All seeds, both ways, four at a time."""
-    asked = argparse.ArgumentParser(description="Units let in over an upgrade against the quota.")
+    """Runs all seeds without an upgrade, with hand-over and without it, four at a time."""
+    asked = argparse.ArgumentParser(description="Units admitted during an upgrade, relative to the quota.")
     asked.add_argument("--seeds", type=int, default=20)
     asked.add_argument("--out")
-    asked.add_argument("--turns", type=int, help="only the longest turns for so many accounts")
+    asked.add_argument("--turns", type=int, help="measure only how long a hand-over blocks the reactor")
     given, results = asked.parse_args(), {}
     if given.turns:
         print(json.dumps(turns(given.turns)))
