--- a/benchmarks/readiness.py
+++ b/benchmarks/readiness.py
@@ -1,14 +1,14 @@
-"""How soon gateways started at once answer PING, in which step the time goes, and what a start costs.
+"""Measures how soon gateways that start together answer PING, the time of each step, and CPU per start.
 
 PYTHONPATH=. python -O benchmarks/readiness.py [--counts 1,20,100] [--forms NAME|NAME] [--machine idle,loaded]
                                                [--against DIR] [--out FILE]
 
-Each process is started by the `run` line of deploy/balancer.toml, from the tree as built (`make build`) or
-from a copy of it. DIR is another revision's checkout, built as well, whose processes are started in turn with
-this one's. Time counts from the call that starts the process to +PONG on its clients' address, discovery
-being there. On the loaded machine one busy loop a core runs beside. A set of processes that the machine's
-free memory does not hold is left out, and said so. Other work on the machine changes the times: compare CPU
-seconds, or two trees in one run.
+Each process is started by the `run` command of deploy/balancer.toml, from the tree as built (`make build`)
+or from a copy of it. DIR is another built checkout, whose processes are started in alternation with this
+one's. Time is measured from process creation to +PONG on the client address, with discovery available. On the
+`loaded` machine, one busy loop per core runs meanwhile. A set of processes that needs more than the available
+memory is skipped and reported as left out. Other load on the machine changes the times: compare CPU seconds,
+or two trees in one run.
 """
 
 from __future__ import annotations
@@ -40,38 +40,38 @@
 PROBE = pathlib.Path(__file__).with_name("readiness_probe")
 PLANS = [{"name": "small", "quota_rate": 10.0, "store_size": 20.0}]
 BACKENDS = 20
-LOOK_EVERY = 0.02  # s between looks whether a process answers whose port is open
-READY_MOST = 120.0  # s
-PROCESS_MB = 40  # of memory for one process, and some to spare
-STARTS_LEAST, SETS_LEAST = 20, 2  # of a line of the table
-WITHIN = (6.0, 10.0)  # s, the limits that a start is held against
+LOOK_EVERY = 0.02  # s between PINGs to a process that has opened its port
+READY_MOST = 120.0  # s, the start time-out
+PROCESS_MB = 40  # memory of one process, with a margin
+STARTS_LEAST, SETS_LEAST = 20, 2  # for each line of the table
+WITHIN = (6.0, 10.0)  # s, limits on the start time for which shares are reported
 BUSY_LOOP = f"import time\nend = time.monotonic() + {READY_MOST}\nwhile time.monotonic() < end: pass"
 NOT_COPIED = ("tests", "journal", "docs", ".git", "ruff*", "pip", "setuptools", "hypothesis")
 
 
 @dataclass(frozen=True)
 class Start:
-    """One process's way to its first answer; all in s, steps by the clock on the wall."""
+    """Durations of one start until the first reply, in seconds; steps are in wall time."""
 
     ready: float
-    cpu: float  # of the process until then
-    waiting_for_core: float  # ready to run, and not run
+    cpu: float  # of the process until the first reply
+    waiting_for_core: float  # runnable, but not scheduled
     interpreter: float
     imports: float
     imports_cpu: float
-    settings: float  # reading them and the operators' file, and joining the gateway together
-    discovery: float  # from the call of discovery to the open port
-    answer: float  # from the open port to the answer, as seen from outside
+    settings: float  # reading settings and the operators' file, and constructing the gateway
+    discovery: float  # from the connection to discovery to the open port
+    answer: float  # from the open port to the first reply, measured from outside
 
 
 @dataclass(frozen=True)
 class Form:
-    """How the tree that is started lies on the disk."""
+    """State on disk of the tree that is started."""
 
     package_bytecode: bool = True
     library_bytecode: bool = True
-    writable: bool = True  # whether bytecode can be written
-    keeps_times: bool = True  # of the copied files
+    writable: bool = True  # whether bytecode files can be written
+    keeps_times: bool = True  # copied files keep their modification times
     disk_full: bool = False
 
 
@@ -86,16 +86,16 @@
 
 
 class Process:
-    """One gateway's process, started by the deploy file's command."""
+    """One gateway process, started by the command of the deploy file."""
 
     def __init__(self, gateway: fleet.Gateway, run: str, tree: pathlib.Path, disk_full: bool) -> None:
         self.gateway, self.run, self.tree, self.disk_full = gateway, run, tree, disk_full
         self.process: subprocess.Popen[bytes] | None = None
-        self.pipe: Any = None  # the end that the probe's lines are read from
+        self.pipe: Any = None  # the end from which the probe's lines are read
         self.began = 0.0
 
     def begin(self) -> None:
-        """Start it; nothing is waited for."""
+        """Starts the process without waiting for it."""
         gateway = self.gateway
         gateway.path.write_text(json.dumps({**gateway.config, "known": None, "seed": "1"}))
         read_end, write_end = os.pipe()
@@ -123,13 +123,13 @@
         os.close(write_end)
 
     def prepare(self) -> None:
-        """In the process just made, before the program."""
+        """Runs in the child process before the program is executed."""
         fleet.die_with_parent()
         if self.disk_full:
             fleet.limit_files(0, True)
 
     async def ready(self) -> Start:
-        """Wait until its port is open and then for its first answer; nobody looks at it before."""
+        """Waits until the port is open and then for the first reply; nothing connects to it before."""
         async with asyncio.timeout(READY_MOST):
             steps = await self.steps()
             while not await self.gateway.answers():
@@ -137,20 +137,20 @@
             return self.start_seen(steps, time.monotonic())
 
     async def steps(self) -> dict[str, dict[str, Any]]:
-        """What the probe in the process tells, until its port is about to open."""
+        """Reads the reports of the probe in the process until its port is about to open."""
         reader = asyncio.StreamReader()
         loop = asyncio.get_running_loop()
         await loop.connect_read_pipe(lambda: asyncio.StreamReaderProtocol(reader), self.pipe)
         steps: dict[str, dict[str, Any]] = {}
         while "listening" not in steps:
             if not (line := await reader.readline()):
-                raise fleet.Ended(f"ended at its start: {self.gateway.log.read_text()[-2000:]}")
+                raise fleet.Ended(f"gateway exited while starting: {self.gateway.log.read_text()[-2000:]}")
             step = json.loads(line)
             steps[step["step"]] = step
         return steps
 
     def start_seen(self, steps: dict[str, dict[str, Any]], answered: float) -> Start:
-        """Put together what the kernel and the probe tell of a start that is over."""
+        """Combines the kernel's and the probe's measurements of a completed start."""
         assert self.process is not None
         on_core, waited, _ = pathlib.Path(f"/proc/{self.process.pid}/schedstat").read_text().split()
         up, settings = steps["interpreter up"], steps["settings"]
@@ -172,7 +172,7 @@
         )
 
     def end(self) -> None:
-        """Kill it and free what it held."""
+        """Kills the process and closes its pipe."""
         if self.process is not None:
             self.process.kill()
             self.process.wait()
@@ -182,7 +182,7 @@
 
 @contextlib.contextmanager
 def busy_machine(loops: int) -> Iterator[None]:
-    """So many busy loops beside what is measured; each ends by itself as well."""
+    """Runs that many busy loops meanwhile; each also ends by itself after READY_MOST seconds."""
     made = [
         subprocess.Popen([sys.executable, "-c", BUSY_LOOP], preexec_fn=fleet.die_with_parent)
         for _ in range(loops)
@@ -196,7 +196,7 @@
 
 
 def ignored(tree: pathlib.Path, form: Form) -> Callable[[str, list[str]], set[str]]:
-    """What a copy of the tree leaves out, as shutil.copytree asks for it."""
+    """Returns the `ignore` argument of shutil.copytree for a copy of the tree."""
     never = shutil.ignore_patterns(*NOT_COPIED)
 
     def leave_out(folder: str, names: list[str]) -> set[str]:
@@ -208,14 +208,14 @@
 
 
 def laid_out(tree: pathlib.Path, form: Form, folder: pathlib.Path) -> pathlib.Path:
-    """The tree as a form of it asks, copied if need be."""
+    """Returns a tree in the given state: a copy, or the tree itself if that needs no change."""
     if form in (FORMS["built"], FORMS["disk full"]):
         return tree
     copy_file = shutil.copy2 if form.keeps_times else shutil.copy
     shutil.copytree(
         tree, folder, symlinks=True, ignore=ignored(tree, form), copy_function=copy_file, dirs_exist_ok=True
     )
-    if not form.writable:  # a file in the folder's place keeps bytecode out whatever this process may do
+    if not form.writable:  # a file named __pycache__ prevents bytecode even for root
         for source in [*folder.rglob("*.py")]:
             taken = source.with_name("__pycache__")
             if not taken.exists():
@@ -224,13 +224,13 @@
 
 
 def memory_free_mb() -> int:
-    """Memory that new processes can have."""
+    """Returns the memory available to new processes, in MB."""
     lines = pathlib.Path("/proc/meminfo").read_text().splitlines()
     return next(int(line.split()[1]) for line in lines if line.startswith("MemAvailable")) // 1024
 
 
 def backends() -> list[dict[str, Any]]:
-    """A list as discovery tells it; nobody is there."""
+    """Returns an endpoint list; nothing listens at its addresses."""
     common = {"locality": fleet.HALLS[0], "flavor": "standard", "phase": "Ready", "size": 1.0}
     return [
         {"id": f"s{i}", "host_port": f"127.0.0.1:{i + 1}", "cell": i, "up_since_ms": 0, **common}
@@ -239,13 +239,13 @@
 
 
 async def started_at_once(count: int, tree: pathlib.Path, form: Form, run: str) -> list[Start]:
-    """Start so many processes at once, and wait until each has answered."""
+    """Starts that many processes at once and waits for the first reply of each."""
     discovery = Discovery(backends)
     await discovery.start()
     with tempfile.TemporaryDirectory() as folder:
         gateways = fleet.tier(count, discovery.port, pathlib.Path(folder), PLANS)
         addresses = fleet.free_ones(count, socket.SOCK_STREAM, fleet.own_host())
-        for gateway, address in zip(gateways, addresses, strict=True):  # no two the same, and no client's
+        for gateway, address in zip(gateways, addresses, strict=True):  # distinct, and no client's port
             gateway.listen = gateway.config["listen"] = address
         processes = [Process(gateway, run, tree, form.disk_full) for gateway in gateways]
         try:
@@ -259,12 +259,12 @@
 
 
 def nine_in_ten(values: list[float]) -> float:
-    """The least value that at least nine in ten do not exceed."""
+    """Returns the 90th percentile: the smallest value that at least 90% do not exceed."""
     return sorted(values)[-(-9 * len(values) // 10) - 1]
 
 
 def summary(starts: list[Start]) -> dict[str, Any]:
-    """Of all starts of one kind: when nine in ten were ready, and the medians of what it took."""
+    """Summarizes starts of one kind: distribution of start times, and the median of each step."""
     ready = [start.ready for start in starts]
     columns = {name: [asdict(start)[name] for start in starts] for name in asdict(starts[0])}
     return {
@@ -279,7 +279,7 @@
 def measured(
     form_name: str, count: int, is_loaded: bool, trees: list[pathlib.Path], run: str, starts_least: int
 ) -> list[dict[str, Any]]:
-    """One line of the table for each tree; sets of both are started in turn."""
+    """Returns a line of the table for each tree; sets of both trees are started in alternation."""
     named = [
         {"form": form_name, "tree": number, "at_once": count, "loaded": is_loaded}
         for number in range(len(trees))
@@ -296,12 +296,12 @@
             while len(starts[0]) < max(starts_least, SETS_LEAST * count):
                 for number in order:
                     starts[number] += asyncio.run(started_at_once(count, laid[number], form, run))
-                order.reverse()  # so that what changes on the machine meanwhile meets both alike
+                order.reverse()  # changes of the load on the machine affect both trees alike
     return [{**line, **summary(seen)} for line, seen in zip(named, starts, strict=True)]
 
 
 def shown(line: dict[str, Any]) -> str:
-    """A line of the table."""
+    """Formats a line of the table."""
     which = "other" if line["tree"] else "this"
     head = f"| {line['form']} | {which} | {line['at_once']} | {'loaded' if line['loaded'] else 'idle'} | "
     if "left_out" in line:
@@ -313,16 +313,16 @@
 
 
 def main() -> None:
-    """Measure and write."""
+    """Runs all measurements and prints the table."""
     parser = argparse.ArgumentParser(description=__doc__, formatter_class=argparse.RawTextHelpFormatter)
     parser.add_argument("--counts", default="1,20,100")
     parser.add_argument("--forms", default="|".join(FORMS), help="separated by |")
     parser.add_argument("--machine", default="idle,loaded")
-    parser.add_argument("--starts", type=int, default=STARTS_LEAST, help="at least, for each line")
+    parser.add_argument("--starts", type=int, default=STARTS_LEAST, help="least number for each line")
     parser.add_argument("--against", type=pathlib.Path)
     parser.add_argument("--out", type=pathlib.Path)
     given = parser.parse_args()
-    signal.signal(signal.SIGTERM, lambda *_: sys.exit(1))  # so that what was started is ended
+    signal.signal(signal.SIGTERM, lambda *_: sys.exit(1))  # SystemExit runs the clean-up of started processes
     trees = [ROOT] + ([given.against.resolve()] if given.against else [])
     run = tomllib.loads((ROOT / "deploy/balancer.toml").read_text())["run"]
     results = []
--- a/benchmarks/readiness_probe/sitecustomize.py
+++ b/benchmarks/readiness_probe/sitecustomize.py
@@ -1,8 +1,8 @@
-"""Reports from inside a starting gateway when it came to each step, and what its imports took by then.
+"""Reports from inside a starting gateway when each step begins, and the time spent in imports by then.
 
-The interpreter imports this by its name where this folder is on PYTHONPATH, before the program, which is run
-unchanged. A step is seen by an audit event that the program raises anyway; each is one JSON line on the
-pipe that READINESS_PIPE numbers. Costs about 2 ms of CPU a start.
+The interpreter imports a module of this name at startup if this folder is on PYTHONPATH; the program itself
+is unchanged. Steps are recognized by audit events that the interpreter raises anyway. Each step is reported
+as a JSON line on the pipe whose descriptor number is in READINESS_PIPE. Costs about 2 ms of CPU per start.
 """
 
 import _frozen_importlib
@@ -10,21 +10,21 @@
 import os
 import sys
 import time
-from _socket import SOCK_STREAM  # the socket module is left for the program to import
+from _socket import SOCK_STREAM  # the program imports `socket` itself, so that this is measured
 
 pipe = int(os.environ["READINESS_PIPE"])
-STEPS = {  # (audit event, what it names): the step that begins with it
+STEPS = {  # (audit event, its path or address): the step that begins with it
     ("open", os.environ["RELAY_CONFIG"]): "settings",
     ("socket.connect", os.environ["READINESS_DISCOVERY"]): "discovery",
     ("socket.bind", os.environ["READINESS_LISTEN"]): "listening",
 }
-find_and_load = _frozen_importlib._find_and_load  # what every import that finds nothing loaded goes through
+find_and_load = _frozen_importlib._find_and_load  # called by every import of a module that is not yet loaded
 nested = 0
-wall_s = cpu_s = 0.0  # that imports have taken, each import within another counted once
+wall_s = cpu_s = 0.0  # time spent in imports; nested ones are not counted twice
 
 
 def timed_find_and_load(*arguments):
-    """Import, and add what that took."""
+    """Imports a module and adds the time that it took."""
     global nested, wall_s, cpu_s
     nested += 1
     wall, cpu = time.monotonic(), time.process_time()
@@ -38,7 +38,7 @@
 
 
 def report(step):
-    """Tell the benchmark that a step begins."""
+    """Reports to the benchmark that a step begins."""
     line = {
         "step": step,
         "at": time.monotonic(),
@@ -51,7 +51,7 @@
 
 
 def watch(event, arguments):
-    """An audit hook: each step is reported once."""
+    """Audit hook that reports each step once."""
     if event == "open":
         named = arguments[0]
     elif event in ("socket.connect", "socket.bind") and arguments[0].type == SOCK_STREAM:
