--- a/benchmarks/halls.py
+++ b/benchmarks/halls.py
@@ -1,4 +1,6 @@
-"""Look-ups of an address's hall among 100,000 nets: three ways in one run. Compare ratios, not machines.
+"""Compares three ways to look up the zone of an address among 100,000 networks.
+
+Times depend on the machine: compare ratios within one run.
 
 PYTHONPATH=. python benchmarks/halls.py
 """
@@ -18,7 +20,7 @@
 
 
 def drawn(chance: random.Random) -> list[Net]:
-    """Distinct nets of /12 to /28, with halls at random."""
+    """Returns distinct networks of /12 to /28 with random zones."""
     made: dict[str, Net] = {}
     while len(made) < NETS:
         size = chance.randint(12, 28)
@@ -29,7 +31,7 @@
 
 
 class ByLength:
-    """One dictionary a prefix length, from the longest: what one would write by hand."""
+    """A dictionary per prefix length, searched from the longest: the simple approach without a trie."""
 
     def __init__(self, nets: list[Net]) -> None:
         self.tables: dict[int, dict[int, str]] = {}
@@ -39,7 +41,7 @@
         self.order = sorted(self.tables.items(), reverse=True)
 
     def hall_of(self, address: str) -> str | None:
-        """The hall of an IPv4 address."""
+        """Returns the zone of an IPv4 address."""
         number = int.from_bytes(socket.inet_aton(address), "big")
         for size, table in self.order:
             if (hall := table.get(number >> (32 - size) << (32 - size))) is not None:
@@ -48,7 +50,7 @@
 
 
 def main() -> int:
-    """Build, look up, compare."""
+    """Builds the tables, times the look-ups, and checks that all give the same zones."""
     chance = random.Random(1)
     nets = drawn(chance)
     asked = [str(netaddr.IPAddress(chance.randrange(1 << 24, 1 << 32))) for _ in range(LOOK_UPS)]
@@ -75,7 +77,7 @@
     for name, (took, found) in results.items():
         print(f"| {name} | {took:.2f} | {took / first[0]:.2f} |")
         if found != first[1][: len(found)]:
-            print(f"{name} disagrees", file=sys.stderr)
+            print(f"{name}: zones differ from those of py-radix", file=sys.stderr)
             return 1
     return 0
 
--- a/benchmarks/knowledge.py
+++ b/benchmarks/knowledge.py
@@ -1,8 +1,7 @@
-"""What keeping knowledge costs, by number of accounts: turns of the reactor, processor, bytes, and the start.
+"""Measures the cost of persisted state by number of accounts: reactor iterations, CPU, bytes, and loading.
 
-Weighs the two forms that the design note names: whole snapshots, as the store writes them, and an append log
-of what changed with a snapshot now and then. Figures of one run belong together; compare ratios, not
-machines.
+Compares whole snapshots, as the store writes them, with an append-only log of changed accounts. Absolute
+figures depend on the machine: compare ratios within one run.
 
     python benchmarks/knowledge.py OUT_FOLDER
 """
@@ -29,7 +28,7 @@
 from corkdeal.persistence.store import SnapshotStore
 
 SIZES = (1_000, 10_000, 100_000)
-# accounts that move between two writes: requests a second of one gateway
+# CHANGED: accounts that change between two writes, from one gateway's requests per second
 SERVERS, CHANGED, WRITES = 20, 140, 8
 PLAN = Plan(rate=1.5, burst=6.0, name="family")
 SETTINGS = Settings(
@@ -43,7 +42,7 @@
 
 
 def gateway_with(accounts: int) -> Gateway:
-    """A gateway that holds so many lively accounts."""
+    """Returns a gateway with that many accounts in use."""
     gateway = Gateway(SETTINGS, 1)
     gateway.handle(
         1000.0,
@@ -61,7 +60,7 @@
 
 
 def turns_of(steps) -> tuple[float, float, list]:
-    """Longest and summed time of the steps of a generator, and what it gave."""
+    """Runs a generator to its end; returns the longest and the total time of its steps, and its values."""
     longest, summed, made = 0.0, 0.0, []
     while True:
         began = time.perf_counter()
@@ -75,7 +74,7 @@
 
 
 def measure(accounts: int, folder: str) -> dict[str, float]:
-    """Both forms at one size, in ms and bytes."""
+    """Measures snapshots and the log for one number of accounts."""
     gateway, now = gateway_with(accounts), 1000.0
     capture, store = StateCapture(gateway, "n0", "bench"), SnapshotStore(folder)
     keys, rows, size = list(gateway.accounts), [], 0
@@ -100,11 +99,11 @@
         store.write(lambda _, parts=parts: parts)
         wall = time.perf_counter() - began
         cpu, size = time.process_time() - cpu, sum(map(len, parts))
-        if turn:  # the first packs everything once
+        if turn:  # the first write packs every account
             rows.append((max(longest, paging, heading), collected, encoded, wall, cpu))
         else:
             first = longest
-        # The other form: what changed, sealed entry by entry, appended and synced; collecting is the same.
+        # The log: the changed accounts are appended with a hash and synced; collecting them costs the same.
         began, before = time.perf_counter(), time.process_time()
         changed = b"".join(capture.packed[k] for k in keys[turn * CHANGED % len(keys) :][:CHANGED])
         os.write(log, len(changed).to_bytes(4, "little") + blake3(changed).digest() + changed)
@@ -139,13 +138,13 @@
 
 
 def main() -> int:
-    """Measure, print a table and draw a chart."""
+    """Measures all sizes, prints a table and draws a chart."""
     out = pathlib.Path(sys.argv[1])
     out.mkdir(parents=True, exist_ok=True)
     rows = []
     gc.collect()
     gc.freeze()
-    gc.set_threshold(5000, 10, 50)  # as the program has it
+    gc.set_threshold(5000, 10, 50)  # as in corkdeal/net/__main__.py
     for accounts in SIZES:
         with tempfile.TemporaryDirectory() as folder:
             os.chmod(folder, 0o700)
@@ -164,7 +163,7 @@
 
 
 def draw(rows: list[dict[str, float]], path: pathlib.Path) -> None:
-    """Cost by number of accounts, on logarithmic axes."""
+    """Draws cost by number of accounts on logarithmic axes."""
     import matplotlib
 
     matplotlib.use("Agg")
@@ -179,8 +178,8 @@
     for name, label in (("core_percent", "snapshot"), ("log_core_percent", "append log")):
         axes[1].plot([r["accounts"] for r in rows], [r[name] for r in rows], "o-", label=label)
     axes[1].axhline(1.0, color="grey", linestyle=":", linewidth=0.8)
-    axes[0].set_ylabel("ms; dotted: the aim")
-    axes[1].set_ylabel("% of a core at a write a second")
+    axes[0].set_ylabel("ms (dotted: target)")
+    axes[1].set_ylabel("% of a core at one write per second")
     for axis in axes:
         axis.set_xscale("log")
         axis.set_yscale("log")
--- a/benchmarks/members.py
+++ b/benchmarks/members.py
@@ -1,8 +1,9 @@
-"""What membership costs a request in the decisions, paired with the same decisions without it, in one run.
+"""Measures what membership adds to the CPU time of a request in the decision module.
 
 PYTHONPATH=. python -O benchmarks/members.py [--out FILE]
 
-A gateway of a ring of three with fresh leases decides on requests and answers; no sockets. Compare ratios.
+One gateway of a ring of three, with valid leases, handles requests and replies with and without membership,
+in pairs within one run; no sockets are used. Compare ratios, as times depend on the machine.
 """
 
 from __future__ import annotations
@@ -21,7 +22,7 @@
 
 
 def cost(world: World) -> float:
-    """CPU seconds of one gateway for so many requests, with its leases fresh."""
+    """Returns one gateway's CPU seconds for REQUESTS requests, right after its leases are renewed."""
     world.run(1.0)
     one = world.up[0]
     began = time.process_time()
@@ -35,7 +36,7 @@
 
 
 def world(with_members: bool) -> World:
-    """Three gateways in one ring."""
+    """Returns three gateways that share one ring, with membership on or off."""
     made = World(3, 3, 1)
     for g in made.up.values():
         g.membership = g.membership if with_members else None
@@ -46,7 +47,7 @@
 
 
 def main() -> None:
-    """Play the pairs in turn."""
+    """Runs the pairs in alternating order."""
     asked = argparse.ArgumentParser(description=__doc__)
     asked.add_argument("--out")
     given = asked.parse_args()
--- a/benchmarks/quotas.py
+++ b/benchmarks/quotas.py
@@ -1,10 +1,12 @@
-"""What a fleet lets through beyond its customers' quotas, in virtual time, against another revision.
+"""Measures how much a fleet admits beyond its customers' quotas, in virtual time.
 
 PYTHONPATH=. python -O benchmarks/quotas.py [--sizes 40,200] [--seeds 2] [--against CHECKOUT] [--out FILE]
 
-Two mixes of plans, one where nearly all that passes beyond a quota is dear (four plans, one with a limit on
-attempts out alone) and one where a part of it earns. `collectors` has the gateways at which a customer's news
-is collected killed at 8 s and back at 12 s, `third` three in ten of all. The judge is `experiment/quotas.py`.
+There are two mixes of plans. In `dear` every over-quota unit has a high cost; it has four plans, one of which
+limits only the attempts in flight. In `cheap` the cost is lower, and over-quota units of one plan have a
+value. The fault `third` kills 30% of the gateways at 8 s and restarts them at 12 s; `collectors` does so to
+the roots of the customers' aggregation trees, up to 30% of the gateways. `corkdeal/experiment/quotas.py`
+simulates the fleet and counts. With `--against`, each simulation also runs with the revision in CHECKOUT.
 """
 
 from __future__ import annotations
@@ -24,7 +26,7 @@
 
 
 def mixes(size: int, rig: Any) -> dict[str, Any]:
-    """The fleets that are played, by name."""
+    """Returns the simulated fleets by name."""
     plan, many = rig.Plan, size / 200
     dear = (
         plan(rate=1.3, burst=6.0, price=0.5, over_quota_cost=0.8),
@@ -47,7 +49,7 @@
 
 
 def play(mix: str, size: int, seed: int, fault: str) -> dict[str, Any]:
-    """One play of the revision on the path, by this tree's rig."""
+    """Runs one simulation of the revision on PYTHONPATH, with the simulator of this checkout."""
     spec = importlib.util.spec_from_file_location("corkdeal.experiment.quotas", RIG)
     rig = sys.modules["corkdeal.experiment.quotas"] = importlib.util.module_from_spec(spec)
     spec.loader.exec_module(rig)
@@ -72,7 +74,7 @@
 
 
 def main() -> None:
-    """Play all, each revision in processes of its own, and print a line a play."""
+    """Runs all simulations, each in its own process, and prints a JSON line for each."""
     p = argparse.ArgumentParser()
     p.add_argument("--sizes", default="40,200")
     p.add_argument("--seeds", type=int, default=2)
--- a/benchmarks/slow_start.py
+++ b/benchmarks/slow_start.py
@@ -1,10 +1,10 @@
-"""Cold starts before fleets of 5 to 1,100 gateways, in virtual time: falls, and what the started servers did.
+"""Simulates cold starts of a backend behind 5 to 1,100 gateways: overloads, and the work that it did.
 
 PYTHONPATH=. python -O benchmarks/slow_start.py [--starts N] [--first N] [--sizes N,N] [--out FILE]
 
-For each size `--starts` are drawn by their numbers from `--first` on, so that two revisions play the same
-ones. The judge and what is drawn are in `corkdeal/experiment/slow_start.py`. `--out` adds the rows to those
-that the file has, under `--name`.
+For each fleet size, `--starts` cold starts are drawn, each from its number, which counts from `--first`; two
+revisions thus simulate the same ones. The simulation is in `corkdeal/experiment/slow_start.py`. `--out`
+appends rows to a JSON file, with `--name` as their revision.
 """
 
 from __future__ import annotations
@@ -20,7 +20,7 @@
 
 
 def table(verdicts: list[Verdict]) -> dict[str, Any]:
-    """Counts over many starts, and mean shares over those after which the server stood."""
+    """Returns counts over all cold starts, and mean shares over those that did not overload the backend."""
 
     def mean(shares: list[float]) -> float:
         return round(sum(shares) / max(1, len(shares)), 3)
@@ -38,10 +38,10 @@
 
 
 def main() -> None:
-    """Play the starts of each size and print a line a size."""
+    """Runs the cold starts of each fleet size and prints a JSON line for each size."""
     p = argparse.ArgumentParser()
     p.add_argument("--starts", type=int, default=2500)
-    p.add_argument("--first", type=int, default=0, help="number of the first start")
+    p.add_argument("--first", type=int, default=0, help="number of the first cold start")
     p.add_argument("--sizes", default="5,30,200,1100")
     p.add_argument("--name", default="now")
     p.add_argument("--out", type=pathlib.Path)
