--- a/examples/toy.py
+++ b/examples/toy.py
@@ -1,8 +1,8 @@
-"""A toy world for one gateway: discovery on 127.0.0.1:8500 and two backends that echo what they are sent.
+"""A minimal environment for one gateway: discovery on 127.0.0.1:8500 and two backends that echo request ids.
 
 python examples/toy.py            # in one terminal
 make run                          # in another
-python examples/toy.py ask 8      # in a third: eight requests of one customer, and what became of them
+python examples/toy.py ask 8      # in a third: sends eight requests and prints the replies
 """
 
 import asyncio
@@ -27,7 +27,7 @@
 
 
 async def words(reader):
-    """One command: an array of bulk strings; None at the end of the stream."""
+    """Reads one command, an array of bulk strings; returns None at the end of the stream."""
     if not (head := await reader.readline()):
         return None
     got = []
@@ -38,12 +38,12 @@
 
 
 def bulk(value):
-    """One bulk string."""
+    """Encodes a bulk string."""
     return b"$%d\r\n%b\r\n" % (len(value), value)
 
 
 async def backend(reader, writer):
-    """Answer each request with its id and a load report, after 100 ms of pretended work."""
+    """Replies to each request with its id and a load report after 100 ms of simulated work."""
     while got := await words(reader):
         await asyncio.sleep(0.1)
         writer.write(b"*3\r\n" + bulk(b"done " + got[2]) + b"$-1\r\n" + bulk(b"latency_ms=100,qps=1"))
@@ -51,7 +51,7 @@
 
 
 async def discovery(reader, writer):
-    """Tell the list; a watch of it waits, for nothing ever changes here."""
+    """Serves the endpoint list; a watch gets an empty delta after 20 s, as the list never changes."""
     while line := await reader.readline():
         while await reader.readline() != b"\r\n":
             pass
@@ -65,16 +65,16 @@
 
 
 async def serve():
-    """Run until interrupted."""
+    """Runs discovery and the backends until interrupted."""
     await asyncio.start_server(discovery, "127.0.0.1", DISCOVERY)
     for port in BACKENDS:
         await asyncio.start_server(backend, "127.0.0.1", port)
-    print("discovery and two backends are up", flush=True)
+    print("discovery and two backends are listening", flush=True)
     await asyncio.Event().wait()
 
 
 async def ask(count):
-    """Send requests of one customer, one after the other, and print what is answered."""
+    """Sends requests of one customer one after the other and prints the replies."""
     reader, writer = await asyncio.open_connection("127.0.0.1", GATEWAY)
     for i in range(count):
         command = [
