--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -1,4 +1,4 @@
-"""Property tests draw the same examples on every machine, and none is judged by its time."""
+"""Hypothesis settings: property tests use the same examples on every machine and have no deadline."""
 
 from hypothesis import settings
 
--- a/tests/ports.py
+++ b/tests/ports.py
@@ -1,8 +1,8 @@
-"""Ports for tests, which no other process is given between their choice and their use.
+"""Reserves ports for the child processes of tests, so that no other process can bind them in the meantime.
 
-A test that listens itself binds port 0 and keeps that socket. A child process is told a number, and one found
-by binding port 0 may go to any other process until the child binds it. Here each test process, such as a
-worker of pytest-xdist, claims a range of its own, outside the range that the kernel draws from.
+A test that listens itself binds port 0 and keeps the socket. A child process needs a port number in advance;
+one found by binding port 0 can be taken by any other process until the child binds it. Each test process,
+such as a pytest-xdist worker, therefore claims its own range outside the kernel's ephemeral range.
 """
 
 import functools
@@ -11,18 +11,18 @@
 import socket
 
 HOST = "127.0.0.1"
-LOWEST, HIGHEST = 10_000, 65_535  # well-known services have lower ports
+LOWEST, HIGHEST = 10_000, 65_535  # lower ports are common among other services
 RANGE_SIZE = 1_000
 EPHEMERAL_RANGE = pathlib.Path("/proc/sys/net/ipv4/ip_local_port_range")
 
 
 def reserve_address(kind=socket.SOCK_STREAM):
-    """A loopback address, `host:port`, of a port reserved for this process."""
+    """Returns a loopback address, `host:port`, with a port reserved for this process."""
     return f"{HOST}:{reserve_port(kind)}"
 
 
 def reserve_port(kind=socket.SOCK_STREAM):
-    """A port reserved for this process that no socket has at present."""
+    """Returns a port reserved for this process that no socket uses at present."""
     ports = claim_range().ports
     for port in itertools.islice(ports, RANGE_SIZE):
         if is_unused(port, kind):
@@ -31,7 +31,7 @@
 
 
 def is_unused(port, kind):
-    """Whether a socket of that kind can be bound to the port."""
+    """Tells whether a socket of that kind can be bound to the port."""
     with socket.socket(socket.AF_INET, kind) as probe:
         try:
             probe.bind((HOST, port))
@@ -41,7 +41,7 @@
 
 
 class PortRange:
-    """A range of ports that is this process's own while `guard`, bound to the first one, is open."""
+    """A range of ports claimed by this process while `guard`, bound to its first port, is open."""
 
     def __init__(self, first):
         self.guard = socket.socket()
@@ -55,7 +55,7 @@
 
 @functools.cache
 def claim_range():
-    """This process's range: the first one that no other process has claimed."""
+    """Returns this process's range, the first one that no other process had claimed."""
     for first in range_starts():
         try:
             return PortRange(first)
@@ -65,7 +65,7 @@
 
 
 def range_starts():
-    """The first port of each range outside the ephemeral range."""
+    """Returns the first port of each range outside the ephemeral range."""
     low, high = map(int, EPHEMERAL_RANGE.read_text().split())
     below = range(LOWEST, low - RANGE_SIZE + 1, RANGE_SIZE)
     above = range(max(LOWEST, high + 1), HIGHEST - RANGE_SIZE + 2, RANGE_SIZE)
--- a/tests/start_probe/sitecustomize.py
+++ b/tests/start_probe/sitecustomize.py
@@ -1,7 +1,7 @@
-"""Tells what a starting program has loaded, compiled and collected by the time it opens its clients' port.
+"""Reports loaded modules, compiled sources and garbage collections when a program binds its client port.
 
-The interpreter imports this by its name, before the program, where this folder is on PYTHONPATH. The line
-goes to standard output, which is the test's pipe: a file could not be written on a full disk.
+The interpreter imports a module of this name at startup if this folder is on PYTHONPATH. The report is a line
+on standard output, which is a pipe to the test, because a file can't be written on a full disk.
 """
 
 import gc
@@ -10,13 +10,13 @@
 import sys
 from _socket import SOCK_STREAM
 
-compiled = []  # sources that had no bytecode which could be used
-collected = []  # generations, since the first of Twisted was imported
+compiled = []  # sources without usable bytecode
+collected = []  # generations collected since the import of Twisted began
 awaited = os.environ["START_LISTEN"]
 
 
 def watch(event, arguments):
-    """An audit hook."""
+    """Audit hook that records compiled sources and reports once when the client port is bound."""
     global awaited
     if event == "import" and arguments[0] == "twisted":
         collected.clear()
--- a/tests/test_ports.py
+++ b/tests/test_ports.py
@@ -1,4 +1,4 @@
-"""Each test process has ports of its own, which the kernel gives to nobody."""
+"""Each test process has its own ports, none of them in the ephemeral range of the kernel."""
 
 import socket
 import subprocess
