--- a/benchmarks/bodies.py
+++ b/benchmarks/bodies.py
@@ -29,9 +29,9 @@
 
 ROOT = pathlib.Path(__file__).parents[1]
 SIZES = {4 << 10: 3000, 64 << 10: 1200, 1 << 20: 150, 4 << 20: 50}  # value size in bytes: requests
-PAIRS, PAIR_REQUESTS = 20, 1200
-CLIENTS, CROWD, CROWD_S, MEMORY_MB = 4, 200, 20.0, 80
-TAIL = b"$-1\r\n$-1\r\n"
+PAIRS, REQUESTS_PER_RUN = 20, 1200
+CLIENTS, SLOW_CLIENTS, SLOW_TRANSFER_S, MEMORY_LIMIT_MB = 4, 200, 20.0, 80
+NULL_FIELDS = b"$-1\r\n$-1\r\n"
 FORWARDER = """
 import sys
 from twisted.internet import reactor
@@ -41,13 +41,13 @@
 """
 
 
-def free() -> int:
+def free_port() -> int:
     """Returns a free loopback port."""
     with socket.create_server(("127.0.0.1", 0)) as s:
         return s.getsockname()[1]
 
 
-def settings() -> dict[str, Any]:
+def gateway_settings() -> dict[str, Any]:
     """Returns gateway settings with one class for reads, one for writes, and an unreachably high quota."""
     return {
         "balancers": 1,
@@ -74,48 +74,56 @@
     }
 
 
-def exactly(sock: socket.socket, buf: memoryview) -> bytes:
+def receive_exactly(sock: socket.socket, buf: memoryview) -> bytes:
     """Fills `buf` from the socket and returns its first 64 bytes."""
-    got = 0
-    while got < len(buf):
-        if not (n := sock.recv_into(buf[got:])):
-            raise ConnectionError(f"connection closed after {got} of {len(buf)} bytes: {bytes(buf[:80])!r}")
-        got += n
+    received = 0
+    while received < len(buf):
+        if not (n := sock.recv_into(buf[received:])):
+            raise ConnectionError(
+                f"connection closed after {received} of {len(buf)} bytes: {bytes(buf[:80])!r}"
+            )
+        received += n
     return bytes(buf[:64])
 
 
-def backend(port: int) -> None:
+def run_backend(port: int) -> None:
     """Replies to every request; a read's customer number is the size of the value to return."""
 
-    def follow(sock: socket.socket) -> None:
+    def serve_connection(sock: socket.socket) -> None:
         file = sock.makefile("rb", 1 << 18)
         while head := file.readline():
-            words = []
+            arguments = []
             for _ in range(int(head[1:])):
-                words.append(file.read(int(file.readline()[1:]) + 2)[:-2])
-            size = int(words[1], 16) if words[0] == b"API.READ" else 1
-            sock.sendall(b"*3\r\n$%d\r\n" % size + bytes(size) + b"\r\n" + TAIL)
+                arguments.append(file.read(int(file.readline()[1:]) + 2)[:-2])
+            size = int(arguments[1], 16) if arguments[0] == b"API.READ" else 1
+            sock.sendall(b"*3\r\n$%d\r\n" % size + bytes(size) + b"\r\n" + NULL_FIELDS)
 
     listener = socket.create_server(("127.0.0.1", port), backlog=512)
     while True:
-        threading.Thread(target=follow, args=(listener.accept()[0],), daemon=True).start()
+        threading.Thread(target=serve_connection, args=(listener.accept()[0],), daemon=True).start()
 
 
-def listed(to: int) -> dict[str, Any]:
+def endpoint_list(backend_port: int) -> dict[str, Any]:
     """Returns an endpoint list whose backends share one port; many, so that none seems overloaded."""
-    line = {"host_port": f"127.0.0.1:{to}", "locality": "a", "flavor": "x", "cell": 0, "phase": "Ready"}
-    members = [{"id": f"s{i}", "size": 1.0, "up_since_ms": 0, **line} for i in range(CROWD)]
+    common = {
+        "host_port": f"127.0.0.1:{backend_port}",
+        "locality": "a",
+        "flavor": "x",
+        "cell": 0,
+        "phase": "Ready",
+    }
+    members = [{"id": f"s{i}", "size": 1.0, "up_since_ms": 0, **common} for i in range(SLOW_CLIENTS)]
     return {"revision": 1, "complete": True, "members": members}
 
 
-def keep(results: dict[str, Any], out: str | None) -> None:
+def write_results(results: dict[str, Any], out: str | None) -> None:
     """Writes the results as JSON if a path is given."""
     if out:
         pathlib.Path(out).write_text(json.dumps(results, indent=1) + "\n")
 
 
-def gateway(
-    tree: pathlib.Path, port: int, to: int, folder: str, options: str = ""
+def start_gateway(
+    tree: pathlib.Path, port: int, backend_port: int, folder: str, options: str = ""
 ) -> subprocess.Popen[bytes]:
     """Starts the gateway of a checkout with the Python interpreter that runs this benchmark."""
     path = pathlib.Path(folder, f"{port}.json")
@@ -124,11 +132,11 @@
             {
                 "name": "n",
                 "listen": f"127.0.0.1:{port}",
-                "discovery": f"127.0.0.1:{free()}",
+                "discovery": f"127.0.0.1:{free_port()}",
                 "seed": "1",
-                "limits": {"sockets": 2048, "memory_mb": MEMORY_MB},
-                "settings": settings(),
-                "known": listed(to),
+                "limits": {"sockets": 2048, "memory_mb": MEMORY_LIMIT_MB},
+                "settings": gateway_settings(),
+                "known": endpoint_list(backend_port),
             }
         )
     )
@@ -145,7 +153,7 @@
     )
 
 
-def up(port: int) -> None:
+def wait_until_listening(port: int) -> None:
     """Waits until the port accepts connections, for at most 10 s."""
     for _ in range(200):
         try:
@@ -155,178 +163,186 @@
     raise TimeoutError(port)
 
 
-def cpu(pid: int) -> float:
+def cpu_seconds(pid: int) -> float:
     """Returns the CPU time that a process has used, in seconds."""
     parts = pathlib.Path(f"/proc/{pid}/stat").read_text().rpartition(")")[2].split()
     return (int(parts[11]) + int(parts[12])) / os.sysconf("SC_CLK_TCK")
 
 
-def memory(pid: int, what: str) -> float:
+def memory_mb(pid: int, field: str) -> float:
     """Returns VmHWM or VmRSS of a process in MB."""
-    return int(re.search(rf"{what}:\s+(\d+)", pathlib.Path(f"/proc/{pid}/status").read_text())[1]) / 1024
+    return int(re.search(rf"{field}:\s+(\d+)", pathlib.Path(f"/proc/{pid}/status").read_text())[1]) / 1024
 
 
-def command(rid: int, size: int, write: bool) -> list[bytes]:
+def encode_request(rid: int, size: int, write: bool) -> list[bytes]:
     """Encodes a request as chunks; a write has its value in a chunk of its own."""
-    name, cls = (b"API.WRITE", b"pay") if write else (b"API.READ", b"look")
-    words = [
+    name, request_class = (b"API.WRITE", b"pay") if write else (b"API.READ", b"look")
+    arguments = [
         name,
         b"%016x" % (1 if write else size),
         b"%016x" % rid,
-        b"c=%b,t=p,d=8000,units=1,spread=1,first=0" % cls,
+        b"c=%b,t=p,d=8000,units=1,spread=1,first=0" % request_class,
     ]
-    made = b"*%d\r\n" % (4 + write) + b"".join(b"$%d\r\n%b\r\n" % (len(w), w) for w in words)
-    return [made, b"$%d\r\n" % size, bytes(size), b"\r\n"] if write else [made]
+    encoded = b"*%d\r\n" % (4 + write) + b"".join(b"$%d\r\n%b\r\n" % (len(w), w) for w in arguments)
+    return [encoded, b"$%d\r\n" % size, bytes(size), b"\r\n"] if write else [encoded]
 
 
-def load(port: int, size: int, requests: int, write: bool, plain: bool) -> float:
+def run_load(port: int, size: int, requests: int, write: bool, plain: bool) -> float:
     """Sends the requests from CLIENTS connections and returns the elapsed seconds."""
     answer = 1 if write else size
-    whole = len(b"$%d\r\n" % answer) + answer + 2 + (len(b"*3\r\n") + len(TAIL) if plain else 0)
-    faults: list[BaseException] = []
+    reply_size = len(b"$%d\r\n" % answer) + answer + 2 + (len(b"*3\r\n") + len(NULL_FIELDS) if plain else 0)
+    errors: list[BaseException] = []
 
     def client(number: int) -> None:
         try:
             with socket.create_connection(("127.0.0.1", port)) as sock:
-                buf = memoryview(bytearray(whole))
+                buf = memoryview(bytearray(reply_size))
                 for i in range(requests // CLIENTS):
-                    sock.sendall(b"".join(command(number * 1_000_000 + i, size, write)))
-                    if exactly(sock, buf)[:1] not in b"$*":
+                    sock.sendall(b"".join(encode_request(number * 1_000_000 + i, size, write)))
+                    if receive_exactly(sock, buf)[:1] not in b"$*":
                         raise ValueError("request answered with an error")
         except BaseException as error:
-            faults.append(error)
+            errors.append(error)
 
     threads = [threading.Thread(target=client, args=(n,)) for n in range(CLIENTS)]
-    began = time.perf_counter()
+    started_at = time.perf_counter()
     for each in threads:
         each.start()
     for each in threads:
         each.join()
-    if faults:
-        raise faults[0]
-    return time.perf_counter() - began
+    if errors:
+        raise errors[0]
+    return time.perf_counter() - started_at
 
 
-def compare(tree: str | None, folder: str, to: int) -> dict[str, Any]:
+def compare_targets(tree: str | None, folder: str, backend_port: int) -> dict[str, Any]:
     """Measures reads and writes of each size through each target."""
-    ways: dict[str, tuple[int, Any]] = {}
-    ways["forwarder"] = (
-        (port := free()),
-        subprocess.Popen([sys.executable, "-O", "-c", FORWARDER, str(port), str(to)]),
+    targets: dict[str, tuple[int, Any]] = {}
+    targets["forwarder"] = (
+        (port := free_port()),
+        subprocess.Popen([sys.executable, "-O", "-c", FORWARDER, str(port), str(backend_port)]),
     )
-    ways["this"] = (port := free()), gateway(ROOT, port, to, folder)
+    targets["this"] = (port := free_port()), start_gateway(ROOT, port, backend_port, folder)
     if tree:
-        ways["before"] = (port := free()), gateway(pathlib.Path(tree).resolve(), port, to, folder)
+        targets["before"] = (
+            (port := free_port()),
+            start_gateway(pathlib.Path(tree).resolve(), port, backend_port, folder),
+        )
     results: dict[str, Any] = {}
     try:
-        for port, _ in ways.values():
-            up(port)
+        for port, _ in targets.values():
+            wait_until_listening(port)
         for write in (False, True):
             for size, requests in SIZES.items():
                 row = results[f"{'write' if write else 'read'} {size >> 10} KiB"] = {}
                 for _ in range(2):  # keeps the better of two runs, with the targets taken in turn
-                    for way, (port, process) in ways.items():
+                    for target, (port, process) in targets.items():
                         try:
-                            used = cpu(process.pid)
-                            took = load(port, size, requests, write, way == "forwarder")
-                            used = cpu(process.pid) - used
+                            cpu_used = cpu_seconds(process.pid)
+                            elapsed = run_load(port, size, requests, write, target == "forwarder")
+                            cpu_used = cpu_seconds(process.pid) - cpu_used
                         except (ConnectionError, ValueError) as error:
-                            row[way] = {"cannot": str(error)[:60]}
+                            row[target] = {"cannot": str(error)[:60]}
                             continue
                         mb = size * requests / (1 << 20)
-                        if way not in row or used * 1e6 / requests < row[way]["cpu_us_request"]:
-                            row[way] = {
-                                "cpu_ms_mb": round(used * 1000 / mb, 3),
-                                "mb_s": round(mb / took, 1),
-                                "cpu_us_request": round(used * 1e6 / requests, 1),
-                                "most_memory_mb": round(memory(process.pid, "VmHWM"), 1),
+                        if target not in row or cpu_used * 1e6 / requests < row[target]["cpu_us_request"]:
+                            row[target] = {
+                                "cpu_ms_mb": round(cpu_used * 1000 / mb, 3),
+                                "mb_s": round(mb / elapsed, 1),
+                                "cpu_us_request": round(cpu_used * 1e6 / requests, 1),
+                                "most_memory_mb": round(memory_mb(process.pid, "VmHWM"), 1),
                             }
-                print(f"{list(results)[-1]:18} " + "  ".join(f"{w} {row[w]}" for w in ways), flush=True)
+                print(f"{list(results)[-1]:18} " + "  ".join(f"{w} {row[w]}" for w in targets), flush=True)
     finally:
-        for _, process in ways.values():
+        for _, process in targets.values():
             process.kill()
             process.wait()
     return results
 
 
-def paired(tree: str, folder: str, to: int, options: str) -> dict[str, Any]:
+def compare_paired(tree: str, folder: str, backend_port: int, options: str) -> dict[str, Any]:
     """Compares the CPU time of 4 KiB reads with another revision's, in short alternating runs.
 
     Alternation spreads noise from other processes evenly over both.
     """
-    ways = {"this": ROOT, "before": pathlib.Path(tree).resolve()}
-    lives = {
-        way: (port := free(), gateway(at, port, to, folder, options if way == "this" else ""))
-        for way, at in ways.items()
+    trees = {"this": ROOT, "before": pathlib.Path(tree).resolve()}
+    gateways = {
+        revision: (
+            port := free_port(),
+            start_gateway(checkout, port, backend_port, folder, options if revision == "this" else ""),
+        )
+        for revision, checkout in trees.items()
     }
-    used: dict[str, list[float]] = {way: [] for way in ways}
+    used: dict[str, list[float]] = {revision: [] for revision in trees}
     try:
-        for port, _ in lives.values():
-            up(port)
-        for turn in range(PAIRS):
-            for way in sorted(ways, reverse=turn % 2 == 0):
-                port, process = lives[way]
-                began = cpu(process.pid)
-                load(port, 4096, PAIR_REQUESTS, False, False)
-                used[way].append((cpu(process.pid) - began) * 1e6 / PAIR_REQUESTS)
+        for port, _ in gateways.values():
+            wait_until_listening(port)
+        for pair in range(PAIRS):
+            for revision in sorted(trees, reverse=pair % 2 == 0):
+                port, process = gateways[revision]
+                cpu_before = cpu_seconds(process.pid)
+                run_load(port, 4096, REQUESTS_PER_RUN, False, False)
+                used[revision].append((cpu_seconds(process.pid) - cpu_before) * 1e6 / REQUESTS_PER_RUN)
     finally:
-        for _, process in lives.values():
+        for _, process in gateways.values():
             process.kill()
             process.wait()
     ratios = [a / b for a, b in zip(used["this"], used["before"], strict=True)]
     return {
-        "cpu_us_request": {way: round(statistics.median(each), 1) for way, each in used.items()},
+        "cpu_us_request": {revision: round(statistics.median(each), 1) for revision, each in used.items()},
         "ratio_median": round(statistics.median(ratios), 3),
         "ratio_quartiles": [round(q, 3) for q in statistics.quantiles(ratios, n=4)],
         "pairs": PAIRS,
     }
 
 
-def crowd(folder: str, to: int) -> dict[str, Any]:
+def run_slow_clients(folder: str, backend_port: int) -> dict[str, Any]:
     """Runs slow clients, half of them reading 4 MiB and half writing it, on a gateway with little memory."""
-    process = gateway(ROOT, port := free(), to, folder)
+    process = start_gateway(ROOT, port := free_port(), backend_port, folder)
     try:
-        up(port)
-        before, size, began = memory(process.pid, "VmRSS"), 4 << 20, time.monotonic()
+        wait_until_listening(port)
+        memory_before, size, started_at = memory_mb(process.pid, "VmRSS"), 4 << 20, time.monotonic()
         outcomes: dict[str, int] = {}
-        counting = threading.Lock()
+        outcomes_lock = threading.Lock()
 
         def client(number: int) -> None:
-            write, pause = number % 2 == 1, CROWD_S / (size / 65536)
+            write, pause = number % 2 == 1, SLOW_TRANSFER_S / (size / 65536)
             try:
                 with socket.socket() as sock:
                     sock.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 65536)
                     sock.connect(("127.0.0.1", port))
-                    for part in command(number, size, write):
+                    for part in encode_request(number, size, write):
                         for i in range(0, len(part), 65536):
                             sock.sendall(part[i : i + 65536])
                             time.sleep(pause if len(part) > 65536 else 0)
-                    whole = 7 if write else len(b"$%d\r\n" % size) + size + 2
-                    got, first = 0, b""
-                    while got < whole and (data := sock.recv(65536)):
-                        got, first = got + len(data), first or data[:5]
+                    reply_size = 7 if write else len(b"$%d\r\n" % size) + size + 2
+                    received, first = 0, b""
+                    while received < reply_size and (data := sock.recv(65536)):
+                        received, first = received + len(data), first or data[:5]
                         time.sleep(0 if write else pause)
                         if first[:1] == b"-":
                             break
-                    name = first.decode() if first[:1] == b"-" else "whole" if got == whole else "cut"
+                    outcome = (
+                        first.decode() if first[:1] == b"-" else "whole" if received == reply_size else "cut"
+                    )
             except OSError as error:
-                name = type(error).__name__
-            name = ("write " if write else "read ") + name
-            with counting:
-                outcomes[name] = outcomes.get(name, 0) + 1
+                outcome = type(error).__name__
+            outcome = ("write " if write else "read ") + outcome
+            with outcomes_lock:
+                outcomes[outcome] = outcomes.get(outcome, 0) + 1
 
-        threads = [threading.Thread(target=client, args=(n,)) for n in range(CROWD)]
+        threads = [threading.Thread(target=client, args=(n,)) for n in range(SLOW_CLIENTS)]
         for each in threads:
             each.start()
         for each in threads:
             each.join()
         return {
-            "clients": CROWD,
-            "limit_mb": MEMORY_MB,
-            "before_mb": round(before, 1),
-            "most_mb": round(memory(process.pid, "VmHWM"), 1),
-            "after_mb": round(memory(process.pid, "VmRSS"), 1),
-            "took_s": round(time.monotonic() - began, 1),
+            "clients": SLOW_CLIENTS,
+            "limit_mb": MEMORY_LIMIT_MB,
+            "before_mb": round(memory_before, 1),
+            "most_mb": round(memory_mb(process.pid, "VmHWM"), 1),
+            "after_mb": round(memory_mb(process.pid, "VmRSS"), 1),
+            "took_s": round(time.monotonic() - started_at, 1),
             "outcomes": dict(sorted(outcomes.items())),
         }
     finally:
@@ -336,28 +352,30 @@
 
 def main() -> int:
     """Runs the selected benchmark and prints its results."""
-    asked = argparse.ArgumentParser(description=__doc__.splitlines()[0])
-    asked.add_argument("--tree")
-    asked.add_argument("--out")
-    asked.add_argument("--crowd", action="store_true")
-    asked.add_argument("--paired", action="store_true")
-    asked.add_argument("--options", help="operators' file for this revision alone, with --paired")
-    given = asked.parse_args()
-    server = multiprocessing.Process(target=backend, args=(to := free(),), daemon=True)
-    server.start()
-    up(to)
+    parser = argparse.ArgumentParser(description=__doc__.splitlines()[0])
+    parser.add_argument("--tree")
+    parser.add_argument("--out")
+    parser.add_argument("--crowd", action="store_true")
+    parser.add_argument("--paired", action="store_true")
+    parser.add_argument("--options", help="operators' file for this revision alone, with --paired")
+    args = parser.parse_args()
+    backend = multiprocessing.Process(target=run_backend, args=(backend_port := free_port(),), daemon=True)
+    backend.start()
+    wait_until_listening(backend_port)
     with tempfile.TemporaryDirectory() as folder:
-        if given.crowd:
-            results = crowd(folder, to)
+        if args.crowd:
+            results = run_slow_clients(folder, backend_port)
         else:
             results = (
-                paired(given.tree, folder, to, os.path.abspath(given.options) if given.options else "")
-                if given.paired
-                else compare(given.tree, folder, to)
+                compare_paired(
+                    args.tree, folder, backend_port, os.path.abspath(args.options) if args.options else ""
+                )
+                if args.paired
+                else compare_targets(args.tree, folder, backend_port)
             )
-    if given.crowd or given.paired:
+    if args.crowd or args.paired:
         print(json.dumps(results, indent=1))
-    keep(results, given.out)
+    write_results(results, args.out)
     return 0
 
 
--- a/benchmarks/upgrade.py
+++ b/benchmarks/upgrade.py
@@ -28,7 +28,7 @@
 from collections import Counter
 from typing import Any
 
-from benchmarks.bodies import free, keep, listed, settings, up
+from benchmarks.bodies import endpoint_list, free_port, gateway_settings, wait_until_listening, write_results
 
 ROOT = pathlib.Path(__file__).parents[1]
 ACCOUNTS, RATE, BURST, CLIENTS, BEFORE, AFTER = 20, 2.0, 6.0, 8, 2.0, 3.0
@@ -100,10 +100,10 @@
                 {
                     "name": "n",
                     "listen": f"127.0.0.1:{port}",
-                    "discovery": f"127.0.0.1:{free()}",
+                    "discovery": f"127.0.0.1:{free_port()}",
                     "seed": "1",
-                    "known": listed(inner.getsockname()[1]),
-                    "settings": {**settings(), "tiers_of_service": plans},
+                    "known": endpoint_list(inner.getsockname()[1]),
+                    "settings": {**gateway_settings(), "tiers_of_service": plans},
                 }
             )
         )
@@ -132,7 +132,7 @@
             return life
 
         lives = [start()]
-        up(port)
+        wait_until_listening(port)
         began = time.monotonic()
         threads = [
             threading.Thread(
@@ -226,7 +226,7 @@
             }
             results[name]["seeds"] = given.seeds
     print(json.dumps(results, indent=1))
-    keep(results, given.out)
+    write_results(results, given.out)
     return 0
 
 
