--- a/benchmarks/crowd.py
+++ b/benchmarks/crowd.py
@@ -38,48 +38,48 @@
 PROBES, PROBE_EVERY = 4, 0.1  # persistent connections; s between two requests of one
 PING_EVERY = 0.02  # s
 FILL_RATE = 400  # connections per second until the table is full
-REST = 1.0  # s between two PINGs of an idle client; less than the gateway's shortest idle timeout
-PASSING_STAY = 0.1  # s that a short connection without a request stays open
+IDLE_PING_EVERY = 1.0  # s between two PINGs of an idle client; less than the gateway's shortest idle timeout
+SHORT_CLIENT_STAY = 0.1  # s that a short connection without a request stays open
 PLANS = [{"name": "open", "quota_rate": 100_000, "store_size": 100_000}]
 PING, PONG = b"*1\r\n$4\r\nPING\r\n", b"+PONG\r\n"
-TICK = 1 / os.sysconf("SC_CLK_TCK")  # s
+CLOCK_TICK = 1 / os.sysconf("SC_CLK_TCK")  # s
 
 
-def request(number: int) -> bytes:
+def encode_request(number: int) -> bytes:
     """Encodes a read request; each number is a separate customer."""
     params = b"c=board-load,t=open,d=4000,units=1,spread=1,first=0"
-    words = (b"API.READ", b"%016x" % number, b"%016x" % number, params)
-    return b"*%d\r\n%b" % (len(words), b"".join(b"$%d\r\n%b\r\n" % (len(w), w) for w in words))
+    arguments = (b"API.READ", b"%016x" % number, b"%016x" % number, params)
+    return b"*%d\r\n%b" % (len(arguments), b"".join(b"$%d\r\n%b\r\n" % (len(w), w) for w in arguments))
 
 
-def processor_time(pid: int) -> float:
+def cpu_seconds(pid: int) -> float:
     """Returns the CPU time that a process has used, in seconds."""
     fields = pathlib.Path(f"/proc/{pid}/stat").read_text().rpartition(")")[2].split()
-    return (int(fields[11]) + int(fields[12])) * TICK
+    return (int(fields[11]) + int(fields[12])) * CLOCK_TICK
 
 
-def percentile(values: list[float], part: float) -> float:
-    """Returns the percentile of values given in seconds, in ms; `part` is in [0, 1]."""
+def percentile(values: list[float], fraction: float) -> float:
+    """Returns the percentile of values given in seconds, in ms; `fraction` is in [0, 1]."""
     ordered = sorted(values)
-    return round(1000 * ordered[min(len(ordered) - 1, int(part * len(ordered)))], 2) if ordered else 0.0
+    return round(1000 * ordered[min(len(ordered) - 1, int(fraction * len(ordered)))], 2) if ordered else 0.0
 
 
-class Crowd:
+class BenchmarkRun:
     """One run of one revision."""
 
-    def __init__(self, given: argparse.Namespace, program: pathlib.Path | None) -> None:
-        self.given, self.program = given, program
-        self.chance = random.Random(given.seed)
-        self.number = 0
-        self.ends: Counter[str] = Counter()
-        self.answers: Counter[str] = Counter()
-        self.lateness: list[float] = []
-        self.descriptors_most = 0
+    def __init__(self, args: argparse.Namespace, program: pathlib.Path | None) -> None:
+        self.args, self.program = args, program
+        self.rng = random.Random(args.seed)
+        self.last_request = 0
+        self.connection_ends: Counter[str] = Counter()
+        self.probe_replies: Counter[str] = Counter()
+        self.ping_times: list[float] = []
+        self.max_descriptors = 0
         self.tasks: set[asyncio.Task[None]] = set()
 
-    def begin(self, work: Any) -> None:
+    def start_task(self, coroutine: Any) -> None:
         """Runs a coroutine as a background task until the end of the run."""
-        task = asyncio.create_task(work)
+        task = asyncio.create_task(coroutine)
         self.tasks.add(task)
         task.add_done_callback(self.tasks.discard)
 
@@ -89,9 +89,7 @@
             Model(f"s{i}", "north-hall", cell=i % 2, cores=8, queue=4000, fall_multiple=1000.0)
             for i in range(SERVERS)
         ]
-        servers = [
-            Server(model, work_drawer(self.chance, 0.02, 0.5), lambda arrival: None) for model in models
-        ]
+        servers = [Server(model, work_drawer(self.rng, 0.02, 0.5), lambda arrival: None) for model in models]
         for each in servers:
             await each.start()
         discovery = Discovery(lambda: [server.entry() for server in servers])
@@ -99,10 +97,10 @@
         with tempfile.TemporaryDirectory() as folder:
             (gateway,) = tier(1, discovery.port, pathlib.Path(folder), PLANS, "recovery\n", self.program)
             gateway.config["settings"]["me"] = 0
-            gateway.config["limits"] = {**gateway.config.get("limits", {}), "sockets": self.given.sockets}
+            gateway.config["limits"] = {**gateway.config.get("limits", {}), "sockets": self.args.sockets}
             try:
                 await gateway.start()
-                return await self.play(gateway)
+                return await self.run_phases(gateway)
             finally:
                 for task in list(self.tasks):
                     task.cancel()
@@ -111,124 +109,126 @@
                 for each in servers:
                     each.die()
 
-    async def play(self, gateway: Any) -> dict[str, Any]:
+    async def run_phases(self, gateway: Any) -> dict[str, Any]:
         """Runs the four phases against the started gateway."""
         host, port = gateway.listen.split(":")
         self.address, pid = (host, int(port)), gateway.process.pid
         for number in range(PROBES):
-            self.begin(self.probe(number))
-        self.begin(self.ping())
-        self.begin(self.watch_descriptors(pid))
+            self.start_task(self.probe_client(number))
+        self.start_task(self.ping_client())
+        self.start_task(self.watch_descriptors(pid))
         await asyncio.sleep(1.0)
-        phases = {"probes": await self.measured(pid, 0, self.stay)}
-        phases["passing"] = await self.measured(pid, self.given.rate, self.passing)
-        await self.come(self.given.sockets, FILL_RATE, self.stay)
-        await asyncio.sleep(REST)
-        phases["full"] = await self.measured(pid, 0, self.stay)
-        phases["crowd"] = await self.measured(pid, self.given.rate, self.stay)
-        share = {name: phase["cpu_share"] for name, phase in phases.items()}
+        phases = {"probes": await self.measure_phase(pid, 0, self.idle_client)}
+        phases["passing"] = await self.measure_phase(pid, self.args.rate, self.short_client)
+        await self.start_clients(self.args.sockets, FILL_RATE, self.idle_client)
+        await asyncio.sleep(IDLE_PING_EVERY)
+        phases["full"] = await self.measure_phase(pid, 0, self.idle_client)
+        phases["crowd"] = await self.measure_phase(pid, self.args.rate, self.idle_client)
+        cpu_shares = {name: phase["cpu_share"] for name, phase in phases.items()}
         return {
             "cpu_us_a_passing_connection": round(
-                1e6 * (share["passing"] - share["probes"]) / self.given.rate
+                1e6 * (cpu_shares["passing"] - cpu_shares["probes"]) / self.args.rate
+            ),
+            "cpu_us_a_crowd_connection": round(
+                1e6 * (cpu_shares["crowd"] - cpu_shares["full"]) / self.args.rate
             ),
-            "cpu_us_a_crowd_connection": round(1e6 * (share["crowd"] - share["full"]) / self.given.rate),
-            "descriptors_most": self.descriptors_most,
-            "descriptors_limit": self.given.sockets,
+            "descriptors_most": self.max_descriptors,
+            "descriptors_limit": self.args.sockets,
             "phases": phases,
         }
 
-    async def measured(self, pid: int, rate: float, client: Callable[[], Any]) -> dict[str, Any]:
+    async def measure_phase(self, pid: int, rate: float, client: Callable[[], Any]) -> dict[str, Any]:
         """Runs one phase with `rate` new clients per second and returns its metrics."""
-        self.lateness, self.answers, self.ends = [], Counter(), Counter()
-        used, began = processor_time(pid), time.monotonic()
-        await self.come(round(rate * self.given.seconds), rate, client)
-        await asyncio.sleep(max(0.0, began + self.given.seconds - time.monotonic()))
-        took = time.monotonic() - began
+        self.ping_times, self.probe_replies, self.connection_ends = [], Counter(), Counter()
+        cpu_before, started_at = cpu_seconds(pid), time.monotonic()
+        await self.start_clients(round(rate * self.args.seconds), rate, client)
+        await asyncio.sleep(max(0.0, started_at + self.args.seconds - time.monotonic()))
+        elapsed = time.monotonic() - started_at
         return {
-            "seconds": round(took, 2),
-            "cpu_share": round((processor_time(pid) - used) / took, 4),
-            "ping_ms_median": percentile(self.lateness, 0.5),
-            "ping_ms_p99": percentile(self.lateness, 0.99),
-            "ping_ms_most": percentile(self.lateness, 1.0),
-            "answers_to_probes": dict(self.answers),
-            "connections_ended": dict(self.ends),
+            "seconds": round(elapsed, 2),
+            "cpu_share": round((cpu_seconds(pid) - cpu_before) / elapsed, 4),
+            "ping_ms_median": percentile(self.ping_times, 0.5),
+            "ping_ms_p99": percentile(self.ping_times, 0.99),
+            "ping_ms_most": percentile(self.ping_times, 1.0),
+            "answers_to_probes": dict(self.probe_replies),
+            "connections_ended": dict(self.connection_ends),
         }
 
-    async def come(self, many: int, rate: float, client: Callable[[], Any]) -> None:
+    async def start_clients(self, count: int, rate: float, client: Callable[[], Any]) -> None:
         """Starts the clients at even intervals."""
-        began = time.monotonic()
-        for number in range(many):
-            await asyncio.sleep(max(0.0, began + number / rate - time.monotonic()))
-            self.begin(client())
+        started_at = time.monotonic()
+        for number in range(count):
+            await asyncio.sleep(max(0.0, started_at + number / rate - time.monotonic()))
+            self.start_task(client())
 
-    async def stay(self) -> None:
-        """An idle client, which sends a PING every `REST` seconds until the gateway closes its connection."""
+    async def idle_client(self) -> None:
+        """Sends a PING every `IDLE_PING_EVERY` seconds until the gateway closes the connection."""
         try:
             reader, writer = await asyncio.open_connection(*self.address)
         except OSError:
-            self.ends["not_connected"] += 1
+            self.connection_ends["not_connected"] += 1
             return
         try:
             while True:
                 writer.write(PING)
-                if not (read := await reader.readline()).startswith(b"+"):
+                if not (reply := await reader.readline()).startswith(b"+"):
                     break
-                await asyncio.sleep(REST)
-            self.ends["refused" if b"max number" in read else "closed"] += 1
+                await asyncio.sleep(IDLE_PING_EVERY)
+            self.connection_ends["refused" if b"max number" in reply else "closed"] += 1
         except OSError:
-            self.ends["reset"] += 1
+            self.connection_ends["reset"] += 1
         finally:
             writer.close()
 
-    async def passing(self) -> None:
-        """A short connection, which sends one request or none and is closed by the client."""
+    async def short_client(self) -> None:
+        """Sends one request or none, and closes the connection."""
         try:
             reader, writer = await asyncio.open_connection(*self.address)
-            self.number += 1
-            if self.number % 2:
-                writer.write(request(1_000_000 + self.number))
-                read = await reader.readline()
-                self.ends["answered" if read.startswith(b"$") else "not_served"] += 1
+            self.last_request += 1
+            if self.last_request % 2:
+                writer.write(encode_request(1_000_000 + self.last_request))
+                reply = await reader.readline()
+                self.connection_ends["answered" if reply.startswith(b"$") else "not_served"] += 1
             else:
-                await asyncio.sleep(PASSING_STAY)
-                self.ends["left"] += 1
+                await asyncio.sleep(SHORT_CLIENT_STAY)
+                self.connection_ends["left"] += 1
             writer.close()
         except OSError:
-            self.ends["reset"] += 1
+            self.connection_ends["reset"] += 1
 
-    async def probe(self, number: int) -> None:
+    async def probe_client(self, number: int) -> None:
         """Sends requests on a persistent connection, and reconnects when it is closed."""
         while True:
             try:
                 reader, writer = await asyncio.open_connection(*self.address)
                 while True:
-                    self.number += 1
-                    writer.write(request(self.number))
-                    head = await reader.readline()
-                    self.answers[head[:5].decode().strip("0123456789\r\n ") or "closed"] += 1
-                    if not head:
+                    self.last_request += 1
+                    writer.write(encode_request(self.last_request))
+                    first_line = await reader.readline()
+                    self.probe_replies[first_line[:5].decode().strip("0123456789\r\n ") or "closed"] += 1
+                    if not first_line:
                         break
-                    await self.rest_of_answer(reader, head)
+                    await self.read_rest(reader, first_line)
                     await asyncio.sleep(PROBE_EVERY)
             except OSError:
-                self.answers["reset"] += 1
+                self.probe_replies["reset"] += 1
 
-    async def rest_of_answer(self, reader: asyncio.StreamReader, head: bytes) -> None:
+    async def read_rest(self, reader: asyncio.StreamReader, first_line: bytes) -> None:
         """Reads the rest of a bulk reply."""
-        if head.startswith(b"$"):
-            await reader.readexactly(int(head[1:]) + 2)
+        if first_line.startswith(b"$"):
+            await reader.readexactly(int(first_line[1:]) + 2)
 
-    async def ping(self) -> None:
+    async def ping_client(self) -> None:
         """Records PING round trips on a persistent connection."""
         while True:
             try:
                 reader, writer = await asyncio.open_connection(*self.address)
                 while True:
-                    began = time.monotonic()
+                    sent_at = time.monotonic()
                     writer.write(PING)
                     if not await reader.readline():
                         break
-                    self.lateness.append(time.monotonic() - began)
+                    self.ping_times.append(time.monotonic() - sent_at)
                     await asyncio.sleep(PING_EVERY)
             except OSError:
                 pass
@@ -236,11 +236,11 @@
     async def watch_descriptors(self, pid: int) -> None:
         """Records the highest number of descriptors that the process has open, sampled every 10 ms."""
         while True:
-            self.descriptors_most = max(self.descriptors_most, len(os.listdir(f"/proc/{pid}/fd")))
+            self.max_descriptors = max(self.max_descriptors, len(os.listdir(f"/proc/{pid}/fd")))
             await asyncio.sleep(0.01)
 
 
-def summary(results: list[dict[str, Any]]) -> dict[str, Any]:
+def summarize(results: list[dict[str, Any]]) -> dict[str, Any]:
     """Returns all runs and the median cost per connection."""
     names = ("cpu_us_a_passing_connection", "cpu_us_a_crowd_connection")
     return {**{name: statistics.median(r[name] for r in results) for name in names}, "plays": results}
@@ -256,19 +256,19 @@
     parser.add_argument("--seed", type=int, default=1)
     parser.add_argument("--against", type=pathlib.Path)
     parser.add_argument("--out", type=pathlib.Path)
-    given = parser.parse_args()
-    now, against = [], []
-    for _ in range(given.plays):
-        now.append(asyncio.run(Crowd(given, None).run()))
-        if given.against:
-            against.append(asyncio.run(Crowd(given, given.against).run()))
-    result = {"rate": given.rate, "sockets": given.sockets, "now": summary(now)}
-    if against:
-        result["against"] = summary(against)
+    args = parser.parse_args()
+    runs, other_runs = [], []
+    for _ in range(args.plays):
+        runs.append(asyncio.run(BenchmarkRun(args, None).run()))
+        if args.against:
+            other_runs.append(asyncio.run(BenchmarkRun(args, args.against).run()))
+    result = {"rate": args.rate, "sockets": args.sockets, "now": summarize(runs)}
+    if other_runs:
+        result["against"] = summarize(other_runs)
     text = json.dumps(result, indent=1)
     print(text)
-    if given.out:
-        given.out.write_text(text + "\n")
+    if args.out:
+        args.out.write_text(text + "\n")
 
 
 if __name__ == "__main__":
