--- a/benchmarks/readiness.py
+++ b/benchmarks/readiness.py
@@ -40,12 +40,12 @@
 PROBE = pathlib.Path(__file__).with_name("readiness_probe")
 PLANS = [{"name": "small", "quota_rate": 10.0, "store_size": 20.0}]
 BACKENDS = 20
-LOOK_EVERY = 0.02  # s between PINGs to a process that has opened its port
-READY_MOST = 120.0  # s, the start time-out
+PING_EVERY = 0.02  # s between PINGs to a process that has opened its port
+READY_TIMEOUT = 120.0  # s, the start timeout
 PROCESS_MB = 40  # memory of one process, with a margin
-STARTS_LEAST, SETS_LEAST = 20, 2  # for each line of the table
-WITHIN = (6.0, 10.0)  # s, limits on the start time for which shares are reported
-BUSY_LOOP = f"import time\nend = time.monotonic() + {READY_MOST}\nwhile time.monotonic() < end: pass"
+MIN_STARTS, MIN_SETS = 20, 2  # for each line of the table
+START_LIMITS = (6.0, 10.0)  # s, limits on the start time for which shares are reported
+BUSY_LOOP = f"import time\nend = time.monotonic() + {READY_TIMEOUT}\nwhile time.monotonic() < end: pass"
 NOT_COPIED = ("tests", "journal", "docs", ".git", "ruff*", "pip", "setuptools", "hypothesis")
 
 
@@ -92,14 +92,14 @@
         self.gateway, self.run, self.tree, self.disk_full = gateway, run, tree, disk_full
         self.process: subprocess.Popen[bytes] | None = None
         self.pipe: Any = None  # the end from which the probe's lines are read
-        self.began = 0.0
+        self.started_at = 0.0
 
-    def begin(self) -> None:
+    def spawn(self) -> None:
         """Starts the process without waiting for it."""
         gateway = self.gateway
         gateway.path.write_text(json.dumps({**gateway.config, "known": None, "seed": "1"}))
         read_end, write_end = os.pipe()
-        self.pipe = open(read_end, "rb", buffering=0)  # noqa: SIM115 (`end` closes it)
+        self.pipe = open(read_end, "rb", buffering=0)  # noqa: SIM115 (`kill` closes it)
         env = {
             **os.environ,
             "PYTHONPATH": str(PROBE),
@@ -110,7 +110,7 @@
         }
         env.pop("PYTHONDONTWRITEBYTECODE", None)
         with open(gateway.log, "ab") as log:
-            self.began = time.monotonic()
+            self.started_at = time.monotonic()
             self.process = subprocess.Popen(
                 ["/bin/sh", "-c", self.run],
                 cwd=self.tree,
@@ -130,13 +130,13 @@
 
     async def ready(self) -> Start:
         """Waits until the port is open and then for the first reply; nothing connects to it before."""
-        async with asyncio.timeout(READY_MOST):
-            steps = await self.steps()
+        async with asyncio.timeout(READY_TIMEOUT):
+            steps = await self.read_steps()
             while not await self.gateway.answers():
-                await asyncio.sleep(LOOK_EVERY)
-            return self.start_seen(steps, time.monotonic())
+                await asyncio.sleep(PING_EVERY)
+            return self.combine_measurements(steps, time.monotonic())
 
-    async def steps(self) -> dict[str, dict[str, Any]]:
+    async def read_steps(self) -> dict[str, dict[str, Any]]:
         """Reads the reports of the probe in the process until its port is about to open."""
         reader = asyncio.StreamReader()
         loop = asyncio.get_running_loop()
@@ -149,21 +149,21 @@
             steps[step["step"]] = step
         return steps
 
-    def start_seen(self, steps: dict[str, dict[str, Any]], answered: float) -> Start:
+    def combine_measurements(self, steps: dict[str, dict[str, Any]], answered: float) -> Start:
         """Combines the kernel's and the probe's measurements of a completed start."""
         assert self.process is not None
         on_core, waited, _ = pathlib.Path(f"/proc/{self.process.pid}/schedstat").read_text().split()
-        up, settings = steps["interpreter up"], steps["settings"]
+        interpreter_up, settings = steps["interpreter up"], steps["settings"]
         discovery, listening = steps["discovery"], steps["listening"]
 
-        def without_imports(one: dict[str, Any], other: dict[str, Any]) -> float:
-            return other["at"] - one["at"] - (other["import_wall_s"] - one["import_wall_s"])
+        def without_imports(begin: dict[str, Any], end: dict[str, Any]) -> float:
+            return end["at"] - begin["at"] - (end["import_wall_s"] - begin["import_wall_s"])
 
         return Start(
-            ready=answered - self.began,
+            ready=answered - self.started_at,
             cpu=int(on_core) / 1e9,
             waiting_for_core=int(waited) / 1e9,
-            interpreter=up["at"] - self.began + without_imports(up, settings),
+            interpreter=interpreter_up["at"] - self.started_at + without_imports(interpreter_up, settings),
             imports=listening["import_wall_s"],
             imports_cpu=listening["import_cpu_s"],
             settings=without_imports(settings, discovery),
@@ -171,7 +171,7 @@
             answer=answered - listening["at"],
         )
 
-    def end(self) -> None:
+    def kill(self) -> None:
         """Kills the process and closes its pipe."""
         if self.process is not None:
             self.process.kill()
@@ -181,49 +181,54 @@
 
 
 @contextlib.contextmanager
-def busy_machine(loops: int) -> Iterator[None]:
-    """Runs that many busy loops meanwhile; each also ends by itself after READY_MOST seconds."""
-    made = [
+def busy_loops(count: int) -> Iterator[None]:
+    """Runs that many busy loops meanwhile; each also ends by itself after READY_TIMEOUT seconds."""
+    processes = [
         subprocess.Popen([sys.executable, "-c", BUSY_LOOP], preexec_fn=fleet.die_with_parent)
-        for _ in range(loops)
+        for _ in range(count)
     ]
     try:
         yield
     finally:
-        for each in made:
+        for each in processes:
             each.kill()
             each.wait()
 
 
-def ignored(tree: pathlib.Path, form: Form) -> Callable[[str, list[str]], set[str]]:
+def ignored_names(tree: pathlib.Path, form: Form) -> Callable[[str, list[str]], set[str]]:
     """Returns the `ignore` argument of shutil.copytree for a copy of the tree."""
-    never = shutil.ignore_patterns(*NOT_COPIED)
+    ignore_always = shutil.ignore_patterns(*NOT_COPIED)
 
-    def leave_out(folder: str, names: list[str]) -> set[str]:
+    def ignore(folder: str, names: list[str]) -> set[str]:
         is_library = ".venv" in pathlib.Path(folder).relative_to(tree).parts
         has_bytecode = form.library_bytecode if is_library else form.package_bytecode
-        return never(folder, names) | (set() if has_bytecode else {"__pycache__"} & set(names))
+        return ignore_always(folder, names) | (set() if has_bytecode else {"__pycache__"} & set(names))
 
-    return leave_out
+    return ignore
 
 
-def laid_out(tree: pathlib.Path, form: Form, folder: pathlib.Path) -> pathlib.Path:
+def prepare_tree(tree: pathlib.Path, form: Form, folder: pathlib.Path) -> pathlib.Path:
     """Returns a tree in the given state: a copy, or the tree itself if that needs no change."""
     if form in (FORMS["built"], FORMS["disk full"]):
         return tree
     copy_file = shutil.copy2 if form.keeps_times else shutil.copy
     shutil.copytree(
-        tree, folder, symlinks=True, ignore=ignored(tree, form), copy_function=copy_file, dirs_exist_ok=True
+        tree,
+        folder,
+        symlinks=True,
+        ignore=ignored_names(tree, form),
+        copy_function=copy_file,
+        dirs_exist_ok=True,
     )
     if not form.writable:  # a file named __pycache__ prevents bytecode even for root
         for source in [*folder.rglob("*.py")]:
-            taken = source.with_name("__pycache__")
-            if not taken.exists():
-                taken.touch()
+            placeholder = source.with_name("__pycache__")
+            if not placeholder.exists():
+                placeholder.touch()
     return folder
 
 
-def memory_free_mb() -> int:
+def available_memory_mb() -> int:
     """Returns the memory available to new processes, in MB."""
     lines = pathlib.Path("/proc/meminfo").read_text().splitlines()
     return next(int(line.split()[1]) for line in lines if line.startswith("MemAvailable")) // 1024
@@ -238,7 +243,7 @@
     ]
 
 
-async def started_at_once(count: int, tree: pathlib.Path, form: Form, run: str) -> list[Start]:
+async def start_together(count: int, tree: pathlib.Path, form: Form, run: str) -> list[Start]:
     """Starts that many processes at once and waits for the first reply of each."""
     discovery = Discovery(backends)
     await discovery.start()
@@ -250,60 +255,64 @@
         processes = [Process(gateway, run, tree, form.disk_full) for gateway in gateways]
         try:
             for process in processes:
-                process.begin()
+                process.spawn()
             return list(await asyncio.gather(*(process.ready() for process in processes)))
         finally:
             for process in processes:
-                process.end()
+                process.kill()
             discovery.close()
 
 
-def nine_in_ten(values: list[float]) -> float:
+def percentile_90(values: list[float]) -> float:
     """Returns the 90th percentile: the smallest value that at least 90% do not exceed."""
     return sorted(values)[-(-9 * len(values) // 10) - 1]
 
 
-def summary(starts: list[Start]) -> dict[str, Any]:
+def summarize(starts: list[Start]) -> dict[str, Any]:
     """Summarizes starts of one kind: distribution of start times, and the median of each step."""
     ready = [start.ready for start in starts]
     columns = {name: [asdict(start)[name] for start in starts] for name in asdict(starts[0])}
     return {
         "starts": len(starts),
-        "ready_nine_in_ten_s": round(nine_in_ten(ready), 3),
+        "ready_nine_in_ten_s": round(percentile_90(ready), 3),
         "ready_most_s": round(max(ready), 3),
-        "share_within": {f"{most:g} s": sum(r <= most for r in ready) / len(ready) for most in WITHIN},
+        "share_within": {
+            f"{limit:g} s": sum(seconds <= limit for seconds in ready) / len(ready) for limit in START_LIMITS
+        },
         "median_s": {name: round(statistics.median(column), 3) for name, column in columns.items()},
     }
 
 
-def measured(
-    form_name: str, count: int, is_loaded: bool, trees: list[pathlib.Path], run: str, starts_least: int
+def measure(
+    form_name: str, count: int, is_loaded: bool, trees: list[pathlib.Path], run: str, min_starts: int
 ) -> list[dict[str, Any]]:
     """Returns a line of the table for each tree; sets of both trees are started in alternation."""
-    named = [
+    lines = [
         {"form": form_name, "tree": number, "at_once": count, "loaded": is_loaded}
         for number in range(len(trees))
     ]
-    if memory_free_mb() < count * PROCESS_MB:
-        left_out = f"{memory_free_mb()} MB free, {count * PROCESS_MB} MB needed"
-        return [{**line, "left_out": left_out} for line in named]
+    if available_memory_mb() < count * PROCESS_MB:
+        reason = f"{available_memory_mb()} MB free, {count * PROCESS_MB} MB needed"
+        return [{**line, "left_out": reason} for line in lines]
     form, starts = FORMS[form_name], [[] for _ in trees]
     order = list(range(len(trees)))
     loops = (os.cpu_count() or 1) if is_loaded else 0
     with tempfile.TemporaryDirectory() as folder:
-        laid = [laid_out(tree, form, pathlib.Path(folder, str(number))) for number, tree in enumerate(trees)]
-        with busy_machine(loops):
-            while len(starts[0]) < max(starts_least, SETS_LEAST * count):
+        prepared_trees = [
+            prepare_tree(tree, form, pathlib.Path(folder, str(number))) for number, tree in enumerate(trees)
+        ]
+        with busy_loops(loops):
+            while len(starts[0]) < max(min_starts, MIN_SETS * count):
                 for number in order:
-                    starts[number] += asyncio.run(started_at_once(count, laid[number], form, run))
+                    starts[number] += asyncio.run(start_together(count, prepared_trees[number], form, run))
                 order.reverse()  # changes of the load on the machine affect both trees alike
-    return [{**line, **summary(seen)} for line, seen in zip(named, starts, strict=True)]
+    return [{**line, **summarize(tree_starts)} for line, tree_starts in zip(lines, starts, strict=True)]
 
 
-def shown(line: dict[str, Any]) -> str:
+def format_line(line: dict[str, Any]) -> str:
     """Formats a line of the table."""
-    which = "other" if line["tree"] else "this"
-    head = f"| {line['form']} | {which} | {line['at_once']} | {'loaded' if line['loaded'] else 'idle'} | "
+    tree = "other" if line["tree"] else "this"
+    head = f"| {line['form']} | {tree} | {line['at_once']} | {'loaded' if line['loaded'] else 'idle'} | "
     if "left_out" in line:
         return f"{head}left out: {line['left_out']} |"
     median = line["median_s"]
@@ -318,25 +327,25 @@
     parser.add_argument("--counts", default="1,20,100")
     parser.add_argument("--forms", default="|".join(FORMS), help="separated by |")
     parser.add_argument("--machine", default="idle,loaded")
-    parser.add_argument("--starts", type=int, default=STARTS_LEAST, help="least number for each line")
+    parser.add_argument("--starts", type=int, default=MIN_STARTS, help="least number for each line")
     parser.add_argument("--against", type=pathlib.Path)
     parser.add_argument("--out", type=pathlib.Path)
-    given = parser.parse_args()
+    args = parser.parse_args()
     signal.signal(signal.SIGTERM, lambda *_: sys.exit(1))  # SystemExit runs the clean-up of started processes
-    trees = [ROOT] + ([given.against.resolve()] if given.against else [])
+    trees = [ROOT] + ([args.against.resolve()] if args.against else [])
     run = tomllib.loads((ROOT / "deploy/balancer.toml").read_text())["run"]
     results = []
     steps = "cpu | waiting for a core | interpreter | imports | settings | discovery | answer"
     print(f"| form | tree | at once | machine | nine in ten | slowest | {steps} |")
     print("| --- " * 13 + "|")
-    counts = [int(count) for count in given.counts.split(",")]
-    for form, count, machine in itertools.product(given.forms.split("|"), counts, given.machine.split(",")):
-        lines = measured(form, count, machine == "loaded", trees, run, given.starts)
+    counts = [int(count) for count in args.counts.split(",")]
+    for form, count, machine in itertools.product(args.forms.split("|"), counts, args.machine.split(",")):
+        lines = measure(form, count, machine == "loaded", trees, run, args.starts)
         results += lines
-        print("\n".join(map(shown, lines)), flush=True)
-    if given.out:
+        print("\n".join(map(format_line, lines)), flush=True)
+    if args.out:
         report = {"run": run, "cores": os.cpu_count(), "python": sys.version.split()[0], "lines": results}
-        given.out.write_text(json.dumps(report, indent=1) + "\n")
+        args.out.write_text(json.dumps(report, indent=1) + "\n")
 
 
 if __name__ == "__main__":
--- a/benchmarks/readiness_probe/sitecustomize.py
+++ b/benchmarks/readiness_probe/sitecustomize.py
@@ -12,27 +12,27 @@
 import time
 from _socket import SOCK_STREAM  # the program imports `socket` itself, so that this is measured
 
-pipe = int(os.environ["READINESS_PIPE"])
+pipe_fd = int(os.environ["READINESS_PIPE"])
 STEPS = {  # (audit event, its path or address): the step that begins with it
     ("open", os.environ["RELAY_CONFIG"]): "settings",
     ("socket.connect", os.environ["READINESS_DISCOVERY"]): "discovery",
     ("socket.bind", os.environ["READINESS_LISTEN"]): "listening",
 }
-find_and_load = _frozen_importlib._find_and_load  # called by every import of a module that is not yet loaded
-nested = 0
+original_find_and_load = _frozen_importlib._find_and_load  # called for each module not yet loaded
+import_depth = 0
 wall_s = cpu_s = 0.0  # time spent in imports; nested ones are not counted twice
 
 
 def timed_find_and_load(*arguments):
     """Imports a module and adds the time that it took."""
-    global nested, wall_s, cpu_s
-    nested += 1
+    global import_depth, wall_s, cpu_s
+    import_depth += 1
     wall, cpu = time.monotonic(), time.process_time()
     try:
-        return find_and_load(*arguments)
+        return original_find_and_load(*arguments)
     finally:
-        nested -= 1
-        if not nested:
+        import_depth -= 1
+        if not import_depth:
             wall_s += time.monotonic() - wall
             cpu_s += time.process_time() - cpu
 
@@ -47,21 +47,21 @@
         "import_cpu_s": cpu_s,
         "modules": len(sys.modules),
     }
-    os.write(pipe, json.dumps(line).encode() + b"\n")
+    os.write(pipe_fd, json.dumps(line).encode() + b"\n")
 
 
-def watch(event, arguments):
+def audit_hook(event, arguments):
     """Audit hook that reports each step once."""
     if event == "open":
-        named = arguments[0]
+        resource = arguments[0]
     elif event in ("socket.connect", "socket.bind") and arguments[0].type == SOCK_STREAM:
-        named = f"{arguments[1][0]}:{arguments[1][1]}"
+        resource = f"{arguments[1][0]}:{arguments[1][1]}"
     else:
         return
-    if type(named) is str and (step := STEPS.pop((event, named), None)):
+    if type(resource) is str and (step := STEPS.pop((event, resource), None)):
         report(step)
 
 
 _frozen_importlib._find_and_load = timed_find_and_load
-sys.addaudithook(watch)
+sys.addaudithook(audit_hook)
 report("interpreter up")
