--- a/benchmarks/knowledge.py
+++ b/benchmarks/knowledge.py
@@ -28,8 +28,8 @@
 from corkdeal.persistence.store import SnapshotStore
 
 SIZES = (1_000, 10_000, 100_000)
-# CHANGED: accounts that change between two writes, from one gateway's requests per second
-SERVERS, CHANGED, WRITES = 20, 140, 8
+# CHANGED_ACCOUNTS: accounts that change between two writes, from one gateway's requests per second
+BACKENDS, CHANGED_ACCOUNTS, WRITES = 20, 140, 8
 PLAN = Plan(rate=1.5, burst=6.0, name="family")
 SETTINGS = Settings(
     gateway_index=0,
@@ -41,7 +41,7 @@
 )
 
 
-def gateway_with(accounts: int) -> Gateway:
+def make_gateway(accounts: int) -> Gateway:
     """Returns a gateway with that many accounts in use."""
     gateway = Gateway(SETTINGS, 1)
     gateway.handle(
@@ -49,88 +49,92 @@
         [
             EndpointUpdate(
                 UpdateKind.COMPLETE,
-                tuple(Endpoint(f"s-{i:08x}", EndpointState.READY) for i in range(SERVERS)),
+                tuple(Endpoint(f"s-{i:08x}", EndpointState.READY) for i in range(BACKENDS)),
             )
         ],
     )
     for customer in range(accounts):
-        a = gateway.account(customer * 7919, 0, customer % 3, 3)
-        a.level, a.demand = customer % 50 / 10, customer % 7 / 5
+        account = gateway.account(customer * 7919, 0, customer % 3, 3)
+        account.level, account.demand = customer % 50 / 10, customer % 7 / 5
     return gateway
 
 
-def turns_of(steps) -> tuple[float, float, list]:
+def time_steps(steps) -> tuple[float, float, list]:
     """Runs a generator to its end; returns the longest and the total time of its steps, and its values."""
-    longest, summed, made = 0.0, 0.0, []
+    longest, total, values = 0.0, 0.0, []
     while True:
-        began = time.perf_counter()
+        started_at = time.perf_counter()
         try:
-            made.append(next(steps))
+            values.append(next(steps))
         except StopIteration:
-            took = time.perf_counter() - began
-            return max(longest, took), summed + took, made
-        took = time.perf_counter() - began
-        longest, summed = max(longest, took), summed + took
+            elapsed = time.perf_counter() - started_at
+            return max(longest, elapsed), total + elapsed, values
+        elapsed = time.perf_counter() - started_at
+        longest, total = max(longest, elapsed), total + elapsed
 
 
 def measure(accounts: int, folder: str) -> dict[str, float]:
     """Measures snapshots and the log for one number of accounts."""
-    gateway, now = gateway_with(accounts), 1000.0
+    gateway, now = make_gateway(accounts), 1000.0
     capture, store = StateCapture(gateway, "n0", "bench"), SnapshotStore(folder)
     keys, rows, size = list(gateway.accounts), [], 0
     gc.collect()
     log = os.open(os.path.join(folder, "log"), os.O_WRONLY | os.O_CREAT | os.O_APPEND)
     logged, log_cpu, log_wall = 0, 0.0, 0.0
-    for turn in range(WRITES + 1):
+    for write in range(WRITES + 1):
         now += 1.0
-        for key in keys[turn * CHANGED % len(keys) :][:CHANGED]:
+        for key in keys[write * CHANGED_ACCOUNTS % len(keys) :][:CHANGED_ACCOUNTS]:
             gateway.account(key, 0, 0, 3).last_request_at = now
         gateway.now = now
         cpu = time.process_time()
-        longest, _, _ = turns_of(capture.steps(lambda n=now: n, clock.read_clocks, time.perf_counter))
-        paging, _, pages = turns_of(capture.pages())
-        began = time.perf_counter()
+        longest, _, _ = time_steps(capture.steps(lambda n=now: n, clock.read_clocks, time.perf_counter))
+        longest_page_step, _, pages = time_steps(capture.pages())
+        started_at = time.perf_counter()
         head = capture.head(now, clock.read_clocks(), 1.0, False, {})
-        heading = time.perf_counter() - began
-        collected = time.process_time() - cpu
-        began = time.perf_counter()
-        parts = encode_snapshot(turn + 1, head, pages)
-        encoded = time.perf_counter() - began
+        head_time = time.perf_counter() - started_at
+        collect_cpu = time.process_time() - cpu
+        started_at = time.perf_counter()
+        parts = encode_snapshot(write + 1, head, pages)
+        encode_time = time.perf_counter() - started_at
         store.write(lambda _, parts=parts: parts)
-        wall = time.perf_counter() - began
+        write_time = time.perf_counter() - started_at
         cpu, size = time.process_time() - cpu, sum(map(len, parts))
-        if turn:  # the first write packs every account
-            rows.append((max(longest, paging, heading), collected, encoded, wall, cpu))
+        if write:  # the first write packs every account
+            rows.append(
+                (max(longest, longest_page_step, head_time), collect_cpu, encode_time, write_time, cpu)
+            )
         else:
-            first = longest
+            first_longest = longest
         # The log: the changed accounts are appended with a hash and synced; collecting them costs the same.
-        began, before = time.perf_counter(), time.process_time()
-        changed = b"".join(capture.packed[k] for k in keys[turn * CHANGED % len(keys) :][:CHANGED])
+        started_at, cpu_before = time.perf_counter(), time.process_time()
+        changed = b"".join(
+            capture.packed[k] for k in keys[write * CHANGED_ACCOUNTS % len(keys) :][:CHANGED_ACCOUNTS]
+        )
         os.write(log, len(changed).to_bytes(4, "little") + blake3(changed).digest() + changed)
         os.fsync(log)
-        if turn:
-            log_cpu += time.process_time() - before
-            log_wall += time.perf_counter() - began
+        if write:
+            log_cpu += time.process_time() - cpu_before
+            log_wall += time.perf_counter() - started_at
             logged += len(changed) + 36
     os.close(log)
     data = (pathlib.Path(folder) / f"{WRITES + 1:016d}.know").read_bytes()
     store.close()
-    began = time.perf_counter()
+    started_at = time.perf_counter()
     document = decode_snapshot(data)[2]
-    recall = RestoredState(document, 1.0, now, SETTINGS, lambda name: "", {})
-    loading = time.perf_counter() - began
+    restored = RestoredState(document, 1.0, now, SETTINGS, lambda name: "", {})
+    load_time = time.perf_counter() - started_at
     mean = [sum(r[i] for r in rows) / len(rows) for i in range(5)]
     return {
         "accounts": accounts,
         "longest_turn_ms": 1000 * max(r[0] for r in rows),
-        "first_turn_ms": 1000 * first,
+        "first_turn_ms": 1000 * first_longest,
         "collect_cpu_ms": 1000 * mean[1],
         "encode_ms": 1000 * mean[2],
         "write_ms": 1000 * mean[3],
         "core_percent": 100 * mean[4],
         "bytes": size,
-        "load_ms": 1000 * loading,
-        "loaded": len(recall.encoded_accounts),
+        "load_ms": 1000 * load_time,
+        "loaded": len(restored.encoded_accounts),
         "log_write_ms": 1000 * log_wall / WRITES,
         "log_core_percent": 100 * (mean[1] + log_cpu / WRITES),
         "log_bytes": logged / WRITES,
@@ -158,11 +162,11 @@
             + " |"
         )
     (out / "knowledge-cost.json").write_text(json.dumps(rows, indent=1))
-    draw(rows, out / "knowledge-cost.svg")
+    draw_chart(rows, out / "knowledge-cost.svg")
     return 0
 
 
-def draw(rows: list[dict[str, float]], path: pathlib.Path) -> None:
+def draw_chart(rows: list[dict[str, float]], path: pathlib.Path) -> None:
     """Draws cost by number of accounts on logarithmic axes."""
     import matplotlib
 
--- a/benchmarks/upgrade.py
+++ b/benchmarks/upgrade.py
@@ -176,14 +176,14 @@
 
     The predecessor encodes the remaining accounts in one step; the successor restores them in several.
     """
-    from benchmarks.knowledge import gateway_with
+    from benchmarks.knowledge import make_gateway
     from corkdeal.net.__main__ import GC_EVERY
     from corkdeal.persistence import clock, quota_handover
     from corkdeal.persistence.capture import StateCapture
     from corkdeal.persistence.codec import decode_snapshot, encode_snapshot
     from corkdeal.persistence.restore import RestoredState
 
-    predecessor, now = gateway_with(accounts), 1000.0
+    predecessor, now = make_gateway(accounts), 1000.0
     gc.collect()
     gc.freeze()
     gc.set_threshold(GC_EVERY, 10, 50)  # as in corkdeal/net/__main__.py
@@ -197,7 +197,7 @@
     restored = RestoredState(
         decode_snapshot(data)[2], 0.1, now, predecessor.settings, lambda name: "", Counter()
     )
-    successor = gateway_with(0)
+    successor = make_gateway(0)
     steps = quota_handover.take_rest(
         successor, lambda: now, quota_handover.PartialState(restored, 0.3), restored, 0.7
     )
