--- a/benchmarks/members.py
+++ b/benchmarks/members.py
@@ -21,25 +21,25 @@
 PAIRS, REQUESTS = 30, 3000
 
 
-def cost(world: World) -> float:
+def measure_cpu(world: World) -> float:
     """Returns one gateway's CPU seconds for REQUESTS requests, right after its leases are renewed."""
     world.run(1.0)
-    one = world.up[0]
-    began = time.process_time()
+    gateway = world.up[0]
+    cpu_before = time.process_time()
     for _ in range(REQUESTS):
         world.number += 1
-        actions = one.handle(world.now, [Request(world.number, 7, 0, 0, 0.001, 0, 3, 3.0)])
-        for a in actions:
-            if isinstance(a, StartAttempt):
-                one.handle(world.now, [AttemptEnded(a.id, 0, a.backend, Status.OK, 0.1, True)])
-    return time.process_time() - began
+        actions = gateway.handle(world.now, [Request(world.number, 7, 0, 0, 0.001, 0, 3, 3.0)])
+        for action in actions:
+            if isinstance(action, StartAttempt):
+                gateway.handle(world.now, [AttemptEnded(action.id, 0, action.backend, Status.OK, 0.1, True)])
+    return time.process_time() - cpu_before
 
 
-def world(with_members: bool) -> World:
+def make_world(is_membership_on: bool) -> World:
     """Returns three gateways that share one ring, with membership on or off."""
     made = World(3, 3, 1)
     for g in made.up.values():
-        g.membership = g.membership if with_members else None
+        g.membership = g.membership if is_membership_on else None
     for me in made.up:
         made.ask(me, 0)
     made.run(5.0)
@@ -48,25 +48,27 @@
 
 def main() -> None:
     """Runs the pairs in alternating order."""
-    asked = argparse.ArgumentParser(description=__doc__)
-    asked.add_argument("--out")
-    given = asked.parse_args()
-    on, off = world(True), world(False)
+    parser = argparse.ArgumentParser(description=__doc__)
+    parser.add_argument("--out")
+    args = parser.parse_args()
+    with_membership, without_membership = make_world(True), make_world(False)
     ratios = []
     for pair in range(PAIRS):
-        first, second = (on, off) if pair % 2 else (off, on)
-        spent = {id(first): cost(first), id(second): cost(second)}
-        ratios.append(spent[id(on)] / spent[id(off)])
+        first, second = (
+            (with_membership, without_membership) if pair % 2 else (without_membership, with_membership)
+        )
+        cpu_times = {id(first): measure_cpu(first), id(second): measure_cpu(second)}
+        ratios.append(cpu_times[id(with_membership)] / cpu_times[id(without_membership)])
     low, _, high = statistics.quantiles(ratios, n=4)
-    seen = {
+    results = {
         "pairs": PAIRS,
         "requests": REQUESTS,
         "on_to_off": round(statistics.median(ratios), 3),
         "quartiles": [round(low, 3), round(high, 3)],
     }
-    if given.out:
-        pathlib.Path(given.out).write_text(json.dumps(seen, indent=1) + "\n")
-    print(json.dumps(seen))
+    if args.out:
+        pathlib.Path(args.out).write_text(json.dumps(results, indent=1) + "\n")
+    print(json.dumps(results))
 
 
 if __name__ == "__main__":
