--- a/benchmarks/quotas.py
+++ b/benchmarks/quotas.py
@@ -21,13 +21,13 @@
 import sys
 from typing import Any
 
-RIG = pathlib.Path(__file__).parents[1] / "corkdeal" / "experiment" / "quotas.py"
+SIMULATOR = pathlib.Path(__file__).parents[1] / "corkdeal" / "experiment" / "quotas.py"
 KILL_AT, BACK_AT = 8.0, 12.0  # s
 
 
-def mixes(size: int, rig: Any) -> dict[str, Any]:
+def fleets(size: int, simulator: Any) -> dict[str, Any]:
     """Returns the simulated fleets by name."""
-    plan, many = rig.Plan, size / 200
+    plan, scale = simulator.Plan, size / 200
     dear = (
         plan(rate=1.3, burst=6.0, price=0.5, over_quota_cost=0.8),
         plan(rate=2.7, burst=11.0, price=0.8, over_quota_cost=1.2),
@@ -39,24 +39,24 @@
         plan(rate=9.5, burst=16.0, price=1.4, over_quota_weight=0.3),
     )
 
-    def customers(*of_200: int) -> tuple[int, ...]:
-        return tuple(max(1, round(n * many)) for n in of_200)
+    def customers(*per_200_gateways: int) -> tuple[int, ...]:
+        return tuple(max(1, round(n * scale)) for n in per_200_gateways)
 
     return {
-        "dear": rig.Fleet(dear, customers(560, 170, 50, 45), size),
-        "cheap": rig.Fleet(cheap, customers(800, 70), size, intake=60.0, units=(1.0,)),
+        "dear": simulator.Fleet(dear, customers(560, 170, 50, 45), size),
+        "cheap": simulator.Fleet(cheap, customers(800, 70), size, intake=60.0, units=(1.0,)),
     }
 
 
-def play(mix: str, size: int, seed: int, fault: str) -> dict[str, Any]:
+def run_simulation(mix: str, size: int, seed: int, fault: str) -> dict[str, Any]:
     """Runs one simulation of the revision on PYTHONPATH, with the simulator of this checkout."""
-    spec = importlib.util.spec_from_file_location("corkdeal.experiment.quotas", RIG)
-    rig = sys.modules["corkdeal.experiment.quotas"] = importlib.util.module_from_spec(spec)
-    spec.loader.exec_module(rig)
-    world = rig.World(mixes(size, rig)[mix], seed)
+    spec = importlib.util.spec_from_file_location("corkdeal.experiment.quotas", SIMULATOR)
+    simulator = sys.modules["corkdeal.experiment.quotas"] = importlib.util.module_from_spec(spec)
+    spec.loader.exec_module(simulator)
+    world = simulator.World(fleets(size, simulator)[mix], seed)
     if fault != "none":
         world.run(KILL_AT)
-        dead = (
+        killed = (
             world.chance.sample(range(size), round(0.3 * size))
             if fault == "third"
             else [
@@ -65,42 +65,42 @@
                 if any(a.is_aggregated and a.tree_edges and a.parent is None for a in g.accounts.values())
             ]
         )
-        for me in dead[: round(0.3 * size)]:
+        for me in killed[: round(0.3 * size)]:
             world.kill(me)
         world.run(BACK_AT)
-        for me in dead[: round(0.3 * size)]:
+        for me in killed[: round(0.3 * size)]:
             world.start(me)
     return world.run()
 
 
 def main() -> None:
     """Runs all simulations, each in its own process, and prints a JSON line for each."""
-    p = argparse.ArgumentParser()
-    p.add_argument("--sizes", default="40,200")
-    p.add_argument("--seeds", type=int, default=2)
-    p.add_argument("--faults", default="none,third")
-    p.add_argument("--against", type=pathlib.Path)
-    p.add_argument("--jobs", type=int, default=4)
-    p.add_argument("--out", type=pathlib.Path)
-    p.add_argument("--play", help=argparse.SUPPRESS)
-    args = p.parse_args()
+    parser = argparse.ArgumentParser()
+    parser.add_argument("--sizes", default="40,200")
+    parser.add_argument("--seeds", type=int, default=2)
+    parser.add_argument("--faults", default="none,third")
+    parser.add_argument("--against", type=pathlib.Path)
+    parser.add_argument("--jobs", type=int, default=4)
+    parser.add_argument("--out", type=pathlib.Path)
+    parser.add_argument("--play", help=argparse.SUPPRESS)
+    args = parser.parse_args()
     if args.play:
         mix, size, seed, fault = args.play.split(",")
-        return print(json.dumps(play(mix, int(size), int(seed), fault)))
+        return print(json.dumps(run_simulation(mix, int(size), int(seed), fault)))
 
-    def one(what: tuple[str, str]) -> str:
-        where = str(args.against if what[0] == "before" else RIG.parents[2])
+    def run_in_process(simulation: tuple[str, str]) -> str:
+        checkout = str(args.against if simulation[0] == "before" else SIMULATOR.parents[2])
         run = subprocess.run(
-            [sys.executable, "-O", __file__, "--play", what[1]],
+            [sys.executable, "-O", __file__, "--play", simulation[1]],
             capture_output=True,
             text=True,
             check=True,
-            env={**os.environ, "PYTHONPATH": where},
+            env={**os.environ, "PYTHONPATH": checkout},
             timeout=600,
         )
         return run.stdout
 
-    plays = [
+    simulations = [
         (revision, f"{mix},{size},{seed},{fault}")
         for size in args.sizes.split(",")
         for mix in ("dear", "cheap")
@@ -111,7 +111,7 @@
     with concurrent.futures.ThreadPoolExecutor(args.jobs) as pool:
         rows = [
             {"revision": revision, "play": name, **json.loads(text)}
-            for (revision, name), text in zip(plays, pool.map(one, plays), strict=True)
+            for (revision, name), text in zip(simulations, pool.map(run_in_process, simulations), strict=True)
         ]
     for row in rows:
         print(json.dumps(row))
