--- a/benchmarks/slow_start.py
+++ b/benchmarks/slow_start.py
@@ -19,44 +19,44 @@
 from corkdeal.experiment.slow_start import Play, Verdict, draw
 
 
-def table(verdicts: list[Verdict]) -> dict[str, Any]:
+def summarize(verdicts: list[Verdict]) -> dict[str, Any]:
     """Returns counts over all cold starts, and mean shares over those that did not overload the backend."""
 
     def mean(shares: list[float]) -> float:
         return round(sum(shares) / max(1, len(shares)), 3)
 
-    stood = [v for v in verdicts if not v.fell]
+    survived = [v for v in verdicts if not v.fell]
     return {
         "starts": len(verdicts),
         "broken": sum(v.broken for v in verdicts),
         "fell_by_untold": sum(v.fell and not v.broken for v in verdicts),
-        "sent_of_allowed": mean([v.sent / v.allowed for v in stood]),
-        "done_of_due": mean([min(1.0, v.done / v.due) for v in stood]),
-        "done_of_able": mean([v.done / v.able for v in stood]),
+        "sent_of_allowed": mean([v.sent / v.allowed for v in survived]),
+        "done_of_due": mean([min(1.0, v.done / v.due) for v in survived]),
+        "done_of_able": mean([v.done / v.able for v in survived]),
         "worst": round(max((v.worst for v in verdicts), default=0.0), 2),
     }
 
 
 def main() -> None:
     """Runs the cold starts of each fleet size and prints a JSON line for each size."""
-    p = argparse.ArgumentParser()
-    p.add_argument("--starts", type=int, default=2500)
-    p.add_argument("--first", type=int, default=0, help="number of the first cold start")
-    p.add_argument("--sizes", default="5,30,200,1100")
-    p.add_argument("--name", default="now")
-    p.add_argument("--out", type=pathlib.Path)
-    args = p.parse_args()
+    parser = argparse.ArgumentParser()
+    parser.add_argument("--starts", type=int, default=2500)
+    parser.add_argument("--first", type=int, default=0, help="number of the first cold start")
+    parser.add_argument("--sizes", default="5,30,200,1100")
+    parser.add_argument("--name", default="now")
+    parser.add_argument("--out", type=pathlib.Path)
+    args = parser.parse_args()
     rows, numbers = [], range(args.first, args.first + args.starts)
     for size in map(int, args.sizes.split(",")):
-        begun = time.process_time()
+        cpu_before = time.process_time()
         verdicts = [Play(draw(size, random.Random(f"{size} {number}")), number).run() for number in numbers]
-        row = {"revision": args.name, "gateways": size, **table(verdicts)}
-        row["cpu_s"] = round(time.process_time() - begun)
+        row = {"revision": args.name, "gateways": size, **summarize(verdicts)}
+        row["cpu_s"] = round(time.process_time() - cpu_before)
         rows.append(row)
         print(json.dumps(row), flush=True)
     if args.out:
-        before = json.loads(args.out.read_text()) if args.out.exists() else []
-        args.out.write_text("[\n" + ",\n".join(json.dumps(row) for row in before + rows) + "\n]\n")
+        earlier = json.loads(args.out.read_text()) if args.out.exists() else []
+        args.out.write_text("[\n" + ",\n".join(json.dumps(row) for row in earlier + rows) + "\n]\n")
 
 
 if __name__ == "__main__":
