--- a/examples/toy.py
+++ b/examples/toy.py
@@ -10,7 +10,7 @@
 import json
 import sys
 
-GATEWAY, DISCOVERY, BACKENDS = 6380, 8500, (7001, 7002)
+GATEWAY_PORT, DISCOVERY_PORT, BACKEND_PORTS = 6380, 8500, (7001, 7002)
 MEMBERS = [
     {
         "id": f"toy-{port}",
@@ -22,19 +22,19 @@
         "size": 1.0,
         "up_since_ms": 0,
     }
-    for port in BACKENDS
+    for port in BACKEND_PORTS
 ]
 
 
-async def words(reader):
+async def read_command(reader):
     """Reads one command, an array of bulk strings; returns None at the end of the stream."""
-    if not (head := await reader.readline()):
+    if not (header := await reader.readline()):
         return None
-    got = []
-    for _ in range(int(head[1:])):
+    arguments = []
+    for _ in range(int(header[1:])):
         size = int((await reader.readline())[1:])
-        got.append((await reader.readexactly(size + 2))[:-2])
-    return got
+        arguments.append((await reader.readexactly(size + 2))[:-2])
+    return arguments
 
 
 def bulk(value):
@@ -42,40 +42,40 @@
     return b"$%d\r\n%b\r\n" % (len(value), value)
 
 
-async def backend(reader, writer):
+async def serve_backend(reader, writer):
     """Replies to each request with its id and a load report after 100 ms of simulated work."""
-    while got := await words(reader):
+    while arguments := await read_command(reader):
         await asyncio.sleep(0.1)
-        writer.write(b"*3\r\n" + bulk(b"done " + got[2]) + b"$-1\r\n" + bulk(b"latency_ms=100,qps=1"))
+        writer.write(b"*3\r\n" + bulk(b"done " + arguments[2]) + b"$-1\r\n" + bulk(b"latency_ms=100,qps=1"))
     writer.close()
 
 
-async def discovery(reader, writer):
+async def serve_discovery(reader, writer):
     """Serves the endpoint list; a watch gets an empty delta after 20 s, as the list never changes."""
     while line := await reader.readline():
         while await reader.readline() != b"\r\n":
             pass
-        watch = b"after=1" in line
-        if watch:
+        is_watch = b"after=1" in line
+        if is_watch:
             await asyncio.sleep(20)
-        told = {"revision": 1, "complete": not watch, "members": [] if watch else MEMBERS}
-        body = json.dumps(told).encode()
+        response = {"revision": 1, "complete": not is_watch, "members": [] if is_watch else MEMBERS}
+        body = json.dumps(response).encode()
         writer.write(b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%b" % (len(body), body))
     writer.close()
 
 
 async def serve():
     """Runs discovery and the backends until interrupted."""
-    await asyncio.start_server(discovery, "127.0.0.1", DISCOVERY)
-    for port in BACKENDS:
-        await asyncio.start_server(backend, "127.0.0.1", port)
+    await asyncio.start_server(serve_discovery, "127.0.0.1", DISCOVERY_PORT)
+    for port in BACKEND_PORTS:
+        await asyncio.start_server(serve_backend, "127.0.0.1", port)
     print("discovery and two backends are listening", flush=True)
     await asyncio.Event().wait()
 
 
-async def ask(count):
+async def send_requests(count):
     """Sends requests of one customer one after the other and prints the replies."""
-    reader, writer = await asyncio.open_connection("127.0.0.1", GATEWAY)
+    reader, writer = await asyncio.open_connection("127.0.0.1", GATEWAY_PORT)
     for i in range(count):
         command = [
             b"API.READ",
@@ -92,4 +92,4 @@
 
 if __name__ == "__main__":
     with contextlib.suppress(KeyboardInterrupt):
-        asyncio.run(ask(int(sys.argv[2])) if sys.argv[1:2] == ["ask"] else serve())
+        asyncio.run(send_requests(int(sys.argv[2])) if sys.argv[1:2] == ["ask"] else serve())
