--- a/tests/test_ports.py
+++ b/tests/test_ports.py
@@ -25,5 +25,5 @@
 
 def test_another_process_claims_another_range():
     code = "from tests.ports import claim_range; print(claim_range().guard.getsockname()[1])"
-    said = subprocess.run([sys.executable, "-c", code], cwd=ROOT, capture_output=True, text=True, check=True)
-    assert int(said.stdout) != claim_range().guard.getsockname()[1]
+    child = subprocess.run([sys.executable, "-c", code], cwd=ROOT, capture_output=True, text=True, check=True)
+    assert int(child.stdout) != claim_range().guard.getsockname()[1]
