--- a/benchmarks/bodies.py
+++ b/benchmarks/bodies.py
@@ -4,10 +4,11 @@
 PYTHONPATH=. python -O benchmarks/bodies.py --paired --tree DIR [--options FILE] [--out FILE]
 PYTHONPATH=. python -O benchmarks/bodies.py --crowd [--out FILE]
 
-The first form runs the same load through Twisted's port forwarder, which parses nothing, and through the
-revision checked out in DIR. `--paired` compares only the CPU time of 4 KiB reads with the revision in DIR;
-`--options` gives this revision alone an operators' file. `--crowd` has 200 slow clients transfer 4 MiB each.
-Absolute figures depend on the machine: compare ratios within one run.
+The first form runs the same load through the gateway of this checkout, through Twisted's port forwarder,
+which parses nothing, and through the gateway of the checkout in DIR. `--paired` compares only the CPU time of
+4 KiB reads with the checkout in DIR; `--options` gives an operators' file to this checkout's gateway alone.
+`--crowd` has 200 slow clients transfer 4 MiB each. Compare ratios within one run, as times depend on the
+machine.
 """
 
 from __future__ import annotations
