--- a/benchmarks/bodies.py
+++ b/benchmarks/bodies.py
@@ -188,10 +188,15 @@
     return [encoded, b"$%d\r\n" % size, bytes(size), b"\r\n"] if write else [encoded]
 
 
-def run_load(port: int, size: int, requests: int, write: bool, plain: bool) -> float:
+def run_load(port: int, size: int, requests: int, write: bool, is_forwarded: bool) -> float:
     """Sends the requests from CLIENTS connections and returns the elapsed seconds."""
-    answer = 1 if write else size
-    reply_size = len(b"$%d\r\n" % answer) + answer + 2 + (len(b"*3\r\n") + len(NULL_FIELDS) if plain else 0)
+    value_size = 1 if write else size
+    reply_size = (
+        len(b"$%d\r\n" % value_size)
+        + value_size
+        + 2
+        + (len(b"*3\r\n") + len(NULL_FIELDS) if is_forwarded else 0)
+    )
     errors: list[BaseException] = []
 
     def client(number: int) -> None:
@@ -274,7 +279,7 @@
         )
         for revision, checkout in trees.items()
     }
-    used: dict[str, list[float]] = {revision: [] for revision in trees}
+    cpu_us: dict[str, list[float]] = {revision: [] for revision in trees}
     try:
         for port, _ in gateways.values():
             wait_until_listening(port)
@@ -283,14 +288,14 @@
                 port, process = gateways[revision]
                 cpu_before = cpu_seconds(process.pid)
                 run_load(port, 4096, REQUESTS_PER_RUN, False, False)
-                used[revision].append((cpu_seconds(process.pid) - cpu_before) * 1e6 / REQUESTS_PER_RUN)
+                cpu_us[revision].append((cpu_seconds(process.pid) - cpu_before) * 1e6 / REQUESTS_PER_RUN)
     finally:
         for _, process in gateways.values():
             process.kill()
             process.wait()
-    ratios = [a / b for a, b in zip(used["this"], used["before"], strict=True)]
+    ratios = [a / b for a, b in zip(cpu_us["this"], cpu_us["before"], strict=True)]
     return {
-        "cpu_us_request": {revision: round(statistics.median(each), 1) for revision, each in used.items()},
+        "cpu_us_request": {revision: round(statistics.median(each), 1) for revision, each in cpu_us.items()},
         "ratio_median": round(statistics.median(ratios), 3),
         "ratio_quartiles": [round(q, 3) for q in statistics.quantiles(ratios, n=4)],
         "pairs": PAIRS,
