--- a/benchmarks/crowd.py
+++ b/benchmarks/crowd.py
@@ -34,7 +34,7 @@
 from corkdeal.standin.fleet import tier
 from corkdeal.standin.servers import Model, Server, work_drawer
 
-SERVERS = 4
+BACKENDS = 4
 PROBES, PROBE_EVERY = 4, 0.1  # persistent connections; s between two requests of one
 PING_EVERY = 0.02  # s
 FILL_RATE = 400  # connections per second until the table is full
@@ -87,12 +87,12 @@
         """Starts discovery, backends and the gateway, and returns the results."""
         models = [
             Model(f"s{i}", "north-hall", cell=i % 2, cores=8, queue=4000, fall_multiple=1000.0)
-            for i in range(SERVERS)
+            for i in range(BACKENDS)
         ]
-        servers = [Server(model, work_drawer(self.rng, 0.02, 0.5), lambda arrival: None) for model in models]
-        for each in servers:
+        backends = [Server(model, work_drawer(self.rng, 0.02, 0.5), lambda arrival: None) for model in models]
+        for each in backends:
             await each.start()
-        discovery = Discovery(lambda: [server.entry() for server in servers])
+        discovery = Discovery(lambda: [backend.entry() for backend in backends])
         await discovery.start()
         with tempfile.TemporaryDirectory() as folder:
             (gateway,) = tier(1, discovery.port, pathlib.Path(folder), PLANS, "recovery\n", self.program)
@@ -106,7 +106,7 @@
                     task.cancel()
                 await gateway.end()
                 discovery.close()
-                for each in servers:
+                for each in backends:
                     each.die()
 
     async def run_phases(self, gateway: Any) -> dict[str, Any]:
--- a/benchmarks/departures.py
+++ b/benchmarks/departures.py
@@ -35,7 +35,7 @@
 from corkdeal.standin.servers import Arrival, Model, Server, work_drawer
 
 LATE_AFTER = 0.1  # s after a disconnect, from which on an attempt of that client counts as late
-GATEWAYS, SERVERS = 3, 6
+GATEWAYS, BACKENDS = 3, 6
 START_AT_ONCE = 4  # gateways started concurrently
 CLIENT_EVERY, MAX_STAY = 0.02, 0.5  # s between clients; longest s that one stays connected
 REPLY_TIMEOUT = 10.0  # s that clients wait for a reply at the end of a run
@@ -136,10 +136,10 @@
         self.reply_kinds[behaviour][await connection.reply_kind()] += 1
         connection.sock.close()
 
-    async def inject_faults(self, discovery: Discovery, servers: list[Server]) -> None:
+    async def inject_faults(self, discovery: Discovery, backends: list[Server]) -> None:
         """Makes requests wait: backends hang in turn, and the endpoint list is empty at times."""
         while True:
-            hung_backends = self.rng.sample(servers, 2)
+            hung_backends = self.rng.sample(backends, 2)
             for each in hung_backends:
                 each.slow = 1000.0
             await asyncio.sleep(HANG_FOR)
@@ -156,12 +156,12 @@
         """Starts discovery, backends and gateways, runs the clients, and returns the metrics."""
         models = [
             Model(f"s{i}", "north-hall", cell=i % 2, cores=8, queue=4000, fall_multiple=1000.0)
-            for i in range(SERVERS)
+            for i in range(BACKENDS)
         ]
-        servers = [Server(m, work_drawer(self.rng, 0.15, 0.5), self.record_attempt) for m in models]
-        for each in servers:
+        backends = [Server(m, work_drawer(self.rng, 0.15, 0.5), self.record_attempt) for m in models]
+        for each in backends:
             await each.start()
-        discovery = Discovery(lambda: [] if self.is_list_empty else [s.entry() for s in servers])
+        discovery = Discovery(lambda: [] if self.is_list_empty else [s.entry() for s in backends])
         await discovery.start()
         with tempfile.TemporaryDirectory() as folder:
             gateways = tier(
@@ -174,14 +174,14 @@
                 for first in range(0, len(gateways), START_AT_ONCE):
                     await asyncio.gather(*(g.start() for g in gateways[first : first + START_AT_ONCE]))
                 tasks.append(asyncio.create_task(self.measure_loop_delay()))
-                tasks.append(asyncio.create_task(self.inject_faults(discovery, servers)))
+                tasks.append(asyncio.create_task(self.inject_faults(discovery, backends)))
                 await self.run_clients(gateways)
             finally:
                 for task in tasks:
                     task.cancel()
                 await asyncio.gather(*(g.end() for g in gateways))
                 discovery.close()
-                for each in servers:
+                for each in backends:
                     each.die()
         return self.metrics()
 
