--- a/benchmarks/members.py
+++ b/benchmarks/members.py
@@ -37,13 +37,13 @@
 
 def make_world(is_membership_on: bool) -> World:
     """Returns three gateways that share one ring, with membership on or off."""
-    made = World(3, 3, 1)
-    for g in made.up.values():
+    world = World(3, 3, 1)
+    for g in world.up.values():
         g.membership = g.membership if is_membership_on else None
-    for me in made.up:
-        made.ask(me, 0)
-    made.run(5.0)
-    return made
+    for me in world.up:
+        world.ask(me, 0)
+    world.run(5.0)
+    return world
 
 
 def main() -> None:
--- a/benchmarks/quotas.py
+++ b/benchmarks/quotas.py
@@ -22,7 +22,7 @@
 from typing import Any
 
 SIMULATOR = pathlib.Path(__file__).parents[1] / "corkdeal" / "experiment" / "quotas.py"
-KILL_AT, BACK_AT = 8.0, 12.0  # s
+KILL_AT, RESTART_AT = 8.0, 12.0  # s
 
 
 def fleets(size: int, simulator: Any) -> dict[str, Any]:
@@ -67,7 +67,7 @@
         )
         for me in killed[: round(0.3 * size)]:
             world.kill(me)
-        world.run(BACK_AT)
+        world.run(RESTART_AT)
         for me in killed[: round(0.3 * size)]:
             world.start(me)
     return world.run()
--- a/benchmarks/readiness.py
+++ b/benchmarks/readiness.py
@@ -149,7 +149,7 @@
             steps[step["step"]] = step
         return steps
 
-    def combine_measurements(self, steps: dict[str, dict[str, Any]], answered: float) -> Start:
+    def combine_measurements(self, steps: dict[str, dict[str, Any]], replied_at: float) -> Start:
         """Combines the kernel's and the probe's measurements of a completed start."""
         assert self.process is not None
         on_core, waited, _ = pathlib.Path(f"/proc/{self.process.pid}/schedstat").read_text().split()
@@ -160,7 +160,7 @@
             return end["at"] - begin["at"] - (end["import_wall_s"] - begin["import_wall_s"])
 
         return Start(
-            ready=answered - self.started_at,
+            ready=replied_at - self.started_at,
             cpu=int(on_core) / 1e9,
             waiting_for_core=int(waited) / 1e9,
             interpreter=interpreter_up["at"] - self.started_at + without_imports(interpreter_up, settings),
@@ -168,7 +168,7 @@
             imports_cpu=listening["import_cpu_s"],
             settings=without_imports(settings, discovery),
             discovery=without_imports(discovery, listening),
-            answer=answered - listening["at"],
+            answer=replied_at - listening["at"],
         )
 
     def kill(self) -> None:
