--- a/benchmarks/halls.py
+++ b/benchmarks/halls.py
@@ -1,4 +1,6 @@
-"""Look-ups of an address's hall among 100,000 nets: three ways in one run. Compare ratios, not machines.
+"""Compares three ways to look up the zone of an address among 100,000 networks.
+
+Times depend on the machine: compare ratios within one run.
 
 PYTHONPATH=. python benchmarks/halls.py
 """
@@ -14,11 +16,11 @@
 
 from corkdeal.zones.nets import Net, Nets
 
-NETS, LOOK_UPS, FEW = 100_000, 50_000, 200
+NETS, LOOK_UPS, LINEAR_SAMPLE = 100_000, 50_000, 200  # a 20th of the sample is searched linearly
 
 
-def drawn(chance: random.Random) -> list[Net]:
-    """Distinct nets of /12 to /28, with halls at random."""
+def random_networks(chance: random.Random) -> list[Net]:
+    """Returns distinct networks of /12 to /28 with random zones."""
     made: dict[str, Net] = {}
     while len(made) < NETS:
         size = chance.randint(12, 28)
@@ -29,7 +31,7 @@
 
 
 class ByLength:
-    """One dictionary a prefix length, from the longest: what one would write by hand."""
+    """A dictionary per prefix length, searched from the longest: the simple approach without a trie."""
 
     def __init__(self, nets: list[Net]) -> None:
         self.tables: dict[int, dict[int, str]] = {}
@@ -39,7 +41,7 @@
         self.order = sorted(self.tables.items(), reverse=True)
 
     def hall_of(self, address: str) -> str | None:
-        """The hall of an IPv4 address."""
+        """Returns the zone of an IPv4 address."""
         number = int.from_bytes(socket.inet_aton(address), "big")
         for size, table in self.order:
             if (hall := table.get(number >> (32 - size) << (32 - size))) is not None:
@@ -48,34 +50,37 @@
 
 
 def main() -> int:
-    """Build, look up, compare."""
+    """Builds the tables, times the look-ups, and checks that all give the same zones."""
     chance = random.Random(1)
-    nets = drawn(chance)
-    asked = [str(netaddr.IPAddress(chance.randrange(1 << 24, 1 << 32))) for _ in range(LOOK_UPS)]
-    began = time.perf_counter()
+    nets = random_networks(chance)
+    addresses = [str(netaddr.IPAddress(chance.randrange(1 << 24, 1 << 32))) for _ in range(LOOK_UPS)]
+    started_at = time.perf_counter()
     tree = Nets(nets)
-    built = time.perf_counter() - began
+    build_time = time.perf_counter() - started_at
     by_length = ByLength(nets)
     walked = [(netaddr.IPNetwork(n.text), n.hall) for n in nets]
     results = {}
     for name, look in (("py-radix", tree.hall_of), ("table a length", by_length.hall_of)):
-        began = time.perf_counter()
-        found = [look(a) for a in asked]
-        results[name] = (time.perf_counter() - began) / LOOK_UPS * 1e6, found
-    began = time.perf_counter()
-    few = []
-    for a in asked[: FEW // 20]:
+        started_at = time.perf_counter()
+        found = [look(a) for a in addresses]
+        results[name] = (time.perf_counter() - started_at) / LOOK_UPS * 1e6, found
+    started_at = time.perf_counter()
+    linear_results = []
+    for a in addresses[: LINEAR_SAMPLE // 20]:
         address = netaddr.IPAddress(a)
         holding = [(net, hall) for net, hall in walked if address in net]
-        few.append(max(holding, key=lambda x: x[0].prefixlen)[1] if holding else None)
-    results["netaddr, walking"] = (time.perf_counter() - began) / len(few) * 1e6, few
-    first = results["py-radix"]
-    print(f"{NETS} nets checked and built in {built:.2f} s\n")
+        linear_results.append(max(holding, key=lambda x: x[0].prefixlen)[1] if holding else None)
+    results["netaddr, walking"] = (
+        (time.perf_counter() - started_at) / len(linear_results) * 1e6,
+        linear_results,
+    )
+    reference = results["py-radix"]
+    print(f"{NETS} nets checked and built in {build_time:.2f} s\n")
     print("| way | µs a look-up | ratio |\n| --- | --- | --- |")
     for name, (took, found) in results.items():
-        print(f"| {name} | {took:.2f} | {took / first[0]:.2f} |")
-        if found != first[1][: len(found)]:
-            print(f"{name} disagrees", file=sys.stderr)
+        print(f"| {name} | {took:.2f} | {took / reference[0]:.2f} |")
+        if found != reference[1][: len(found)]:
+            print(f"{name}: zones differ from those of py-radix", file=sys.stderr)
             return 1
     return 0
 
--- a/benchmarks/members.py
+++ b/benchmarks/members.py
@@ -1,8 +1,9 @@
-"""What membership costs a request in the decisions, paired with the same decisions without it, in one run.
+"""Measures what membership adds to the CPU time of a request in the decision module.
 
 PYTHONPATH=. python -O benchmarks/members.py [--out FILE]
 
-A gateway of a ring of three with fresh leases decides on requests and answers; no sockets. Compare ratios.
+One gateway of a ring of three, with valid leases, handles requests and replies with and without membership,
+in pairs within one run; no sockets are used. Compare ratios, as times depend on the machine.
 """
 
 from __future__ import annotations
@@ -20,52 +21,54 @@
 PAIRS, REQUESTS = 30, 3000
 
 
-def cost(world: World) -> float:
-    """CPU seconds of one gateway for so many requests, with its leases fresh."""
+def measure_cpu(world: World) -> float:
+    """Returns one gateway's CPU seconds for REQUESTS requests, right after its leases are renewed."""
     world.run(1.0)
-    one = world.up[0]
-    began = time.process_time()
+    gateway = world.up[0]
+    cpu_before = time.process_time()
     for _ in range(REQUESTS):
         world.number += 1
-        actions = one.handle(world.now, [Request(world.number, 7, 0, 0, 0.001, 0, 3, 3.0)])
-        for a in actions:
-            if isinstance(a, StartAttempt):
-                one.handle(world.now, [AttemptEnded(a.id, 0, a.backend, Status.OK, 0.1, True)])
-    return time.process_time() - began
+        actions = gateway.handle(world.now, [Request(world.number, 7, 0, 0, 0.001, 0, 3, 3.0)])
+        for action in actions:
+            if isinstance(action, StartAttempt):
+                gateway.handle(world.now, [AttemptEnded(action.id, 0, action.backend, Status.OK, 0.1, True)])
+    return time.process_time() - cpu_before
 
 
-def world(with_members: bool) -> World:
-    """Three gateways in one ring."""
-    made = World(3, 3, 1)
-    for g in made.up.values():
-        g.membership = g.membership if with_members else None
-    for me in made.up:
-        made.ask(me, 0)
-    made.run(5.0)
-    return made
+def make_world(is_membership_on: bool) -> World:
+    """Returns three gateways that share one ring, with membership on or off."""
+    world = World(3, 3, 1)
+    for g in world.up.values():
+        g.membership = g.membership if is_membership_on else None
+    for me in world.up:
+        world.ask(me, 0)
+    world.run(5.0)
+    return world
 
 
 def main() -> None:
-    """Play the pairs in turn."""
-    asked = argparse.ArgumentParser(description=__doc__)
-    asked.add_argument("--out")
-    given = asked.parse_args()
-    on, off = world(True), world(False)
+    """Runs the pairs in alternating order."""
+    parser = argparse.ArgumentParser(description=__doc__)
+    parser.add_argument("--out")
+    args = parser.parse_args()
+    with_membership, without_membership = make_world(True), make_world(False)
     ratios = []
     for pair in range(PAIRS):
-        first, second = (on, off) if pair % 2 else (off, on)
-        spent = {id(first): cost(first), id(second): cost(second)}
-        ratios.append(spent[id(on)] / spent[id(off)])
+        first, second = (
+            (with_membership, without_membership) if pair % 2 else (without_membership, with_membership)
+        )
+        cpu_times = {id(first): measure_cpu(first), id(second): measure_cpu(second)}
+        ratios.append(cpu_times[id(with_membership)] / cpu_times[id(without_membership)])
     low, _, high = statistics.quantiles(ratios, n=4)
-    seen = {
+    results = {
         "pairs": PAIRS,
         "requests": REQUESTS,
         "on_to_off": round(statistics.median(ratios), 3),
         "quartiles": [round(low, 3), round(high, 3)],
     }
-    if given.out:
-        pathlib.Path(given.out).write_text(json.dumps(seen, indent=1) + "\n")
-    print(json.dumps(seen))
+    if args.out:
+        pathlib.Path(args.out).write_text(json.dumps(results, indent=1) + "\n")
+    print(json.dumps(results))
 
 
 if __name__ == "__main__":
--- a/tests/test_ports.py
+++ b/tests/test_ports.py
@@ -1,4 +1,4 @@
-"""Each test process has ports of its own, which the kernel gives to nobody."""
+"""Each test process has its own ports, none of them in the ephemeral range of the kernel."""
 
 import socket
 import subprocess
@@ -25,5 +25,5 @@
 
 def test_another_process_claims_another_range():
     code = "from tests.ports import claim_range; print(claim_range().guard.getsockname()[1])"
-    said = subprocess.run([sys.executable, "-c", code], cwd=ROOT, capture_output=True, text=True, check=True)
-    assert int(said.stdout) != claim_range().guard.getsockname()[1]
+    child = subprocess.run([sys.executable, "-c", code], cwd=ROOT, capture_output=True, text=True, check=True)
+    assert int(child.stdout) != claim_range().guard.getsockname()[1]
