--- a/corkdeal/experiment/kills.py
+++ b/corkdeal/experiment/kills.py
@@ -71,7 +71,7 @@
         )
     for line in gateway.log.read_text().splitlines():
         load_count += "knowledge_loaded" in line
-        if "knowledge_refused" in line or "module_failed" in line or "collect_failed" in line:
+        if "knowledge_refused" in line or "decisions_failed" in line or "collect_failed" in line:
             raise InvalidState(line)
     return {
         "kills": kill_count,
--- a/corkdeal/logs/events.py
+++ b/corkdeal/logs/events.py
@@ -36,7 +36,7 @@
     "figures": (INFO, "metrics: counters since the start, and gauges (now_...)"),
     "recovery": (INFO, "readiness after a start or stall changed: state, before, why, among, after (s)"),
     "refused": (INFO, "requests rejected or failed so far, by cause, inside and beyond quotas"),
-    "module_failed": (ERROR, "the decisions raised, the RPCs of these events fail: events, trace"),
+    "decisions_failed": (ERROR, "the decisions raised, the RPCs of these events fail: events, trace"),
     "action_failed": (ERROR, "an action of the decisions could not be carried out: action, trace"),
     "module_says": (INFO, "a log line of the decisions: text"),
     "discovery_failed": (WARN, "discovery gave no valid endpoint list, the present one stays in use: error"),
--- a/corkdeal/net/gateway.py
+++ b/corkdeal/net/gateway.py
@@ -384,7 +384,7 @@
                     actions = self.decisions.handle(self.now(), events)
                 except Exception:  # only the RPCs of these events fail
                     count("module_failed")
-                    logs.event("module_failed", events=events, trace=traceback.format_exc())
+                    logs.event("decisions_failed", events=events, trace=traceback.format_exc())
                     actions = self.decisions.actions + self.failures_for(events)
                 for action in actions:
                     try:
@@ -430,7 +430,7 @@
             return self.decisions.early_rejection(self.now(), request)
         except Exception:
             count("module_failed")
-            logs.event("module_failed", events=[request], trace=traceback.format_exc())
+            logs.event("decisions_failed", events=[request], trace=traceback.format_exc())
             return None
 
     def gone(self, rpc: RPC) -> None:
--- a/tests/test_logs.py
+++ b/tests/test_logs.py
@@ -54,7 +54,7 @@
             raise AssertionError("formatted")
 
     logs.event("serving", name=Costly())
-    assert not out.getvalue() and not logs.is_enabled("serving") and logs.is_enabled("module_failed")
+    assert not out.getvalue() and not logs.is_enabled("serving") and logs.is_enabled("decisions_failed")
     with pytest.raises(KeyError):
         logs.event("no such event")
 
