--- a/corkdeal/logs/events.py
+++ b/corkdeal/logs/events.py
@@ -38,7 +38,7 @@
     "refused": (INFO, "requests rejected or failed so far, by cause, inside and beyond quotas"),
     "decisions_failed": (ERROR, "the decisions raised, the RPCs of these events fail: events, trace"),
     "action_failed": (ERROR, "an action of the decisions could not be carried out: action, trace"),
-    "module_says": (INFO, "a log line of the decisions: text"),
+    "decisions_message": (INFO, "a log line of the decisions: text"),
     "discovery_failed": (WARN, "discovery gave no valid endpoint list, the present one stays in use: error"),
     "list_not_taken": (ERROR, "an endpoint list could not be applied and is fetched again: revision, trace"),
     "library": (WARN, "a log line of a library: source, text"),
--- a/corkdeal/net/gateway.py
+++ b/corkdeal/net/gateway.py
@@ -635,7 +635,7 @@
 
     def write_log(self, action: Log) -> None:
         """Write a log line of the decisions."""
-        logs.event("module_says", text=action.text)
+        logs.event("decisions_message", text=action.text)
 
     def watch_endpoints(self, action: WatchEndpoints) -> None:
         """Nothing to do: the watch always runs."""
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -16,7 +16,7 @@
         ("3.500 2026-12-01T22:00:00+0000 [corkdeal#info] figures asked=3 now_slow=1.25", (3.5, 3.0)),
         ("2026-12-01T01:02:03+0000 [corkdeal#info] figures asked=3", (3723.0, 3.0)),
         ("2026-12-01T01:02:03+0000 [corkdeal#info] refused asked=3", None),
-        ("2026-12-01T01:02:03+0000 [corkdeal#info] module_says text='no figures asked=1'", None),
+        ("2026-12-01T01:02:03+0000 [corkdeal#info] decisions_message text='no figures asked=1'", None),
         ('{"event": "figures", "asked": 3', None),
     ],
 )
