--- a/corkdeal/logs/events.py
+++ b/corkdeal/logs/events.py
@@ -40,7 +40,10 @@
     "action_failed": (ERROR, "an action of the decisions could not be carried out: action, trace"),
     "decisions_message": (INFO, "a log line of the decisions: text"),
     "discovery_failed": (WARN, "discovery gave no valid endpoint list, the present one stays in use: error"),
-    "list_not_taken": (ERROR, "an endpoint list could not be applied and is fetched again: revision, trace"),
+    "endpoint_list_not_applied": (
+        ERROR,
+        "an endpoint list could not be applied and is fetched again: revision, trace",
+    ),
     "library": (WARN, "a log line of a library: source, text"),
     "options_reloaded": (INFO, "options file reloaded: changed (its nodes that changed)"),
     "knowledge_loaded": (INFO, "persisted state was restored: file, format, age, servers, accounts, ..."),
--- a/corkdeal/net/discovery_watch.py
+++ b/corkdeal/net/discovery_watch.py
@@ -166,7 +166,7 @@
             self.on_snapshot(result)
         except Exception:
             count("list_not_taken")
-            logs.event("list_not_taken", revision=result.revision, trace=traceback.format_exc())
+            logs.event("endpoint_list_not_applied", revision=result.revision, trace=traceback.format_exc())
             raise
 
     @inlineCallbacks
