--- a/corkdeal/net/application.py
+++ b/corkdeal/net/application.py
@@ -24,9 +24,9 @@
         self.gateway = Gateway(reactor, config)
         self.snapshot_writer: SnapshotWriter | None = None
         if options and options.recovery:  # before the load: restored accounts also ask ring neighbours
-            from .recovery import Recovery
+            from .recovery import RecoveryService
 
-            self.gateway.recovery = Recovery(reactor, self.gateway)
+            self.gateway.recovery = RecoveryService(reactor, self.gateway)
         if options and options.membership:
             from .membership import Membership
 
--- a/corkdeal/net/gateway.py
+++ b/corkdeal/net/gateway.py
@@ -64,7 +64,7 @@
 
 if TYPE_CHECKING:
     from .membership import Membership
-    from .recovery import Recovery
+    from .recovery import RecoveryService
     from .upgrade import UpgradeHandover
 
 FIRST_LIST_TIMEOUT = 0.25  # s that a start waits for discovery's first list before it accepts clients
@@ -121,7 +121,7 @@
         self.answer_deadline = math.inf  # while draining: when all must be answered
         self.peer_port: Any = None
         self.peering_stopped = False  # whether the successor now communicates with the peers
-        self.recovery: Recovery | None = None  # handles starts and stalls, if enabled
+        self.recovery: RecoveryService | None = None  # handles starts and stalls, if enabled
         self.membership: Membership | None = None  # tracks the tier's running gateways, if enabled
         self.upgrade_handover: UpgradeHandover | None = None  # only if the listening socket is inherited
         self.before_end: list[Any] = []  # their `stop(done)` is called after the last answer, before exit
--- a/corkdeal/net/recovery.py
+++ b/corkdeal/net/recovery.py
@@ -29,7 +29,7 @@
 UNREAD_WINDOW = 2.0  # s after a stall in which bytes may still be read that arrived before its end
 
 
-class Recovery:
+class RecoveryService:
     """Recovery of one gateway after a start or a stall."""
 
     def __init__(self, reactor: Any, gateway: Any) -> None:
--- a/tests/recovery/test_net_recovery.py
+++ b/tests/recovery/test_net_recovery.py
@@ -8,7 +8,7 @@
 
 from corkdeal.decisions.gateway import Gateway
 from corkdeal.net import recovery as net_recovery
-from corkdeal.net.recovery import DISCOVERY_TIMEOUT, UNREAD_WINDOW, Recovery
+from corkdeal.net.recovery import DISCOVERY_TIMEOUT, UNREAD_WINDOW, RecoveryService
 from corkdeal.recovery.admission_ramp import StallRamp, StartRamp
 from corkdeal.recovery.readiness import ReadinessState
 from tests.helpers import settings
@@ -33,7 +33,7 @@
             upgrade_handover=None,
             watch_again=self.query_discovery,
         )
-        self.recovery = Recovery(self.clock, self.gateway)
+        self.recovery = RecoveryService(self.clock, self.gateway)
         self.recovery.start()
 
     def query_discovery(self):
--- a/tests/recovery/test_recovery.py
+++ b/tests/recovery/test_recovery.py
@@ -10,7 +10,7 @@
 from corkdeal.decisions.events import PeerMessage, TimerExpired
 from corkdeal.decisions.gateway import Gateway
 from corkdeal.decisions.peer_messages import encode_exchange
-from corkdeal.net.recovery import Recovery
+from corkdeal.net.recovery import RecoveryService
 from corkdeal.recovery.admission_ramp import RATE_FACTOR, RateEstimator, StallRamp, StartRamp
 from corkdeal.recovery.quota_restore import QuotaRestore
 from corkdeal.recovery.readiness import (
@@ -410,7 +410,7 @@
     gateway_decisions.peers.incarnations.resume(90_000, {1: 1, 2: 1})
     gateway = SimpleNamespace(decisions=gateway_decisions, pool=SimpleNamespace(), now=lambda: 100.0)
     gateway.upgrade_handover = given and SimpleNamespace(partial_state=given)
-    recovery = Recovery(None, gateway)
+    recovery = RecoveryService(None, gateway)
     recovery.withheld_retries, gateway_decisions.retries.budget = 10.0, 1.0
     recovery.apply(
         Transition(ReadinessState.LEARNING, ReadinessState.RETURNING, "list, neighbours responded", 0.1)
