--- a/corkdeal/net/application.py
+++ b/corkdeal/net/application.py
@@ -28,9 +28,9 @@
 
             self.gateway.recovery = RecoveryService(reactor, self.gateway)
         if options and options.membership:
-            from .membership import Membership
+            from .membership import MembershipService
 
-            self.gateway.membership = Membership(reactor, self.gateway)
+            self.gateway.membership = MembershipService(reactor, self.gateway)
         if options and options.knowledge:
             self.make_snapshot_writer(options).load()
 
--- a/corkdeal/net/gateway.py
+++ b/corkdeal/net/gateway.py
@@ -63,7 +63,7 @@
 from .timers import Timers
 
 if TYPE_CHECKING:
-    from .membership import Membership
+    from .membership import MembershipService
     from .recovery import RecoveryService
     from .upgrade import UpgradeHandover
 
@@ -122,7 +122,7 @@
         self.peer_port: Any = None
         self.peering_stopped = False  # whether the successor now communicates with the peers
         self.recovery: RecoveryService | None = None  # handles starts and stalls, if enabled
-        self.membership: Membership | None = None  # tracks the tier's running gateways, if enabled
+        self.membership: MembershipService | None = None  # tracks the tier's running gateways, if enabled
         self.upgrade_handover: UpgradeHandover | None = None  # only if the listening socket is inherited
         self.before_end: list[Any] = []  # their `stop(done)` is called after the last answer, before exit
         self.logged_counters = ""
--- a/corkdeal/net/membership.py
+++ b/corkdeal/net/membership.py
@@ -18,7 +18,7 @@
 POLL_INTERVAL = 0.1  # s between polls for events
 
 
-class Membership:
+class MembershipService:
     """Membership of one running gateway."""
 
     def __init__(self, reactor: Any, gateway: Any) -> None:
--- a/tests/membership/test_members.py
+++ b/tests/membership/test_members.py
@@ -16,7 +16,7 @@
 from corkdeal.membership.leases import KEPT_FRACTION, LEASE_TIME, TAKEOVER_TIME, Leases, TakeoverRequest
 from corkdeal.membership.members import MAX_ROUND_INTERVAL, MembershipProtocol
 from corkdeal.membership.messages import GossipEntry, GossipKind, Heartbeat, HeartbeatFlag
-from corkdeal.net.membership import Membership
+from corkdeal.net.membership import MembershipService
 from corkdeal.recovery.quota_restore import QuotaRestore
 from corkdeal.recovery.resume import resume_after_stall
 from tests.helpers import PLAN, Ring, pick, servers, settings
@@ -322,7 +322,7 @@
         decisions=decisions, upgrade_handover=upgrade_handover, before_end=[], now=lambda: tier.now
     )
     gateway.tell = sent.append
-    membership = Membership(FakeReactor(), gateway)
+    membership = MembershipService(FakeReactor(), gateway)
     membership.start()
     assert decisions.membership.shares.has_delegated_share is is_delegated and gateway.before_end == [
         membership
