--- a/benchmarks/upgrade.py
+++ b/benchmarks/upgrade.py
@@ -198,7 +198,7 @@
         decode_snapshot(data)[2], 0.1, now, predecessor.settings, lambda name: "", Counter()
     )
     successor = make_gateway(0)
-    steps = quota_handover.take_rest(
+    steps = quota_handover.take_over_remainder(
         successor, lambda: now, quota_handover.PartialState(restored, 0.3), restored, 0.7
     )
     longest_step, total, ended = 0.0, 0.0, False
--- a/corkdeal/net/upgrade.py
+++ b/corkdeal/net/upgrade.py
@@ -114,7 +114,7 @@
         now = self.gateway.now()
         if snapshot is not None:
             fraction = snapshot.head.fleet.quota_fraction
-            self.takeover = quota_handover.take_rest(
+            self.takeover = quota_handover.take_over_remainder(
                 self.decisions, self.gateway.now, partial_state, self._restored_state(snapshot), fraction
             )
             self._continue_takeover()
--- a/corkdeal/persistence/quota_handover.py
+++ b/corkdeal/persistence/quota_handover.py
@@ -110,7 +110,7 @@
         )
 
 
-def take_rest(
+def take_over_remainder(
     decisions: Gateway,
     clock: Callable[[], float],
     partial: PartialState,
--- a/tests/persistence/test_quota_handover.py
+++ b/tests/persistence/test_quota_handover.py
@@ -106,7 +106,7 @@
 def hand_over_remainder(old, new, partial, now, between=lambda: None):
     snapshot = old.snapshot(now)
     quota_handover.release_all(old.decisions)
-    steps = quota_handover.take_rest(
+    steps = quota_handover.take_over_remainder(
         new.decisions, lambda: now, partial, new.restored(snapshot, now), snapshot.head.fleet.quota_fraction
     )
     for _ in steps:
