--- a/corkdeal/cli/knowledge.py
+++ b/corkdeal/cli/knowledge.py
@@ -114,10 +114,10 @@
                 "started": s.started,
                 "age": round_finite(age_of(s.recorded_at)),
                 "slow": s.slowness,
-                "weight": expiry.SERVER_SLOWNESS.weight(age_of(s.recorded_at)),
+                "weight": expiry.BACKEND_SLOWNESS.weight(age_of(s.recorded_at)),
                 "failures": s.failures,
                 "ejected": s.is_ejected,
-                "failures_weight": expiry.SERVER_FAILURES.weight(age_of(s.recorded_at)),
+                "failures_weight": expiry.BACKEND_FAILURES.weight(age_of(s.recorded_at)),
                 "address": s.address,
                 "shut": [x.request_class for x in s.rejections],
             }
--- a/corkdeal/persistence/expiry.py
+++ b/corkdeal/persistence/expiry.py
@@ -39,8 +39,8 @@
         return math.pow(0.5, max(0.0, age) / self.half_life)
 
 
-SERVER_SLOWNESS = ExpiryRule(20.0, 120.0)
-SERVER_FAILURES = ExpiryRule(15.0, 90.0)
+BACKEND_SLOWNESS = ExpiryRule(20.0, 120.0)
+BACKEND_FAILURES = ExpiryRule(15.0, 90.0)
 USUAL_LATENCY = ExpiryRule(3600.0, 86400.0)
 FLEET_SLOWNESS = ExpiryRule(5.0, 30.0)
 RETRY_BUDGET = ExpiryRule(10.0, 60.0)
@@ -63,8 +63,8 @@
 
     An ejected backend remains due for a trial, with its ejection time weighted; no record alone keeps it out.
     """
-    slowness_weight = SERVER_SLOWNESS.weight(age)
-    failure_weight = SERVER_FAILURES.weight(age)
+    slowness_weight = BACKEND_SLOWNESS.weight(age)
+    failure_weight = BACKEND_FAILURES.weight(age)
     if not slowness_weight and not failure_weight:
         return None
     failures = record.failures * failure_weight
--- a/corkdeal/persistence/restore.py
+++ b/corkdeal/persistence/restore.py
@@ -226,7 +226,7 @@
     def unlisted_backends(self, now: float, boot: float) -> list[StoredBackend]:
         """Return unexpired records of backends that no list has named yet, in this boot's time."""
         age = self.age_of(self.head.clock.boot, now)
-        if self.backends and age >= expiry.SERVER_SLOWNESS.horizon:
+        if self.backends and age >= expiry.BACKEND_SLOWNESS.horizon:
             self.counts["knowledge_server_gone"] += len(self.backends)
             self.backends.clear()
         return [
--- a/tests/persistence/test_expiry.py
+++ b/tests/persistence/test_expiry.py
@@ -12,8 +12,8 @@
 from .strategies import AGES, BACKENDS
 
 RULES = [
-    expiry.SERVER_SLOWNESS,
-    expiry.SERVER_FAILURES,
+    expiry.BACKEND_SLOWNESS,
+    expiry.BACKEND_FAILURES,
     expiry.USUAL_LATENCY,
     expiry.FLEET_SLOWNESS,
     expiry.RETRY_BUDGET,
