--- a/benchmarks/knowledge.py
+++ b/benchmarks/knowledge.py
@@ -108,7 +108,8 @@
         # The log: the changed accounts are appended with a hash and synced; collecting them costs the same.
         started_at, cpu_before = time.perf_counter(), time.process_time()
         changed = b"".join(
-            capture.packed[k] for k in keys[write * CHANGED_ACCOUNTS % len(keys) :][:CHANGED_ACCOUNTS]
+            capture.encoded_entries[k]
+            for k in keys[write * CHANGED_ACCOUNTS % len(keys) :][:CHANGED_ACCOUNTS]
         )
         os.write(log, len(changed).to_bytes(4, "little") + blake3(changed).digest() + changed)
         os.fsync(log)
--- a/corkdeal/persistence/capture.py
+++ b/corkdeal/persistence/capture.py
@@ -37,7 +37,7 @@
         self.name = name
         self.program = program
         self.restored = restored
-        self.packed: dict[int, bytes] = {}  # encoded page entries by customer
+        self.encoded_entries: dict[int, bytes] = {}  # encoded page entries by customer
         self._in_flight: set[int] = set()  # customers whose entry counts attempts in flight
         self._unclaimed: dict[int, bytes] | None = None  # filled by the first snapshot, then only shrinks
         self._unclaimed_entries: list[bytes] = []  # as this snapshot began
@@ -71,7 +71,7 @@
     def pages(self) -> Iterator[bytes]:
         """Yield the accounts' pages; encoding one takes about as long as a step."""
         yield from encoded_pages(self._unclaimed_entries)
-        yield from encoded_pages(list(self.packed.values()))
+        yield from encoded_pages(list(self.encoded_entries.values()))
 
     def head(
         self,
@@ -113,15 +113,15 @@
             if account is None:
                 continue
             record = persisted_state.export_account(account, offset, incarnations)
-            self.packed[customer] = encode_page_entry(customer, encode_record(record))
+            self.encoded_entries[customer] = encode_page_entry(customer, encode_record(record))
             if account.in_flight:  # an attempt's end does not add the customer to `changed_customers`
                 self._in_flight.add(customer)
 
     def _drop_forgotten_accounts(self) -> None:
         """Drop the entries of accounts that the decisions no longer have."""
-        if len(self.packed) > len(self.decisions.accounts):
-            for customer in self.packed.keys() - self.decisions.accounts.keys():
-                del self.packed[customer]
+        if len(self.encoded_entries) > len(self.decisions.accounts):
+            for customer in self.encoded_entries.keys() - self.decisions.accounts.keys():
+                del self.encoded_entries[customer]
 
     def _update_unclaimed(self, now: float, clock: ClockReading) -> dict[int, bytes]:
         """Return the entries of restored accounts that the decisions have not claimed yet."""
--- a/tests/persistence/test_capture.py
+++ b/tests/persistence/test_capture.py
@@ -40,7 +40,7 @@
     capture = StateCapture(decisions, "n0", "test")
     ticks = iter(range(10**6))  # one second passes between two readings
     assert exhaust(capture, lambda: next(ticks)) == 3 + 1
-    assert len(capture.packed) == 3 * ACCOUNTS_PER_CHECK
+    assert len(capture.encoded_entries) == 3 * ACCOUNTS_PER_CHECK
     assert exhaust(capture) == 1
 
 
--- a/tests/persistence/test_restore.py
+++ b/tests/persistence/test_restore.py
@@ -309,10 +309,10 @@
     captured(gateway, 8000.1, capture=capture)
     gateway.handle(8000.2, [helpers.outcome(1, 0, "a"), helpers.outcome(2, 0, "a")])
     captured(gateway, 8000.3, capture=capture)
-    before = dict(capture.packed)
+    before = dict(capture.encoded_entries)
     gateway.handle(8000.4, [helpers.request(3, customer=8)])
     snapshot = captured(gateway, 8000.5, capture=capture)
-    assert capture.packed[7] is before[7] and capture.packed[8] is not before[8]
+    assert capture.encoded_entries[7] is before[7] and capture.encoded_entries[8] is not before[8]
     assert codec.decode_account(snapshot.encoded_accounts()[8]).in_flight == 1
     del gateway.accounts[7]
     assert list(captured(gateway, 8000.6, capture=capture).encoded_accounts()) == [8]
--- a/tests/persistence/test_snapshot_writer.py
+++ b/tests/persistence/test_snapshot_writer.py
@@ -196,7 +196,7 @@
     steps = sum(
         1 for _ in writer.capture.steps(writer.gateway.now, lambda: clock_reading(), lambda: next(ticks))
     )
-    assert steps >= 7 and len(writer.capture.packed) == 3001 - 1
+    assert steps >= 7 and len(writer.capture.encoded_entries) == 3001 - 1
     writer.stop(lambda: None)
 
 
