--- a/corkdeal/net/gateway.py
+++ b/corkdeal/net/gateway.py
@@ -162,7 +162,7 @@
         self.begun = True
         known = self.config.known
         if self.recovery is not None:
-            self.recovery.backends_known(len(known.entries) if known else 0)
+            self.recovery.limit_start(len(known.entries) if known else 0)
         if known:
             self.backends.apply(known, UpdateKind.CACHED)
         else:
@@ -524,7 +524,7 @@
         """Apply an endpoint list or delta from discovery, and accept clients."""
         if self.recovery is not None:
             self.recovery.discovery_answered()
-            self.recovery.backends_known(len(result.entries))
+            self.recovery.limit_start(len(result.entries))
         self.backends.apply(result, UpdateKind.COMPLETE if result.complete else UpdateKind.DELTA)
         self.accept_clients()
 
--- a/corkdeal/net/recovery.py
+++ b/corkdeal/net/recovery.py
@@ -153,7 +153,7 @@
             count("list_old_after_pause")
             self.gateway.decisions.is_endpoint_list_stale = False
 
-    def backends_known(self, backends: int) -> None:
+    def limit_start(self, backends: int) -> None:
         """Limit a start, once backends are known, to this gateway's part of what they surely can handle."""
         decisions = self.gateway.decisions
         is_starting = self.readiness.state is ReadinessState.RETURNING and not self.stall_ended_at
--- a/tests/recovery/test_net_recovery.py
+++ b/tests/recovery/test_net_recovery.py
@@ -46,12 +46,12 @@
 def test_a_start_withholds_retries_and_is_limited_to_its_part_of_the_backends():
     world = World()
     assert (world.decisions.retries.budget, world.recovery.withheld_retries) == (1.0, 10.0)
-    world.recovery.backends_known(0)
+    world.recovery.limit_start(0)
     assert world.decisions.admission_ramp is None
-    world.recovery.backends_known(30)
+    world.recovery.limit_start(30)
     ramp = world.decisions.admission_ramp
     assert isinstance(ramp, StartRamp) and ramp.limit == pytest.approx(20.0)
-    world.recovery.backends_known(90)
+    world.recovery.limit_start(90)
     assert world.decisions.admission_ramp is ramp
     world.recovery.discovery_answered()
     world.run(3.0)
