--- a/corkdeal/net/gateway.py
+++ b/corkdeal/net/gateway.py
@@ -523,7 +523,7 @@
     def endpoints_received(self, result: DiscoverySnapshot) -> None:
         """Apply an endpoint list or delta from discovery, and accept clients."""
         if self.recovery is not None:
-            self.recovery.discovery_answered()
+            self.recovery.record_discovery_reply()
             self.recovery.limit_start(len(result.entries))
         self.backends.apply(result, UpdateKind.COMPLETE if result.complete else UpdateKind.DELTA)
         self.accept_clients()
--- a/corkdeal/net/recovery.py
+++ b/corkdeal/net/recovery.py
@@ -160,7 +160,7 @@
         if is_starting and backends and decisions.admission_ramp is None:
             decisions.admission_ramp = StartRamp(backends, decisions.settings.gateway_count)
 
-    def discovery_answered(self) -> None:
+    def record_discovery_reply(self) -> None:
         """Mark the endpoint list as up to date."""
         self.readiness.has_fresh_endpoints = True
         self.gateway.decisions.is_endpoint_list_stale = False
--- a/tests/recovery/test_net_recovery.py
+++ b/tests/recovery/test_net_recovery.py
@@ -53,7 +53,7 @@
     assert isinstance(ramp, StartRamp) and ramp.limit == pytest.approx(20.0)
     world.recovery.limit_start(90)
     assert world.decisions.admission_ramp is ramp
-    world.recovery.discovery_answered()
+    world.recovery.record_discovery_reply()
     world.run(3.0)
     assert world.recovery.readiness.state is ReadinessState.FULL and world.decisions.admission_ramp is None
 
@@ -77,7 +77,7 @@
     world = World()
     world.clock.rightNow += 5.0
     world.recovery.check_stall(world.clock.seconds())
-    world.recovery.discovery_answered()
+    world.recovery.record_discovery_reply()
     assert not world.decisions.is_endpoint_list_stale and world.recovery.readiness.has_fresh_endpoints
 
 
