--- a/corkdeal/decisions/accounts.py
+++ b/corkdeal/decisions/accounts.py
@@ -46,21 +46,21 @@
     sent_asked: float = 0.0  # units requested on the near side, as last sent
     last_sent_at: float = float("-inf")  # s
 
-    def receive(self, asked: float, spent: float, is_older_peer: bool) -> tuple[float, float]:
+    def receive(self, requested: float, spent: float, is_older_peer: bool) -> tuple[float, float]:
         """Apply the far side's totals and return the increments, which are 0 for reordered messages.
 
         The first totals count in full, unless `is_older_peer`: the sender started earlier, and its totals
         include units that were spent before this gateway started.
         """
-        last = self.last_totals or ((asked, spent) if is_older_peer else (0.0, 0.0))
-        new_asked = (asked - last[0]) % TOTALS_WRAP
+        last = self.last_totals or ((requested, spent) if is_older_peer else (0.0, 0.0))
+        new_requested = (requested - last[0]) % TOTALS_WRAP
         new_spent = (spent - last[1]) % TOTALS_WRAP
-        if max(new_asked, new_spent) >= TOTALS_WRAP / 2:
+        if max(new_requested, new_spent) >= TOTALS_WRAP / 2:
             return 0.0, 0.0
-        self.last_totals = (asked, spent)
-        self.remote_asked += new_asked
+        self.last_totals = (requested, spent)
+        self.remote_asked += new_requested
         self.remote_spent += new_spent
-        return new_asked, new_spent
+        return new_requested, new_spent
 
 
 @dataclass(slots=True)
@@ -87,7 +87,7 @@
     parent: int | None = None  # neighbour towards the root of the aggregation tree
     tree_edges: dict[int, TreeEdge] = field(default_factory=dict)  # by tree neighbour
     has_parent_update: bool = False  # whether totals from the parent await forwarding
-    total_asked: float = 0.0  # units requested here and, as reported, beyond all edges
+    total_requested: float = 0.0  # units requested here and, as reported, beyond all edges
     total_spent: float = 0.0
 
     def base_share(self) -> float:
@@ -122,7 +122,7 @@
         """Count requested units; for an aggregated account these include requests at other gateways."""
         if self.is_aggregated:
             self.demand += units / AGGREGATED_DEMAND_TIME_CONSTANT
-            self.total_asked += units
+            self.total_requested += units
         else:
             self.demand += units / DEMAND_TIME_CONSTANT
 
--- a/corkdeal/decisions/persisted_state.py
+++ b/corkdeal/decisions/persisted_state.py
@@ -83,7 +83,7 @@
     hard_limit_level: float  # units
     demand: float  # units/s
     in_flight: int  # attempts
-    total_asked: float = 0.0  # running totals of an aggregated account
+    total_requested: float = 0.0  # running totals of an aggregated account
     total_spent: float = 0.0
     ledgers: tuple[StoredLedger, ...] = ()
     tree_edges: tuple[StoredTreeEdge, ...] = ()
@@ -191,7 +191,7 @@
         account.hard_limit_level,
         account.demand,
         account.in_flight,
-        account.total_asked,
+        account.total_requested,
         account.total_spent,
         tuple(ledgers),
         tuple(tree_edges),
@@ -244,7 +244,7 @@
             last_totals = edge.last_totals if is_same_incarnation else None
             restored = TreeEdge(edge.remote_asked, edge.remote_spent, last_totals, edge.sent_asked)
             account.tree_edges[edge.peer] = restored
-    account.total_asked = record.total_asked
+    account.total_requested = record.total_requested
     account.total_spent = record.total_spent
 
 
--- a/corkdeal/persistence/merge.py
+++ b/corkdeal/persistence/merge.py
@@ -56,7 +56,7 @@
         refilled_at=record.refilled_at + offset,
         last_request_at=record.last_request_at + offset,
         in_flight=0,
-        total_asked=0.0,
+        total_requested=0.0,
         total_spent=0.0,
         ledgers=(),
         tree_edges=(),
--- a/corkdeal/persistence/quota_handover.py
+++ b/corkdeal/persistence/quota_handover.py
@@ -102,7 +102,7 @@
         record = self.state.account(customer, plan, first_gateway, member_count, now)
         if record is None:
             return None
-        self.totals[customer] = Totals(record.total_asked, record.total_spent)
+        self.totals[customer] = Totals(record.total_requested, record.total_spent)
         return record._replace(
             level=record.level * self.fraction,
             hard_limit_level=record.hard_limit_level * self.fraction,
@@ -156,13 +156,13 @@
     level = account.level
     hard_limit_level = account.hard_limit_level
     demand = account.demand
-    asked = account.total_asked - initial_totals.asked
+    asked = account.total_requested - initial_totals.asked
     spent = account.total_spent - initial_totals.spent
     last_request_at = account.last_request_at
     persisted_state.restore_account(account, record, may_resume, incarnations)
     account.level += level
     account.hard_limit_level += hard_limit_level
     account.demand += demand
-    account.total_asked += asked
+    account.total_requested += asked
     account.total_spent += spent
     account.last_request_at = max(account.last_request_at, last_request_at)
--- a/tests/decisions/test_accounts.py
+++ b/tests/decisions/test_accounts.py
@@ -63,7 +63,7 @@
 def test_demand_is_averaged_over_its_time_constant():
     account = table().create(7, 0, 0, 2, now=100.0)
     account.add_demand(4.0)
-    assert (account.demand, account.total_asked) == (4.0 / DEMAND_TIME_CONSTANT, 0.0)
+    assert (account.demand, account.total_requested) == (4.0 / DEMAND_TIME_CONSTANT, 0.0)
     account.refill(100.0 + DEMAND_TIME_CONSTANT, share=0.5, may_shrink=True)
     assert account.demand == pytest.approx(4.0 / DEMAND_TIME_CONSTANT / math.e)
 
@@ -74,7 +74,7 @@
     account.add_demand(4.0)
     account.spend(12.0)
     assert account.demand == 4.0 / AGGREGATED_DEMAND_TIME_CONSTANT
-    assert (account.total_asked, account.total_spent, account.level) == (4.0, 12.0, 0.0)
+    assert (account.total_requested, account.total_spent, account.level) == (4.0, 12.0, 0.0)
 
 
 def test_a_small_set_is_a_ring_and_a_large_one_a_tree():
--- a/tests/decisions/test_aggregation_tree.py
+++ b/tests/decisions/test_aggregation_tree.py
@@ -283,7 +283,7 @@
     routes = tree_routes(gateway_index, 0, 0, 200, 200)
     account = Account(PLAN, 0, 0, 200, 0.0, 0.0, parent=routes.parent, level=PLAN.burst)
     account.tree_edges = {peer: TreeEdge() for peer in routes.peers}
-    account.total_asked = asked
+    account.total_requested = asked
     scheduler = aggregation_tree.AggregationScheduler(200, 0.0)
     scheduler.mark_pending(7, account)
     return scheduler, account
@@ -300,7 +300,7 @@
 def test_an_aggregator_defers_what_comes_before_its_report_interval_is_over():
     scheduler, account = scheduled(1, asked=3.0)
     assert set(scheduler.due(50.0, FixedRate())) == {account.parent} == {0}
-    account.total_asked += 2.0
+    account.total_requested += 2.0
     scheduler.mark_pending(7, account)
     assert scheduler.due(50.1, FixedRate()) == {}
     assert scheduler.next_deferred_at == scheduler.deferred_until[7] == 50.0 + scheduler.report_interval
--- a/tests/decisions/test_peer_protocol.py
+++ b/tests/decisions/test_peer_protocol.py
@@ -137,7 +137,7 @@
     totals = TreeTotals(CUSTOMER, 0, 0, 20, 3.0, 2.0)
     (payload,) = peer_messages.encode_totals(OWN_INCARNATION + 1, [totals])
     peers.receive(PeerMessage(neighbour, payload))
-    assert (account.total_asked, account.total_spent) == (3.0, 2.0)
+    assert (account.total_requested, account.total_spent) == (3.0, 2.0)
     assert account.level == PLAN.burst - 2.0 and peers.aggregation_scheduler.pending == {CUSTOMER: account}
 
 
