--- a/corkdeal/decisions/accounts.py
+++ b/corkdeal/decisions/accounts.py
@@ -40,7 +40,7 @@
 class TreeEdge:
     """Running totals that two neighbours in an aggregation tree sent each other for one account."""
 
-    remote_asked: float = 0.0  # units requested on the far side of the edge, as reported
+    remote_requested: float = 0.0  # units requested on the far side of the edge, as reported
     remote_spent: float = 0.0
     last_totals: tuple[float, float] | None = None  # units requested and spent, as last received
     sent_asked: float = 0.0  # units requested on the near side, as last sent
@@ -58,7 +58,7 @@
         if max(new_requested, new_spent) >= TOTALS_WRAP / 2:
             return 0.0, 0.0
         self.last_totals = (requested, spent)
-        self.remote_asked += new_requested
+        self.remote_requested += new_requested
         self.remote_spent += new_spent
         return new_requested, new_spent
 
--- a/tests/decisions/test_aggregation_tree.py
+++ b/tests/decisions/test_aggregation_tree.py
@@ -177,7 +177,7 @@
     assert edge.receive(3.0, 2.0, True) == (5.0, 2.0)  # wrapped around
     assert edge.receive(3.0, 2.0, True) == (0.0, 0.0)  # duplicate
     assert edge.receive(8191.0, 1.0, True) == (0.0, 0.0)  # reordered
-    assert (edge.remote_asked, edge.remote_spent) == (5.0, 2.0)
+    assert (edge.remote_requested, edge.remote_spent) == (5.0, 2.0)
 
 
 def totals(plan=0, first=0, spread=130):
