--- a/corkdeal/decisions/accounts.py
+++ b/corkdeal/decisions/accounts.py
@@ -43,7 +43,7 @@
     remote_requested: float = 0.0  # units requested on the far side of the edge, as reported
     remote_spent: float = 0.0
     last_totals: tuple[float, float] | None = None  # units requested and spent, as last received
-    sent_asked: float = 0.0  # units requested on the near side, as last sent
+    sent_requested: float = 0.0  # units requested on the near side, as last sent
     last_sent_at: float = float("-inf")  # s
 
     def receive(self, requested: float, spent: float, is_older_peer: bool) -> tuple[float, float]:
--- a/corkdeal/decisions/aggregation_tree.py
+++ b/corkdeal/decisions/aggregation_tree.py
@@ -102,7 +102,7 @@
         self, now: float, quotas: QuotaRates, account: Account, peer: int, edge: TreeEdge
     ) -> float | None:
         """Return the earliest time at which totals may go to a peer; None if there is nothing to send."""
-        unsent = account.total_requested - edge.remote_requested - edge.sent_asked
+        unsent = account.total_requested - edge.remote_requested - edge.sent_requested
         if unsent <= 0:
             return None
         if peer == account.parent:
@@ -118,13 +118,13 @@
 
 def _record_sent_totals(now: float, customer: int, account: Account, edge: TreeEdge) -> TreeTotals:
     """Return an account's running totals on the near side of an edge, and record them as sent."""
-    edge.sent_asked = account.total_requested - edge.remote_requested
+    edge.sent_requested = account.total_requested - edge.remote_requested
     edge.last_sent_at = now
     return TreeTotals(
         customer,
         account.plan_index,
         account.first_gateway,
         account.member_count,
-        edge.sent_asked,
+        edge.sent_requested,
         account.total_spent - edge.remote_spent,
     )
--- a/corkdeal/decisions/persisted_state.py
+++ b/corkdeal/decisions/persisted_state.py
@@ -67,7 +67,7 @@
     remote_requested: float
     remote_spent: float
     last_totals: tuple[float, float] | None
-    sent_asked: float
+    sent_requested: float
     peer_incarnation: int = 0  # the peer's incarnation that sent the last totals
 
 
@@ -214,7 +214,7 @@
 
 def _export_tree_edge(peer: int, edge: TreeEdge, incarnation: int) -> StoredTreeEdge:
     return StoredTreeEdge(
-        peer, edge.remote_requested, edge.remote_spent, edge.last_totals, edge.sent_asked, incarnation
+        peer, edge.remote_requested, edge.remote_spent, edge.last_totals, edge.sent_requested, incarnation
     )
 
 
@@ -242,7 +242,7 @@
         if edge.peer in account.tree_edges:
             is_same_incarnation = edge.peer_incarnation == incarnations.get(edge.peer, 0)
             last_totals = edge.last_totals if is_same_incarnation else None
-            restored = TreeEdge(edge.remote_requested, edge.remote_spent, last_totals, edge.sent_asked)
+            restored = TreeEdge(edge.remote_requested, edge.remote_spent, last_totals, edge.sent_requested)
             account.tree_edges[edge.peer] = restored
     account.total_requested = record.total_requested
     account.total_spent = record.total_spent
--- a/tests/decisions/test_aggregation_tree.py
+++ b/tests/decisions/test_aggregation_tree.py
@@ -143,7 +143,7 @@
         <= 2 / root.aggregation_scheduler.push_interval + 1
     )
     assert all(b - a >= root.aggregation_scheduler.push_interval for a, b in itertools.pairwise(times))
-    assert all(root.accounts[c].tree_edges[other].sent_asked > 0 for c in (0, ROOTS))
+    assert all(root.accounts[c].tree_edges[other].sent_requested > 0 for c in (0, ROOTS))
 
 
 def test_a_fleet_keeps_near_its_quotas():
