--- a/corkdeal/decisions/peer_messages.py
+++ b/corkdeal/decisions/peer_messages.py
@@ -71,7 +71,7 @@
     plan_index: int
     first_gateway: int
     member_count: int
-    asked: float
+    requested: float
     spent: float
 
 
@@ -161,7 +161,7 @@
         totals.plan_index,
         totals.first_gateway,
         totals.member_count,
-        round(totals.asked * TOTALS_STEPS) & TOTALS_MASK,
+        round(totals.requested * TOTALS_STEPS) & TOTALS_MASK,
         round(totals.spent * TOTALS_STEPS) & TOTALS_MASK,
     )
 
@@ -172,12 +172,12 @@
 
 
 def _tree_totals(payload: bytes) -> Iterator[TreeTotals]:
-    for low, high, plan_index, first_gateway, member_count, asked, spent in TOTALS_ROW.iter_unpack(
+    for low, high, plan_index, first_gateway, member_count, requested, spent in TOTALS_ROW.iter_unpack(
         payload[TOTALS_HEADER.size :]
     ):
         customer = low | high << CUSTOMER_HIGH_SHIFT
         yield TreeTotals(
-            customer, plan_index, first_gateway, member_count, asked / TOTALS_STEPS, spent / TOTALS_STEPS
+            customer, plan_index, first_gateway, member_count, requested / TOTALS_STEPS, spent / TOTALS_STEPS
         )
 
 
--- a/corkdeal/decisions/peer_protocol.py
+++ b/corkdeal/decisions/peer_protocol.py
@@ -127,8 +127,8 @@
         if edge is None:
             return
         self.host.refill(account)
-        asked, spent = edge.receive(totals.asked, totals.spent, is_older_peer)
-        account.add_demand(asked)
+        requested, spent = edge.receive(totals.requested, totals.spent, is_older_peer)
+        account.add_demand(requested)
         account.spend(spent)
         account.last_peer_update_at = self.host.now
         self.aggregation_scheduler.mark_pending(totals.customer, account)
--- a/tests/decisions/test_aggregation_tree.py
+++ b/tests/decisions/test_aggregation_tree.py
@@ -278,27 +278,27 @@
         return account.plan.rate
 
 
-def scheduled(gateway_index, asked):
+def scheduled(gateway_index, requested):
     """A scheduler, and an account of 200 gateways at one of them, with so many units requested."""
     routes = tree_routes(gateway_index, 0, 0, 200, 200)
     account = Account(PLAN, 0, 0, 200, 0.0, 0.0, parent=routes.parent, level=PLAN.burst)
     account.tree_edges = {peer: TreeEdge() for peer in routes.peers}
-    account.total_requested = asked
+    account.total_requested = requested
     scheduler = aggregation_tree.AggregationScheduler(200, 0.0)
     scheduler.mark_pending(7, account)
     return scheduler, account
 
 
 def test_a_member_reports_at_once_and_only_what_is_new():
-    scheduler, account = scheduled(5, asked=3.0)
-    totals = peer_messages.TreeTotals(7, 0, 0, 200, asked=3.0, spent=0.0)
+    scheduler, account = scheduled(5, requested=3.0)
+    totals = peer_messages.TreeTotals(7, 0, 0, 200, requested=3.0, spent=0.0)
     assert scheduler.due(50.0, FixedRate()) == {account.parent: [totals]}
     scheduler.mark_pending(7, account)
     assert scheduler.due(50.1, FixedRate()) == {} == scheduler.pending
 
 
 def test_an_aggregator_defers_what_comes_before_its_report_interval_is_over():
-    scheduler, account = scheduled(1, asked=3.0)
+    scheduler, account = scheduled(1, requested=3.0)
     assert set(scheduler.due(50.0, FixedRate())) == {account.parent} == {0}
     account.total_requested += 2.0
     scheduler.mark_pending(7, account)
@@ -308,11 +308,11 @@
     assert not scheduler.pending
     scheduler.resume_deferred(scheduler.next_deferred_at, {7: account})
     assert scheduler.pending == {7: account} and scheduler.next_deferred_at == math.inf
-    assert scheduler.due(51.0, FixedRate())[0][0].asked == 5.0
+    assert scheduler.due(51.0, FixedRate())[0][0].requested == 5.0
 
 
 def test_a_deferred_update_of_a_forgotten_account_is_dropped():
-    scheduler, _ = scheduled(1, asked=3.0)
+    scheduler, _ = scheduled(1, requested=3.0)
     scheduler.pending.clear()
     scheduler.defer(7, 50.0)
     scheduler.resume_deferred(51.0, {})
@@ -320,7 +320,7 @@
 
 
 def test_a_root_pushes_only_near_the_end_of_a_quota():
-    scheduler, account = scheduled(0, asked=0.5 * PLAN.burst)
+    scheduler, account = scheduled(0, requested=0.5 * PLAN.burst)
     assert scheduler.due(50.0, FixedRate()) == {}
     account.level = 0.3 * PLAN.burst
     scheduler.mark_pending(7, account)
--- a/tests/decisions/test_peer_messages.py
+++ b/tests/decisions/test_peer_messages.py
@@ -21,7 +21,7 @@
     received_units=0.25,
 )
 TOTALS = TreeTotals(
-    customer=(3 << 32) + 7, plan_index=0, first_gateway=0, member_count=3, asked=2.125, spent=1.5
+    customer=(3 << 32) + 7, plan_index=0, first_gateway=0, member_count=3, requested=2.125, spent=1.5
 )
 
 
@@ -39,10 +39,10 @@
 
 
 def test_totals_wrap():
-    wrapped = TreeTotals(7, 0, 0, 3, asked=peer_messages.TOTALS_WRAP + 1.0, spent=-1.0)
+    wrapped = TreeTotals(7, 0, 0, 3, requested=peer_messages.TOTALS_WRAP + 1.0, spent=-1.0)
     (payload,) = peer_messages.encode_totals(11, [wrapped])
     (entry,) = peer_messages.decode_totals(payload, 1, settings(0, 3)).totals
-    assert (entry.asked, entry.spent) == (1.0, peer_messages.TOTALS_WRAP - 1.0)
+    assert (entry.requested, entry.spent) == (1.0, peer_messages.TOTALS_WRAP - 1.0)
 
 
 def test_values_are_limited_to_what_a_row_takes():
