--- a/corkdeal/persistence/quota_handover.py
+++ b/corkdeal/persistence/quota_handover.py
@@ -68,7 +68,7 @@
 class Totals(NamedTuple):
     """Running totals of an account."""
 
-    asked: float
+    requested: float
     spent: float
 
 
@@ -156,13 +156,13 @@
     level = account.level
     hard_limit_level = account.hard_limit_level
     demand = account.demand
-    asked = account.total_requested - initial_totals.asked
+    requested = account.total_requested - initial_totals.requested
     spent = account.total_spent - initial_totals.spent
     last_request_at = account.last_request_at
     persisted_state.restore_account(account, record, may_resume, incarnations)
     account.level += level
     account.hard_limit_level += hard_limit_level
     account.demand += demand
-    account.total_requested += asked
+    account.total_requested += requested
     account.total_spent += spent
     account.last_request_at = max(account.last_request_at, last_request_at)
