--- a/corkdeal/cli/knowledge.py
+++ b/corkdeal/cli/knowledge.py
@@ -94,7 +94,7 @@
         "fleet": {
             "pace": head.fleet.pace,
             "pace_weight": expiry.USUAL_LATENCY.weight(age),
-            "slow": head.fleet.slowness,
+            "slow": head.fleet.latency_ratio,
             "slow_weight": expiry.FLEET_SLOWNESS.weight(age),
             "retries": head.fleet.retry_budget,
         },
@@ -113,7 +113,7 @@
                 "server": s.backend,
                 "started": s.started,
                 "age": round_finite(age_of(s.recorded_at)),
-                "slow": s.slowness,
+                "slow": s.latency_ratio,
                 "weight": expiry.BACKEND_SLOWNESS.weight(age_of(s.recorded_at)),
                 "failures": s.failures,
                 "ejected": s.is_ejected,
--- a/corkdeal/decisions/backend_selection.py
+++ b/corkdeal/decisions/backend_selection.py
@@ -123,9 +123,9 @@
         tie_break = zone_factor * (1 + COST_JITTER * self.rng.random())
         freshness = backend.freshness(now)
         capacity_fraction = self.slow_start.capacity_fraction(backend, now)
-        slowness = (1 + (backend.slowness - 1) * freshness) / capacity_fraction
+        latency_ratio = (1 + (backend.latency_ratio - 1) * freshness) / capacity_fraction
         return (
-            slowness
+            latency_ratio
             * (capacity_fraction + backend.load(now))
             * (1 + backend.failures * freshness)
             * tie_break
@@ -133,6 +133,6 @@
 
     def expected_latency(self, backend: BackendRecord, request: PendingRequest, now: float) -> float:
         """Return the expected latency of one more request at this backend, in s."""
-        slowness = 1 + (backend.slowness - 1) * backend.freshness(now)
-        slowness /= self.slow_start.capacity_fraction(backend, now)
-        return self.latency_model.expected_latency(request, backend.load(now), slowness)
+        latency_ratio = 1 + (backend.latency_ratio - 1) * backend.freshness(now)
+        latency_ratio /= self.slow_start.capacity_fraction(backend, now)
+        return self.latency_model.expected_latency(request, backend.load(now), latency_ratio)
--- a/corkdeal/decisions/backends.py
+++ b/corkdeal/decisions/backends.py
@@ -27,7 +27,7 @@
     first_seen_at: float = math.inf  # `endpoint.started` is on another clock, which may be ahead
     in_flight: dict[int, tuple[float, float]] = field(default_factory=dict)  # request -> (sent at, load met)
     streaming: dict[int, tuple[float, float]] = field(default_factory=dict)  # the same, while answers stream
-    slowness: float = 1.0  # its latency relative to the fleet's at the same load
+    latency_ratio: float = 1.0  # its latency relative to the fleet's at the same load
     failures: int = 0  # failed attempts minus successful ones, at least 0
     last_answer_at: float = 0.0
     last_attempt_at: float = float("-inf")
@@ -47,8 +47,8 @@
         )
 
     def start_attempt(self, request_id: int, now: float) -> None:
-        """Record an attempt and the load it meets; the decay of the slowness up to now becomes permanent."""
-        self.slowness = 1 + (self.slowness - 1) * self.freshness(now)
+        """Record an attempt and the load it meets; the latency ratio's decay so far becomes permanent."""
+        self.latency_ratio = 1 + (self.latency_ratio - 1) * self.freshness(now)
         self.in_flight[request_id] = (now, self.load(now))
         self.last_attempt_at = now
 
--- a/corkdeal/decisions/latency_model.py
+++ b/corkdeal/decisions/latency_model.py
@@ -5,7 +5,7 @@
 
 - the usual latency of each request class and size, mostly from attempts that met no other load;
 - the queueing factor: the fraction of its usual latency by which each request in flight delays an attempt;
-- the slowness of the fleet, and of each backend relative to it: the ratio of the latency to what usual
+- the latency ratio of the fleet, and of each backend relative to it: the ratio of the latency to what usual
   latency and load explain.
 """
 
@@ -23,7 +23,7 @@
 INITIAL_LATENCY = 0.15  # of the class's latency objective, assumed until an answer is known
 INITIAL_QUEUEING_FACTOR = 0.5
 LEARNING_RATE = 0.05  # EWMA weight of one answer
-LARGE_TIER_LEARNING_RATE = 0.15  # for the fleet's slowness, since each gateway sees few answers
+LARGE_TIER_LEARNING_RATE = 0.15  # for the fleet's latency ratio, since each gateway sees few answers
 
 
 def initial_latency(request_class: RequestClass) -> float:
@@ -53,17 +53,17 @@
         return sum(self.usual_latencies.values()) / len(self.usual_latencies)
 
     def attempt_time(self) -> float:
-        """Return the usual duration of an attempt at the fleet's present slowness, in s."""
+        """Return the usual duration of an attempt at the fleet's present latency ratio, in s."""
         return self.mean_usual_latency() * max(1.0, self.fleet_slowness)
 
     def work(self, request: PendingRequest) -> float:
         """Return the request's work relative to the mean request, which is independent of slow backends."""
         return self.initial_latency * self.usual_latency(request) / self.mean_usual_latency()
 
-    def expected_latency(self, request: PendingRequest, load: float, slowness: float) -> float:
+    def expected_latency(self, request: PendingRequest, load: float, latency_ratio: float) -> float:
         """Return the expected latency of one more request at a backend with `load` requests in flight."""
         queueing = max(1.0, self.queueing_factor * (1 + load))
-        return self.usual_latency(request) * queueing * self.fleet_slowness * slowness
+        return self.usual_latency(request) * queueing * self.fleet_slowness * latency_ratio
 
     def learn(
         self,
@@ -78,7 +78,7 @@
         key = (request.request.request_class, math.ceil(request.request.units))
         self.usual_latencies[key] = usual + LEARNING_RATE / (1 + load) * (latency - usual)
         ratio = latency * capacity_fraction / usual / max(1.0, self.queueing_factor * (1 + load))
-        backend.slowness += LEARNING_RATE * (ratio / self.fleet_slowness - backend.slowness)
+        backend.latency_ratio += LEARNING_RATE * (ratio / self.fleet_slowness - backend.latency_ratio)
         self.fleet_slowness += self.fleet_learning_rate * (ratio - self.fleet_slowness)
         queueing = min(1.0, latency / usual / (1 + load))
         self.queueing_factor += LEARNING_RATE * load / (1 + load) * (queueing - self.queueing_factor)
--- a/corkdeal/decisions/persisted_state.py
+++ b/corkdeal/decisions/persisted_state.py
@@ -29,7 +29,7 @@
     backend: str
     started: float  # wall time in seconds, 0 for long ago; a restarted backend is a different one
     recorded_at: float
-    slowness: float  # its latency as a multiple of the fleet's at the same load
+    latency_ratio: float  # its latency as a multiple of the fleet's at the same load
     failures: int  # failed attempts minus successful ones, at least 0
     is_ejected: bool
     ejection_time: float  # seconds, duration of the last ejection
@@ -93,7 +93,7 @@
     """State common to all backends, and this gateway's identity in its tier."""
 
     pace: float  # queueing factor: fraction of the usual latency that each request in flight adds
-    slowness: float  # latency of the fleet as a multiple of the usual one
+    latency_ratio: float  # latency of the fleet as a multiple of the usual one
     retry_budget: float  # tokens
     usual_latencies: tuple[StoredLatency, ...] = ()
     gateway_index: int = 0
@@ -146,7 +146,7 @@
         backend=str(backend.endpoint.backend),
         started=backend.endpoint.started,
         recorded_at=recorded_at + offset,
-        slowness=backend.slowness,
+        latency_ratio=backend.latency_ratio,
         failures=backend.failures,
         is_ejected=backend.is_ejected,
         ejection_time=backend.ejection_time,
@@ -159,7 +159,7 @@
 ) -> None:
     """Apply a stored record to a newly listed backend; if it was ejected, a trial is due."""
     numbers = {request_class.name: number for number, request_class in enumerate(classes)}
-    backend.slowness = record.slowness
+    backend.latency_ratio = record.latency_ratio
     backend.failures = record.failures
     backend.last_attempt_at = now  # the record is already weighted by its age
     backend.is_ejected = record.is_ejected
--- a/corkdeal/persistence/expiry.py
+++ b/corkdeal/persistence/expiry.py
@@ -7,11 +7,11 @@
 
 | kind | half-life | horizon | why |
 | --- | --- | --- | --- |
-| slowness of a backend | 20 s | 120 s | slow phases last 14 to 32 s |
+| latency ratio of a backend | 20 s | 120 s | slow phases last 14 to 32 s |
 | failures, ejections, class rejections | 15 s | 90 s | a trial costs a request; zone outages last 5 to 17 s |
 | usual latency by class and size | 1 h | 1 day | it depends on the content, which changes slowly |
 | pace | 1 h | 1 day | a property of the backends' machines |
-| slowness of the fleet | 5 s | 30 s | faults common to all backends last 3 to 14 s |
+| latency ratio of the fleet | 5 s | 30 s | faults common to all backends last 3 to 14 s |
 | retry budget | 10 s | 60 s | it refills by itself |
 | ledgers with peers | none | 30 s | a ledger is resumed whole or not at all |
 | an account | by its refill | 1 h | a bucket that has refilled needs no record |
@@ -76,7 +76,7 @@
         if failure_weight
     ]
     return record._replace(
-        slowness=interpolate(record.slowness, 1.0, slowness_weight),
+        latency_ratio=interpolate(record.latency_ratio, 1.0, slowness_weight),
         failures=math.ceil(failures) if failures >= MIN_FAILURES else 0,
         is_ejected=record.is_ejected and failure_weight > 0,
         ejection_time=record.ejection_time * failure_weight,
--- a/corkdeal/persistence/restore.py
+++ b/corkdeal/persistence/restore.py
@@ -97,7 +97,7 @@
         retry_budget = min(stored.retry_budget, FULL_RETRY_BUDGET)
         return stored._replace(
             pace=interpolate(stored.pace, UNKNOWN_PACE, pace_weight),
-            slowness=interpolate(stored.slowness, 1.0, slowness_weight),
+            latency_ratio=interpolate(stored.latency_ratio, 1.0, slowness_weight),
             retry_budget=interpolate(retry_budget, FULL_RETRY_BUDGET, retry_weight),
             usual_latencies=tuple(self._usual_latencies(now, default_latencies)),
             message_round=stored.message_round + ROUND_LEAP,
--- a/tests/decisions/test_backend_selection.py
+++ b/tests/decisions/test_backend_selection.py
@@ -60,7 +60,7 @@
 
 def test_a_slow_backend_is_avoided_until_its_record_decays():
     world = World(("a", "b"))
-    world["a"].slowness, world["a"].last_attempt_at = 50.0, NOW
+    world["a"].latency_ratio, world["a"].last_attempt_at = 50.0, NOW
     assert world.choose() == "b"
     world["b"].in_flight[1] = (NOW, 0.0)
     assert world.choose() == "b" and world.choose(now=NOW + 60.0) == "a"
@@ -137,12 +137,12 @@
     assert world.choose() not in preferred
 
 
-def test_the_expected_latency_grows_with_load_and_slowness():
+def test_the_expected_latency_grows_with_load_and_latency_ratio():
     world = World(("a",))
     pending, record = world.pending(), world["a"]
     idle = world.selection.expected_latency(record, pending, NOW)
     assert idle == world.latency_model.usual_latency(pending)
-    record.slowness, record.last_attempt_at = 3.0, NOW
+    record.latency_ratio, record.last_attempt_at = 3.0, NOW
     assert world.selection.expected_latency(record, pending, NOW) == pytest.approx(3 * idle)
     record.in_flight.update({k: (NOW, 0.0) for k in range(3)})
     assert world.selection.expected_latency(record, pending, NOW) == pytest.approx(6 * idle)
--- a/tests/decisions/test_backends.py
+++ b/tests/decisions/test_backends.py
@@ -98,6 +98,6 @@
 
 
 def test_an_attempt_makes_the_decay_of_a_record_permanent():
-    record = BackendRecord(Endpoint("a", EndpointState.READY), slowness=9.0, last_attempt_at=100.0)
+    record = BackendRecord(Endpoint("a", EndpointState.READY), latency_ratio=9.0, last_attempt_at=100.0)
     record.start_attempt(1, 100.0 + 20 * RECORD_DECAY_TIME)
-    assert record.slowness == pytest.approx(1.0) and record.freshness(record.last_attempt_at) == 1.0
+    assert record.latency_ratio == pytest.approx(1.0) and record.freshness(record.last_attempt_at) == 1.0
--- a/tests/decisions/test_defences.py
+++ b/tests/decisions/test_defences.py
@@ -125,7 +125,7 @@
 
 def test_a_bad_record_does_not_exclude_a_backend():
     g = gateway_with("a")
-    g.backends.records["a"].slowness, g.backends.records["a"].last_attempt_at = 50.0, 99.9
+    g.backends.records["a"].latency_ratio, g.backends.records["a"].last_attempt_at = 50.0, 99.9
     assert pick(g.handle(100.1, [request(1)]), Reject)
     assert pick(g.handle(101.0, [request(2)]), StartAttempt)
 
--- a/tests/decisions/test_latency_model.py
+++ b/tests/decisions/test_latency_model.py
@@ -53,7 +53,7 @@
     for _ in range(100):
         model.learn(pending(), fast, latency=0.2, load=1.0, capacity_fraction=1.0)
         model.learn(pending(), slow, latency=0.8, load=1.0, capacity_fraction=1.0)
-    assert slow.slowness > 2 * fast.slowness
+    assert slow.latency_ratio > 2 * fast.latency_ratio
 
 
 def test_a_large_tier_learns_the_fleets_slowness_from_fewer_answers():
@@ -65,9 +65,11 @@
 
 def test_requests_in_flight_lengthen_the_expected_latency():
     model = LatencyModel(CLASSES, False)
-    idle = model.expected_latency(pending(), load=0.0, slowness=1.0)
+    idle = model.expected_latency(pending(), load=0.0, latency_ratio=1.0)
     assert idle == model.usual_latency(pending())
-    assert model.expected_latency(pending(), load=9.0, slowness=2.0) == pytest.approx(idle * 0.5 * 10 * 2.0)
+    assert model.expected_latency(pending(), load=9.0, latency_ratio=2.0) == pytest.approx(
+        idle * 0.5 * 10 * 2.0
+    )
 
 
 def test_work_is_relative_to_the_mean_request():
--- a/tests/decisions/test_state_transfer.py
+++ b/tests/decisions/test_state_transfer.py
@@ -17,7 +17,7 @@
 CLASSES = (RequestClass(latency_objective=1.0, deadline=3.0, name="look"),)
 FLEET = StoredFleet(
     pace=0.3,
-    slowness=1.5,
+    latency_ratio=1.5,
     retry_budget=4.0,
     usual_latencies=(StoredLatency("look", 2, 0.25),),
     gateway_index=0,
@@ -81,7 +81,9 @@
 
 def test_values_out_of_range_are_clamped():
     transfer = make()
-    transfer.restore_fleet(FakeState(FLEET._replace(pace=7.0, slowness=-1.0, retry_budget=1e9)), 100.0, None)
+    transfer.restore_fleet(
+        FakeState(FLEET._replace(pace=7.0, latency_ratio=-1.0, retry_budget=1e9)), 100.0, None
+    )
     model = transfer.latency_model
     assert (model.queueing_factor, model.fleet_slowness) == (1.0, 0.0)
     assert transfer.retries.budget == MAX_RETRY_BUDGET
@@ -93,12 +95,12 @@
     known, unknown = (BackendRecord(Endpoint(name, EndpointState.READY)) for name in ("a", "b"))
     for record in (known, unknown):
         transfer.restore_backend(record, 100.0)
-    assert (known.slowness, known.failures, known.is_ejected) == (3.0, 2, True)
-    assert (unknown.slowness, unknown.failures, unknown.is_ejected) == (1.0, 0, False)
+    assert (known.latency_ratio, known.failures, known.is_ejected) == (3.0, 2, True)
+    assert (unknown.latency_ratio, unknown.failures, unknown.is_ejected) == (1.0, 0, False)
 
 
 def test_without_an_earlier_process_nothing_is_restored():
     transfer = make()
     record = BackendRecord(Endpoint("a", EndpointState.READY))
     transfer.restore_backend(record, 100.0)
-    assert record.slowness == 1.0 and not transfer.has_resumed(None)
+    assert record.latency_ratio == 1.0 and not transfer.has_resumed(None)
--- a/tests/persistence/test_codec.py
+++ b/tests/persistence/test_codec.py
@@ -42,7 +42,7 @@
     assert head.clock.boot - server.recorded_at == pytest.approx(
         10
     ) and head.clock.boot - account.refilled_at == pytest.approx(5)
-    assert (server.slowness, account.level, head.write_interval) == {
+    assert (server.latency_ratio, account.level, head.write_interval) == {
         1: (5, 0.5, 1),
         2: (5, 0.5, 2),
         3: (4, 1.5, 1),
@@ -103,7 +103,7 @@
         (
             samples.data(
                 head=msgspec.structs.replace(
-                    samples.HEAD, servers=(samples.BACKEND._replace(slowness=math.inf),)
+                    samples.HEAD, servers=(samples.BACKEND._replace(latency_ratio=math.inf),)
                 )
             ),
             "servers: a number is not finite",
--- a/tests/persistence/test_expiry.py
+++ b/tests/persistence/test_expiry.py
@@ -33,7 +33,7 @@
     young, old = (expiry.expire_backend(record, a) for a in sorted((one, other)))
     for expired in (young, old):
         if expired is not None:
-            assert min(record.slowness, 1) <= expired.slowness <= max(record.slowness, 1)
+            assert min(record.latency_ratio, 1) <= expired.latency_ratio <= max(record.latency_ratio, 1)
             assert 0 <= expired.failures <= record.failures and expired.ejection_time <= record.ejection_time
             assert expired.is_ejected <= record.is_ejected and all(
                 s.remaining <= t.remaining
@@ -42,7 +42,7 @@
     if young is None:
         assert old is None
     elif old is not None:
-        assert abs(old.slowness - 1) <= abs(young.slowness - 1) and old.failures <= young.failures
+        assert abs(old.latency_ratio - 1) <= abs(young.latency_ratio - 1) and old.failures <= young.failures
 
 
 @given(
--- a/tests/persistence/test_merge.py
+++ b/tests/persistence/test_merge.py
@@ -23,7 +23,7 @@
 
 
 def test_newer_records_of_another_machine_count_without_its_address_and_ledgers():
-    server = samples.BACKEND._replace(recorded_at=9000.0, slowness=9.0, address="10.9.9.9:1")
+    server = samples.BACKEND._replace(recorded_at=9000.0, latency_ratio=9.0, address="10.9.9.9:1")
     account = samples.ACCOUNT._replace(refilled_at=8990.0, last_request_at=8990.0, level=0.25)
     fleet = samples.FLEET._replace(usual_latencies=(StoredLatency("look", 1, 0.9, 9000.0),), pace=0.1)
     head = msgspec.structs.replace(
@@ -37,7 +37,7 @@
     other = samples.snapshot_of(head, {7: account, 9: account})
     merged = merge.merge(samples.snapshot_of(), [other])
     (found,) = merged.head.servers
-    assert (found.slowness, found.recorded_at, found.address) == (9.0, 5100.0, samples.BACKEND.address)
+    assert (found.latency_ratio, found.recorded_at, found.address) == (9.0, 5100.0, samples.BACKEND.address)
     assert merged.head.fleet == samples.FLEET._replace(
         usual_latencies=(StoredLatency("look", 1, 0.9, 5100.0),)
     )
--- a/tests/persistence/test_restore.py
+++ b/tests/persistence/test_restore.py
@@ -72,7 +72,7 @@
         old.retries.budget,
     ) = 0.4, 0.7, 2.0, 3.0
     bad = old.backends.records["a"]
-    bad.slowness, bad.failures, bad.is_ejected, bad.ejection_time, bad.rejecting_classes = (
+    bad.latency_ratio, bad.failures, bad.is_ejected, bad.ejection_time, bad.rejecting_classes = (
         5.0,
         4,
         True,
@@ -90,7 +90,7 @@
     ) and new.latency_model.queueing_factor == pytest.approx(0.7, rel=0.01)
     assert 1.6 < new.latency_model.fleet_slowness < 2.0 and 3.0 < new.retries.budget < 5.0
     a = new.backends.records["a"]
-    assert 4.6 < a.slowness < 5.0 and a.failures == 4 and a.ejection_time < 2.0
+    assert 4.6 < a.latency_ratio < 5.0 and a.failures == 4 and a.ejection_time < 2.0
     assert a.is_ejected and a.ejected_until == 8003.0  # ejected, but due for a trial at once
     assert a.rejecting_classes[1][1] == pytest.approx(8009.0)
     new.handle(8003.0, [helpers.request(99, units=2.0)])
@@ -158,11 +158,11 @@
     snapshot = samples.snapshot_of(msgspec.structs.replace(samples.HEAD, servers=(BACKEND,)), {})
     gateway = restarted(snapshot, 1.0, 9000.0)
     gateway.handle(9000.0, [listed_update("a", started=500.0, kind=UpdateKind.CACHED)])
-    assert gateway.backends.records["a"].slowness == 1.0
+    assert gateway.backends.records["a"].latency_ratio == 1.0
     gateway.handle(9000.5, [listed_update("a", started=1000.0)])
-    assert gateway.backends.records["a"].slowness > 4.0
+    assert gateway.backends.records["a"].latency_ratio > 4.0
     gateway.handle(9001.0, [listed_update("a", started=9000.9)])  # started again since the record was made
-    assert gateway.backends.records["a"].slowness == 1.0 and not gateway.backends.records["a"].is_ejected
+    assert gateway.backends.records["a"].latency_ratio == 1.0 and not gateway.backends.records["a"].is_ejected
 
 
 @pytest.mark.parametrize(
@@ -240,7 +240,12 @@
     )
     assert restored.account(7, PLAN, 0, 2, 9000.0) is None
     fleet = restored.fleet(9000.0, {"look": 0.15})
-    assert (fleet.usual_latencies, fleet.pace, fleet.slowness, fleet.retry_budget) == ((), 0.5, 1.0, 10.0)
+    assert (fleet.usual_latencies, fleet.pace, fleet.latency_ratio, fleet.retry_budget) == (
+        (),
+        0.5,
+        1.0,
+        10.0,
+    )
 
 
 def test_accounts_that_nobody_asked_for_survive_a_second_restart_also_after_a_reboot():
@@ -271,7 +276,10 @@
     gateway.handle(9000.0, [listed_update("other")])
     again = captured(gateway, 9010.0, restored=restored).head
     (found,) = (s for s in again.servers if s.backend == "a")
-    assert again.clock.boot - found.recorded_at == pytest.approx(12.0) and found.slowness == BACKEND.slowness
+    assert (
+        again.clock.boot - found.recorded_at == pytest.approx(12.0)
+        and found.latency_ratio == BACKEND.latency_ratio
+    )
     assert [s.backend for s in captured(gateway, 9200.0, restored=restored).head.servers] == ["other"]
     assert restored.counts["knowledge_server_gone"] == 1
 
--- a/tests/persistence/test_store.py
+++ b/tests/persistence/test_store.py
@@ -18,14 +18,16 @@
 
 
 def numbered_parts(generation):
-    """Return the parts of a snapshot that contains its generation, as the slowness of its backends."""
-    servers = tuple(samples.BACKEND._replace(backend=f"s-{i}", slowness=float(generation)) for i in range(40))
+    """Return the parts of a snapshot that contains its generation, as the latency ratio of its backends."""
+    servers = tuple(
+        samples.BACKEND._replace(backend=f"s-{i}", latency_ratio=float(generation)) for i in range(40)
+    )
     return samples.parts(generation, head=msgspec.structs.replace(samples.HEAD, servers=servers))
 
 
 def generation_of(snapshot):
-    (slowness,) = {s.slowness for s in snapshot.head.servers}
-    return int(slowness)
+    (latency_ratio,) = {s.latency_ratio for s in snapshot.head.servers}
+    return int(latency_ratio)
 
 
 def test_no_crash_state_loads_a_damaged_file_or_loses_a_durable_generation(tmp_path):
