--- a/corkdeal/decisions/latency_model.py
+++ b/corkdeal/decisions/latency_model.py
@@ -38,7 +38,7 @@
         self.usual_latencies: dict[tuple[int, int], float] = {}  # (class, size) -> s
         self.initial_latency = INITIAL_LATENCY * min(c.latency_objective for c in classes)  # s
         self.queueing_factor = INITIAL_QUEUEING_FACTOR
-        self.fleet_slowness = 1.0
+        self.fleet_latency_ratio = 1.0
         self.fleet_learning_rate = LARGE_TIER_LEARNING_RATE if is_large_tier else LEARNING_RATE
 
     def usual_latency(self, request: PendingRequest) -> float:
@@ -54,7 +54,7 @@
 
     def attempt_time(self) -> float:
         """Return the usual duration of an attempt at the fleet's present latency ratio, in s."""
-        return self.mean_usual_latency() * max(1.0, self.fleet_slowness)
+        return self.mean_usual_latency() * max(1.0, self.fleet_latency_ratio)
 
     def work(self, request: PendingRequest) -> float:
         """Return the request's work relative to the mean request, which is independent of slow backends."""
@@ -63,7 +63,7 @@
     def expected_latency(self, request: PendingRequest, load: float, latency_ratio: float) -> float:
         """Return the expected latency of one more request at a backend with `load` requests in flight."""
         queueing = max(1.0, self.queueing_factor * (1 + load))
-        return self.usual_latency(request) * queueing * self.fleet_slowness * latency_ratio
+        return self.usual_latency(request) * queueing * self.fleet_latency_ratio * latency_ratio
 
     def learn(
         self,
@@ -78,7 +78,7 @@
         key = (request.request.request_class, math.ceil(request.request.units))
         self.usual_latencies[key] = usual + LEARNING_RATE / (1 + load) * (latency - usual)
         ratio = latency * capacity_fraction / usual / max(1.0, self.queueing_factor * (1 + load))
-        backend.latency_ratio += LEARNING_RATE * (ratio / self.fleet_slowness - backend.latency_ratio)
-        self.fleet_slowness += self.fleet_learning_rate * (ratio - self.fleet_slowness)
+        backend.latency_ratio += LEARNING_RATE * (ratio / self.fleet_latency_ratio - backend.latency_ratio)
+        self.fleet_latency_ratio += self.fleet_learning_rate * (ratio - self.fleet_latency_ratio)
         queueing = min(1.0, latency / usual / (1 + load))
         self.queueing_factor += LEARNING_RATE * load / (1 + load) * (queueing - self.queueing_factor)
--- a/corkdeal/decisions/state_transfer.py
+++ b/corkdeal/decisions/state_transfer.py
@@ -44,7 +44,7 @@
         }
         self._restore_incarnation(fleet, quota_restore)
         self.latency_model.queueing_factor = max(0.0, min(1.0, fleet.pace))
-        self.latency_model.fleet_slowness = max(0.0, fleet.latency_ratio)
+        self.latency_model.fleet_latency_ratio = max(0.0, fleet.latency_ratio)
         self.retries.budget = max(0.0, min(MAX_RETRY_BUDGET, fleet.retry_budget))
 
     def has_resumed(self, quota_restore: QuotaRestoreView | None) -> bool:
@@ -95,7 +95,7 @@
         ]
         return persisted_state.StoredFleet(
             pace=self.latency_model.queueing_factor,
-            latency_ratio=self.latency_model.fleet_slowness,
+            latency_ratio=self.latency_model.fleet_latency_ratio,
             retry_budget=self.retries.budget,
             usual_latencies=tuple(latencies),
             gateway_index=self.settings.gateway_index,
--- a/corkdeal/net/figures.py
+++ b/corkdeal/net/figures.py
@@ -37,7 +37,7 @@
             **counts,
             "now_open": len(gateway.rpcs),
             "now_servers": len(decisions.backends.records),
-            "now_slow": round(decisions.latency_model.fleet_slowness, 3),
+            "now_slow": round(decisions.latency_model.fleet_latency_ratio, 3),
             "now_ejected": sum(s.is_ejected for s in decisions.backends.records.values()),
             "now_accounts": len(decisions.accounts),
             "now_demand": round(sum(a.demand for a in decisions.accounts.values()), 2),
--- a/tests/decisions/test_defences.py
+++ b/tests/decisions/test_defences.py
@@ -192,12 +192,12 @@
 def test_shared_slowness_is_seen_within_a_second_of_answers():
     g = gateway_with(*"abcdefghij")
     _, now = send_requests(g, 100, lambda s: Status.OK)
-    usual = g.latency_model.fleet_slowness
+    usual = g.latency_model.fleet_latency_ratio
     for i in range(20):
         now += 0.05
         for send in pick(g.handle(now, [request(i)]), StartAttempt):
             g.handle(now, [outcome(i, 0, send.backend, elapsed=0.3)])
-    assert g.latency_model.fleet_slowness > 2 * usual
+    assert g.latency_model.fleet_latency_ratio > 2 * usual
 
 
 def test_idle_backends_share_the_work():
--- a/tests/decisions/test_latency_model.py
+++ b/tests/decisions/test_latency_model.py
@@ -38,7 +38,7 @@
         model.learn(pending(0, 2.5), answering, latency=0.4, load=0.0, capacity_fraction=1.0)
     assert model.usual_latency(pending(0, 3.0)) == pytest.approx(0.4, rel=0.01)  # sizes are rounded up
     assert model.usual_latency(pending(0, 2.0)) == INITIAL_LATENCY * 1.0
-    assert model.fleet_slowness == pytest.approx(1.0, rel=0.05)
+    assert model.fleet_latency_ratio == pytest.approx(1.0, rel=0.05)
 
 
 def test_a_loaded_backends_answer_moves_the_usual_latency_less():
@@ -60,7 +60,7 @@
     small, large = LatencyModel(CLASSES, False), LatencyModel(CLASSES, True)
     for model in (small, large):
         model.learn(pending(), backend(), latency=1.5, load=0.0, capacity_fraction=1.0)
-    assert 1.0 < small.fleet_slowness < large.fleet_slowness
+    assert 1.0 < small.fleet_latency_ratio < large.fleet_latency_ratio
 
 
 def test_requests_in_flight_lengthen_the_expected_latency():
--- a/tests/decisions/test_state_transfer.py
+++ b/tests/decisions/test_state_transfer.py
@@ -85,7 +85,7 @@
         FakeState(FLEET._replace(pace=7.0, latency_ratio=-1.0, retry_budget=1e9)), 100.0, None
     )
     model = transfer.latency_model
-    assert (model.queueing_factor, model.fleet_slowness) == (1.0, 0.0)
+    assert (model.queueing_factor, model.fleet_latency_ratio) == (1.0, 0.0)
     assert transfer.retries.budget == MAX_RETRY_BUDGET
 
 
--- a/tests/persistence/test_restore.py
+++ b/tests/persistence/test_restore.py
@@ -68,7 +68,7 @@
     (
         old.latency_model.usual_latencies[0, 1],
         old.latency_model.queueing_factor,
-        old.latency_model.fleet_slowness,
+        old.latency_model.fleet_latency_ratio,
         old.retries.budget,
     ) = 0.4, 0.7, 2.0, 3.0
     bad = old.backends.records["a"]
@@ -88,7 +88,7 @@
     assert new.latency_model.usual_latencies[0, 1] == pytest.approx(
         0.4, rel=0.01
     ) and new.latency_model.queueing_factor == pytest.approx(0.7, rel=0.01)
-    assert 1.6 < new.latency_model.fleet_slowness < 2.0 and 3.0 < new.retries.budget < 5.0
+    assert 1.6 < new.latency_model.fleet_latency_ratio < 2.0 and 3.0 < new.retries.budget < 5.0
     a = new.backends.records["a"]
     assert 4.6 < a.latency_ratio < 5.0 and a.failures == 4 and a.ejection_time < 2.0
     assert a.is_ejected and a.ejected_until == 8003.0  # ejected, but due for a trial at once
