--- a/corkdeal/net/gateway.py
+++ b/corkdeal/net/gateway.py
@@ -166,7 +166,7 @@
         if known:
             self.backends.apply(known, UpdateKind.CACHED)
         else:
-            self.feed(EndpointUpdate(UpdateKind.CACHED))
+            self.handle_event(EndpointUpdate(UpdateKind.CACHED))
         self.listen_for_operators()
         self.hear()
         self.watch.run()
@@ -317,7 +317,7 @@
     def abandon(self, rpc: RPC) -> None:
         """End an RPC in whatever state it is, with exactly one final answer."""
         rpc.left = True
-        self.feed(ClientDisconnected(rpc.request.id))
+        self.handle_event(ClientDisconnected(rpc.request.id))
         if rpc.attempt is None:
             self.reject(Reject(rpc.request.id, 0.0))
         else:
@@ -366,7 +366,7 @@
 
     # Events
 
-    def feed(self, event: Event) -> None:
+    def handle_event(self, event: Event) -> None:
         """Queue an event and hand it to the decisions; events caused by actions go into the next batch."""
         self.queued_events.append(event)
         if not self.is_processing:
@@ -415,7 +415,7 @@
         if (self.recovery is not None or self.draining) and rpc.request.timeout <= 0:
             count("request_too_old")
             return self.reject(Reject(rpc.request.id, 0.0))
-        self.feed(rpc.request)
+        self.handle_event(rpc.request)
 
     def turned_down(self, rpc: RPC, retry_after: float) -> bytes:
         """Reject an RPC before it is handed to the decisions; returns the encoded answer."""
@@ -436,7 +436,7 @@
     def gone(self, rpc: RPC) -> None:
         """The client has disconnected: an attempt that is not written completely is given up."""
         if self.close_rpc(rpc.request.id) is not None:
-            self.feed(ClientDisconnected(rpc.request.id))
+            self.handle_event(ClientDisconnected(rpc.request.id))
             if rpc.attempt is not None and not rpc.attempt.whole:
                 self.pool.give_up(rpc.attempt, Status.ABANDONED)
 
@@ -449,7 +449,7 @@
         if rpc.attempt is None or not rpc.attempt.whole:
             return self.abandon(rpc)
         rpc.left = True
-        self.feed(ClientDisconnected(rpc.request.id))
+        self.handle_event(ClientDisconnected(rpc.request.id))
 
     def end_unstarted(self, rpc: RPC) -> None:
         """End an RPC whose attempt can't begin any more because the client has left."""
@@ -481,7 +481,7 @@
             elapsed = max(0.0, self.now() - attempt.sent_at)
         report = report_of(reply.report, self.report_names) if reply.report else {}
         if rpc is None:
-            return self.feed(HealthCheckResult(attempt.server, reply.status, elapsed, report))
+            return self.handle_event(HealthCheckResult(attempt.server, reply.status, elapsed, report))
         rid = rpc.request.id
         self.out.pop((rid, attempt.number), None)
         rpc.attempt = None
@@ -496,7 +496,7 @@
             self.reject(Reject(rid, 0.0)) if has_never_run else self.fail(Fail(rid))
         if self.decisions.admission_ramp is not None:
             self.decisions.admission_ramp.record_outcome(reply.status is Status.OK)
-        self.feed(
+        self.handle_event(
             AttemptEnded(rid, attempt.number, attempt.server, reply.status, elapsed, rpc.done, report=report)
         )
 
@@ -510,7 +510,7 @@
         attempt.first = max(0.0, self.now() - attempt.sent_at)
         self.tally["success"] += 1
         rpc.client_connection.pass_on(rpc, response_stream)
-        self.feed(StreamStarted(rpc.request.id, attempt.number, attempt.server, attempt.first))
+        self.handle_event(StreamStarted(rpc.request.id, attempt.number, attempt.server, attempt.first))
         return True
 
     def peer_message_received(self, peer: int, payload: bytes) -> None:
@@ -518,7 +518,7 @@
         self.tally["heard"] += 1
         if self.decisions.is_endpoint_list_stale:
             return count("datagram_old")
-        self.feed(PeerMessage(peer, payload))
+        self.handle_event(PeerMessage(peer, payload))
 
     def endpoints_received(self, result: DiscoverySnapshot) -> None:
         """Apply an endpoint list or delta from discovery, and accept clients."""
@@ -562,12 +562,12 @@
         rpc, now = self.rpcs.get(action.id), self.now()
         if rpc is None or not holds(rpc.attempt is None, "two_attempts_at_once"):
             number = rpc.attempts if rpc else 0
-            return self.feed(
+            return self.handle_event(
                 AttemptEnded(action.id, number, action.backend, Status.ABANDONED, 0.0, rpc is None)
             )
         if not rpc.client_connection.may_begin(now):
             self.end_unstarted(rpc)
-            return self.feed(
+            return self.handle_event(
                 AttemptEnded(action.id, rpc.attempts, action.backend, Status.ABANDONED, 0.0, True)
             )
         until = min(rpc.deadline, now + action.timeout) if action.timeout > 0 else rpc.deadline
@@ -645,4 +645,4 @@
 
     def increment_counter(self, action: IncrementCounter) -> None:
         """Report a failed increment: there is no counter service outside the simulator."""
-        self.feed(CounterResult(action.name, 0.0, Status.CONNECT_FAILED, 0.0))
+        self.handle_event(CounterResult(action.name, 0.0, Status.CONNECT_FAILED, 0.0))
--- a/tests/test_bodies.py
+++ b/tests/test_bodies.py
@@ -175,7 +175,7 @@
         self.gateway.now = self.gateway.pool.now = self.gateway.descriptors.now = self.reactor.seconds
         self.gateway.timers.now = self.reactor.seconds
         entry = Endpoint("a", EndpointState.READY)
-        self.gateway.feed(EndpointUpdate(UpdateKind.COMPLETE, (entry,)))
+        self.gateway.handle_event(EndpointUpdate(UpdateKind.COMPLETE, (entry,)))
         self.gateway.pool.told("a", True, ("127.0.0.1", 3))
         self.client_connection = gateway.client_connection.ClientConnection(self.gateway)
         self.client = FakeTransport()
--- a/tests/test_net_departures.py
+++ b/tests/test_net_departures.py
@@ -345,7 +345,7 @@
     def add_backend(self):
         """Add a ready backend."""
         self.gateway.pool.told("a", True, ("127.0.0.1", 3))
-        self.gateway.feed(EndpointUpdate(UpdateKind.COMPLETE, (Endpoint("a", EndpointState.READY),)))
+        self.gateway.handle_event(EndpointUpdate(UpdateKind.COMPLETE, (Endpoint("a", EndpointState.READY),)))
 
     def ask(self, rid=1):
         params = b"c=look,t=large,d=3000,units=1,spread=1,first=0"
--- a/tests/test_net_parsers.py
+++ b/tests/test_net_parsers.py
@@ -267,7 +267,7 @@
         self.reactor = MemoryReactorClock()
         given = config.read(json.dumps({**GIVEN, "known": LIST}).encode(), {})
         self.gateway = gateway.Gateway(self.reactor, dataclasses.replace(given, sockets=256))
-        self.gateway.feed(EndpointUpdate(UpdateKind.CACHED, given.known.entries))
+        self.gateway.handle_event(EndpointUpdate(UpdateKind.CACHED, given.known.entries))
         invariants.counts.clear()
 
     def client_connection(self):
