--- a/corkdeal/net/gateway.py
+++ b/corkdeal/net/gateway.py
@@ -111,7 +111,7 @@
         self.watch = self.make_watch(config.discovery, config.known)
         self.report_names = {f: f for f in self.settings.report_fields}
         self.rpcs: dict[int, RPC] = {}  # accepted and not yet answered, by request id
-        self.out: dict[tuple[int, int], Attempt] = {}  # in flight, by request id and attempt number
+        self.attempts_in_flight: dict[tuple[int, int], Attempt] = {}  # by request id and attempt number
         self.queued_events: list[Event] = []  # not yet handed to the decisions
         self.is_processing = False  # whether `process_events` is running
         self.timers = Timers(reactor, self.now, self.timers_expired)
@@ -483,7 +483,7 @@
         if rpc is None:
             return self.handle_event(HealthCheckResult(attempt.server, reply.status, elapsed, report))
         rid = rpc.request.id
-        self.out.pop((rid, attempt.number), None)
+        self.attempts_in_flight.pop((rid, attempt.number), None)
         rpc.attempt = None
         if rpc.first_run_at is None and reply.status not in NEVER_RAN:
             rpc.first_run_at = attempt.decided_at
@@ -573,7 +573,7 @@
         until = min(rpc.deadline, now + action.timeout) if action.timeout > 0 else rpc.deadline
         attempt = Attempt(rpc, rpc.attempts, action.backend, now, until, rpc.parts(until - now))
         attempt.decided_at, attempt.write_by = now, self.deduplication_end(rpc)
-        self.out[action.id, attempt.number] = rpc.attempt = attempt
+        self.attempts_in_flight[action.id, attempt.number] = rpc.attempt = attempt
         rpc.attempts += 1
         self.tally["backend_calls"] += 1
         self.add_timer(until, attempt)
@@ -608,7 +608,7 @@
 
     def cancel_attempt(self, action: CancelAttempt) -> None:
         """Cancel an attempt."""
-        if (attempt := self.out.get((action.id, action.attempt))) is not None:
+        if (attempt := self.attempts_in_flight.get((action.id, action.attempt))) is not None:
             self.pool.give_up(attempt, Status.CANCELLED)
 
     def set_timer(self, action: SetTimer) -> None:
--- a/corkdeal/net/recovery.py
+++ b/corkdeal/net/recovery.py
@@ -133,7 +133,7 @@
         self.stall_time = stall_time
         decisions.is_endpoint_list_stale = self.gateway.begun
         resume_after_stall(decisions, now, stall_time)
-        for attempt in self.gateway.out.values():
+        for attempt in self.gateway.attempts_in_flight.values():
             attempt.sent_at += stall_time  # its backend could not have replied during the stall
         self.gateway.pool.drop_connecting()
         self.apply(self.readiness.restart(now, f"stood still for {stall_time:.2f} s"))
--- a/tests/recovery/test_net_recovery.py
+++ b/tests/recovery/test_net_recovery.py
@@ -28,7 +28,7 @@
             now=self.clock.seconds,
             pool=SimpleNamespace(turn=None, drop_connecting=lambda: None),
             tally=Counter(),
-            out={1: self.attempt},
+            attempts_in_flight={1: self.attempt},
             begun=has_begun,
             upgrade_handover=None,
             watch_again=self.query_discovery,
--- a/tests/test_bodies.py
+++ b/tests/test_bodies.py
@@ -494,7 +494,7 @@
     pair.client_connection.connectionLost()
     pair.client.connected = False
     _, wire = pair.establish()
-    assert not wire.taken and rpc.attempt is None and not pair.gateway.out
+    assert not wire.taken and rpc.attempt is None and not pair.gateway.attempts_in_flight
     assert [e.status for e in pair.events if isinstance(e, AttemptEnded)] == [Status.ABANDONED]
 
 
