--- a/corkdeal/experiment/members.py
+++ b/corkdeal/experiment/members.py
@@ -159,7 +159,7 @@
                     borrower_gateway.now = self.now
                     if (
                         fraction := g.membership.shares.own_fraction(a)
-                        + borrower_gateway.membership.shares.borrowed_fraction(
+                        + borrower_gateway.membership.shares.taken_over_fraction(
                             borrower_gateway.accounts[key], index
                         )
                     ) > 1 + 1e-9:
--- a/corkdeal/membership/quota_shares.py
+++ b/corkdeal/membership/quota_shares.py
@@ -42,14 +42,14 @@
             lost_share = account.ledgers[predecessor].peer_share
             if lost_share is None:
                 lost_share = 1 / account.member_count
-            share += self.borrowed_fraction(account, predecessor) * lost_share
+            share += self.taken_over_fraction(account, predecessor) * lost_share
         return min(1.0, share)
 
     def own_fraction(self, account: Account) -> float:
         """Return how much of its own share this gateway may spend."""
         return 1.0 if self.is_exclusive(account) else KEPT_FRACTION
 
-    def borrowed_fraction(self, account: Account, member: int) -> float:
+    def taken_over_fraction(self, account: Account, member: int) -> float:
         """Return how much of its predecessor's share this gateway may spend."""
         if member not in self.takeover.members:
             return 0.0
--- a/tests/membership/test_parts.py
+++ b/tests/membership/test_parts.py
@@ -87,13 +87,13 @@
     parts.declare_dead(0)
     parts.takeover.update()
     account = parts.host.account
-    assert parts.shares.borrowed_fraction(account, 0) == 0.0
+    assert parts.shares.taken_over_fraction(account, 0) == 0.0
     parts.sender.advance()
     parts.leases.record_grant(TakeoverRequest(2, 0), parts.sender.sequence)
-    assert parts.shares.borrowed_fraction(account, 0) == 1 - KEPT_FRACTION
-    assert parts.shares.borrowed_fraction(account, 2) == 0.0
+    assert parts.shares.taken_over_fraction(account, 0) == 1 - KEPT_FRACTION
+    assert parts.shares.taken_over_fraction(account, 2) == 0.0
     parts.host.now += LEASE_TIME
-    assert parts.shares.borrowed_fraction(account, 0) == 0.0
+    assert parts.shares.taken_over_fraction(account, 0) == 0.0
     account.ledgers[0].peer_share = 0.5
     parts.detector.members[0].has_announced_leave = True
     own = KEPT_FRACTION / 3
