--- a/corkdeal/net/manual_overrides.py
+++ b/corkdeal/net/manual_overrides.py
@@ -82,14 +82,14 @@
             count("held_out_not_saved")
             logs.event("held_out_not_saved", file=self.path, error=str(error)[:200])
 
-    def enter(self, backend: str) -> bool:
+    def hold_out(self, backend: str) -> bool:
         """Hold a backend out; returns whether it was not held out before."""
         is_new = backend not in self.held_out
         self.held_out.add(backend)
         self.save()
         return is_new
 
-    def exit(self, backend: str, now: float) -> bool:
+    def let_back(self, backend: str, now: float) -> bool:
         """Let a backend back in, as one that has just started; returns whether it was held out."""
         if backend not in self.held_out:
             return False
--- a/corkdeal/net/operators.py
+++ b/corkdeal/net/operators.py
@@ -86,7 +86,7 @@
         if not self.backends.is_known(server):
             return None
         self.sync_overrides()  # first, so that the file written next keeps overrides made at another process
-        is_change = self.overrides.enter(server)
+        is_change = self.overrides.hold_out(server)
         logs.event("held_out", server=server, new=is_change)
         self.backends.update_override(server)
         return is_change
@@ -100,7 +100,7 @@
         if not self.backends.is_known(server):
             return None
         self.sync_overrides()
-        was_held_out = self.overrides.exit(server, self.gateway.now())
+        was_held_out = self.overrides.let_back(server, self.gateway.now())
         logs.event("let_back", server=server, new=was_held_out)
         self.backends.update_override(server)
         return was_held_out
--- a/tests/test_net_ops.py
+++ b/tests/test_net_ops.py
@@ -74,9 +74,9 @@
 
 def test_held_out_drains_whatever_the_list_says_and_comes_back_cold(tmp_path):
     held = manual_overrides.ManualOverrides("n0", str(tmp_path))
-    assert held.enter("a") and not held.enter("a")  # held out twice
+    assert held.hold_out("a") and not held.hold_out("a")  # held out twice
     assert held.overlay([entry("a"), entry("b")]) == (entry("a", EndpointState.DRAINING), entry("b"))
-    assert held.exit("a", 50.0) and not held.exit("a", 60.0)  # one exit ends both
+    assert held.let_back("a", 50.0) and not held.let_back("a", 60.0)  # one exit ends both
     assert held.overlay([entry("a"), entry("a", started=70.0)]) == (
         entry("a", started=50.0),
         entry("a", started=70.0),
@@ -85,9 +85,9 @@
 
 def test_the_next_process_holds_the_same_backends_out(tmp_path):
     first = manual_overrides.ManualOverrides("n0", str(tmp_path))
-    first.enter("a")
-    first.enter("b")
-    first.exit("b", 12.5)
+    first.hold_out("a")
+    first.hold_out("b")
+    first.let_back("b", 12.5)
     second = manual_overrides.ManualOverrides("n0", str(tmp_path))
     second.load()
     assert (second.held_out, second.back) == ({"a"}, {"b": 12.5})
@@ -109,10 +109,10 @@
 def test_two_processes_apply_overrides_made_at_either(tmp_path):
     old, new = (manual_overrides.ManualOverrides("n0", str(tmp_path)) for _ in range(2))
     assert old.follow() == new.follow() == set()  # no file yet
-    old.enter("a")
+    old.hold_out("a")
     assert (new.follow(), new.held_out, new.follow(), old.follow()) == ({"a"}, {"a"}, set(), set())
-    new.enter("b")
-    new.exit("a", 7.0)
+    new.hold_out("b")
+    new.let_back("a", 7.0)
     assert (old.follow(), old.held_out, old.back) == ({"a", "b"}, {"b"}, {"a": 7.0})
     with open(old.path, "wb") as file:  # damaged: the backends stay held out
         file.write(b"{")
