--- a/corkdeal/net/client_connection.py
+++ b/corkdeal/net/client_connection.py
@@ -223,13 +223,13 @@
         self.pending_replies.append(ImmediateReply(reply))
         self.flush()
 
-    def answer(self, rpc: RPC, reply: list[vectored_write.Part]) -> None:
+    def set_reply(self, rpc: RPC, reply: list[vectored_write.Part]) -> None:
         """Set the final reply of an RPC; an RPC has only one."""
         if holds(rpc.reply is None, "second_answer"):
             rpc.reply = reply
             self.flush()
 
-    def pass_on(self, rpc: RPC, response_stream: ResponseStream) -> None:
+    def set_streamed_reply(self, rpc: RPC, response_stream: ResponseStream) -> None:
         """Set the final reply of an RPC as a stream, paused while earlier replies are pending."""
         if holds(rpc.reply is None, "second_answer"):
             rpc.response_stream, rpc.reply = response_stream, [response_stream.head]
--- a/corkdeal/net/gateway.py
+++ b/corkdeal/net/gateway.py
@@ -509,7 +509,7 @@
             return False
         attempt.first = max(0.0, self.now() - attempt.sent_at)
         self.tally["success"] += 1
-        rpc.client_connection.pass_on(rpc, response_stream)
+        rpc.client_connection.set_streamed_reply(rpc, response_stream)
         self.handle_event(StreamStarted(rpc.request.id, attempt.number, attempt.server, attempt.first))
         return True
 
@@ -547,7 +547,7 @@
     def answer(self, rid: int, reply: list[Any]) -> None:
         """Send an RPC's one final answer, unless it has one or its client has disconnected."""
         if (rpc := self.close_rpc(rid)) is not None:
-            rpc.client_connection.answer(rpc, reply)
+            rpc.client_connection.set_reply(rpc, reply)
 
     def close_rpc(self, rid: int) -> RPC | None:
         """Remove an RPC from the open ones, for its final answer; None if it is not open."""
--- a/tests/test_net_parsers.py
+++ b/tests/test_net_parsers.py
@@ -409,7 +409,9 @@
                 "attempt": None,
                 "release": lambda _: None,
                 "done": False,
-                "client_connection": type("C", (), {"answer": lambda _, rpc, reply: answers.append(reply)})(),
+                "client_connection": type(
+                    "C", (), {"set_reply": lambda _, rpc, reply: answers.append(reply)}
+                )(),
             },
         )()
         self.gateway.take(rpc)
