--- a/corkdeal/net/manual_overrides.py
+++ b/corkdeal/net/manual_overrides.py
@@ -62,7 +62,7 @@
             return None
         return status.st_ino, status.st_mtime_ns
 
-    def follow(self) -> set[str]:
+    def reload_if_replaced(self) -> set[str]:
         """Read the file if another process of this gateway replaced it; returns the ids that changed."""
         if self.file_id() in (self.known_file_id, None):
             return set()
--- a/corkdeal/net/operators.py
+++ b/corkdeal/net/operators.py
@@ -73,7 +73,7 @@
 
     def sync_overrides(self) -> None:
         """Apply overrides made at the predecessor or successor, while both processes are running."""
-        for server in sorted(self.overrides.follow()) if self.overrides is not None else ():
+        for server in sorted(self.overrides.reload_if_replaced()) if self.overrides is not None else ():
             logs.event("held_elsewhere", server=server, out=server in self.overrides.held_out)
             self.backends.update_override(server)
 
--- a/tests/test_net_ops.py
+++ b/tests/test_net_ops.py
@@ -108,15 +108,20 @@
 
 def test_two_processes_apply_overrides_made_at_either(tmp_path):
     old, new = (manual_overrides.ManualOverrides("n0", str(tmp_path)) for _ in range(2))
-    assert old.follow() == new.follow() == set()  # no file yet
+    assert old.reload_if_replaced() == new.reload_if_replaced() == set()  # no file yet
     old.hold_out("a")
-    assert (new.follow(), new.held_out, new.follow(), old.follow()) == ({"a"}, {"a"}, set(), set())
+    assert (new.reload_if_replaced(), new.held_out, new.reload_if_replaced(), old.reload_if_replaced()) == (
+        {"a"},
+        {"a"},
+        set(),
+        set(),
+    )
     new.hold_out("b")
     new.let_back("a", 7.0)
-    assert (old.follow(), old.held_out, old.back) == ({"a", "b"}, {"b"}, {"a": 7.0})
+    assert (old.reload_if_replaced(), old.held_out, old.back) == ({"a", "b"}, {"b"}, {"a": 7.0})
     with open(old.path, "wb") as file:  # damaged: the backends stay held out
         file.write(b"{")
-    assert (old.follow(), old.held_out) == (set(), {"b"})
+    assert (old.reload_if_replaced(), old.held_out) == (set(), {"b"})
 
 
 class OperationsTests:
