--- a/corkdeal/net/backends.py
+++ b/corkdeal/net/backends.py
@@ -51,7 +51,7 @@
                 self.listed[entry.backend] = entry
                 self.addresses[entry.backend] = result.addresses[entry.backend]
         self.revision = result.revision
-        entries = self.overrides.overlay(result.entries) if self.overrides else result.entries
+        entries = self.overrides.apply_all(result.entries) if self.overrides else result.entries
         self.queue_event(EndpointUpdate(kind, entries, result.revision))
         for entry in entries:
             self.pool.told(entry.backend, entry.state is EndpointState.READY, result.addresses[entry.backend])
@@ -64,7 +64,7 @@
         """Report one listed backend again after its override changed."""
         if server not in self.listed or self.overrides is None:
             return
-        entry = self.overrides.entry(self.listed[server])
+        entry = self.overrides.apply(self.listed[server])
         self.queue_event(EndpointUpdate(UpdateKind.DELTA, (entry,), self.revision))
         self.pool.told(server, entry.state is EndpointState.READY, self.addresses[server])
         self.process_events()
--- a/corkdeal/net/manual_overrides.py
+++ b/corkdeal/net/manual_overrides.py
@@ -98,11 +98,11 @@
         self.save()
         return True
 
-    def overlay(self, endpoints: Iterable[Endpoint]) -> tuple[Endpoint, ...]:
+    def apply_all(self, endpoints: Iterable[Endpoint]) -> tuple[Endpoint, ...]:
         """Return the endpoints as the decisions see them: draining if held out, new if they came back."""
-        return tuple(self.entry(endpoint) for endpoint in endpoints)
+        return tuple(self.apply(endpoint) for endpoint in endpoints)
 
-    def entry(self, endpoint: Endpoint) -> Endpoint:
+    def apply(self, endpoint: Endpoint) -> Endpoint:
         """Return one endpoint with the overrides applied."""
         if endpoint.backend in self.held_out and endpoint.state is EndpointState.READY:
             return dataclasses.replace(endpoint, state=EndpointState.DRAINING)
--- a/tests/test_net_ops.py
+++ b/tests/test_net_ops.py
@@ -75,9 +75,9 @@
 def test_held_out_drains_whatever_the_list_says_and_comes_back_cold(tmp_path):
     held = manual_overrides.ManualOverrides("n0", str(tmp_path))
     assert held.hold_out("a") and not held.hold_out("a")  # held out twice
-    assert held.overlay([entry("a"), entry("b")]) == (entry("a", EndpointState.DRAINING), entry("b"))
+    assert held.apply_all([entry("a"), entry("b")]) == (entry("a", EndpointState.DRAINING), entry("b"))
     assert held.let_back("a", 50.0) and not held.let_back("a", 60.0)  # one exit ends both
-    assert held.overlay([entry("a"), entry("a", started=70.0)]) == (
+    assert held.apply_all([entry("a"), entry("a", started=70.0)]) == (
         entry("a", started=50.0),
         entry("a", started=70.0),
     )
