--- a/corkdeal/net/manual_overrides.py
+++ b/corkdeal/net/manual_overrides.py
@@ -31,7 +31,7 @@
         safe_name = "".join(c if c.isalnum() or c in "-_." else "_" for c in name) or "gateway"
         self.path = os.path.join(folder or tempfile.gettempdir(), f"corkdeal-{safe_name}.held-out.json")
         self.held_out: set[str] = set()
-        self.back: dict[str, float] = {}  # by id, in the decisions' time
+        self.returned_at: dict[str, float] = {}  # by id, in the decisions' time
         self.known_file_id: tuple[int, int] | None = None  # inode and mtime of the file last read or written
 
     def load(self) -> None:
@@ -47,7 +47,7 @@
                 or not all(isinstance(k, str) and type(v) is float for k, v in back.items())
             ):
                 raise ValueError("unexpected format")
-            self.held_out, self.back = set(out), back
+            self.held_out, self.returned_at = set(out), back
         except FileNotFoundError:
             return
         except (OSError, ValueError, TypeError, KeyError, AttributeError) as error:
@@ -66,16 +66,18 @@
         """Read the file if another process of this gateway replaced it; returns the ids that changed."""
         if self.file_id() in (self.known_file_id, None):
             return set()
-        out, back = self.held_out, self.back
+        out, back = self.held_out, self.returned_at
         self.load()
-        return (out ^ self.held_out) | {k for k, v in self.back.items() if back.get(k) != v}
+        return (out ^ self.held_out) | {k for k, v in self.returned_at.items() if back.get(k) != v}
 
     def save(self) -> None:
         """Write the file; if that fails, only the next process lacks what is held out."""
         temporary_path = f"{self.path}.{os.getpid()}"
         try:
             with open(temporary_path, "wb") as file:
-                file.write(orjson.dumps({"format": FORMAT, "out": sorted(self.held_out), "back": self.back}))
+                file.write(
+                    orjson.dumps({"format": FORMAT, "out": sorted(self.held_out), "back": self.returned_at})
+                )
             os.replace(temporary_path, self.path)
             self.known_file_id = self.file_id()
         except OSError as error:
@@ -94,7 +96,7 @@
         if backend not in self.held_out:
             return False
         self.held_out.discard(backend)
-        self.back[backend] = now
+        self.returned_at[backend] = now
         self.save()
         return True
 
@@ -106,7 +108,7 @@
         """Return one endpoint with the overrides applied."""
         if endpoint.backend in self.held_out and endpoint.state is EndpointState.READY:
             return dataclasses.replace(endpoint, state=EndpointState.DRAINING)
-        back = self.back.get(endpoint.backend)
+        back = self.returned_at.get(endpoint.backend)
         if back is not None and endpoint.started < back:
             return dataclasses.replace(endpoint, started=back)
         return endpoint
--- a/tests/test_net_ops.py
+++ b/tests/test_net_ops.py
@@ -90,7 +90,7 @@
     first.let_back("b", 12.5)
     second = manual_overrides.ManualOverrides("n0", str(tmp_path))
     second.load()
-    assert (second.held_out, second.back) == ({"a"}, {"b": 12.5})
+    assert (second.held_out, second.returned_at) == ({"a"}, {"b": 12.5})
     other = manual_overrides.ManualOverrides("n1", str(tmp_path))
     other.load()
     assert other.held_out == set()
@@ -118,7 +118,7 @@
     )
     new.hold_out("b")
     new.let_back("a", 7.0)
-    assert (old.reload_if_replaced(), old.held_out, old.back) == ({"a", "b"}, {"b"}, {"a": 7.0})
+    assert (old.reload_if_replaced(), old.held_out, old.returned_at) == ({"a", "b"}, {"b"}, {"a": 7.0})
     with open(old.path, "wb") as file:  # damaged: the backends stay held out
         file.write(b"{")
     assert (old.reload_if_replaced(), old.held_out) == (set(), {"b"})
