--- a/corkdeal/net/client_connection.py
+++ b/corkdeal/net/client_connection.py
@@ -507,7 +507,7 @@
                 self.gateway.gone(rpc)
 
 
-class ClientConnections(ServerFactory):
+class ClientConnectionFactory(ServerFactory):
     """Creates the protocol of each accepted client connection."""
 
     noisy = False
--- a/corkdeal/net/gateway.py
+++ b/corkdeal/net/gateway.py
@@ -217,7 +217,7 @@
         An address in use is retried until it is free, since the process that has it may be shutting down.
         """
         if not self.is_serving and not self.draining:
-            clients = client_connection.ClientConnections(self)
+            clients = client_connection.ClientConnectionFactory(self)
             try:
                 if self.config.inherited is not None:
                     self.port = client_port.adopt(self.reactor, self.config.inherited, clients)
--- a/tests/net_fakes.py
+++ b/tests/net_fakes.py
@@ -4,12 +4,12 @@
 
 from twisted.internet.testing import StringTransport
 
-from corkdeal.net.client_connection import ClientConnections
+from corkdeal.net.client_connection import ClientConnectionFactory
 
 
 def connect(gateway):
     """A client connection that has received nothing yet; its transport keeps what is written to it."""
-    connection = ClientConnections(gateway).buildProtocol(None)
+    connection = ClientConnectionFactory(gateway).buildProtocol(None)
     transport = StringTransport()
     transport.setTcpNoDelay = lambda on: None
     transport.connected, transport.producerPaused, transport.dataBuffer = True, False, b""
--- a/tests/test_net_closing.py
+++ b/tests/test_net_closing.py
@@ -189,7 +189,9 @@
 
     def test_on_a_client_connection(self):
         gateway = unittest.mock.MagicMock(now=lambda: 0.0)
-        self.assertTrue(self.transport(client_connection.ClientConnections(gateway).buildProtocol(None)))
+        self.assertTrue(
+            self.transport(client_connection.ClientConnectionFactory(gateway).buildProtocol(None))
+        )
 
     def test_on_a_backend_connection(self):
         pool = unittest.mock.MagicMock(now=lambda: 0.0)
