--- a/corkdeal/net/client_connection.py
+++ b/corkdeal/net/client_connection.py
@@ -422,7 +422,7 @@
         else:
             self.handle_half_close(self.gateway.now())
 
-    def may_begin(self, now: float) -> bool:
+    def may_start_attempt(self, now: float) -> bool:
         """Return whether an attempt for a request of this client may start now.
 
         The kernel is asked, because a FIN or a reset may not have been read yet if this process runs late or
--- a/corkdeal/net/gateway.py
+++ b/corkdeal/net/gateway.py
@@ -467,7 +467,7 @@
         if rpc.done:  # answered meanwhile, and the settings forbid the decisions to cancel attempts
             self.pool.give_up(attempt, Status.ABANDONED)
             return False
-        if rpc.client_connection.may_begin(self.now()):
+        if rpc.client_connection.may_start_attempt(self.now()):
             return True
         self.end_unstarted(rpc)
         return False
@@ -565,7 +565,7 @@
             return self.handle_event(
                 AttemptEnded(action.id, number, action.backend, Status.ABANDONED, 0.0, rpc is None)
             )
-        if not rpc.client_connection.may_begin(now):
+        if not rpc.client_connection.may_start_attempt(now):
             self.end_unstarted(rpc)
             return self.handle_event(
                 AttemptEnded(action.id, rpc.attempts, action.backend, Status.ABANDONED, 0.0, True)
