--- a/corkdeal/net/figures.py
+++ b/corkdeal/net/figures.py
@@ -26,7 +26,7 @@
         """Counters since the start, and gauges (`now_...`) with their present values."""
         gateway, decisions = self.gateway, self.gateway.decisions
         counters = {
-            k: gateway.tally[k] for k in ("success", "busy", "failure", "backend_calls", "told", "heard")
+            k: gateway.counters[k] for k in ("success", "busy", "failure", "backend_calls", "told", "heard")
         }
         membership_metrics = decisions.membership.metrics() if decisions.membership is not None else {}
         return {
--- a/corkdeal/net/gateway.py
+++ b/corkdeal/net/gateway.py
@@ -135,7 +135,7 @@
             self.pool, overrides, lambda event: self.queued_events.append(event), self.process_events
         )
         self.operators = Operators(self, self.backends)
-        self.tally = self.operators.tally
+        self.counters = self.operators.counters
         self.action_handlers = {
             StartAttempt: self.start_attempt,
             Reject: self.reject,
@@ -270,9 +270,9 @@
             new_config = load()
         except ConfigError as error:
             count("reload_refused")
-            self.tally["reconfig_failed"] += 1
+            self.counters["reconfig_failed"] += 1
             return logs.event("reload_refused", error=str(error))
-        self.tally["reconfig_ok"] += 1
+        self.counters["reconfig_ok"] += 1
         pending = [
             f.name
             for f in dataclasses.fields(new_config)
@@ -421,7 +421,7 @@
         """Reject an RPC before it is handed to the decisions; returns the encoded answer."""
         rpc.done = True
         self.reader.open.discard(rpc.id)
-        self.tally["busy"] += 1
+        self.counters["busy"] += 1
         return self.encode_rejection(min(retry_after, self.settings.max_retry_after))
 
     def beyond_quota(self, request: Request) -> float | None:
@@ -489,7 +489,7 @@
             rpc.first_run_at = attempt.decided_at
         rpc.release()
         if reply.status is Status.OK and not rpc.done:
-            self.tally["success"] += 1
+            self.counters["success"] += 1
             self.answer(rid, [reply.value])
         elif rpc.left:  # the decisions have dropped it
             has_never_run = rpc.attempts == 1 and reply.status in NEVER_RAN
@@ -508,14 +508,14 @@
         if (rpc := self.close_rpc(attempt.rpc.request.id)) is None:
             return False
         attempt.first = max(0.0, self.now() - attempt.sent_at)
-        self.tally["success"] += 1
+        self.counters["success"] += 1
         rpc.client_connection.set_streamed_reply(rpc, response_stream)
         self.handle_event(StreamStarted(rpc.request.id, attempt.number, attempt.server, attempt.first))
         return True
 
     def peer_message_received(self, peer: int, payload: bytes) -> None:
         """Handle a peer's datagram; one that may have arrived during a stall is dropped as outdated."""
-        self.tally["heard"] += 1
+        self.counters["heard"] += 1
         if self.decisions.is_endpoint_list_stale:
             return count("datagram_old")
         self.handle_event(PeerMessage(peer, payload))
@@ -575,7 +575,7 @@
         attempt.decided_at, attempt.write_by = now, self.deduplication_end(rpc)
         self.attempts_in_flight[action.id, attempt.number] = rpc.attempt = attempt
         rpc.attempts += 1
-        self.tally["backend_calls"] += 1
+        self.counters["backend_calls"] += 1
         self.add_timer(until, attempt)
         self.pool.send(attempt)
         self.pool.limit_write(attempt)
@@ -593,7 +593,7 @@
 
     def reject(self, action: Reject) -> None:
         """Reject a request, with a retry-after time where the settings allow one."""
-        self.tally["busy"] += action.id in self.rpcs
+        self.counters["busy"] += action.id in self.rpcs
         self.answer(action.id, [self.encode_rejection(action.retry_after)])
 
     def encode_rejection(self, retry_after: float) -> bytes:
@@ -603,7 +603,7 @@
 
     def fail(self, action: Fail) -> None:
         """Answer that a request failed; it may or may not have run."""
-        self.tally["failure"] += action.id in self.rpcs
+        self.counters["failure"] += action.id in self.rpcs
         self.answer(action.id, [FAILURE_REPLY])
 
     def cancel_attempt(self, action: CancelAttempt) -> None:
@@ -630,7 +630,7 @@
 
     def tell(self, action: SendToPeer) -> None:
         """Send a datagram to a peer, or to all of them."""
-        self.tally["told"] += 1
+        self.counters["told"] += 1
         self.peering.tell(action.peer, action.payload)
 
     def write_log(self, action: Log) -> None:
--- a/corkdeal/net/operators.py
+++ b/corkdeal/net/operators.py
@@ -18,7 +18,7 @@
     def __init__(self, gateway: Any, backends: Backends) -> None:
         self.gateway, self.backends, self.overrides = gateway, backends, backends.overrides
         self.standby = False  # if set, PING gets an error, and client connections close as they become idle
-        self.tally: Counter[str] = Counter()  # answers by kind, attempts, reloads and peer messages
+        self.counters: Counter[str] = Counter()  # answers by kind, attempts, reloads and peer messages
 
     @property
     def ready(self) -> bool:
@@ -40,14 +40,14 @@
     def metrics(self) -> dict[str, int]:
         """Metrics: counters since the start, and gauges of open requests, backends and loop lateness."""
         listed, down = self.backends.count_listed()
-        tally = {k: self.tally[k] for k in ("success", "busy", "failure", "backend_calls")}
+        counters = {k: self.counters[k] for k in ("success", "busy", "failure", "backend_calls")}
         return {
-            **tally,
+            **counters,
             "inflight": len(self.gateway.rpcs),
             "hosts_listed": listed,
             "hosts_down": down,
-            "reconfig_ok": self.tally["reconfig_ok"],
-            "reconfig_failed": self.tally["reconfig_failed"],
+            "reconfig_ok": self.counters["reconfig_ok"],
+            "reconfig_failed": self.counters["reconfig_failed"],
             "loop_late_ms": round(1000 * self.gateway.lateness.max_lateness),
         }
 
--- a/corkdeal/net/recovery.py
+++ b/corkdeal/net/recovery.py
@@ -59,14 +59,14 @@
     def check(self) -> None:
         """Check for a stall, and update the average rate and the readiness."""
         now = self.gateway.now()
-        tally = self.gateway.tally
+        counters = self.gateway.counters
         self.check_stall(now)
-        self.attempt_rate.update(now, tally["backend_calls"])
+        self.attempt_rate.update(now, counters["backend_calls"])
         transition = self.readiness.update(
             now,
             responded=self._count_responding_neighbours(),
             neighbours=len(self.gateway.decisions.ring_neighbours),
-            answers=tally["success"],
+            answers=counters["success"],
             unserved=self._count_unserved(),
         )
         if transition is not None:
--- a/tests/recovery/test_net_recovery.py
+++ b/tests/recovery/test_net_recovery.py
@@ -27,7 +27,7 @@
             decisions=self.decisions,
             now=self.clock.seconds,
             pool=SimpleNamespace(turn=None, drop_connecting=lambda: None),
-            tally=Counter(),
+            counters=Counter(),
             attempts_in_flight={1: self.attempt},
             begun=has_begun,
             upgrade_handover=None,
--- a/tests/test_bodies.py
+++ b/tests/test_bodies.py
@@ -442,7 +442,7 @@
     pair.establish()[0].dataReceived(served())
     assert not pair.client.taken  # the reply to the first is still pending
     pair.client_connection.dataReceived(raw[300:] + PING)
-    assert len(pair.reactor.tcpClients) == 2 and pair.gateway.operators.tally["busy"] == 1
+    assert len(pair.reactor.tcpClients) == 2 and pair.gateway.operators.counters["busy"] == 1
 
 
 INCOMPLETE_BODIES = [  # event in the middle of a body, what the client reads, counter
