--- a/corkdeal/net/client_connection.py
+++ b/corkdeal/net/client_connection.py
@@ -147,7 +147,7 @@
             rpc.reply = [self.gateway.turned_down(rpc, 0.0)]
             rpc.release()
         else:
-            self.gateway.take(rpc)
+            self.gateway.accept_rpc(rpc)
 
     def enqueue(self, rpc: RPC) -> None:
         """Queue an RPC for its reply; stop reading at `MAX_PENDING_REPLIES`."""
--- a/corkdeal/net/gateway.py
+++ b/corkdeal/net/gateway.py
@@ -404,7 +404,7 @@
         ids = {e.id for e in events if isinstance(e, Request | AttemptEnded)} - sent
         return [Fail(i) for i in sorted(ids) if i in self.rpcs and not self.rpcs[i].attempt]
 
-    def take(self, rpc: RPC) -> None:
+    def accept_rpc(self, rpc: RPC) -> None:
         """Accept an RPC that was received completely; it is rejected at once if its time is over."""
         self.rpcs[rpc.request.id] = rpc
         if self.draining and rpc.deadline > self.answer_deadline:
--- a/tests/test_net_parsers.py
+++ b/tests/test_net_parsers.py
@@ -414,7 +414,7 @@
                 )(),
             },
         )()
-        self.gateway.take(rpc)
+        self.gateway.accept_rpc(rpc)
         self.assertEqual((answers, self.gateway.rpcs), ([[b"-ERR failed\r\n"]], {}))
         self.assertEqual(invariants.counts["module_failed"], 1)
 
