--- a/corkdeal/net/backend_connection.py
+++ b/corkdeal/net/backend_connection.py
@@ -65,7 +65,7 @@
 
     line_mode = 0
 
-    def __init__(self, pool: Pool, server: str, attempt: Attempt) -> None:
+    def __init__(self, pool: BackendPool, server: str, attempt: Attempt) -> None:
         self.pool, self.server, self.parser = pool, server, Parser()
         self.attempt: Attempt | None = attempt
         self.is_connected = self.ended = False
@@ -260,7 +260,7 @@
         self.conn.handle_loss()
 
 
-class Pool:
+class BackendPool:
     """All backend connections, by backend; `on_finish` is called exactly once for each attempt that ended.
 
     `on_stream_start` is called at the first bytes of a large reply and returns whether a client still waits.
--- a/corkdeal/net/backends.py
+++ b/corkdeal/net/backends.py
@@ -9,7 +9,7 @@
 from collections.abc import Callable
 
 from ..decisions.events import Endpoint, EndpointState, EndpointUpdate, Event, UpdateKind
-from .backend_connection import Pool
+from .backend_connection import BackendPool
 from .discovery_snapshot import DiscoverySnapshot
 from .manual_overrides import ManualOverrides
 
@@ -24,7 +24,7 @@
 
     def __init__(
         self,
-        pool: Pool,
+        pool: BackendPool,
         overrides: ManualOverrides | None,
         queue_event: Callable[[Event], None],
         process_events: Callable[[], None],
--- a/corkdeal/net/gateway.py
+++ b/corkdeal/net/gateway.py
@@ -45,7 +45,7 @@
 from ..decisions.retries import NEVER_RAN
 from ..decisions.settings import Effect
 from . import client_connection, client_port, invariants
-from .backend_connection import Attempt, Pool, Reply
+from .backend_connection import Attempt, BackendPool, Reply
 from .backends import Backends
 from .budget import Budget, budget_for
 from .config import Config, ConfigError, format_address, load
@@ -93,7 +93,7 @@
         self.lateness = LoopLateness()
         self.budget = Budget(budget_for(config.memory))
         self.descriptors = Descriptors(config.sockets, self.client_connections, self.now)
-        self.pool = Pool(
+        self.pool = BackendPool(
             reactor,
             self.settings,
             config.sockets // 2,
--- a/tests/test_net_parsers.py
+++ b/tests/test_net_parsers.py
@@ -423,7 +423,7 @@
         self.ended = []
         finished = lambda attempt, reply: self.ended.append(reply.status)  # noqa: E731
         accept = lambda *_: True  # noqa: E731
-        pool = backend_connection.Pool(
+        pool = backend_connection.BackendPool(
             self.reactor,
             self.gateway.settings,
             1,
