--- a/corkdeal/net/client_connection.py
+++ b/corkdeal/net/client_connection.py
@@ -504,7 +504,7 @@
             if rpc.response_stream is not None:
                 rpc.response_stream.handle_client_close()
             elif rpc.reply is None:
-                self.gateway.gone(rpc)
+                self.gateway.client_disconnected(rpc)
 
 
 class ClientConnectionFactory(ServerFactory):
--- a/corkdeal/net/gateway.py
+++ b/corkdeal/net/gateway.py
@@ -433,7 +433,7 @@
             logs.event("decisions_failed", events=[request], trace=traceback.format_exc())
             return None
 
-    def gone(self, rpc: RPC) -> None:
+    def client_disconnected(self, rpc: RPC) -> None:
         """The client has disconnected: an attempt that is not written completely is given up."""
         if self.close_rpc(rpc.request.id) is not None:
             self.handle_event(ClientDisconnected(rpc.request.id))
@@ -455,7 +455,7 @@
         """End an RPC whose attempt can't begin any more because the client has left."""
         count("attempt_not_begun")
         if rpc.client_connection.is_reset:
-            self.gone(rpc)
+            self.client_disconnected(rpc)
         else:
             self.left(rpc)
 
