--- a/corkdeal/net/client_connection.py
+++ b/corkdeal/net/client_connection.py
@@ -482,7 +482,7 @@
             return
         self.attempts_stopped = True
         for rpc in [w for w in self.pending_replies if w.reply is None]:
-            self.gateway.left(rpc)
+            self.gateway.client_half_closed(rpc)
 
     def writeConnectionLost(self) -> None:
         """This side has half-closed: nothing to do, since the client's close ends the connection."""
--- a/corkdeal/net/gateway.py
+++ b/corkdeal/net/gateway.py
@@ -316,7 +316,7 @@
 
     def abandon(self, rpc: RPC) -> None:
         """End an RPC in whatever state it is, with exactly one final answer."""
-        rpc.left = True
+        rpc.has_client_left = True
         self.handle_event(ClientDisconnected(rpc.request.id))
         if rpc.attempt is None:
             self.reject(Reject(rpc.request.id, 0.0))
@@ -440,7 +440,7 @@
             if rpc.attempt is not None and not rpc.attempt.whole:
                 self.pool.give_up(rpc.attempt, Status.ABANDONED)
 
-    def left(self, rpc: RPC) -> None:
+    def client_half_closed(self, rpc: RPC) -> None:
         """The client has closed its sending side, as one that has disconnected: start nothing more for it.
 
         A client that has only half-closed the connection still reads, so it gets its one final answer: an
@@ -448,7 +448,7 @@
         """
         if rpc.attempt is None or not rpc.attempt.whole:
             return self.abandon(rpc)
-        rpc.left = True
+        rpc.has_client_left = True
         self.handle_event(ClientDisconnected(rpc.request.id))
 
     def end_unstarted(self, rpc: RPC) -> None:
@@ -457,7 +457,7 @@
         if rpc.client_connection.is_reset:
             self.client_disconnected(rpc)
         else:
-            self.left(rpc)
+            self.client_half_closed(rpc)
 
     def may_start(self, attempt: Attempt) -> bool:
         """Whether an attempt may be written on its newly opened connection; if not, it is given up."""
@@ -491,7 +491,7 @@
         if reply.status is Status.OK and not rpc.done:
             self.counters["success"] += 1
             self.answer(rid, [reply.value])
-        elif rpc.left:  # the decisions have dropped it
+        elif rpc.has_client_left:  # the decisions have dropped it
             has_never_run = rpc.attempts == 1 and reply.status in NEVER_RAN
             self.reject(Reject(rid, 0.0)) if has_never_run else self.fail(Fail(rid))
         if self.decisions.admission_ramp is not None:
--- a/corkdeal/net/rpc.py
+++ b/corkdeal/net/rpc.py
@@ -54,7 +54,7 @@
     attempts: int = 0  # started so far
     first_run_at: float | None = None  # when the first attempt that may have run was decided on
     done: bool = False  # answered, or no answer is wanted
-    left: bool = False  # its client sends no more, so no further attempt is started
+    has_client_left: bool = False  # its client sends no more, so no further attempt is started
     reply: list[Any] | None = None  # the answer, or the part received so far, until it may be sent
     response_stream: Any = None  # forwards an answer with a long value
     body: Any = None  # the command's long value, if it has one
