--- a/corkdeal/net/backend_connection.py
+++ b/corkdeal/net/backend_connection.py
@@ -384,7 +384,7 @@
         for conn in list(self.idle.pop(server, ())):
             conn.close()
 
-    def told(self, server: str, ready: bool, at: tuple[str, int]) -> None:
+    def update_endpoint(self, server: str, ready: bool, at: tuple[str, int]) -> None:
         """Apply an endpoint-list update for one backend.
 
         Attempts still connecting to a draining backend end, since they could be written after its grace.
--- a/corkdeal/net/backends.py
+++ b/corkdeal/net/backends.py
@@ -54,10 +54,12 @@
         entries = self.overrides.apply_all(result.entries) if self.overrides else result.entries
         self.queue_event(EndpointUpdate(kind, entries, result.revision))
         for entry in entries:
-            self.pool.told(entry.backend, entry.state is EndpointState.READY, result.addresses[entry.backend])
+            self.pool.update_endpoint(
+                entry.backend, entry.state is EndpointState.READY, result.addresses[entry.backend]
+            )
         if kind is UpdateKind.COMPLETE:
             for server in self.pool.addresses.keys() - result.addresses.keys():
-                self.pool.told(server, False, self.pool.addresses[server])
+                self.pool.update_endpoint(server, False, self.pool.addresses[server])
         self.process_events()
 
     def update_override(self, server: str) -> None:
@@ -66,7 +68,7 @@
             return
         entry = self.overrides.apply(self.listed[server])
         self.queue_event(EndpointUpdate(UpdateKind.DELTA, (entry,), self.revision))
-        self.pool.told(server, entry.state is EndpointState.READY, self.addresses[server])
+        self.pool.update_endpoint(server, entry.state is EndpointState.READY, self.addresses[server])
         self.process_events()
 
     def is_known(self, server: str) -> bool:
--- a/tests/test_bodies.py
+++ b/tests/test_bodies.py
@@ -176,7 +176,7 @@
         self.gateway.timers.now = self.reactor.seconds
         entry = Endpoint("a", EndpointState.READY)
         self.gateway.handle_event(EndpointUpdate(UpdateKind.COMPLETE, (entry,)))
-        self.gateway.pool.told("a", True, ("127.0.0.1", 3))
+        self.gateway.pool.update_endpoint("a", True, ("127.0.0.1", 3))
         self.client_connection = gateway.client_connection.ClientConnection(self.gateway)
         self.client = FakeTransport()
         self.client_connection.makeConnection(self.client)
--- a/tests/test_net_departures.py
+++ b/tests/test_net_departures.py
@@ -344,7 +344,7 @@
 
     def add_backend(self):
         """Add a ready backend."""
-        self.gateway.pool.told("a", True, ("127.0.0.1", 3))
+        self.gateway.pool.update_endpoint("a", True, ("127.0.0.1", 3))
         self.gateway.handle_event(EndpointUpdate(UpdateKind.COMPLETE, (Endpoint("a", EndpointState.READY),)))
 
     def ask(self, rid=1):
--- a/tests/test_net_parsers.py
+++ b/tests/test_net_parsers.py
@@ -386,7 +386,7 @@
         connection, _ = self.establish()
         attempt.rpc = rpc = types.SimpleNamespace(body=None)
         pool.on_finish = lambda attempt, reply: self.assertIs(attempt.rpc, rpc)
-        pool.told("a", False, ("127.0.0.1", 1))
+        pool.update_endpoint("a", False, ("127.0.0.1", 1))
         connection.dataReceived(b"*3\r\n$1\r\nv\r\n$-1\r\n$-1\r\n")
         self.assertEqual((pool.open, pool.idle, pool.addresses, attempt.rpc), (set(), {}, {}, None))
 
@@ -434,7 +434,7 @@
             accept,
             self.gateway.budget,
         )
-        pool.told("a", True, ("127.0.0.1", 1))
+        pool.update_endpoint("a", True, ("127.0.0.1", 1))
         pool.send(attempt := backend_connection.Attempt(None, 0, "a", 0.0, 9.0, [b"x"]))
         return pool, attempt
 
@@ -454,7 +454,7 @@
     def test_an_attempt_still_connecting_ends_when_its_backend_drains(self):
         # a send counts from its first byte, which could follow the drain grace
         pool, _ = self.connecting_attempt()
-        pool.told("a", False, ("127.0.0.1", 1))
+        pool.update_endpoint("a", False, ("127.0.0.1", 1))
         self.assertEqual((self.ended, pool.open), ([Status.CONNECT_FAILED], set()))
         self.assertEqual(self.establish()[1].value(), b"")
 
