--- a/corkdeal/net/backend_connection.py
+++ b/corkdeal/net/backend_connection.py
@@ -79,8 +79,8 @@
     def connectionMade(self) -> None:
         """Connected: write the attempt for which the connection was opened."""
         self.is_connected = True
-        if self.pool.turn is not None:
-            self.pool.turn()  # abandons the attempt if the process stalled while connecting
+        if self.pool.check_stall is not None:
+            self.pool.check_stall()  # abandons the attempt if the process stalled while connecting
         if self.ended:
             return
         self.transport.setTcpNoDelay(True)
@@ -296,11 +296,11 @@
         self.open: set[BackendConnection] = set()
         self.closing: set[BackendConnection] = set()  # closed by this side, descriptor not yet freed
         self.opened = 0  # connections opened since the start
-        self.turn: Callable[[], bool] | None = None  # stall check before a write; True on a stall
+        self.check_stall: Callable[[], bool] | None = None  # stall check before a write; True on a stall
 
     def send(self, attempt: Attempt) -> None:
         """Write the attempt on the latest idle connection past `REUSE_DELAY`, or on a new one."""
-        if self.turn is not None and self.turn():  # the process stalled since this was decided
+        if self.check_stall is not None and self.check_stall():  # the process stalled since this was decided
             return self.finish(attempt, Reply(Status.ABANDONED))
         now = self.now()
         for conn in reversed(self.idle.get(attempt.server, ())[:]):
--- a/corkdeal/net/recovery.py
+++ b/corkdeal/net/recovery.py
@@ -43,7 +43,7 @@
         self.withheld_retries = 0.0  # part of the retry budget
         self.discovery_timeout: Any = None  # the delayed call that ends the wait for discovery
         gateway.decisions.quota_restore = QuotaRestore(gateway.decisions)
-        gateway.pool.turn = lambda: self.check_stall(gateway.now())
+        gateway.pool.check_stall = lambda: self.check_stall(gateway.now())
 
     def start(self) -> None:
         """Start the periodic check, and withhold most of the retry budget.
--- a/tests/recovery/test_net_recovery.py
+++ b/tests/recovery/test_net_recovery.py
@@ -26,7 +26,7 @@
         self.gateway = SimpleNamespace(
             decisions=self.decisions,
             now=self.clock.seconds,
-            pool=SimpleNamespace(turn=None, drop_connecting=lambda: None),
+            pool=SimpleNamespace(check_stall=None, drop_connecting=lambda: None),
             counters=Counter(),
             attempts_in_flight={1: self.attempt},
             begun=has_begun,
@@ -61,9 +61,9 @@
 def test_a_stall_waits_for_discovery_and_uses_the_old_list_after_a_timeout():
     world = World()
     world.run(0.5)
-    assert world.gateway.pool.turn() is False
+    assert world.gateway.pool.check_stall() is False
     world.clock.rightNow += 5.0  # no delayed call ran in this time
-    assert world.gateway.pool.turn() is True
+    assert world.gateway.pool.check_stall() is True
     assert world.discovery_queries == 1 and world.decisions.is_endpoint_list_stale
     assert world.attempt.sent_at == pytest.approx(995.0, abs=0.2)
     assert isinstance(world.decisions.admission_ramp, StallRamp)
