--- a/corkdeal/net/backend_connection.py
+++ b/corkdeal/net/backend_connection.py
@@ -180,7 +180,7 @@
         """Fail an attempt whose reply is malformed or incomplete; the backend may have executed it."""
         if not attempt.over:
             count("backend_connection_malformed")
-            self.pool.give_up(attempt, Status.RESET)
+            self.pool.abandon(attempt, Status.RESET)
 
     def is_reusable(self) -> bool:
         """Return whether the socket holds neither bytes nor a close since the last reply.
@@ -339,12 +339,12 @@
     def abandon_unwritten(self, attempt: Attempt) -> None:
         """Abandon an attempt that was not written in time, which says nothing about its backend."""
         count("repeat_too_late_to_write")
-        self.give_up(attempt, Status.ABANDONED)
+        self.abandon(attempt, Status.ABANDONED)
 
     def drop_connecting(self) -> None:
         """Abandon the attempts not yet written, which says nothing about their backends."""
         for conn in [c for c in self.open if c.attempt and not c.attempt.over and c.write_started_at is None]:
-            self.give_up(conn.attempt, Status.ABANDONED)
+            self.abandon(conn.attempt, Status.ABANDONED)
 
     def evict_idle(self) -> bool:
         """Close the connection that was idle for longest and free its descriptor at once."""
@@ -372,7 +372,7 @@
             self.on_finish(attempt, reply)
             attempt.rpc = None  # a pending timer may keep the attempt alive; free its frame
 
-    def give_up(self, attempt: Attempt, status: Status) -> None:
+    def abandon(self, attempt: Attempt, status: Status) -> None:
         """Abandon an attempt; its connection is closed, so that a late reply is discarded."""
         if not attempt.over:
             if attempt.conn:
@@ -396,7 +396,7 @@
             self.close_idle(server)
             for conn in [c for c in self.open if c.server == server and not c.is_connected and c.attempt]:
                 count("backend_connection_drained_while_connecting")
-                self.give_up(conn.attempt, Status.CONNECT_FAILED)
+                self.abandon(conn.attempt, Status.CONNECT_FAILED)
 
     def sweep(self) -> None:
         """Close idle connections before the backends do."""
--- a/corkdeal/net/gateway.py
+++ b/corkdeal/net/gateway.py
@@ -321,7 +321,7 @@
         if rpc.attempt is None:
             self.reject(Reject(rpc.request.id, 0.0))
         else:
-            self.pool.give_up(rpc.attempt, Status.CANCELLED if rpc.attempt.whole else Status.ABANDONED)
+            self.pool.abandon(rpc.attempt, Status.CANCELLED if rpc.attempt.whole else Status.ABANDONED)
 
     def client_connection_ended(self) -> None:
         """Begin the shutdown's last steps if the gateway is draining and nothing is open any more."""
@@ -438,7 +438,7 @@
         if self.close_rpc(rpc.request.id) is not None:
             self.handle_event(ClientDisconnected(rpc.request.id))
             if rpc.attempt is not None and not rpc.attempt.whole:
-                self.pool.give_up(rpc.attempt, Status.ABANDONED)
+                self.pool.abandon(rpc.attempt, Status.ABANDONED)
 
     def client_half_closed(self, rpc: RPC) -> None:
         """The client has closed its sending side, as one that has disconnected: start nothing more for it.
@@ -465,7 +465,7 @@
         if rpc is None:
             return True
         if rpc.done:  # answered meanwhile, and the settings forbid the decisions to cancel attempts
-            self.pool.give_up(attempt, Status.ABANDONED)
+            self.pool.abandon(attempt, Status.ABANDONED)
             return False
         if rpc.client_connection.may_start_attempt(self.now()):
             return True
@@ -540,7 +540,7 @@
         self.process_events()
         for attempt in expired:
             if attempt.first is None:  # an answer that has begun may take longer
-                self.pool.give_up(attempt, Status.TIMEOUT)
+                self.pool.abandon(attempt, Status.TIMEOUT)
 
     # Actions
 
@@ -609,7 +609,7 @@
     def cancel_attempt(self, action: CancelAttempt) -> None:
         """Cancel an attempt."""
         if (attempt := self.attempts_in_flight.get((action.id, action.attempt))) is not None:
-            self.pool.give_up(attempt, Status.CANCELLED)
+            self.pool.abandon(attempt, Status.CANCELLED)
 
     def set_timer(self, action: SetTimer) -> None:
         """Set a timer of the decisions."""
--- a/corkdeal/net/response_stream.py
+++ b/corkdeal/net/response_stream.py
@@ -67,7 +67,7 @@
             self.forward()
         else:
             count("answer_for_nobody")
-            self.conn.pool.give_up(self.attempt, Status.CANCELLED)
+            self.conn.pool.abandon(self.attempt, Status.CANCELLED)
 
     def receive(self, data: bytes) -> None:
         """Take further bytes of the reply from the backend."""
@@ -165,4 +165,4 @@
         """The client connection is closed: abandon the attempt."""
         if not self.ended:
             self.ended = True
-            self.conn.pool.give_up(self.attempt, Status.CANCELLED)
+            self.conn.pool.abandon(self.attempt, Status.CANCELLED)
