--- a/corkdeal/net/client_connection.py
+++ b/corkdeal/net/client_connection.py
@@ -144,7 +144,7 @@
     def submit(self, rpc: RPC) -> None:
         """Pass a complete RPC to the gateway, or reject it if its client disconnected before it was read."""
         if self.attempts_stopped:
-            rpc.reply = [self.gateway.turned_down(rpc, 0.0)]
+            rpc.reply = [self.gateway.reject_early(rpc, 0.0)]
             rpc.release()
         else:
             self.gateway.accept_rpc(rpc)
@@ -198,7 +198,7 @@
     def reject_body(self, body: RequestStream, after: float) -> None:
         """Reject a command whose large value is still being received; the rest of it is discarded."""
         if body.rpc is not None:
-            body.rpc.reply = [self.gateway.turned_down(body.rpc, after)]
+            body.rpc.reply = [self.gateway.reject_early(body.rpc, after)]
             body.drop()
             self.update_reading()
             self.flush()
--- a/corkdeal/net/gateway.py
+++ b/corkdeal/net/gateway.py
@@ -417,7 +417,7 @@
             return self.reject(Reject(rpc.request.id, 0.0))
         self.handle_event(rpc.request)
 
-    def turned_down(self, rpc: RPC, retry_after: float) -> bytes:
+    def reject_early(self, rpc: RPC, retry_after: float) -> bytes:
         """Reject an RPC before it is handed to the decisions; returns the encoded answer."""
         rpc.done = True
         self.reader.open.discard(rpc.id)
