--- a/corkdeal/net/client_connection.py
+++ b/corkdeal/net/client_connection.py
@@ -174,7 +174,7 @@
                 rpc = self.gateway.reader.read_head(frame, self.parser.items_left, now)
                 self.enqueue(rpc)
                 rpc.body = self.body = RequestStream(self.gateway.budget, self, rpc)
-                if (wait := self.gateway.beyond_quota(rpc.request)) is not None:
+                if (wait := self.gateway.early_retry_after(rpc.request)) is not None:
                     count("refused_at_head")
                     self.reject_body(self.body, wait)
             except BadRequest as error:
--- a/corkdeal/net/gateway.py
+++ b/corkdeal/net/gateway.py
@@ -424,7 +424,7 @@
         self.counters["busy"] += 1
         return self.encode_rejection(min(retry_after, self.settings.max_retry_after))
 
-    def beyond_quota(self, request: Request) -> float | None:
+    def early_retry_after(self, request: Request) -> float | None:
         """Seconds to wait before a retry if a command can be rejected by its head alone, else None."""
         try:
             return self.decisions.early_rejection(self.now(), request)
