--- a/corkdeal/net/backend_connection.py
+++ b/corkdeal/net/backend_connection.py
@@ -326,7 +326,7 @@
             *at, BackendConnectionFactory(conn), timeout=self.connect_timeout
         )
 
-    def limit_write(self, attempt: Attempt) -> None:
+    def schedule_write_deadline(self, attempt: Attempt) -> None:
         """Abandon the attempt at its `write_by`, unless it is fully written by then."""
         if attempt.write_by < math.inf and not attempt.over:
             self.reactor.callLater(max(0.0, attempt.write_by - self.now()), self.check_written, attempt)
--- a/corkdeal/net/gateway.py
+++ b/corkdeal/net/gateway.py
@@ -578,7 +578,7 @@
         self.counters["backend_calls"] += 1
         self.add_timer(until, attempt)
         self.pool.send(attempt)
-        self.pool.limit_write(attempt)
+        self.pool.schedule_write_deadline(attempt)
 
     def deduplication_end(self, rpc: RPC) -> float:
         """End of the deduplication window of an RPC that may have run; infinite if there is none.
