--- a/corkdeal/decisions/accounts.py
+++ b/corkdeal/decisions/accounts.py
@@ -46,13 +46,13 @@
     sent_requested: float = 0.0  # units requested on the near side, as last sent
     last_sent_at: float = float("-inf")  # s
 
-    def receive(self, requested: float, spent: float, is_older_peer: bool) -> tuple[float, float]:
+    def receive(self, requested: float, spent: float, peer_predates_start: bool) -> tuple[float, float]:
         """Apply the far side's totals and return the increments, which are 0 for reordered messages.
 
-        The first totals count in full, unless `is_older_peer`: the sender started earlier, and its totals
-        include units that were spent before this gateway started.
+        The first totals count in full, unless `peer_predates_start`: the sender started earlier, and its
+        totals include units that were spent before this gateway started.
         """
-        last = self.last_totals or ((requested, spent) if is_older_peer else (0.0, 0.0))
+        last = self.last_totals or ((requested, spent) if peer_predates_start else (0.0, 0.0))
         new_requested = (requested - last[0]) % TOTALS_WRAP
         new_spent = (spent - last[1]) % TOTALS_WRAP
         if max(new_requested, new_spent) >= TOTALS_WRAP / 2:
--- a/corkdeal/decisions/gateway.py
+++ b/corkdeal/decisions/gateway.py
@@ -272,9 +272,9 @@
         """Whether nothing was received from a peer for several exchange intervals."""
         return self.quota_exchange.is_silent(peer, self.now)
 
-    def is_older(self, incarnation: int) -> bool:
+    def predates_start(self, incarnation: int) -> bool:
         """Whether a peer of that incarnation ran before this gateway started and saw what was spent then."""
-        return self.peers.incarnations.is_older(incarnation)
+        return self.peers.incarnations.predates_start(incarnation)
 
     def send_updates(self, peer: int, updates: list[AccountUpdate]) -> None:
         """Send account updates to a peer, or an empty message if there are none."""
--- a/corkdeal/decisions/incarnations.py
+++ b/corkdeal/decisions/incarnations.py
@@ -95,6 +95,6 @@
         self.own = incarnation_after(latest, OLDER_MARGIN + 1)
         return True
 
-    def is_older(self, incarnation: int) -> bool:
+    def predates_start(self, incarnation: int) -> bool:
         """Whether a peer of that incarnation ran before this gateway started and saw what was spent then."""
         return is_later(self.own, incarnation + OLDER_MARGIN)
--- a/corkdeal/decisions/peer_protocol.py
+++ b/corkdeal/decisions/peer_protocol.py
@@ -114,11 +114,11 @@
         if not self._update_incarnation(peer, message.sender_incarnation):
             self._send_correction(peer)
             return
-        is_older_peer = self.incarnations.is_older(message.sender_incarnation)
+        peer_predates_start = self.incarnations.predates_start(message.sender_incarnation)
         for totals in message.totals:
-            self._apply_totals(peer, totals, is_older_peer)
+            self._apply_totals(peer, totals, peer_predates_start)
 
-    def _apply_totals(self, peer: int, totals: peer_messages.TreeTotals, is_older_peer: bool) -> None:
+    def _apply_totals(self, peer: int, totals: peer_messages.TreeTotals, peer_predates_start: bool) -> None:
         """Apply the units requested and spent on the far side of a tree edge."""
         account = self.host.account(
             totals.customer, totals.plan_index, totals.first_gateway, totals.member_count
@@ -127,7 +127,7 @@
         if edge is None:
             return
         self.host.refill(account)
-        requested, spent = edge.receive(totals.requested, totals.spent, is_older_peer)
+        requested, spent = edge.receive(totals.requested, totals.spent, peer_predates_start)
         account.add_demand(requested)
         account.spend(spent)
         account.last_peer_update_at = self.host.now
@@ -159,8 +159,10 @@
         account = self.host.account(
             update.customer, update.plan_index, update.first_gateway, update.member_count
         )
-        is_older_peer = self.incarnations.is_older(self.incarnations.peers[peer])
-        return self.quota_exchange.receive(account, peer, round_number, update, is_older_peer, self.host.now)
+        peer_predates_start = self.incarnations.predates_start(self.incarnations.peers[peer])
+        return self.quota_exchange.receive(
+            account, peer, round_number, update, peer_predates_start, self.host.now
+        )
 
     def _update_incarnation(self, peer: int, incarnation: int) -> bool:
         """Record a peer's incarnation, resetting its ledgers if it is new; False for an earlier one."""
--- a/corkdeal/decisions/quota_exchange.py
+++ b/corkdeal/decisions/quota_exchange.py
@@ -128,12 +128,12 @@
         peer: int,
         round_number: int,
         update: AccountUpdate,
-        is_older_peer: bool,
+        peer_predates_start: bool,
         now: float,
     ) -> AccountUpdate | None:
         """Apply a neighbour's update; the end with the higher index makes the exchange and replies.
 
-        `is_older_peer` says whether the peer ran before this gateway started and saw what was spent then.
+        `peer_predates_start`: the peer ran before this gateway started and saw what was spent then.
         """
         ledger = account.ledgers.get(peer)
         if ledger is None or round_number <= ledger.last_round:
@@ -144,7 +144,7 @@
         own = self.state(account)
         if not account.has_peer_level:
             account.has_peer_level = True
-            if is_older_peer:
+            if peer_predates_start:
                 _limit_fill(account, own, update)
         makes_exchange = self.settings.gateway_index > peer
         if makes_exchange:
--- a/corkdeal/recovery/host.py
+++ b/corkdeal/recovery/host.py
@@ -32,7 +32,7 @@
     def has_resumed(self) -> bool:
         """Return whether this gateway continues an earlier incarnation, with its ledgers."""
 
-    def is_older(self, incarnation: int, /) -> bool:
+    def predates_start(self, incarnation: int, /) -> bool:
         """Return whether a peer of that incarnation saw what was spent before this gateway started."""
 
     def send_updates(self, peer: int, updates: list[AccountUpdate], /) -> None:
--- a/corkdeal/recovery/quota_restore.py
+++ b/corkdeal/recovery/quota_restore.py
@@ -90,7 +90,7 @@
         if self.started_at is None or self.host.now - self.started_at > PEER_TIMEOUT:
             return True
         incarnation = self.host.peer_incarnations.get(peer)
-        return incarnation is not None and not self.host.is_older(incarnation)
+        return incarnation is not None and not self.host.predates_start(incarnation)
 
     def apply_update(self, peer: int, update: AccountUpdate) -> None:
         """Set the initial demand of an account from an update by a neighbour that kept running.
@@ -103,7 +103,7 @@
         ledger = account.ledgers.get(peer)
         if ledger is None or ledger.last_round or account.has_peer_level or update.share <= 0:
             return
-        if not self.host.is_older(self.host.peer_incarnations[peer]):
+        if not self.host.predates_start(self.host.peer_incarnations[peer]):
             return
         restored = account.base_share() - (ledger.received_share + update.received_share) / SHARE_STEPS
         share = max(0.0, min(1.0, restored))
--- a/tests/decisions/test_incarnations.py
+++ b/tests/decisions/test_incarnations.py
@@ -65,4 +65,6 @@
     )
     assert incarnations.advance_past(500)
     assert incarnations.own == 90_000 + OLDER_MARGIN + 1
-    assert incarnations.is_older(90_000) and not incarnations.is_older(incarnations.own - OLDER_MARGIN)
+    assert incarnations.predates_start(90_000) and not incarnations.predates_start(
+        incarnations.own - OLDER_MARGIN
+    )
--- a/tests/decisions/test_quota_exchange.py
+++ b/tests/decisions/test_quota_exchange.py
@@ -86,7 +86,7 @@
     assert ring.gateways[0].incarnation < ring.gateways[1].incarnation
     ring.run(2, busy_at(0))
     assert ring.gateways[1].peer_incarnations[0] == ring.gateways[0].incarnation
-    assert not ring.gateways[0].is_older(ring.gateways[0].incarnation) and total(ring) == pytest.approx(
+    assert not ring.gateways[0].predates_start(ring.gateways[0].incarnation) and total(ring) == pytest.approx(
         1, abs=0.02
     )
 
--- a/tests/recovery/test_quota_restore.py
+++ b/tests/recovery/test_quota_restore.py
@@ -49,7 +49,7 @@
     def has_resumed(self):
         return self.is_resumed
 
-    def is_older(self, incarnation):
+    def predates_start(self, incarnation):
         return incarnation in self.older_incarnations
 
     def send_updates(self, peer, updates):
