--- a/corkdeal/decisions/state_transfer.py
+++ b/corkdeal/decisions/state_transfer.py
@@ -61,7 +61,7 @@
         """Apply the earlier process's record of a backend, if any, to a new record."""
         if self.restored is None:
             return
-        stored = self.restored.server(record.endpoint, now)
+        stored = self.restored.backend(record.endpoint, now)
         if stored is not None:
             from . import persisted_state
 
--- a/corkdeal/persistence/quota_handover.py
+++ b/corkdeal/persistence/quota_handover.py
@@ -91,9 +91,9 @@
         """Whether quota shares follow from the ledgers, which the predecessor still keeps."""
         return self.state.may_resume()
 
-    def server(self, endpoint: Endpoint, now: float) -> persisted_state.StoredBackend | None:
+    def backend(self, endpoint: Endpoint, now: float) -> persisted_state.StoredBackend | None:
         """Return a backend's record, unchanged: nothing in it can be spent."""
-        return self.state.server(endpoint, now)
+        return self.state.backend(endpoint, now)
 
     def account(
         self, customer: int, plan: Plan, first_gateway: int, member_count: int, now: float
--- a/corkdeal/persistence/restore.py
+++ b/corkdeal/persistence/restore.py
@@ -114,7 +114,7 @@
                 seconds = interpolate(record.latency, default_latencies[record.request_class], weight)
                 yield StoredLatency(record.request_class, record.size, seconds)
 
-    def server(self, endpoint: Endpoint, now: float) -> StoredBackend | None:
+    def backend(self, endpoint: Endpoint, now: float) -> StoredBackend | None:
         """Return the record of an endpoint's backend process; None for another process of the same id.
 
         An endpoint with an earlier start comes from a list older than the record; the record is then kept.
--- a/tests/decisions/test_state_transfer.py
+++ b/tests/decisions/test_state_transfer.py
@@ -42,7 +42,7 @@
     def may_resume(self):
         return self.is_resumable
 
-    def server(self, endpoint, now):
+    def backend(self, endpoint, now):
         if endpoint.backend != "a":
             return None
         return StoredBackend("a", 0.0, now, 3.0, 2, True, 1.0)
--- a/tests/persistence/test_restore.py
+++ b/tests/persistence/test_restore.py
@@ -147,10 +147,10 @@
 def test_a_record_is_only_for_the_process_it_was_made_of(entry, at, found, counted):
     snapshot = samples.snapshot_of(msgspec.structs.replace(samples.HEAD, servers=(BACKEND,)), {})
     restored = restored_state(snapshot, 1.0, 9000.0, addresses={entry.backend: at})
-    made = restored.server(entry, 9000.0)
+    made = restored.backend(entry, 9000.0)
     assert (made is not None) is found and (not counted or restored.counts[counted] == 1)
     if found:
-        assert restored.server(entry, 9000.0) is None and made.rejections == ()
+        assert restored.backend(entry, 9000.0) is None and made.rejections == ()
         assert restored.counts["knowledge_class_unknown"] == 1
 
 
@@ -236,7 +236,7 @@
     restored = restored_state(samples.snapshot_of(), math.inf, 9000.0)
     assert (
         restored.has_expired
-        and restored.server(listed_update("s-1", started=1000.0).entries[0], 9000.0) is None
+        and restored.backend(listed_update("s-1", started=1000.0).entries[0], 9000.0) is None
     )
     assert restored.account(7, PLAN, 0, 2, 9000.0) is None
     fleet = restored.fleet(9000.0, {"look": 0.15})
--- a/tests/recovery/test_recovery.py
+++ b/tests/recovery/test_recovery.py
@@ -267,7 +267,7 @@
     def may_resume(self):
         return True
 
-    def server(self, entry, now):
+    def backend(self, entry, now):
         return None
 
     def account(self, customer, plan, first_gateway, member_count, now):
