--- a/corkdeal/net/backend_connection.py
+++ b/corkdeal/net/backend_connection.py
@@ -39,7 +39,7 @@
 
     rpc: RPC | None
     number: int
-    server: str
+    backend: str
     sent_at: float
     until: float
     parts: list[vectored_write.Part]
@@ -303,14 +303,14 @@
         if self.check_stall is not None and self.check_stall():  # the process stalled since this was decided
             return self.finish(attempt, Reply(Status.ABANDONED))
         now = self.now()
-        for conn in reversed(self.idle.get(attempt.server, ())[:]):
+        for conn in reversed(self.idle.get(attempt.backend, ())[:]):
             if conn.idle_since > now - REUSE_DELAY:
                 continue
             if conn.idle_since > now - self.idle_limit and conn.is_reusable():
-                self.idle[attempt.server].remove(conn)
+                self.idle[attempt.backend].remove(conn)
                 return conn.write_attempt(attempt)
             conn.close()
-        if (at := self.addresses.get(attempt.server)) is None:
+        if (at := self.addresses.get(attempt.backend)) is None:
             count("backend_connection_without_address")
             return self.finish(attempt, Reply(Status.CONNECT_FAILED))
         if (
@@ -319,7 +319,7 @@
             # the gateway is short of descriptors, which says nothing about the backend
             count("backend_connection_none_left")
             return self.finish(attempt, Reply(Status.ABANDONED))
-        conn = BackendConnection(self, attempt.server, attempt)
+        conn = BackendConnection(self, attempt.backend, attempt)
         self.open.add(conn)
         self.opened += 1
         conn.connector = self.reactor.connectTCP(
--- a/corkdeal/net/gateway.py
+++ b/corkdeal/net/gateway.py
@@ -481,7 +481,7 @@
             elapsed = max(0.0, self.now() - attempt.sent_at)
         report = report_of(reply.report, self.report_names) if reply.report else {}
         if rpc is None:
-            return self.handle_event(HealthCheckResult(attempt.server, reply.status, elapsed, report))
+            return self.handle_event(HealthCheckResult(attempt.backend, reply.status, elapsed, report))
         rid = rpc.request.id
         self.attempts_in_flight.pop((rid, attempt.number), None)
         rpc.attempt = None
@@ -497,7 +497,7 @@
         if self.decisions.admission_ramp is not None:
             self.decisions.admission_ramp.record_outcome(reply.status is Status.OK)
         self.handle_event(
-            AttemptEnded(rid, attempt.number, attempt.server, reply.status, elapsed, rpc.done, report=report)
+            AttemptEnded(rid, attempt.number, attempt.backend, reply.status, elapsed, rpc.done, report=report)
         )
 
     def response_started(self, attempt: Attempt, response_stream: ResponseStream) -> bool:
@@ -510,7 +510,7 @@
         attempt.first = max(0.0, self.now() - attempt.sent_at)
         self.counters["success"] += 1
         rpc.client_connection.set_streamed_reply(rpc, response_stream)
-        self.handle_event(StreamStarted(rpc.request.id, attempt.number, attempt.server, attempt.first))
+        self.handle_event(StreamStarted(rpc.request.id, attempt.number, attempt.backend, attempt.first))
         return True
 
     def peer_message_received(self, peer: int, payload: bytes) -> None:
