--- a/corkdeal/net/gateway.py
+++ b/corkdeal/net/gateway.py
@@ -144,7 +144,7 @@
             SetTimer: self.set_timer,
             CheckHealth: self.check_health,
             CloseIdleConnections: self.close_idle,
-            SendToPeer: self.tell,
+            SendToPeer: self.send_to_peer,
             Log: self.write_log,
             WatchEndpoints: self.watch_endpoints,
             FetchEndpoints: self.fetch_endpoints,
@@ -628,7 +628,7 @@
         """Close a backend's idle connections."""
         self.pool.close_idle(action.backend)
 
-    def tell(self, action: SendToPeer) -> None:
+    def send_to_peer(self, action: SendToPeer) -> None:
         """Send a datagram to a peer, or to all of them."""
         self.counters["told"] += 1
         self.peering.tell(action.peer, action.payload)
--- a/corkdeal/net/membership.py
+++ b/corkdeal/net/membership.py
@@ -58,7 +58,7 @@
             decisions.actions = []
             self.members.leave()
             for action in decisions.actions:
-                self.gateway.tell(action)
+                self.gateway.send_to_peer(action)
         done()
 
 
--- a/tests/membership/test_members.py
+++ b/tests/membership/test_members.py
@@ -321,7 +321,7 @@
     gateway = SimpleNamespace(
         decisions=decisions, upgrade_handover=upgrade_handover, before_end=[], now=lambda: tier.now
     )
-    gateway.tell = sent.append
+    gateway.send_to_peer = sent.append
     membership = MembershipService(FakeReactor(), gateway)
     membership.start()
     assert decisions.membership.shares.has_delegated_share is is_delegated and gateway.before_end == [
