--- a/corkdeal/net/gateway.py
+++ b/corkdeal/net/gateway.py
@@ -168,7 +168,7 @@
         else:
             self.handle_event(EndpointUpdate(UpdateKind.CACHED))
         self.listen_for_operators()
-        self.hear()
+        self.listen_for_peers()
         self.watch.run()
         self.reactor.callLater(FIRST_LIST_TIMEOUT, self.accept_clients)
         self.schedule_sweep()
@@ -192,7 +192,7 @@
             logs.event("listen_failed", at=format_address(address), error=str(error.socketError))
         count(counter)
 
-    def hear(self) -> None:
+    def listen_for_peers(self) -> None:
         """Listen for the peers' datagrams. During an upgrade, the predecessor has the port until it ends."""
         waits = self.upgrade_handover is not None and self.upgrade_handover.is_awaiting_remainder
         if not self.config.peer_listen or self.peering_stopped or waits:
@@ -202,9 +202,9 @@
             self.peer_port = self.reactor.listenUDP(port, self.peering, interface=host, maxPacketSize=1024)
         except CannotListenError as error:
             self.address_in_use("peer_port_taken", self.config.peer_listen, error)
-            self.reactor.callLater(SWEEP_INTERVAL, self.hear)
+            self.reactor.callLater(SWEEP_INTERVAL, self.listen_for_peers)
 
-    def be_silent(self) -> None:
+    def stop_peering(self) -> None:
         """Stop communicating with peers for good: the successor does from now on."""
         self.peering_stopped = True
         if self.peer_port is not None:
--- a/corkdeal/net/upgrade.py
+++ b/corkdeal/net/upgrade.py
@@ -141,7 +141,7 @@
             part=round(self.decisions.quota_fraction, 3),
         )
         self.predecessor = None
-        self.gateway.hear()
+        self.gateway.listen_for_peers()
 
     def _read(self, predecessor: int, part: HandoverPart) -> Snapshot | None:
         """Return a snapshot for this process, or None; one that can't be read is counted and logged."""
@@ -203,7 +203,7 @@
         self.predecessor = None
         if was_waiting:
             quota_handover.add_fraction(self.decisions, self.gateway.now(), self.predecessor_fraction)
-            self.gateway.hear()
+            self.gateway.listen_for_peers()
 
     # As the predecessor of another process
 
@@ -228,7 +228,7 @@
         if self._write(self.successor, HandoverPart.FINAL):
             self.is_finished = True
             quota_handover.release_all(self.decisions)
-            self.gateway.be_silent()
+            self.gateway.stop_peering()
             logs.event("handover_rest", life=self.files.incarnation, after=self.successor)
 
     def _write(self, successor: int, part: HandoverPart) -> bool:
--- a/tests/persistence/test_upgrade.py
+++ b/tests/persistence/test_upgrade.py
@@ -31,8 +31,8 @@
             now=lambda: 5000.0 + clock.seconds(),
             config=SimpleNamespace(name="n0"),
             begun=False,
-            hear=lambda: calls.append("hear"),
-            be_silent=lambda: calls.append("be_silent"),
+            listen_for_peers=lambda: calls.append("listen_for_peers"),
+            stop_peering=lambda: calls.append("stop_peering"),
         )
         upgrade_handover = UpgradeHandover(clock, gateway)
         processes.append(upgrade_handover)
@@ -71,10 +71,10 @@
     assert new_gateway.decisions.quota_fraction == pytest.approx(SUCCESSOR_FRACTION)
     assert old_gateway.decisions.quota_fraction == pytest.approx(1 - SUCCESSOR_FRACTION)
     old.hand_over_remainder()
-    assert old.is_finished and old_calls == ["be_silent"] and old_gateway.decisions.quota_fraction == 0.0
+    assert old.is_finished and old_calls == ["stop_peering"] and old_gateway.decisions.quota_fraction == 0.0
     world.advance_in_polls(2 * CHECK_INTERVAL)
     assert new_gateway.decisions.quota_fraction == pytest.approx(1.0)
-    assert not new.is_awaiting_remainder and new_calls == ["hear"]
+    assert not new.is_awaiting_remainder and new_calls == ["listen_for_peers"]
     assert world.lines == ["handover_given", "handover_begun", "handover_rest", "handover_done"]
 
 
