--- a/corkdeal/net/backend_connection.py
+++ b/corkdeal/net/backend_connection.py
@@ -41,7 +41,7 @@
     number: int
     backend: str
     sent_at: float
-    until: float
+    deadline: float
     parts: list[vectored_write.Part]
     conn: BackendConnection | None = None
     over: bool = False
--- a/corkdeal/net/gateway.py
+++ b/corkdeal/net/gateway.py
@@ -621,7 +621,7 @@
         attempt = Attempt(
             None, 0, action.backend, now, now + HEALTH_CHECK_TIMEOUT, [command(b"INFO", b"load")]
         )
-        self.add_timer(attempt.until, attempt)
+        self.add_timer(attempt.deadline, attempt)
         self.pool.send(attempt)
 
     def close_idle(self, action: CloseIdleConnections) -> None:
