--- a/corkdeal/net/backend_connection.py
+++ b/corkdeal/net/backend_connection.py
@@ -44,7 +44,7 @@
     deadline: float
     parts: list[vectored_write.Part]
     conn: BackendConnection | None = None
-    over: bool = False
+    is_finished: bool = False
     first: float | None = None  # s from sending it to the first byte of a large reply, once that is streamed
     decided_at: float = 0.0  # when the decisions started it; unlike `sent_at`, never changed
     write_by: float = math.inf  # deadline for its last byte: backends deduplicate a retry until then only
@@ -171,14 +171,14 @@
         size = len(self.parser.buf)
         if self.response_stream is not None:
             return  # the stream has its own stall timer
-        if not attempt.over and size > previous_size and self.pool.now() < until:
+        if not attempt.is_finished and size > previous_size and self.pool.now() < until:
             self.pool.reactor.callLater(REPLY_STALL_TIMEOUT, self.check_reply_stall, attempt, until, size)
         else:
             self.fail_malformed(attempt)
 
     def fail_malformed(self, attempt: Attempt) -> None:
         """Fail an attempt whose reply is malformed or incomplete; the backend may have executed it."""
-        if not attempt.over:
+        if not attempt.is_finished:
             count("backend_connection_malformed")
             self.pool.abandon(attempt, Status.RESET)
 
@@ -328,12 +328,12 @@
 
     def schedule_write_deadline(self, attempt: Attempt) -> None:
         """Abandon the attempt at its `write_by`, unless it is fully written by then."""
-        if attempt.write_by < math.inf and not attempt.over:
+        if attempt.write_by < math.inf and not attempt.is_finished:
             self.reactor.callLater(max(0.0, attempt.write_by - self.now()), self.check_written, attempt)
 
     def check_written(self, attempt: Attempt) -> None:
         """Abandon an attempt that is not fully written at its `write_by`."""
-        if not attempt.over and not attempt.whole:
+        if not attempt.is_finished and not attempt.whole:
             self.abandon_unwritten(attempt)
 
     def abandon_unwritten(self, attempt: Attempt) -> None:
@@ -343,7 +343,9 @@
 
     def drop_connecting(self) -> None:
         """Abandon the attempts not yet written, which says nothing about their backends."""
-        for conn in [c for c in self.open if c.attempt and not c.attempt.over and c.write_started_at is None]:
+        for conn in [
+            c for c in self.open if c.attempt and not c.attempt.is_finished and c.write_started_at is None
+        ]:
             self.abandon(conn.attempt, Status.ABANDONED)
 
     def evict_idle(self) -> bool:
@@ -367,14 +369,14 @@
 
     def finish(self, attempt: Attempt, reply: Reply) -> None:
         """Report the outcome of an attempt."""
-        if holds(not attempt.over, "second_outcome"):
-            attempt.over, attempt.conn, attempt.parts = True, None, []
+        if holds(not attempt.is_finished, "second_outcome"):
+            attempt.is_finished, attempt.conn, attempt.parts = True, None, []
             self.on_finish(attempt, reply)
             attempt.rpc = None  # a pending timer may keep the attempt alive; free its frame
 
     def abandon(self, attempt: Attempt, status: Status) -> None:
         """Abandon an attempt; its connection is closed, so that a late reply is discarded."""
-        if not attempt.over:
+        if not attempt.is_finished:
             if attempt.conn:
                 attempt.conn.close()
             self.finish(attempt, Reply(status))
--- a/corkdeal/net/response_stream.py
+++ b/corkdeal/net/response_stream.py
@@ -84,7 +84,7 @@
             return self.conn.fail_malformed(self.attempt)
         self.rpc.reply += parts
         self.rpc.client_connection.forward_response(self.rpc)
-        if reply and not self.attempt.over:
+        if reply and not self.attempt.is_finished:
             self.conn.finish_reply(self.attempt, reply)
 
     def read(self, parts: list[Any]) -> Reply | None:
@@ -130,7 +130,7 @@
 
         A stream that waits for earlier replies is not checked: those have checks of their own.
         """
-        if self.attempt.over:
+        if self.attempt.is_finished:
             return
         wait = CLIENT_STALL_TIMEOUT
         if not self.paused:
--- a/corkdeal/net/timers.py
+++ b/corkdeal/net/timers.py
@@ -40,7 +40,7 @@
     def arm(self) -> None:
         """Schedule the delayed call for the earliest timer; drop timers of attempts that have ended."""
         heap = self.heap
-        while heap and type(heap[0][2]) is Attempt and heap[0][2].over:
+        while heap and type(heap[0][2]) is Attempt and heap[0][2].is_finished:
             heapq.heappop(heap)
         if heap and heap[0][0] < self.delayed_call_at:
             if self.delayed_call is not None:
