--- a/corkdeal/net/backend_connection.py
+++ b/corkdeal/net/backend_connection.py
@@ -45,7 +45,9 @@
     parts: list[vectored_write.Part]
     conn: BackendConnection | None = None
     is_finished: bool = False
-    first: float | None = None  # s from sending it to the first byte of a large reply, once that is streamed
+    first_byte_latency: float | None = (
+        None  # s from sending it to the first byte of a large reply, once that is streamed
+    )
     decided_at: float = 0.0  # when the decisions started it; unlike `sent_at`, never changed
     write_by: float = math.inf  # deadline for its last byte: backends deduplicate a retry until then only
 
--- a/corkdeal/net/gateway.py
+++ b/corkdeal/net/gateway.py
@@ -476,7 +476,7 @@
         """An attempt ended: send a value to the client, then notify the decisions."""
         if self.recovery is not None:
             self.recovery.check_stall(self.now())
-        elapsed, rpc = attempt.first, attempt.rpc
+        elapsed, rpc = attempt.first_byte_latency, attempt.rpc
         if elapsed is None:
             elapsed = max(0.0, self.now() - attempt.sent_at)
         report = report_of(reply.report, self.report_names) if reply.report else {}
@@ -507,10 +507,12 @@
         """
         if (rpc := self.close_rpc(attempt.rpc.request.id)) is None:
             return False
-        attempt.first = max(0.0, self.now() - attempt.sent_at)
+        attempt.first_byte_latency = max(0.0, self.now() - attempt.sent_at)
         self.counters["success"] += 1
         rpc.client_connection.set_streamed_reply(rpc, response_stream)
-        self.handle_event(StreamStarted(rpc.request.id, attempt.number, attempt.backend, attempt.first))
+        self.handle_event(
+            StreamStarted(rpc.request.id, attempt.number, attempt.backend, attempt.first_byte_latency)
+        )
         return True
 
     def peer_message_received(self, peer: int, payload: bytes) -> None:
@@ -539,7 +541,7 @@
         self.queued_events += [TimerExpired(token) for token in tokens]
         self.process_events()
         for attempt in expired:
-            if attempt.first is None:  # an answer that has begun may take longer
+            if attempt.first_byte_latency is None:  # an answer that has begun may take longer
                 self.pool.abandon(attempt, Status.TIMEOUT)
 
     # Actions
