--- a/corkdeal/net/gateway.py
+++ b/corkdeal/net/gateway.py
@@ -253,7 +253,7 @@
             random.Random(self.config.seed),
         )
 
-    def watch_again(self) -> None:
+    def restart_watch(self) -> None:
         """Restart the watch, beginning with the complete list."""
         self.watch.stop()
         if self.begun:
@@ -280,7 +280,7 @@
             and getattr(new_config, f.name) != getattr(self.config, f.name)
         ]
         self.config = dataclasses.replace(self.config, discovery=new_config.discovery)
-        self.watch_again()
+        self.restart_watch()
         logs.event(
             "reloaded", discovery=format_address(new_config.discovery), at_next_start=",".join(pending)
         )
--- a/corkdeal/net/recovery.py
+++ b/corkdeal/net/recovery.py
@@ -142,7 +142,7 @@
 
     def _await_discovery(self) -> None:
         """Query discovery again, with a timeout after which the old endpoint list is used."""
-        self.gateway.watch_again()
+        self.gateway.restart_watch()
         if self.discovery_timeout is not None and self.discovery_timeout.active():
             self.discovery_timeout.cancel()
         self.discovery_timeout = self.reactor.callLater(DISCOVERY_TIMEOUT, self._use_stale_endpoints)
--- a/tests/recovery/test_net_recovery.py
+++ b/tests/recovery/test_net_recovery.py
@@ -31,7 +31,7 @@
             attempts_in_flight={1: self.attempt},
             begun=has_begun,
             upgrade_handover=None,
-            watch_again=self.query_discovery,
+            restart_watch=self.query_discovery,
         )
         self.recovery = RecoveryService(self.clock, self.gateway)
         self.recovery.start()
