--- a/corkdeal/net/gateway.py
+++ b/corkdeal/net/gateway.py
@@ -117,7 +117,7 @@
         self.timers = Timers(reactor, self.now, self.timers_expired)
         self.port: Any = None
         self.listen_retry: Any = None  # the delayed call that retries listening
-        self.begun = self.is_serving = self.draining = self.ending = False
+        self.has_started = self.is_serving = self.draining = self.ending = False
         self.answer_deadline = math.inf  # while draining: when all must be answered
         self.peer_port: Any = None
         self.peering_stopped = False  # whether the successor now communicates with the peers
@@ -159,7 +159,7 @@
 
     def start(self) -> None:
         """Start with the configured endpoint list; accept clients after discovery's answer or a timeout."""
-        self.begun = True
+        self.has_started = True
         known = self.config.known
         if self.recovery is not None:
             self.recovery.limit_start(len(known.entries) if known else 0)
@@ -256,7 +256,7 @@
     def restart_watch(self) -> None:
         """Restart the watch, beginning with the complete list."""
         self.watch.stop()
-        if self.begun:
+        if self.has_started:
             self.watch = self.make_watch(self.config.discovery)
             self.watch.run()
         else:  # `start` has not been called yet, and will run it
--- a/corkdeal/net/recovery.py
+++ b/corkdeal/net/recovery.py
@@ -131,13 +131,13 @@
         decisions.admission_ramp = StallRamp(now, self.attempt_rate.rate)
         self.stall_ended_at = now
         self.stall_time = stall_time
-        decisions.is_endpoint_list_stale = self.gateway.begun
+        decisions.is_endpoint_list_stale = self.gateway.has_started
         resume_after_stall(decisions, now, stall_time)
         for attempt in self.gateway.attempts_in_flight.values():
             attempt.sent_at += stall_time  # its backend could not have replied during the stall
         self.gateway.pool.drop_connecting()
         self.apply(self.readiness.restart(now, f"stood still for {stall_time:.2f} s"))
-        if self.gateway.begun:
+        if self.gateway.has_started:
             self._await_discovery()
 
     def _await_discovery(self) -> None:
--- a/corkdeal/net/upgrade.py
+++ b/corkdeal/net/upgrade.py
@@ -177,7 +177,7 @@
         """Take over from the predecessor; hand over to the successor, or take back from one that ended."""
         if self.takeover is not None:
             return  # only a complete state may be handed over
-        if self.predecessor is not None and self.partial_state is not None and self.gateway.begun:
+        if self.predecessor is not None and self.partial_state is not None and self.gateway.has_started:
             self._follow_predecessor(self.predecessor, self.partial_state)
         if self.successor is not None and not self.files.is_running(self.successor):
             logs.event("handover_taken_back", life=self.files.incarnation, after=self.successor)
@@ -185,7 +185,7 @@
             self.successor = None
         if self.successor is None:
             successor = self.files.successor()
-            if successor is not None and self.gateway.begun:
+            if successor is not None and self.gateway.has_started:
                 self._hand_over_partial_state(successor)
 
     def _disable(self, error: OSError) -> None:
--- a/tests/persistence/test_upgrade.py
+++ b/tests/persistence/test_upgrade.py
@@ -22,7 +22,7 @@
     logs.configure(lambda level, name, pairs: lines.append(name))
 
     def process():
-        """Return a process that is starting; it serves once `begun` is set."""
+        """Return a process that is starting; it serves once `has_started` is set."""
         decisions = Gateway(helpers.settings(), seed=1)
         calls = []
         gateway = SimpleNamespace(
@@ -30,7 +30,7 @@
             settings=decisions.settings,
             now=lambda: 5000.0 + clock.seconds(),
             config=SimpleNamespace(name="n0"),
-            begun=False,
+            has_started=False,
             listen_for_peers=lambda: calls.append("listen_for_peers"),
             stop_peering=lambda: calls.append("stop_peering"),
         )
@@ -38,7 +38,7 @@
         processes.append(upgrade_handover)
 
         def start():
-            gateway.begun = True
+            gateway.has_started = True
 
         upgrade_handover.take_over(start)
         return upgrade_handover, gateway, calls
@@ -56,7 +56,7 @@
 def test_a_first_process_starts_at_once_with_the_whole_quota(world):
     upgrade_handover, gateway, _ = world.process()
     assert (
-        gateway.begun
+        gateway.has_started
         and not upgrade_handover.is_awaiting_remainder
         and gateway.decisions.quota_fraction == 1.0
     )
@@ -65,9 +65,9 @@
 def test_the_quota_goes_over_in_two_parts_and_is_never_more_than_one(world):
     old, old_gateway, old_calls = world.process()
     new, new_gateway, new_calls = world.process()
-    assert not new_gateway.begun
+    assert not new_gateway.has_started
     world.advance_in_polls(2 * CHECK_INTERVAL)
-    assert new_gateway.begun and new.is_awaiting_remainder
+    assert new_gateway.has_started and new.is_awaiting_remainder
     assert new_gateway.decisions.quota_fraction == pytest.approx(SUCCESSOR_FRACTION)
     assert old_gateway.decisions.quota_fraction == pytest.approx(1 - SUCCESSOR_FRACTION)
     old.hand_over_remainder()
@@ -102,19 +102,19 @@
 
 def test_a_predecessor_that_gives_nothing_is_not_waited_for_long(world):
     _, old_gateway, _ = world.process()
-    old_gateway.begun = False  # so it never hands over
+    old_gateway.has_started = False  # so it never hands over
     _, new_gateway, _ = world.process()
     world.advance_in_polls(POLL_TIMEOUT / 2)
-    assert not new_gateway.begun
+    assert not new_gateway.has_started
     world.advance_in_polls(POLL_TIMEOUT)
-    assert new_gateway.begun and world.lines == ["handover_none"]
+    assert new_gateway.has_started and world.lines == ["handover_none"]
 
 
 def test_a_folder_that_goes_away_while_a_start_waits_does_not_keep_it_from_starting(world):
     _, old_gateway, _ = world.process()
-    old_gateway.begun = False
+    old_gateway.has_started = False
     new, new_gateway, _ = world.process()
     shutil.rmtree(world.path / "corkdeal-lives")
     new._disable(OSError("folder removed between two polls"))
     world.advance_in_polls(POLL_INTERVAL)
-    assert new_gateway.begun and new.is_finished and new_gateway.decisions.quota_fraction == 1.0
+    assert new_gateway.has_started and new.is_finished and new_gateway.decisions.quota_fraction == 1.0
--- a/tests/recovery/test_net_recovery.py
+++ b/tests/recovery/test_net_recovery.py
@@ -17,7 +17,7 @@
 class World:
     """A gateway that is serving, with its recovery."""
 
-    def __init__(self, has_begun=True):
+    def __init__(self, has_started=True):
         self.clock = Clock()
         self.clock.advance(1000.0)
         self.decisions = Gateway(settings(0, 3), seed=1)
@@ -29,7 +29,7 @@
             pool=SimpleNamespace(check_stall=None, drop_connecting=lambda: None),
             counters=Counter(),
             attempts_in_flight={1: self.attempt},
-            begun=has_begun,
+            has_started=has_started,
             upgrade_handover=None,
             restart_watch=self.query_discovery,
         )
@@ -82,7 +82,7 @@
 
 
 def test_a_stall_before_the_gateway_serves_waits_for_nothing():
-    world = World(has_begun=False)
+    world = World(has_started=False)
     world.clock.rightNow += 5.0
     assert world.recovery.check_stall(world.clock.seconds())
     assert world.discovery_queries == 0 and not world.decisions.is_endpoint_list_stale
