--- a/corkdeal/net/backend_connection.py
+++ b/corkdeal/net/backend_connection.py
@@ -52,7 +52,7 @@
     write_by: float = math.inf  # deadline for its last byte: backends deduplicate a retry until then only
 
     @property
-    def whole(self) -> bool:
+    def is_fully_written(self) -> bool:
         """Whether its last byte was handed to the kernel, so that the backend may have executed it."""
         conn = self.conn
         return (
@@ -335,7 +335,7 @@
 
     def check_written(self, attempt: Attempt) -> None:
         """Abandon an attempt that is not fully written at its `write_by`."""
-        if not attempt.is_finished and not attempt.whole:
+        if not attempt.is_finished and not attempt.is_fully_written:
             self.abandon_unwritten(attempt)
 
     def abandon_unwritten(self, attempt: Attempt) -> None:
--- a/corkdeal/net/gateway.py
+++ b/corkdeal/net/gateway.py
@@ -321,7 +321,9 @@
         if rpc.attempt is None:
             self.reject(Reject(rpc.request.id, 0.0))
         else:
-            self.pool.abandon(rpc.attempt, Status.CANCELLED if rpc.attempt.whole else Status.ABANDONED)
+            self.pool.abandon(
+                rpc.attempt, Status.CANCELLED if rpc.attempt.is_fully_written else Status.ABANDONED
+            )
 
     def client_connection_ended(self) -> None:
         """Begin the shutdown's last steps if the gateway is draining and nothing is open any more."""
@@ -437,7 +439,7 @@
         """The client has disconnected: an attempt that is not written completely is given up."""
         if self.close_rpc(rpc.request.id) is not None:
             self.handle_event(ClientDisconnected(rpc.request.id))
-            if rpc.attempt is not None and not rpc.attempt.whole:
+            if rpc.attempt is not None and not rpc.attempt.is_fully_written:
                 self.pool.abandon(rpc.attempt, Status.ABANDONED)
 
     def client_half_closed(self, rpc: RPC) -> None:
@@ -446,7 +448,7 @@
         A client that has only half-closed the connection still reads, so it gets its one final answer: an
         attempt that a backend has received completely goes on and provides it, else the RPC is rejected.
         """
-        if rpc.attempt is None or not rpc.attempt.whole:
+        if rpc.attempt is None or not rpc.attempt.is_fully_written:
             return self.abandon(rpc)
         rpc.has_client_left = True
         self.handle_event(ClientDisconnected(rpc.request.id))
