--- a/corkdeal/decisions/extensions.py
+++ b/corkdeal/decisions/extensions.py
@@ -34,7 +34,7 @@
     def may_send_updates(self, peer: int) -> bool:
         """Whether updates may be sent to a neighbour without overwriting the totals that it holds."""
 
-    def record_reply(self, peer: int) -> None:
+    def record_peer_message(self, peer: int) -> None:
         """Record that a neighbour sent a message to this incarnation."""
 
     def apply_update(self, peer: int, update: AccountUpdate) -> None:
--- a/corkdeal/decisions/peer_protocol.py
+++ b/corkdeal/decisions/peer_protocol.py
@@ -141,7 +141,7 @@
             return
         quota_restore = self.host.quota_restore
         if quota_restore is not None:
-            quota_restore.record_reply(peer)
+            quota_restore.record_peer_message(peer)
         replies = []
         for update in message.updates:
             if quota_restore is not None:
--- a/corkdeal/recovery/quota_restore.py
+++ b/corkdeal/recovery/quota_restore.py
@@ -47,7 +47,7 @@
         self.started_at: float | None = None  # s, when the first account was created
         # neighbours that were sent a message so that they reply with their totals
         self.queried: set[int] = set()
-        self.replied: set[int] = set()  # neighbours that have sent a message to this incarnation
+        self.responded_peers: set[int] = set()  # neighbours that have sent a message to this incarnation
 
     def apply_stored(self, account: Account, stored: StoredAccount, has_current_ledgers: bool) -> None:
         """Use the ledgers of a stored account until a neighbour sends its totals.
@@ -79,13 +79,13 @@
             self.queried.add(peer)
             self.host.send_updates(peer, [])
 
-    def record_reply(self, peer: int) -> None:
+    def record_peer_message(self, peer: int) -> None:
         """Record that a neighbour sent a message to this incarnation."""
-        self.replied.add(peer)
+        self.responded_peers.add(peer)
 
     def may_send_updates(self, peer: int) -> bool:
         """Return whether updates may be sent to a neighbour: it has sent its totals, or has none to send."""
-        if peer in self.replied or self.host.has_resumed():
+        if peer in self.responded_peers or self.host.has_resumed():
             return True
         if self.started_at is None or self.host.now - self.started_at > PEER_TIMEOUT:
             return True
--- a/tests/recovery/test_quota_restore.py
+++ b/tests/recovery/test_quota_restore.py
@@ -89,7 +89,7 @@
     assert restore.may_send_updates(0)  # there is no account yet
     restore.account_created(host.accounts[CUSTOMER])
     assert not restore.may_send_updates(0) and not restore.may_send_updates(1)
-    restore.record_reply(0)
+    restore.record_peer_message(0)
     assert restore.may_send_updates(0) and not restore.may_send_updates(2)
     host.older_incarnations = {10}
     assert restore.may_send_updates(2)  # it started at about the same time
