--- a/corkdeal/decisions/extensions.py
+++ b/corkdeal/decisions/extensions.py
@@ -28,8 +28,8 @@
     def apply_stored(self, account: Account, stored: StoredAccount, has_current_ledgers: bool) -> None:
         """Adopt the ledgers of a stored record until a neighbour sends newer ones."""
 
-    def account_created(self, account: Account) -> None:
-        """Notify that an account was created."""
+    def query_totals(self, account: Account) -> None:
+        """Ask the neighbours of a new account for their totals; may lower an aggregated account's level."""
 
     def may_send_updates(self, peer: int) -> bool:
         """Whether updates may be sent to a neighbour without overwriting the totals that it holds."""
--- a/corkdeal/decisions/gateway.py
+++ b/corkdeal/decisions/gateway.py
@@ -236,7 +236,7 @@
             account = self.account_table.create(customer, plan, first_gateway, member_count, self.now)
             self.state_transfer.restore_account(customer, account, self.now, self.quota_restore)
             if self.quota_restore is not None:
-                self.quota_restore.account_created(account)
+                self.quota_restore.query_totals(account)
         if self.changed_customers is not None:
             self.changed_customers.add(customer)
         return accounts[customer]
--- a/corkdeal/recovery/quota_restore.py
+++ b/corkdeal/recovery/quota_restore.py
@@ -64,7 +64,7 @@
                     record.received_share, record.received_units, has_peer_totals=True
                 )
 
-    def account_created(self, account: Account) -> None:
+    def query_totals(self, account: Account) -> None:
         """Ask the neighbours of a new account for their totals.
 
         In an aggregated ring, soon after a start, also lower the level, which others may have spent.
--- a/tests/recovery/test_quota_restore.py
+++ b/tests/recovery/test_quota_restore.py
@@ -63,8 +63,8 @@
 def test_each_neighbour_is_asked_once():
     host = FakeHost()
     restore = QuotaRestore(host)
-    restore.account_created(host.accounts[CUSTOMER])
-    restore.account_created(account())
+    restore.query_totals(host.accounts[CUSTOMER])
+    restore.query_totals(account())
     assert host.sent == [(0, []), (2, [])]
 
 
@@ -75,11 +75,11 @@
 def test_an_aggregated_account_begins_without_a_burst_until_totals_have_come(elapsed, has_resumed, fill):
     host = FakeHost()
     restore = QuotaRestore(host)
-    restore.account_created(account())
+    restore.query_totals(account())
     host.now += elapsed
     host.is_resumed = has_resumed
     aggregated = account(ledgers={}, is_aggregated=True)
-    restore.account_created(aggregated)
+    restore.query_totals(aggregated)
     assert aggregated.level == pytest.approx(fill * PLAN.burst)
 
 
@@ -87,7 +87,7 @@
     host = FakeHost()
     restore = QuotaRestore(host)
     assert restore.may_send_updates(0)  # there is no account yet
-    restore.account_created(host.accounts[CUSTOMER])
+    restore.query_totals(host.accounts[CUSTOMER])
     assert not restore.may_send_updates(0) and not restore.may_send_updates(1)
     restore.record_peer_message(0)
     assert restore.may_send_updates(0) and not restore.may_send_updates(2)
@@ -101,7 +101,7 @@
 def test_a_resumed_incarnation_waits_for_nobody():
     host = FakeHost()
     restore = QuotaRestore(host)
-    restore.account_created(host.accounts[CUSTOMER])
+    restore.query_totals(host.accounts[CUSTOMER])
     host.is_resumed = True
     assert restore.may_send_updates(0)
 
