--- a/corkdeal/net/gateway.py
+++ b/corkdeal/net/gateway.py
@@ -635,7 +635,7 @@
     def send_to_peer(self, action: SendToPeer) -> None:
         """Send a datagram to a peer, or to all of them."""
         self.counters["told"] += 1
-        self.peering.tell(action.peer, action.payload)
+        self.peering.send(action.peer, action.payload)
 
     def write_log(self, action: Log) -> None:
         """Write a log line of the decisions."""
--- a/corkdeal/net/peering.py
+++ b/corkdeal/net/peering.py
@@ -34,7 +34,7 @@
             return count("datagram_malformed")
         self.on_datagram(peer, datagram)
 
-    def tell(self, peer: int | None, payload: bytes) -> None:
+    def send(self, peer: int | None, payload: bytes) -> None:
         """Send a datagram to a peer, or to all peers if `peer` is None.
 
         UDP may lose it, so a failed send is only counted.
