--- a/corkdeal/net/budget.py
+++ b/corkdeal/net/budget.py
@@ -12,10 +12,10 @@
 from collections import deque
 from typing import Protocol
 
-from .resp import MOST_VALUE
+from .resp import MAX_VALUE
 
 LOW_MARK_FRACTION = 0.75  # of the high mark; waiting holders resume at or below it
-MIN_BUDGET = 2 * MOST_VALUE  # bytes; with less, one long value would block all others
+MIN_BUDGET = 2 * MAX_VALUE  # bytes; with less, one long value would block all others
 BASE_MEMORY = 48 << 20  # bytes that the process uses without long values, at usual loads
 LONG_VALUE_FRACTION = 0.5  # of the rest of the limit; the allocator and transports need some, too
 
@@ -45,7 +45,7 @@
     """Keeps track of what is held, of incomplete bodies and of waiting holders."""
 
     def __init__(self, most: int) -> None:
-        self.most, self.high = most, most - MOST_VALUE
+        self.most, self.high = most, most - MAX_VALUE
         self.low = int(self.high * LOW_MARK_FRACTION)
         self.total = 0
         self.incomplete_bodies: dict[Waiter, None] = {}  # the oldest first
--- a/corkdeal/net/resp.py
+++ b/corkdeal/net/resp.py
@@ -9,7 +9,7 @@
 import re
 from dataclasses import dataclass
 
-MOST_VALUE = 4 << 20  # bytes in one value; the largest that clients and backends support
+MAX_VALUE = 4 << 20  # bytes in one value; the largest that clients and backends support
 WHOLE = 64 * 1024  # bytes in a value that is kept within its frame; larger ones are "large values"
 MAX_LINE = 4096  # bytes in a simple string or an error line
 MAX_FRAME = 4 * WHOLE  # bytes buffered of one frame
@@ -193,7 +193,7 @@
             return -1
         if not raw.isdigit() or len(raw) > 8:
             raise Malformed("bad length")
-        if (size := int(raw)) > MOST_VALUE:
+        if (size := int(raw)) > MAX_VALUE:
             raise Malformed("value too long")
         return size
 
--- a/tests/test_bodies.py
+++ b/tests/test_bodies.py
@@ -250,7 +250,7 @@
     ([HEAD + VALUE + b"junk\r\n"], Status.RESET, "backend_connection_malformed", False),
     ([HEAD + bulk(1) + VALUE], Status.RESET, "backend_connection_malformed", False),
     ([HEAD + b"*2\r\n:1\r\n" + VALUE], Status.RESET, "backend_connection_malformed", False),
-    ([HEAD + b"$%d\r\n" % (resp.MOST_VALUE + 1)], Status.RESET, "backend_connection_malformed", False),
+    ([HEAD + b"$%d\r\n" % (resp.MAX_VALUE + 1)], Status.RESET, "backend_connection_malformed", False),
 ]
 
 
@@ -540,7 +540,7 @@
 
 @given(STEPS)
 def test_the_budget_is_never_passed_and_somebody_always_moves(steps):
-    budget, bodies, whole, answers_ = Budget(3 * resp.MOST_VALUE), [], [], []
+    budget, bodies, whole, answers_ = Budget(3 * resp.MAX_VALUE), [], [], []
     for what, n in steps:
         pick = lambda some, n=n: some[n % len(some)] if some else None  # noqa: E731
         if what == "join":
@@ -554,9 +554,9 @@
         elif what == "grow":  # all bodies that may grow, piece by piece, some until complete
             for _ in range(n):
                 for one in [b for b in bodies if not b.is_held_back]:
-                    if not one.is_held_back and one.kept < resp.MOST_VALUE:
-                        budget.hold(one, min(resp.MOST_VALUE, one.kept + WHOLE))
-        elif what == "whole" and (one := next((b for b in bodies if b.kept == resp.MOST_VALUE), None)):
+                    if not one.is_held_back and one.kept < resp.MAX_VALUE:
+                        budget.hold(one, min(resp.MAX_VALUE, one.kept + WHOLE))
+        elif what == "whole" and (one := next((b for b in bodies if b.kept == resp.MAX_VALUE), None)):
             bodies.remove(one)
             whole.append(one)
             budget.whole(one)
--- a/tests/test_net_parsers.py
+++ b/tests/test_net_parsers.py
@@ -60,7 +60,7 @@
         b"$-2\r\n",
         b"$3\r\nabcd\r\n",
         b"*65\r\n",
-        b"$%d\r\n" % (resp.MOST_VALUE + 1),
+        b"$%d\r\n" % (resp.MAX_VALUE + 1),
         b"*2\r\n*32\r\n*32\r\n",
         b"*9\r\n" + (b"$%d\r\n%b\r\n" % (resp.WHOLE, b"a" * resp.WHOLE)) * 5,
         b"+" + b"a" * 4096,
--- a/tests/test_net_rules.py
+++ b/tests/test_net_rules.py
@@ -6,7 +6,7 @@
 import socket
 import time
 
-from corkdeal.net.resp import MOST_VALUE, WHOLE, command
+from corkdeal.net.resp import MAX_VALUE, WHOLE, command
 
 from .net_world import Moments, Program, World, served
 from .ports import reserve_port
@@ -187,7 +187,7 @@
             b"GET / HTTP/1.1\r\n\r\n",
             b"*1\r\n:5\r\n",
             b"*2\r\n$4\r\nPING\r\n$-1\r\n",
-            b"*1\r\n$%d\r\n" % (MOST_VALUE + 1),
+            b"*1\r\n$%d\r\n" % (MAX_VALUE + 1),
             b"*100\r\n",
             b"*" + b"9" * 5000,
             b"*1\r\n$3\r\nPING\r\n",
