--- a/corkdeal/net/gateway.py
+++ b/corkdeal/net/gateway.py
@@ -124,7 +124,9 @@
         self.recovery: RecoveryService | None = None  # handles starts and stalls, if enabled
         self.membership: MembershipService | None = None  # tracks the tier's running gateways, if enabled
         self.upgrade_handover: UpgradeHandover | None = None  # only if the listening socket is inherited
-        self.before_end: list[Any] = []  # their `stop(done)` is called after the last answer, before exit
+        self.subsystems_to_stop: list[
+            Any
+        ] = []  # `stop(done)` of each is called after the last answer, before exit
         self.logged_counters = ""
         self.logged_rejections = 0
         self.ops_port: Any = None
@@ -335,7 +337,7 @@
         ):
             self.ending = True
             self.watch.stop()
-            self.stop_subsystems(self.before_end[:])
+            self.stop_subsystems(self.subsystems_to_stop[:])
 
     def stop_subsystems(self, remaining: list[Any]) -> None:
         """Stop the given subsystems one after another, then the reactor."""
--- a/corkdeal/net/membership.py
+++ b/corkdeal/net/membership.py
@@ -29,7 +29,7 @@
 
     def start(self) -> None:
         """Start logging events, and register for the shutdown of the process."""
-        self.gateway.before_end.append(self)
+        self.gateway.subsystems_to_stop.append(self)
         self.poll()
 
     def poll(self) -> None:
