--- a/corkdeal/net/figures.py
+++ b/corkdeal/net/figures.py
@@ -30,7 +30,7 @@
         }
         membership_metrics = decisions.membership.metrics() if decisions.membership is not None else {}
         return {
-            "asked": gateway.reader.request_count,
+            "asked": gateway.command_parser.request_count,
             **counters,
             "opened": gateway.pool.opened,
             **decisions.requests.rejection_counts,
--- a/tests/test_net_parsers.py
+++ b/tests/test_net_parsers.py
@@ -139,10 +139,10 @@
     def read(self, params, *more, name=b"API.READ", customer=b"%016x" % 7, rid=b"%016x" % 1):
         parser = resp.Parser()
         parser.feed(resp.command(name, customer, rid, params, *more))
-        return self.reader.read(parser.next(), 10.0)
+        return self.command_parser.read(parser.next(), 10.0)
 
     def setUp(self):
-        self.reader = rpc.Reader(config.settings_of(SETTINGS))
+        self.command_parser = rpc.Reader(config.settings_of(SETTINGS))
 
     def test_good_ones(self):
         got = self.read(self.GOOD).request
@@ -177,13 +177,13 @@
                 self.read(self.GOOD, **more)
         with self.assertRaises(rpc.BadRequest):
             self.read(self.GOOD, b"body")  # API.READ has no body
-        self.assertFalse(self.reader.open)
+        self.assertFalse(self.command_parser.open)
 
     def test_the_id_of_an_open_request_is_refused(self):
         self.read(self.GOOD)
         with self.assertRaises(rpc.BadRequest):
             self.read(self.GOOD)
-        self.reader.open.discard(1)
+        self.command_parser.open.discard(1)
         self.read(self.GOOD)
 
 
