--- a/corkdeal/net/gateway.py
+++ b/corkdeal/net/gateway.py
@@ -57,7 +57,7 @@
 from .manual_overrides import ManualOverrides
 from .operators import Operators
 from .peering import Peering
-from .resp import command, report_of
+from .resp import command, parse_load_report
 from .response_stream import ResponseStream
 from .rpc import RPC, Reader
 from .timers import Timers
@@ -483,7 +483,7 @@
         elapsed, rpc = attempt.first_byte_latency, attempt.rpc
         if elapsed is None:
             elapsed = max(0.0, self.now() - attempt.sent_at)
-        report = report_of(reply.report, self.report_names) if reply.report else {}
+        report = parse_load_report(reply.report, self.report_names) if reply.report else {}
         if rpc is None:
             return self.handle_event(HealthCheckResult(attempt.backend, reply.status, elapsed, report))
         rid = rpc.request.id
--- a/corkdeal/net/resp.py
+++ b/corkdeal/net/resp.py
@@ -216,7 +216,7 @@
     return [(name, value) for part in raw.split(b",") for name, eq, value in (part.partition(b"="),) if eq]
 
 
-def report_of(raw: bytes, names: dict[str, str]) -> dict[str, float]:
+def parse_load_report(raw: bytes, names: dict[str, str]) -> dict[str, float]:
     """Parse a load report: the fields named in the settings, as numbers; anything else is ignored."""
     return {
         known: float(value)
--- a/tests/test_net_parsers.py
+++ b/tests/test_net_parsers.py
@@ -95,7 +95,7 @@
             (b"qps=x,latency_ms=2", {"latency_ms": 2.0}),
             (b"qps=1_0,latency_ms= 2,qps=-3", {}),
         ]:
-            self.assertEqual(resp.report_of(raw, names), report)
+            self.assertEqual(resp.parse_load_report(raw, names), report)
 
     def test_replies(self):
         S = Status
