--- a/corkdeal/net/client_connection.py
+++ b/corkdeal/net/client_connection.py
@@ -214,7 +214,7 @@
         if body is not None:
             if body.rpc is not None:
                 self.pending_replies.remove(body.rpc)
-                self.gateway.command_parser.open.discard(body.rpc.id)
+                self.gateway.command_parser.open_ids.discard(body.rpc.id)
             body.finish()
             body.drop()
 
--- a/corkdeal/net/gateway.py
+++ b/corkdeal/net/gateway.py
@@ -59,7 +59,7 @@
 from .peering import Peering
 from .resp import command, parse_load_report
 from .response_stream import ResponseStream
-from .rpc import RPC, Reader
+from .rpc import RPC, CommandParser
 from .timers import Timers
 
 if TYPE_CHECKING:
@@ -88,7 +88,7 @@
         self.reactor, self.config, self.settings = reactor, config, config.settings
         self.clock_offset = time.time() - time.monotonic()  # wall time at the start; later steps don't matter
         self.decisions = Decisions(self.settings, config.seed)
-        self.command_parser = Reader(self.settings)
+        self.command_parser = CommandParser(self.settings)
         self.client_connections: set[client_connection.ClientConnection] = set()
         self.lateness = LoopLateness()
         self.budget = Budget(budget_for(config.memory))
@@ -424,7 +424,7 @@
     def reject_early(self, rpc: RPC, retry_after: float) -> bytes:
         """Reject an RPC before it is handed to the decisions; returns the encoded answer."""
         rpc.done = True
-        self.command_parser.open.discard(rpc.id)
+        self.command_parser.open_ids.discard(rpc.id)
         self.counters["busy"] += 1
         return self.encode_rejection(min(retry_after, self.settings.max_retry_after))
 
@@ -559,7 +559,7 @@
         """Remove an RPC from the open ones, for its final answer; None if it is not open."""
         if (rpc := self.rpcs.pop(rid, None)) is not None:
             rpc.done = True
-            self.command_parser.open.discard(rpc.id)
+            self.command_parser.open_ids.discard(rpc.id)
             rpc.release()
         return rpc
 
--- a/corkdeal/net/rpc.py
+++ b/corkdeal/net/rpc.py
@@ -77,7 +77,7 @@
             self.body.drop()
 
 
-class Reader:
+class CommandParser:
     """Parses commands into RPCs, with the names of classes and plans from the settings."""
 
     def __init__(self, settings: Settings) -> None:
@@ -85,7 +85,7 @@
         self.classes = {c.name.encode(): i for i, c in enumerate(settings.classes)}
         self.plans = {p.name.encode(): i for i, p in enumerate(settings.plans)}
         self.request_count = 0  # RPCs so far; each gets the next number as its request id
-        self.open: set[int] = set()  # clients' ids of the unanswered RPCs
+        self.open_ids: set[int] = set()  # clients' ids of the unanswered RPCs
 
     def read(self, frame: Frame, now: float, waited: float = 0.0) -> RPC:
         """Parse one complete API command; its timeout counts from the arrival of its last byte.
@@ -125,9 +125,9 @@
             and first_gateway < settings.gateway_count
         ):
             raise BadRequest("parameters out of range")
-        if rid in self.open:
+        if rid in self.open_ids:
             raise BadRequest("an open request has this id")
-        self.open.add(rid)
+        self.open_ids.add(rid)
         timeout_start = 2 if raw.startswith(b"d=") else raw.index(b",d=") + 3
         timeout_stop = raw.find(b",", timeout_start)
         deadline = now - waited + timeout_ms / 1000 - CLIENT_LATENCY
--- a/tests/test_bodies.py
+++ b/tests/test_bodies.py
@@ -430,7 +430,7 @@
         assert pair.client.taken.startswith(answer) and pair.client.taken.endswith(PONG)
         assert bytes(pair.client.taken).count(b"\r\n") == 2
         assert (
-            not pair.gateway.command_parser.open
+            not pair.gateway.command_parser.open_ids
             and pair.gateway.budget.total == 0
             and not pair.reactor.tcpClients
         )
@@ -469,12 +469,14 @@
 def test_a_body_that_does_not_come_whole_costs_its_own_command(leave, answer, name):
     pair = GatewayWithClient()
     pair.client_connection.dataReceived(write()[:LONG])
-    assert pair.gateway.command_parser.open
+    assert pair.gateway.command_parser.open_ids
     pair.reactor.advance(0.1)
     leave(pair)
     assert bytes(pair.client.taken).startswith(answer) and bool(answer) == bool(pair.client.taken)
     assert not name or invariants.counts[name] == 1
-    assert not pair.gateway.command_parser.open and pair.gateway.budget.total == 0 and not pair.gateway.rpcs
+    assert (
+        not pair.gateway.command_parser.open_ids and pair.gateway.budget.total == 0 and not pair.gateway.rpcs
+    )
     pair.reactor.advance(60.0)  # no timer of the command has any further effect
     assert not pair.reactor.tcpClients
 
@@ -486,7 +488,7 @@
     assert pair.gateway.budget.total > 0
     pair.client_connection.dataReceived(raw[LONG:])
     assert bytes(pair.client.taken) == b"-BUSY\r\n"
-    assert pair.gateway.budget.total == 0 and not pair.gateway.command_parser.open
+    assert pair.gateway.budget.total == 0 and not pair.gateway.command_parser.open_ids
 
 
 def test_an_attempt_of_a_request_that_is_answered_does_not_begin_once_its_connection_comes_up():
--- a/tests/test_net_parsers.py
+++ b/tests/test_net_parsers.py
@@ -142,7 +142,7 @@
         return self.command_parser.read(parser.next(), 10.0)
 
     def setUp(self):
-        self.command_parser = rpc.Reader(config.settings_of(SETTINGS))
+        self.command_parser = rpc.CommandParser(config.settings_of(SETTINGS))
 
     def test_good_ones(self):
         got = self.read(self.GOOD).request
@@ -177,13 +177,13 @@
                 self.read(self.GOOD, **more)
         with self.assertRaises(rpc.BadRequest):
             self.read(self.GOOD, b"body")  # API.READ has no body
-        self.assertFalse(self.command_parser.open)
+        self.assertFalse(self.command_parser.open_ids)
 
     def test_the_id_of_an_open_request_is_refused(self):
         self.read(self.GOOD)
         with self.assertRaises(rpc.BadRequest):
             self.read(self.GOOD)
-        self.command_parser.open.discard(1)
+        self.command_parser.open_ids.discard(1)
         self.read(self.GOOD)
 
 
