--- a/corkdeal/net/resp.py
+++ b/corkdeal/net/resp.py
@@ -211,7 +211,7 @@
     return b"*%d\r\n" % len(words) + b"".join(b"$%d\r\n%b\r\n" % (len(w), w) for w in words)
 
 
-def fields_of(raw: bytes) -> list[tuple[bytes, bytes]]:
+def split_fields(raw: bytes) -> list[tuple[bytes, bytes]]:
     """Split `a=1,b=2` into names and values; parts without `=` are ignored."""
     return [(name, value) for part in raw.split(b",") for name, eq, value in (part.partition(b"="),) if eq]
 
@@ -220,6 +220,6 @@
     """Parse a load report: the fields named in the settings, as numbers; anything else is ignored."""
     return {
         known: float(value)
-        for name, value in fields_of(raw)
+        for name, value in split_fields(raw)
         if (known := names.get(name.decode("latin-1"))) and DECIMAL(value)
     }
--- a/corkdeal/net/rpc.py
+++ b/corkdeal/net/rpc.py
@@ -8,7 +8,7 @@
 
 from ..decisions.events import Request
 from ..decisions.settings import Effect, Settings
-from .resp import ARRAY, BULK, Frame, Malformed, fields_of
+from .resp import ARRAY, BULK, Frame, Malformed, split_fields
 
 CUSTOMER_LIMIT = 1 << 33
 READ, WRITE = b"API.READ", b"API.WRITE"
@@ -164,7 +164,7 @@
 
     def parse_parameters(self, raw: bytes) -> dict[bytes, bytes]:
         """Parse the parameters; each may occur once. Unknown ones are allowed and forwarded as they are."""
-        pairs = fields_of(raw)
+        pairs = split_fields(raw)
         parameters = dict(pairs)
         if len(parameters) != raw.count(b",") + 1 or b"" in parameters or b"d" not in parameters:
             raise BadRequest("bad parameters")
