--- a/corkdeal/membership/receiver.py
+++ b/corkdeal/membership/heartbeat_receiver.py
@@ -3,7 +3,7 @@
 from __future__ import annotations
 
 from .failure_detector import FailureDetector
-from .heartbeats import HeartbeatSender
+from .heartbeat_sender import HeartbeatSender
 from .host import MembershipHost
 from .leases import Leases, TakeoverRequest
 from .messages import GossipEntry, GossipKind, Heartbeat, HeartbeatFlag, is_newer
--- a/corkdeal/membership/members.py
+++ b/corkdeal/membership/members.py
@@ -13,12 +13,12 @@
 from . import messages
 from .events import MembershipEvent
 from .failure_detector import FailureDetector, MemberState
-from .heartbeats import HeartbeatSender
+from .heartbeat_receiver import HeartbeatReceiver
+from .heartbeat_sender import HeartbeatSender
 from .host import MembershipHost
 from .leases import Leases
 from .messages import GossipEntry, GossipKind, Heartbeat
 from .quota_shares import QuotaShares
-from .receiver import HeartbeatReceiver
 from .takeover import TIMER_TOLERANCE, Takeover
 
 MIN_ROUND_INTERVAL = 0.25  # s between rounds of heartbeats
--- a/tests/membership/test_parts.py
+++ b/tests/membership/test_parts.py
@@ -8,12 +8,12 @@
 from corkdeal.membership import messages
 from corkdeal.membership.events import LeaseLost, LeaseRegained, SharesReturned, SharesTakenOver
 from corkdeal.membership.failure_detector import FailureDetector, MemberState, StateChange
-from corkdeal.membership.heartbeats import REPLY_INTERVAL, HeartbeatSender
+from corkdeal.membership.heartbeat_receiver import HeartbeatReceiver
+from corkdeal.membership.heartbeat_sender import REPLY_INTERVAL, HeartbeatSender
 from corkdeal.membership.leases import KEPT_FRACTION, LEASE_TIME, TAKEOVER_TIME, Leases, TakeoverRequest
 from corkdeal.membership.members import MAX_ROUND_INTERVAL, MembershipProtocol
 from corkdeal.membership.messages import GossipEntry, GossipKind, Heartbeat, HeartbeatFlag
 from corkdeal.membership.quota_shares import QuotaShares
-from corkdeal.membership.receiver import HeartbeatReceiver
 from corkdeal.membership.takeover import REQUEST_INTERVAL, Takeover
 from corkdeal.net.membership import log_fields
 from tests.helpers import settings
