--- a/corkdeal/net/descriptors.py
+++ b/corkdeal/net/descriptors.py
@@ -36,7 +36,7 @@
         )
         return len(self.client_connections) + reserved_for_backends <= self.limit or self.evict()
 
-    def for_backend_connection(self) -> bool:
+    def admit_backend_connection(self) -> bool:
         """Return whether one more backend connection may be opened; may evict a client connection for it."""
         backends = len(self.pool.open) + len(self.pool.closing)
         return len(self.client_connections) + backends < self.limit or self.evict()
--- a/corkdeal/net/gateway.py
+++ b/corkdeal/net/gateway.py
@@ -99,7 +99,7 @@
             config.sockets // 2,
             self.now,
             self.attempt_ended,
-            self.descriptors.for_backend_connection,
+            self.descriptors.admit_backend_connection,
             self.response_started,
             self.may_start,
             self.budget,
