--- a/corkdeal/net/client_connection.py
+++ b/corkdeal/net/client_connection.py
@@ -19,7 +19,7 @@
 from .request_stream import RequestStream
 from .resp import Frame, Malformed, Parser
 from .response_stream import ResponseStream
-from .rpc import READ, RPC, WRITE, BadRequest
+from .rpc import READ, RPC, WRITE, BadRequestError
 from .tcp_state import PeerState, peer_state, since_fin
 
 MAX_PENDING_REPLIES = 256  # unanswered commands at which the gateway stops reading from a client connection
@@ -126,7 +126,7 @@
         if name in (READ, WRITE):
             try:
                 rpc = self.gateway.command_parser.read(frame, now, self.unread_time)
-            except BadRequest as error:
+            except BadRequestError as error:
                 return self.reject_bad_request(error)
             self.enqueue(rpc)
             self.submit(rpc)
@@ -159,7 +159,7 @@
             self.at_reply_limit = True
             self.update_reading()
 
-    def reject_bad_request(self, error: BadRequest) -> None:
+    def reject_bad_request(self, error: BadRequestError) -> None:
         """Reply with the error; close the connection at `MAX_BAD_REQUESTS` bad requests."""
         count("request_malformed")
         self.bad_request_count += 1
@@ -177,7 +177,7 @@
                 if (wait := self.gateway.early_retry_after(rpc.request)) is not None:
                     count("refused_at_head")
                     self.reject_body(self.body, wait)
-            except BadRequest as error:
+            except BadRequestError as error:
                 self.body = RequestStream(self.gateway.budget, self, None)
                 self.reject_bad_request(error)
         elif frame.is_last:
--- a/corkdeal/net/rpc.py
+++ b/corkdeal/net/rpc.py
@@ -35,7 +35,7 @@
 PARAMETER_DEFAULTS = {b"c": b"", b"t": b"", b"units": b"1", b"spread": b"1", b"first": b"0"}
 
 
-class BadRequest(ValueError):
+class BadRequestError(ValueError):
     """The command can't be served; the message is sent to the client."""
 
 
@@ -97,19 +97,19 @@
         """
         write = frame.text(1).upper() == WRITE
         if not PARAMS < len(frame.items) <= PARAMS + 1 + write:
-            raise BadRequest("wrong number of arguments")
+            raise BadRequestError("wrong number of arguments")
         raw, settings = frame.text(PARAMS), self.settings
         parameters = self.parse_parameters(raw)
         class_index, plan_index = self.classes.get(parameters[b"c"]), self.plans.get(parameters[b"t"])
         if class_index is None or plan_index is None:
-            raise BadRequest("unknown class or plan")
+            raise BadRequestError("unknown class or plan")
         effect = settings.classes[class_index].effect
         if write is (effect is Effect.IDEMPOTENT):
-            raise BadRequest("this class is served by the other command")
+            raise BadRequestError("this class is served by the other command")
         if effect is Effect.IDEMPOTENCY_KEY and b"k" not in parameters:
-            raise BadRequest("this class needs a key")
+            raise BadRequestError("this class needs a key")
         if not match_hex_id(frame.text(CUSTOMER)) or not match_hex_id(frame.text(ID)):
-            raise BadRequest("customer and id must be 16 hexadecimal digits")
+            raise BadRequestError("customer and id must be 16 hexadecimal digits")
         customer, rid = int(frame.text(CUSTOMER), 16), int(frame.text(ID), 16)
         timeout_ms, units, member_count, first_gateway = (
             int(parameters[b"d"]),
@@ -124,9 +124,9 @@
             and 0 < member_count <= settings.gateway_count
             and first_gateway < settings.gateway_count
         ):
-            raise BadRequest("parameters out of range")
+            raise BadRequestError("parameters out of range")
         if rid in self.open_ids:
-            raise BadRequest("an open request has this id")
+            raise BadRequestError("an open request has this id")
         self.open_ids.add(rid)
         timeout_start = 2 if raw.startswith(b"d=") else raw.index(b",d=") + 3
         timeout_stop = raw.find(b",", timeout_start)
@@ -159,7 +159,7 @@
         if top.kind != ARRAY or not all(i.kind == BULK and i.size >= 0 for i in words):
             raise Malformed("expected an array of bulk strings")
         if len(words) != PARAMS + 1 or left or frame.text(1).upper() != WRITE:
-            raise BadRequest("only the last argument of API.WRITE may be so long")
+            raise BadRequestError("only the last argument of API.WRITE may be so long")
         return self.read(frame, now)
 
     def parse_parameters(self, raw: bytes) -> dict[bytes, bytes]:
@@ -167,8 +167,8 @@
         pairs = split_fields(raw)
         parameters = dict(pairs)
         if len(parameters) != raw.count(b",") + 1 or b"" in parameters or b"d" not in parameters:
-            raise BadRequest("bad parameters")
+            raise BadRequestError("bad parameters")
         for name, value in pairs:
             if (matches := PARAMETER_FORMATS.get(name)) and not matches(value):
-                raise BadRequest("bad parameters")
+                raise BadRequestError("bad parameters")
         return PARAMETER_DEFAULTS | parameters
--- a/tests/test_net_parsers.py
+++ b/tests/test_net_parsers.py
@@ -163,7 +163,7 @@
             (b"large", (b"no",)),
         ):
             for new in bad:
-                with self.subTest(new), self.assertRaises(rpc.BadRequest):
+                with self.subTest(new), self.assertRaises(rpc.BadRequestError):
                     self.read(self.GOOD.replace(old, new))
         for more in (
             {"customer": b"7"},
@@ -173,15 +173,15 @@
             {"rid": b"+" + b"1" * 15},
             {"name": b"API.WRITE"},
         ):
-            with self.subTest(more), self.assertRaises(rpc.BadRequest):
+            with self.subTest(more), self.assertRaises(rpc.BadRequestError):
                 self.read(self.GOOD, **more)
-        with self.assertRaises(rpc.BadRequest):
+        with self.assertRaises(rpc.BadRequestError):
             self.read(self.GOOD, b"body")  # API.READ has no body
         self.assertFalse(self.command_parser.open_ids)
 
     def test_the_id_of_an_open_request_is_refused(self):
         self.read(self.GOOD)
-        with self.assertRaises(rpc.BadRequest):
+        with self.assertRaises(rpc.BadRequestError):
             self.read(self.GOOD)
         self.command_parser.open_ids.discard(1)
         self.read(self.GOOD)
