--- a/tests/test_full_table.py
+++ b/tests/test_full_table.py
@@ -21,7 +21,7 @@
 
 from .net_world import PATIENCE, World, served
 from .ports import reserve_address
-from .test_net_moments import Moments
+from .test_net_races import Moments
 
 SOCKETS = 192
 PING = command(b"PING")
--- a/tests/test_loop_lateness.py
+++ b/tests/test_loop_lateness.py
@@ -16,7 +16,7 @@
 from .net_world import PATIENCE
 from .ports import reserve_address
 from .test_idle_connections import made_gateway
-from .test_net_moments import Moments
+from .test_net_races import Moments
 
 
 def test_the_greatest_lateness_is_reported_for_a_while():
--- a/tests/test_net_closing.py
+++ b/tests/test_net_closing.py
@@ -1,6 +1,6 @@
 """Race conditions between arriving bytes and the gateway's closing of a connection or its shutdown.
 
-tests/test_net_moments.py explains how stopping the gateway reproduces a critical order in every run.
+tests/test_net_races.py explains how stopping the gateway reproduces a critical order in every run.
 """
 
 import copy
--- a/tests/test_net_edges.py
+++ b/tests/test_net_edges.py
@@ -1,6 +1,6 @@
 """Edge cases on real connections: truncated responses, floods, late and slow bytes, late endpoint lists.
 
-tests/test_net_moments.py explains how stopping the gateway makes an adverse order of events reproducible.
+tests/test_net_races.py explains how stopping the gateway makes an adverse order of events reproducible.
 """
 
 import contextlib
