--- a/corkdeal/net/discovery_watch.py
+++ b/corkdeal/net/discovery_watch.py
@@ -90,7 +90,7 @@
             self.done.errback(reason)
 
 
-class Watch:
+class DiscoveryWatch:
     """A watch that runs until stopped; valid lists go to `on_snapshot`, invalid ones are logged and ignored.
 
     It starts from the list `initial`, if given, and asks for changes since. Each entry of a list costs
--- a/corkdeal/net/gateway.py
+++ b/corkdeal/net/gateway.py
@@ -51,7 +51,7 @@
 from .config import Config, ConfigError, format_address, load
 from .descriptors import Descriptors
 from .discovery_snapshot import DiscoverySnapshot
-from .discovery_watch import Watch
+from .discovery_watch import DiscoveryWatch
 from .invariants import count, holds
 from .loop_lateness import LoopLateness
 from .manual_overrides import ManualOverrides
@@ -244,9 +244,9 @@
         self.listen_retry = None
         self.accept_clients()
 
-    def make_watch(self, address: tuple[str, int], held: DiscoverySnapshot | None = None) -> Watch:
+    def make_watch(self, address: tuple[str, int], held: DiscoverySnapshot | None = None) -> DiscoveryWatch:
         """Create a watch of the discovery service; without a `held` list it fetches a complete one first."""
-        return Watch(
+        return DiscoveryWatch(
             self.reactor,
             address,
             self.settings,
--- a/tests/discovery_world.py
+++ b/tests/discovery_world.py
@@ -270,7 +270,9 @@
         self.watch = self.start_watch(HELD_SNAPSHOT)
 
     def start_watch(self, held):
-        watch = discovery_watch.Watch(self.clock, ADDRESS, self.settings, self.on_snapshot, held, self.rng)
+        watch = discovery_watch.DiscoveryWatch(
+            self.clock, ADDRESS, self.settings, self.on_snapshot, held, self.rng
+        )
         watch.run()
         return watch
 
--- a/tests/test_discovery_watch.py
+++ b/tests/test_discovery_watch.py
@@ -48,7 +48,9 @@
 
 def start(clock, discovery, me, told, held=HELD, **more):
     given = settings(me, is_endpoint_list_pushed=False, **more)
-    watch = discovery_watch.Watch(clock, ("127.0.0.1", 1), given, told.append, held, random.Random(me))
+    watch = discovery_watch.DiscoveryWatch(
+        clock, ("127.0.0.1", 1), given, told.append, held, random.Random(me)
+    )
     watch.call = lambda: discovery.call(watch)
     watch.run()
     return watch
@@ -140,7 +142,7 @@
 @pytest.mark.parametrize("head_after", [0.0, 1.5, 2.9])
 def test_head_and_body_of_an_answer_together_have_the_time_of_one_call(head_after):
     clock, told = Clock(), []
-    watch = discovery_watch.Watch(
+    watch = discovery_watch.DiscoveryWatch(
         clock, ("127.0.0.1", 1), settings(drain_grace=0.25), told.append, HELD, random.Random(1)
     )
     watch.agent = agent = HeadersOnly(clock, head_after)
@@ -155,7 +157,7 @@
 
 def test_a_pushed_list_is_asked_for_again_within_the_grace_of_a_drain():
     clock = Clock()
-    watch = discovery_watch.Watch(
+    watch = discovery_watch.DiscoveryWatch(
         clock, ("127.0.0.1", 1), settings(drain_grace=0.25), lambda _: None, HELD, random.Random(1)
     )
     calls = []
@@ -197,7 +199,7 @@
 @pytest.mark.parametrize("silent_at", [0.5, 13.0, 13.9])
 def test_a_watch_that_was_fine_for_long_and_falls_silent_is_opened_anew(silent_at):
     clock, told = Clock(), []
-    watch = discovery_watch.Watch(
+    watch = discovery_watch.DiscoveryWatch(
         clock, ("127.0.0.1", 1), settings(drain_grace=0.25), told.append, HELD, random.Random(1)
     )
     watch.agent = agent = FallsSilent(clock, silent_at)
