--- a/corkdeal/net/client_port.py
+++ b/corkdeal/net/client_port.py
@@ -12,15 +12,15 @@
 
 from twisted.internet import tcp
 
-ACCEPTS_MOST = 16  # connections accepted in one reactor iteration, at about 0.3 ms each; the rest stay queued
+MAX_ACCEPTS = 16  # connections accepted in one reactor iteration, at about 0.3 ms each; the rest stay queued
 
 
 class ClientPort(tcp.Port):
-    """A listening socket that accepts at most `ACCEPTS_MOST` connections per reactor iteration."""
+    """A listening socket that accepts at most `MAX_ACCEPTS` connections per reactor iteration."""
 
     def doRead(self) -> None:
         """Accept some of the queued connections; the reactor calls again while any are left."""
-        self.numberAccepts = min(self.numberAccepts, ACCEPTS_MOST)
+        self.numberAccepts = min(self.numberAccepts, MAX_ACCEPTS)
         super().doRead()
 
     def accept_queued(self) -> None:
--- a/tests/test_loop_lateness.py
+++ b/tests/test_loop_lateness.py
@@ -76,7 +76,7 @@
         for _ in range(2):
             port.doRead()
             counts.append(len(factory.accepted))
-        assert counts == [client_port.ACCEPTS_MOST, 2 * client_port.ACCEPTS_MOST]
+        assert counts == [client_port.MAX_ACCEPTS, 2 * client_port.MAX_ACCEPTS]
         port.accept_queued()
         assert len(factory.accepted) == 60
     finally:
