--- a/corkdeal/net/budget.py
+++ b/corkdeal/net/budget.py
@@ -44,22 +44,22 @@
 class Budget:
     """Keeps track of what is held, of incomplete bodies and of waiting holders."""
 
-    def __init__(self, most: int) -> None:
-        self.most, self.high = most, most - MAX_VALUE
-        self.low = int(self.high * LOW_MARK_FRACTION)
+    def __init__(self, limit: int) -> None:
+        self.limit, self.high_mark = limit, limit - MAX_VALUE
+        self.low_mark = int(self.high_mark * LOW_MARK_FRACTION)
         self.total = 0
         self.incomplete_bodies: dict[Waiter, None] = {}  # the oldest first
         self.waiting: deque[Waiter] = deque()
 
     @property
-    def full(self) -> bool:
+    def is_full(self) -> bool:
         """Whether the total is above the high mark."""
-        return self.total > self.high
+        return self.total > self.high_mark
 
     def join(self, body: Waiter) -> None:
         """Add a body that is beginning to arrive; without free space it has to wait."""
         self.incomplete_bodies[body] = None
-        if self.full:
+        if self.is_full:
             self.keep_out(body)
 
     def whole(self, body: Waiter) -> None:
@@ -72,14 +72,14 @@
 
     def hold(self, holder: Holder, size: int) -> None:
         """Set the number of bytes that a holder has."""
-        was_full, self.total = self.full, self.total + size - holder.kept
+        was_full, self.total = self.is_full, self.total + size - holder.kept
         holder.kept = size
-        if self.full and not was_full:
+        if self.is_full and not was_full:
             for body in list(self.incomplete_bodies):
                 self.keep_out(body)
-        elif self.full and holder in self.incomplete_bodies:
+        elif self.is_full and holder in self.incomplete_bodies:
             self.keep_out(holder)
-        while self.waiting and self.total <= self.low:
+        while self.waiting and self.total <= self.low_mark:
             self.waiting.popleft().go_on()
 
     def keep_out(self, holder: Waiter) -> None:
--- a/corkdeal/net/response_stream.py
+++ b/corkdeal/net/response_stream.py
@@ -46,7 +46,7 @@
 
     def start(self) -> None:
         """Start to forward the reply, or wait with the backend paused until the memory budget allows it."""
-        if self.budget.full:
+        if self.budget.is_full:
             count("answer_waits_for_room")
             self.budget.hold(self, len(self.conn.parser.buf))
             self.budget.keep_out(self)
--- a/tests/test_bodies.py
+++ b/tests/test_bodies.py
@@ -516,7 +516,7 @@
     asker.makeConnection(taker := FakeTransport())
     asker.dataReceived(command(b"API.READ", b"%016x" % 7, b"%016x" % 3, b"c=look,t=large,d=3000"))
     conn, wire = pair.establish()
-    budget.hold(hog, budget.high)
+    budget.hold(hog, budget.high_mark)
     assert other.paused and not pair.client_connection.paused  # the oldest body may be completed
     conn.dataReceived(HEAD + VALUE)
     assert wire.reading_paused and not taker.taken
@@ -551,7 +551,7 @@
         pick = lambda some, n=n: some[n % len(some)] if some else None  # noqa: E731
         if what == "join":
             bodies.append(BudgetHolder(budget, body=True))
-        elif what == "answer" and not budget.full:
+        elif what == "answer" and not budget.is_full:
             answers_.append(BudgetHolder(budget))
             budget.hold(answers_[-1], WHOLE)
         elif what == "taken" and (one := pick(answers_)):
@@ -570,9 +570,9 @@
             (bodies if one in bodies else whole).remove(one)
             budget.whole(one)
             budget.hold(one, 0)
-        assert budget.total == sum(h.kept for h in bodies + whole + answers_) <= budget.most + 2 * WHOLE
+        assert budget.total == sum(h.kept for h in bodies + whole + answers_) <= budget.limit + 2 * WHOLE
         assert not bodies or any(not b.is_held_back for b in bodies)
-        assert budget.full or budget.total > budget.low or not any(b.is_held_back for b in bodies)
+        assert budget.is_full or budget.total > budget.low_mark or not any(b.is_held_back for b in bodies)
 
 
 class LongValues(Program):
