--- a/corkdeal/net/budget.py
+++ b/corkdeal/net/budget.py
@@ -56,33 +56,33 @@
         """Whether the total is above the high mark."""
         return self.total > self.high_mark
 
-    def join(self, body: Waiter) -> None:
+    def add_body(self, body: Waiter) -> None:
         """Add a body that is beginning to arrive; without free space it has to wait."""
         self.incomplete_bodies[body] = None
         if self.is_full:
-            self.keep_out(body)
+            self.make_wait(body)
 
-    def whole(self, body: Waiter) -> None:
+    def remove_body(self, body: Waiter) -> None:
         """Remove a body that is complete or no longer wanted; the next oldest one may then grow."""
         if body in self.incomplete_bodies:
             del self.incomplete_bodies[body]
-            self.forget(body)
+            self.stop_waiting(body)
             if self.incomplete_bodies:
                 self.resume(next(iter(self.incomplete_bodies)))
 
-    def hold(self, holder: Holder, size: int) -> None:
+    def set_held(self, holder: Holder, size: int) -> None:
         """Set the number of bytes that a holder has."""
         was_full, self.total = self.is_full, self.total + size - holder.kept
         holder.kept = size
         if self.is_full and not was_full:
             for body in list(self.incomplete_bodies):
-                self.keep_out(body)
+                self.make_wait(body)
         elif self.is_full and holder in self.incomplete_bodies:
-            self.keep_out(holder)
+            self.make_wait(holder)
         while self.waiting and self.total <= self.low_mark:
             self.waiting.popleft().go_on()
 
-    def keep_out(self, holder: Waiter) -> None:
+    def make_wait(self, holder: Waiter) -> None:
         """Make a holder wait for free space, unless it is the oldest body."""
         if holder not in self.waiting and not (
             self.incomplete_bodies and holder is next(iter(self.incomplete_bodies))
@@ -96,7 +96,7 @@
             self.waiting.remove(holder)
             holder.go_on()
 
-    def forget(self, holder: Waiter) -> None:
+    def stop_waiting(self, holder: Waiter) -> None:
         """Stop a holder's wait without resuming it."""
         if holder in self.waiting:
             self.waiting.remove(holder)
--- a/corkdeal/net/client_connection.py
+++ b/corkdeal/net/client_connection.py
@@ -255,7 +255,7 @@
             and (response_stream := self.pending_replies[0].response_stream) is not None
         ):
             response_stream.resume()
-        self.gateway.budget.hold(self, unsent)
+        self.gateway.budget.set_held(self, unsent)
 
     def is_next(self, rpc: RPC) -> bool:
         """Return whether the reply of this RPC is the next to be written."""
@@ -313,7 +313,7 @@
         """The send buffer is empty: read from the client and the backend again."""
         self.update_reading()
         if self.kept:
-            self.gateway.budget.hold(self, 0)
+            self.gateway.budget.set_held(self, 0)
         if self.pending_replies and (response_stream := self.pending_replies[0].response_stream) is not None:
             response_stream.resume()
 
@@ -492,7 +492,7 @@
         self.gateway.client_connections.discard(self)
         self.idle.discard(self)
         self.gateway.descriptors.paused.discard(self)
-        self.gateway.budget.hold(self, 0)
+        self.gateway.budget.set_held(self, 0)
         self.abandon_pending()
         self.gateway.client_connection_ended()
 
--- a/corkdeal/net/request_stream.py
+++ b/corkdeal/net/request_stream.py
@@ -39,7 +39,7 @@
         self.is_finished = False  # whether it is complete, or its client connection is closed
         self.schedule_rate_check()
         if rpc is not None:
-            budget.join(self)
+            budget.add_body(self)
 
     def receive(self, piece: memoryview) -> None:
         """Take a further piece of the value."""
@@ -52,18 +52,18 @@
             self.pieces[-1] += piece
         else:
             self.pieces.append(bytearray(piece))
-        self.budget.hold(self, self.kept + len(piece))
+        self.budget.set_held(self, self.kept + len(piece))
 
     def finish(self) -> None:
         """The value is complete, or will not be completed."""
         self.is_finished = True
-        self.budget.whole(self)
+        self.budget.remove_body(self)
 
     def drop(self) -> None:
         """Free the buffered pieces; what is still received will be discarded."""
-        self.budget.whole(self)
+        self.budget.remove_body(self)
         self.rpc, self.pieces, self.waiting_since = None, [], None
-        self.budget.hold(self, 0)
+        self.budget.set_held(self, 0)
 
     def hold_back(self) -> None:
         """Pause reading from the client, as the budget's callback: memory is short."""
--- a/corkdeal/net/response_stream.py
+++ b/corkdeal/net/response_stream.py
@@ -48,8 +48,8 @@
         """Start to forward the reply, or wait with the backend paused until the memory budget allows it."""
         if self.budget.is_full:
             count("answer_waits_for_room")
-            self.budget.hold(self, len(self.conn.parser.buf))
-            self.budget.keep_out(self)
+            self.budget.set_held(self, len(self.conn.parser.buf))
+            self.budget.make_wait(self)
         else:
             self.go_on()
 
@@ -60,7 +60,7 @@
     def go_on(self) -> None:
         """Start to forward, as the budget's callback: the attempt is final, unless no client waits for it."""
         self.is_forwarding = True
-        self.budget.hold(self, 0)
+        self.budget.set_held(self, 0)
         self.timer = self.conn.pool.reactor.callLater(BACKEND_STALL_TIMEOUT, self.check_progress)
         if self.conn.pool.on_stream_start(self.attempt, self):
             self.head = None
@@ -154,8 +154,8 @@
 
     def handle_backend_close(self) -> None:
         """The backend connection is closed: end an incomplete response to the client."""
-        self.budget.forget(self)
-        self.budget.hold(self, 0)
+        self.budget.stop_waiting(self)
+        self.budget.set_held(self, 0)
         if self.is_forwarding and not self.ended:
             self.ended = True
             self.rpc.client_connection.abort_response()
--- a/tests/test_bodies.py
+++ b/tests/test_bodies.py
@@ -516,13 +516,13 @@
     asker.makeConnection(taker := FakeTransport())
     asker.dataReceived(command(b"API.READ", b"%016x" % 7, b"%016x" % 3, b"c=look,t=large,d=3000"))
     conn, wire = pair.establish()
-    budget.hold(hog, budget.high_mark)
+    budget.set_held(hog, budget.high_mark)
     assert other.paused and not pair.client_connection.paused  # the oldest body may be completed
     conn.dataReceived(HEAD + VALUE)
     assert wire.reading_paused and not taker.taken
     pair.reactor.advance(request_stream.MEMORY_TIMEOUT)
     assert other.transport.taken.startswith(b"-BUSY 500") and not other.paused
-    budget.hold(hog, 0)
+    budget.set_held(hog, 0)
     assert bytes(taker.taken) == VALUE and not wire.reading_paused
 
 
@@ -532,7 +532,7 @@
     def __init__(self, budget, body=False):
         self.budget, self.kept, self.is_held_back = budget, 0, False
         if body:
-            budget.join(self)
+            budget.add_body(self)
 
     def hold_back(self):
         self.is_held_back = True
@@ -553,23 +553,23 @@
             bodies.append(BudgetHolder(budget, body=True))
         elif what == "answer" and not budget.is_full:
             answers_.append(BudgetHolder(budget))
-            budget.hold(answers_[-1], WHOLE)
+            budget.set_held(answers_[-1], WHOLE)
         elif what == "taken" and (one := pick(answers_)):
             answers_.remove(one)
-            budget.hold(one, 0)
+            budget.set_held(one, 0)
         elif what == "grow":  # all bodies that may grow, piece by piece, some until complete
             for _ in range(n):
                 for one in [b for b in bodies if not b.is_held_back]:
                     if not one.is_held_back and one.kept < resp.MAX_VALUE:
-                        budget.hold(one, min(resp.MAX_VALUE, one.kept + WHOLE))
+                        budget.set_held(one, min(resp.MAX_VALUE, one.kept + WHOLE))
         elif what == "whole" and (one := next((b for b in bodies if b.kept == resp.MAX_VALUE), None)):
             bodies.remove(one)
             whole.append(one)
-            budget.whole(one)
+            budget.remove_body(one)
         elif what == "drop" and (one := pick(bodies + whole)):
             (bodies if one in bodies else whole).remove(one)
-            budget.whole(one)
-            budget.hold(one, 0)
+            budget.remove_body(one)
+            budget.set_held(one, 0)
         assert budget.total == sum(h.kept for h in bodies + whole + answers_) <= budget.limit + 2 * WHOLE
         assert not bodies or any(not b.is_held_back for b in bodies)
         assert budget.is_full or budget.total > budget.low_mark or not any(b.is_held_back for b in bodies)
