--- a/corkdeal/decisions/gateway.py
+++ b/corkdeal/decisions/gateway.py
@@ -67,8 +67,8 @@
         self.admission_ramp: AdmissionRamp | None = None
         self.is_endpoint_list_stale = False  # no attempt starts while set
         self.quota_fraction = 1.0  # of this gateway's quota; during an upgrade the other process has the rest
-        self._make_backend_parts()
-        self._make_quota_parts()
+        self._create_backend_components()
+        self._create_quota_components()
         self.requests = RequestLifecycle(
             settings,
             self,
@@ -83,7 +83,7 @@
         )
         self.state_transfer = StateTransfer(settings, self.latency_model, self.retries, self.peers)
 
-    def _make_backend_parts(self) -> None:
+    def _create_backend_components(self) -> None:
         settings = self.settings
         is_large_tier = settings.gateway_count > MAX_EXCHANGE_MEMBERS
         self.backends = Backends(settings.gateway_index, is_large_tier)
@@ -100,7 +100,7 @@
         )
         self.retries = Retries(settings, is_large_tier)
 
-    def _make_quota_parts(self) -> None:
+    def _create_quota_components(self) -> None:
         settings = self.settings
         self.account_table = AccountTable(settings)
         self.quota_exchange = QuotaExchange(settings, self.account_table, self)
--- a/corkdeal/decisions/persisted_state.py
+++ b/corkdeal/decisions/persisted_state.py
@@ -137,8 +137,8 @@
         recorded_at = min(now, backend.last_attempt_at)
     rejections = tuple(
         [
-            StoredRejection(classes[number].name, duration, max(0.0, until - recorded_at))
-            for number, (duration, until) in backend.rejecting_classes.items()
+            StoredRejection(classes[index].name, duration, max(0.0, until - recorded_at))
+            for index, (duration, until) in backend.rejecting_classes.items()
             if duration > 0
         ]
     )
@@ -158,7 +158,7 @@
     backend: BackendRecord, record: StoredBackend, classes: tuple[RequestClass, ...], now: float
 ) -> None:
     """Apply a stored record to a newly listed backend; if it was ejected, a trial is due."""
-    numbers = {request_class.name: number for number, request_class in enumerate(classes)}
+    class_indices = {request_class.name: index for index, request_class in enumerate(classes)}
     backend.latency_ratio = record.latency_ratio
     backend.failures = record.failures
     backend.last_attempt_at = now  # the record is already weighted by its age
@@ -166,9 +166,9 @@
     backend.ejected_until = now
     backend.ejection_time = record.ejection_time
     backend.rejecting_classes = {
-        numbers[rejection.request_class]: (rejection.duration, now + rejection.remaining)
+        class_indices[rejection.request_class]: (rejection.duration, now + rejection.remaining)
         for rejection in record.rejections
-        if rejection.request_class in numbers
+        if rejection.request_class in class_indices
     }
 
 
--- a/corkdeal/decisions/retries.py
+++ b/corkdeal/decisions/retries.py
@@ -61,7 +61,7 @@
         case Effect.IDEMPOTENT:
             return True
         case Effect.IDEMPOTENCY_KEY:
-            is_dropped_everywhere = request.request_class.deduplication_scope is DeduplicationScope.ALL
-            return is_dropped_everywhere and not has_attempt
+            is_deduplicated_everywhere = request.request_class.deduplication_scope is DeduplicationScope.ALL
+            return is_deduplicated_everywhere and not has_attempt
         case Effect.NOT_IDEMPOTENT:
             return False
