--- a/corkdeal/net/client_port.py
+++ b/corkdeal/net/client_port.py
@@ -40,7 +40,7 @@
     return port
 
 
-def adopt(reactor: Any, fd: int, factory: Any) -> ClientPort:
+def listen_on_inherited(reactor: Any, fd: int, factory: Any) -> ClientPort:
     """Accept on an inherited listening socket, which the predecessor process shares.
 
     Twisted duplicates the descriptor, and the inherited one is closed here. When this process stops
--- a/corkdeal/net/gateway.py
+++ b/corkdeal/net/gateway.py
@@ -222,7 +222,7 @@
             clients = client_connection.ClientConnectionFactory(self)
             try:
                 if self.config.inherited is not None:
-                    self.port = client_port.adopt(self.reactor, self.config.inherited, clients)
+                    self.port = client_port.listen_on_inherited(self.reactor, self.config.inherited, clients)
                 else:
                     self.port = client_port.listen(self.reactor, self.config.listen, clients)
             except CannotListenError as error:
