--- a/corkdeal/net/budget.py
+++ b/corkdeal/net/budget.py
@@ -28,16 +28,16 @@
 class Holder(Protocol):
     """Something that holds a part of the budget."""
 
-    kept: int
+    held_bytes: int
 
 
 class Waiter(Holder, Protocol):
     """A holder that may have to wait for free space."""
 
-    def hold_back(self) -> None:
+    def pause_for_space(self) -> None:
         """Stop growing for now."""
 
-    def go_on(self) -> None:
+    def resume_with_space(self) -> None:
         """Resume: there is free space again."""
 
 
@@ -72,15 +72,15 @@
 
     def set_held(self, holder: Holder, size: int) -> None:
         """Set the number of bytes that a holder has."""
-        was_full, self.total = self.is_full, self.total + size - holder.kept
-        holder.kept = size
+        was_full, self.total = self.is_full, self.total + size - holder.held_bytes
+        holder.held_bytes = size
         if self.is_full and not was_full:
             for body in list(self.incomplete_bodies):
                 self.make_wait(body)
         elif self.is_full and holder in self.incomplete_bodies:
             self.make_wait(holder)
         while self.waiting and self.total <= self.low_mark:
-            self.waiting.popleft().go_on()
+            self.waiting.popleft().resume_with_space()
 
     def make_wait(self, holder: Waiter) -> None:
         """Make a holder wait for free space, unless it is the oldest body."""
@@ -88,13 +88,13 @@
             self.incomplete_bodies and holder is next(iter(self.incomplete_bodies))
         ):
             self.waiting.append(holder)
-            holder.hold_back()
+            holder.pause_for_space()
 
     def resume(self, holder: Waiter) -> None:
         """Resume a holder, if it is waiting."""
         if holder in self.waiting:
             self.waiting.remove(holder)
-            holder.go_on()
+            holder.resume_with_space()
 
     def stop_waiting(self, holder: Waiter) -> None:
         """Stop a holder's wait without resuming it."""
--- a/corkdeal/net/client_connection.py
+++ b/corkdeal/net/client_connection.py
@@ -71,7 +71,7 @@
         self.is_reset = False  # whether the client closed both directions and reads no reply
         self.seen_open_at = self.idle_since  # when the client was last known not to have sent its FIN
         self.body: RequestStream | None = None  # the large value being received
-        self.kept = 0  # bytes of a large reply not yet sent to the client, for the memory budget
+        self.held_bytes = 0  # bytes of a large reply not yet sent to the client, for the memory budget
 
     def connectionMade(self) -> None:
         """Register the connection, or reject it on overload or when no descriptor can be freed for it."""
@@ -312,7 +312,7 @@
     def resumeProducing(self) -> None:
         """The send buffer is empty: read from the client and the backend again."""
         self.update_reading()
-        if self.kept:
+        if self.held_bytes:
             self.gateway.budget.set_held(self, 0)
         if self.pending_replies and (response_stream := self.pending_replies[0].response_stream) is not None:
             response_stream.resume()
--- a/corkdeal/net/request_stream.py
+++ b/corkdeal/net/request_stream.py
@@ -33,7 +33,7 @@
     def __init__(self, budget: Budget, client_connection: ClientConnection, rpc: RPC | None) -> None:
         self.budget, self.client_connection, self.rpc = budget, client_connection, rpc
         self.pieces: list[Any] = []
-        self.kept = 0  # bytes held, for the memory budget
+        self.held_bytes = 0  # bytes held, for the memory budget
         self.received = self.received_at_check = 0  # bytes received so far, and at the last check
         self.waiting_since: float | None = None  # since when it waits for memory, on the gateway's clock
         self.is_finished = False  # whether it is complete, or its client connection is closed
@@ -52,7 +52,7 @@
             self.pieces[-1] += piece
         else:
             self.pieces.append(bytearray(piece))
-        self.budget.set_held(self, self.kept + len(piece))
+        self.budget.set_held(self, self.held_bytes + len(piece))
 
     def finish(self) -> None:
         """The value is complete, or will not be completed."""
@@ -65,13 +65,13 @@
         self.rpc, self.pieces, self.waiting_since = None, [], None
         self.budget.set_held(self, 0)
 
-    def hold_back(self) -> None:
+    def pause_for_space(self) -> None:
         """Pause reading from the client, as the budget's callback: memory is short."""
         self.waiting_since = self.client_connection.gateway.now()
         self.client_connection.update_reading()
         self.client_connection.gateway.reactor.callLater(MEMORY_TIMEOUT, self.memory_wait_expired)
 
-    def go_on(self) -> None:
+    def resume_with_space(self) -> None:
         """Resume reading from the client, as the budget's callback: memory is free again."""
         self.waiting_since = None
         self.client_connection.update_reading()
--- a/corkdeal/net/response_stream.py
+++ b/corkdeal/net/response_stream.py
@@ -37,7 +37,7 @@
         self.head: memoryview | None = memoryview(frame.buf)[items[1].head : items[-1].start]
         self.ended = False  # whether the whole value was passed to the client connection
         self.is_forwarding = False  # whether forwarding has started, which makes the attempt final
-        self.kept = 0  # bytes held, for the memory budget
+        self.held_bytes = 0  # bytes held, for the memory budget
         self.timer: Any = None
         self.budget = conn.pool.budget
         self.paused = False
@@ -51,13 +51,13 @@
             self.budget.set_held(self, len(self.conn.parser.buf))
             self.budget.make_wait(self)
         else:
-            self.go_on()
+            self.resume_with_space()
 
-    def hold_back(self) -> None:
+    def pause_for_space(self) -> None:
         """Pause, as the budget's callback: memory is short."""
         self.pause()
 
-    def go_on(self) -> None:
+    def resume_with_space(self) -> None:
         """Start to forward, as the budget's callback: the attempt is final, unless no client waits for it."""
         self.is_forwarding = True
         self.budget.set_held(self, 0)
--- a/tests/test_bodies.py
+++ b/tests/test_bodies.py
@@ -530,14 +530,14 @@
     """A holder of the memory budget that only records its size."""
 
     def __init__(self, budget, body=False):
-        self.budget, self.kept, self.is_held_back = budget, 0, False
+        self.budget, self.held_bytes, self.is_held_back = budget, 0, False
         if body:
             budget.add_body(self)
 
-    def hold_back(self):
+    def pause_for_space(self):
         self.is_held_back = True
 
-    def go_on(self):
+    def resume_with_space(self):
         self.is_held_back = False
 
 
@@ -560,9 +560,9 @@
         elif what == "grow":  # all bodies that may grow, piece by piece, some until complete
             for _ in range(n):
                 for one in [b for b in bodies if not b.is_held_back]:
-                    if not one.is_held_back and one.kept < resp.MAX_VALUE:
-                        budget.set_held(one, min(resp.MAX_VALUE, one.kept + WHOLE))
-        elif what == "whole" and (one := next((b for b in bodies if b.kept == resp.MAX_VALUE), None)):
+                    if not one.is_held_back and one.held_bytes < resp.MAX_VALUE:
+                        budget.set_held(one, min(resp.MAX_VALUE, one.held_bytes + WHOLE))
+        elif what == "whole" and (one := next((b for b in bodies if b.held_bytes == resp.MAX_VALUE), None)):
             bodies.remove(one)
             whole.append(one)
             budget.remove_body(one)
@@ -570,7 +570,9 @@
             (bodies if one in bodies else whole).remove(one)
             budget.remove_body(one)
             budget.set_held(one, 0)
-        assert budget.total == sum(h.kept for h in bodies + whole + answers_) <= budget.limit + 2 * WHOLE
+        assert (
+            budget.total == sum(h.held_bytes for h in bodies + whole + answers_) <= budget.limit + 2 * WHOLE
+        )
         assert not bodies or any(not b.is_held_back for b in bodies)
         assert budget.is_full or budget.total > budget.low_mark or not any(b.is_held_back for b in bodies)
 
