--- a/tests/test_idle_connections.py
+++ b/tests/test_idle_connections.py
@@ -22,7 +22,7 @@
 GIVEN = {"listen": "127.0.0.1:6379", "discovery": "127.0.0.1:8500", "seed": "8c1f", "settings": SETTINGS}
 
 
-def made_gateway(sockets=100_000):
+def make_gateway(sockets=100_000):
     reactor = MemoryReactorClock()
     made = gateway.Gateway(
         reactor, dataclasses.replace(config.read(json.dumps(GIVEN).encode(), {}), sockets=sockets)
@@ -142,7 +142,7 @@
 @settings(max_examples=400)
 @given(STEPS, st.randoms(use_true_random=False))
 def test_the_same_go_in_the_same_order_as_by_a_look_through_all(steps, chance):
-    made, reactor = made_gateway()
+    made, reactor = make_gateway()
     for name, which, wait in steps:
         now = reactor.seconds()
         open_now = sorted(made.client_connections, key=lambda c: c.idle_since)
@@ -186,7 +186,7 @@
 
 
 def test_one_with_bytes_to_be_read_can_go_once_they_were():
-    made, reactor = made_gateway()
+    made, reactor = make_gateway()
     connection = connect(made)
     reactor.advance(descriptors.MIN_SILENT_TIME)
     connection.has_unread_bytes = lambda: True
@@ -199,7 +199,7 @@
 
 @pytest.mark.parametrize("spoken", [False, True])
 def test_a_full_table_is_not_looked_through_for_each_connection_or_sweep(spoken):
-    made, reactor = made_gateway(sockets=2048)
+    made, reactor = make_gateway(sockets=2048)
     looks = []
     room = made.descriptors.limit - made.descriptors.reserved_for_backends()
     for number in range(room):
@@ -214,7 +214,7 @@
 
 
 def test_only_paused_connections_are_looked_behind():
-    made, _ = made_gateway()
+    made, _ = make_gateway()
     looked = []
     connections = [connect(made) for _ in range(5)]
     for connection in connections:
@@ -229,7 +229,7 @@
 
 
 def test_no_ended_connection_stays_in_a_queue():
-    made, _ = made_gateway()
+    made, _ = make_gateway()
     chance = random.Random(1)
     for _ in range(200):
         connection = connect(made)
--- a/tests/test_loop_lateness.py
+++ b/tests/test_loop_lateness.py
@@ -15,7 +15,7 @@
 from .net_fakes import connect
 from .net_world import PATIENCE
 from .ports import reserve_address
-from .test_idle_connections import made_gateway
+from .test_idle_connections import make_gateway
 from .test_net_races import Moments
 
 
@@ -44,7 +44,7 @@
 
 
 def test_new_connections_are_shed_while_the_loop_is_late_and_not_while_it_ends():
-    made, _ = made_gateway()
+    made, _ = make_gateway()
     kept = connect(made)
     made.lateness.consecutive_late_firings = 2
     shed = connect(made)
