--- a/corkdeal/net/upgrade.py
+++ b/corkdeal/net/upgrade.py
@@ -44,7 +44,7 @@
         self.predecessor_fraction = 0.0  # of the quota, which the predecessor kept
         self.successor: int | None = None  # incarnation that was given a fraction here
         self.successor_fraction = 0.0  # of the quota, which the successor was given
-        self.takeover: Iterator[None] | None = None  # of the remainder, while in progress
+        self.remainder_takeover: Iterator[None] | None = None  # its steps, while in progress
         self.is_finished = False  # everything was handed over, or the folder can't be used
         self.poll_count = 0
 
@@ -114,7 +114,7 @@
         now = self.gateway.now()
         if snapshot is not None:
             fraction = snapshot.head.fleet.quota_fraction
-            self.takeover = quota_handover.take_over_remainder(
+            self.remainder_takeover = quota_handover.take_over_remainder(
                 self.decisions, self.gateway.now, partial_state, self._restored_state(snapshot), fraction
             )
             self._continue_takeover()
@@ -125,10 +125,10 @@
 
     def _continue_takeover(self) -> None:
         """Take one step of the takeover per reactor iteration."""
-        for _ in self.takeover or ():
+        for _ in self.remainder_takeover or ():
             self.reactor.callLater(0, self._continue_takeover)
             return
-        self.takeover = None
+        self.remainder_takeover = None
         self._finish_takeover(has_remainder=True)
 
     def _finish_takeover(self, has_remainder: bool) -> None:
@@ -175,7 +175,7 @@
 
     def _check_processes(self) -> None:
         """Take over from the predecessor; hand over to the successor, or take back from one that ended."""
-        if self.takeover is not None:
+        if self.remainder_takeover is not None:
             return  # only a complete state may be handed over
         if self.predecessor is not None and self.partial_state is not None and self.gateway.has_started:
             self._follow_predecessor(self.predecessor, self.partial_state)
@@ -197,7 +197,7 @@
         count("handover_off")
         logs.event("handover_off", error=truncated_text(error))
         self.is_finished = True
-        if self.takeover is not None:
+        if self.remainder_takeover is not None:
             return
         was_waiting = self.is_awaiting_remainder
         self.predecessor = None
