--- a/corkdeal/net/manual_overrides.py
+++ b/corkdeal/net/manual_overrides.py
@@ -40,14 +40,14 @@
         try:
             with open(self.path, "rb") as file:
                 document = orjson.loads(file.read())
-            out, back = document["out"], document["back"]
+            held_out, returned_at = document["out"], document["back"]
             if (
                 document.get("format") != FORMAT
-                or not all(isinstance(x, str) for x in out)
-                or not all(isinstance(k, str) and type(v) is float for k, v in back.items())
+                or not all(isinstance(x, str) for x in held_out)
+                or not all(isinstance(k, str) and type(v) is float for k, v in returned_at.items())
             ):
                 raise ValueError("unexpected format")
-            self.held_out, self.returned_at = set(out), back
+            self.held_out, self.returned_at = set(held_out), returned_at
         except FileNotFoundError:
             return
         except (OSError, ValueError, TypeError, KeyError, AttributeError) as error:
@@ -66,9 +66,11 @@
         """Read the file if another process of this gateway replaced it; returns the ids that changed."""
         if self.file_id() in (self.known_file_id, None):
             return set()
-        out, back = self.held_out, self.returned_at
+        old_held_out, old_returned_at = self.held_out, self.returned_at
         self.load()
-        return (out ^ self.held_out) | {k for k, v in self.returned_at.items() if back.get(k) != v}
+        return (old_held_out ^ self.held_out) | {
+            backend for backend, time in self.returned_at.items() if old_returned_at.get(backend) != time
+        }
 
     def save(self) -> None:
         """Write the file; if that fails, only the next process lacks what is held out."""
@@ -108,7 +110,7 @@
         """Return one endpoint with the overrides applied."""
         if endpoint.backend in self.held_out and endpoint.state is EndpointState.READY:
             return dataclasses.replace(endpoint, state=EndpointState.DRAINING)
-        back = self.returned_at.get(endpoint.backend)
-        if back is not None and endpoint.started < back:
-            return dataclasses.replace(endpoint, started=back)
+        returned_at = self.returned_at.get(endpoint.backend)
+        if returned_at is not None and endpoint.started < returned_at:
+            return dataclasses.replace(endpoint, started=returned_at)
         return endpoint
