--- a/corkdeal/membership/leases.py
+++ b/corkdeal/membership/leases.py
@@ -40,7 +40,7 @@
     sent_at: dict[int, float] = field(default_factory=dict)  # by own sequence number, latest last
     # by neighbour: end of the lease that it renewed
     held_until: dict[int, float] = field(default_factory=dict)
-    # by member: the last heartbeat of it that was renewed
+    # by member: its heartbeat by which its lease was last renewed
     renewed_sequences: dict[int, int] = field(default_factory=dict)
     # by member: when that heartbeat was first renewed
     renewed_at: dict[int, float] = field(default_factory=dict)
--- a/corkdeal/net/recovery.py
+++ b/corkdeal/net/recovery.py
@@ -25,7 +25,8 @@
 from .tcp_state import since_last_data
 
 CHECK_INTERVAL = 0.1  # s
-DISCOVERY_TIMEOUT = 0.25  # s for which sends wait for discovery's first reply after a stall, as after a start
+# s to wait for discovery's first reply before anything is sent, after a stall as after a start
+DISCOVERY_TIMEOUT = 0.25
 UNREAD_WINDOW = 2.0  # s after a stall in which bytes may still be read that arrived before its end
 
 
@@ -40,7 +41,7 @@
         self.readiness = Readiness(gateway.now())
         self.stall_ended_at = 0.0  # s; 0 if there was no stall
         self.stall_time = 0.0  # s, duration of the last stall
-        self.withheld_retries = 0.0  # part of the retry budget
+        self.withheld_retries = 0.0  # taken out of the retry budget at a start
         self.discovery_timeout: Any = None  # the delayed call that ends the wait for discovery
         gateway.decisions.quota_restore = QuotaRestore(gateway.decisions)
         gateway.pool.check_stall = lambda: self.check_stall(gateway.now())
@@ -154,7 +155,7 @@
             self.gateway.decisions.is_endpoint_list_stale = False
 
     def limit_start(self, backends: int) -> None:
-        """Limit a start, once backends are known, to this gateway's part of what they surely can handle."""
+        """After a start, limit attempts to this gateway's part of what known backends surely handle."""
         decisions = self.gateway.decisions
         is_starting = self.readiness.state is ReadinessState.RETURNING and not self.stall_ended_at
         if is_starting and backends and decisions.admission_ramp is None:
--- a/corkdeal/net/upgrade.py
+++ b/corkdeal/net/upgrade.py
@@ -40,10 +40,10 @@
         folder = os.path.join(tempfile.gettempdir(), FOLDER_NAME)
         self.files = HandoverFiles(gateway_folder(folder, gateway.config.name))
         self.predecessor: int | None = None  # incarnation that still has a fraction of the quota
-        self.partial_state: PartialState | None = None  # the first part, which it handed over
-        self.predecessor_fraction = 0.0  # of the quota, which the predecessor kept
+        self.partial_state: PartialState | None = None  # what the predecessor handed over first
+        self.predecessor_fraction = 0.0  # fraction of the quota that the predecessor kept
         self.successor: int | None = None  # incarnation that was given a fraction here
-        self.successor_fraction = 0.0  # of the quota, which the successor was given
+        self.successor_fraction = 0.0  # fraction of the quota that the successor was given
         self.remainder_takeover: Iterator[None] | None = None  # its steps, while in progress
         self.is_finished = False  # everything was handed over, or the folder can't be used
         self.poll_count = 0
--- a/corkdeal/persistence/capture.py
+++ b/corkdeal/persistence/capture.py
@@ -32,7 +32,7 @@
     def __init__(
         self, decisions: Gateway, name: str, program: str, restored: RestoredState | None = None
     ) -> None:
-        """`restored` is what the decisions were given; what they have not claimed of it is written again."""
+        """`restored` is the state given to the decisions; records not claimed yet are written again."""
         self.decisions = decisions
         self.name = name
         self.program = program
@@ -40,7 +40,7 @@
         self.encoded_entries: dict[int, bytes] = {}  # encoded page entries by customer
         self._in_flight: set[int] = set()  # customers whose entry counts attempts in flight
         self._unclaimed: dict[int, bytes] | None = None  # filled by the first snapshot, then only shrinks
-        self._unclaimed_entries: list[bytes] = []  # as this snapshot began
+        self._unclaimed_entries: list[bytes] = []  # as of the beginning of the snapshot in progress
         decisions.changed_customers = None  # None: the first snapshot encodes all accounts
 
     def steps(
--- a/corkdeal/persistence/restore.py
+++ b/corkdeal/persistence/restore.py
@@ -24,7 +24,7 @@
 ROUND_LEAP = 1 << 17
 MAX_ROUND = 1 << 31  # a new incarnation is begun beyond it, well before 32 bits of rounds are used up
 UNKNOWN_PACE = 0.5  # with which the decisions start if they have no snapshot
-FULL_RETRY_BUDGET = 10.0  # attempts; likewise
+FULL_RETRY_BUDGET = 10.0  # attempts with which the decisions start if they have no snapshot
 START_TOLERANCE = 0.0015  # seconds; the endpoint list gives starts in whole milliseconds
 
 
--- a/corkdeal/recovery/quota_restore.py
+++ b/corkdeal/recovery/quota_restore.py
@@ -35,8 +35,8 @@
 
 PEER_TIMEOUT = 1.0  # s that neighbours have to send a message; three exchanges and a delayed one
 AGGREGATION_DELAY = 4.0  # s from a start until the totals of an aggregated ring have arrived
-AGGREGATED_INITIAL_FILL = 0.4  # of the burst; at this level an aggregated ring admits its rate
-MAX_REPORTED_ACCOUNTS = 56  # fill eight of the sixty datagrams per second that a peer accepts
+AGGREGATED_INITIAL_FILL = 0.4  # of the burst; at this level an aggregated ring admits the quota's rate
+MAX_REPORTED_ACCOUNTS = 56  # they fill eight of the sixty datagrams per second that a peer accepts
 
 
 class QuotaRestore:
--- a/corkdeal/recovery/stall_detector.py
+++ b/corkdeal/recovery/stall_detector.py
@@ -2,7 +2,7 @@
 
 from __future__ import annotations
 
-# s; longer than a busy event-loop iteration, shorter than the silence after which peers lend out its share
+# s; longer than a busy event-loop iteration, shorter than the silence after which peers use its quota share
 MIN_STALL = 0.75
 
 
