--- a/corkdeal/cli/knowledge.py
+++ b/corkdeal/cli/knowledge.py
@@ -95,7 +95,7 @@
             "pace": head.fleet.pace,
             "pace_weight": expiry.USUAL_LATENCY.weight(age),
             "slow": head.fleet.latency_ratio,
-            "slow_weight": expiry.FLEET_SLOWNESS.weight(age),
+            "slow_weight": expiry.FLEET_LATENCY_RATIO.weight(age),
             "retries": head.fleet.retry_budget,
         },
         "work": [
@@ -114,7 +114,7 @@
                 "started": s.started,
                 "age": round_finite(age_of(s.recorded_at)),
                 "slow": s.latency_ratio,
-                "weight": expiry.BACKEND_SLOWNESS.weight(age_of(s.recorded_at)),
+                "weight": expiry.BACKEND_LATENCY_RATIO.weight(age_of(s.recorded_at)),
                 "failures": s.failures,
                 "ejected": s.is_ejected,
                 "failures_weight": expiry.BACKEND_FAILURES.weight(age_of(s.recorded_at)),
--- a/corkdeal/persistence/expiry.py
+++ b/corkdeal/persistence/expiry.py
@@ -39,10 +39,10 @@
         return math.pow(0.5, max(0.0, age) / self.half_life)
 
 
-BACKEND_SLOWNESS = ExpiryRule(20.0, 120.0)
+BACKEND_LATENCY_RATIO = ExpiryRule(20.0, 120.0)
 BACKEND_FAILURES = ExpiryRule(15.0, 90.0)
 USUAL_LATENCY = ExpiryRule(3600.0, 86400.0)
-FLEET_SLOWNESS = ExpiryRule(5.0, 30.0)
+FLEET_LATENCY_RATIO = ExpiryRule(5.0, 30.0)
 RETRY_BUDGET = ExpiryRule(10.0, 60.0)
 LEDGER_HORIZON = 30.0  # seconds; see also restore.ROUND_LEAP
 ACCOUNT_HORIZON = 3600.0  # seconds
@@ -63,9 +63,9 @@
 
     An ejected backend remains due for a trial, with its ejection time weighted; no record alone keeps it out.
     """
-    slowness_weight = BACKEND_SLOWNESS.weight(age)
+    latency_ratio_weight = BACKEND_LATENCY_RATIO.weight(age)
     failure_weight = BACKEND_FAILURES.weight(age)
-    if not slowness_weight and not failure_weight:
+    if not latency_ratio_weight and not failure_weight:
         return None
     failures = record.failures * failure_weight
     rejections = [
@@ -76,7 +76,7 @@
         if failure_weight
     ]
     return record._replace(
-        latency_ratio=interpolate(record.latency_ratio, 1.0, slowness_weight),
+        latency_ratio=interpolate(record.latency_ratio, 1.0, latency_ratio_weight),
         failures=math.ceil(failures) if failures >= MIN_FAILURES else 0,
         is_ejected=record.is_ejected and failure_weight > 0,
         ejection_time=record.ejection_time * failure_weight,
--- a/corkdeal/persistence/restore.py
+++ b/corkdeal/persistence/restore.py
@@ -92,12 +92,12 @@
         stored = self.head.fleet
         age = self.age_of(self.head.clock.boot, now)
         pace_weight = expiry.USUAL_LATENCY.weight(age)
-        slowness_weight = expiry.FLEET_SLOWNESS.weight(age)
+        latency_ratio_weight = expiry.FLEET_LATENCY_RATIO.weight(age)
         retry_weight = expiry.RETRY_BUDGET.weight(age)
         retry_budget = min(stored.retry_budget, FULL_RETRY_BUDGET)
         return stored._replace(
             pace=interpolate(stored.pace, UNKNOWN_PACE, pace_weight),
-            latency_ratio=interpolate(stored.latency_ratio, 1.0, slowness_weight),
+            latency_ratio=interpolate(stored.latency_ratio, 1.0, latency_ratio_weight),
             retry_budget=interpolate(retry_budget, FULL_RETRY_BUDGET, retry_weight),
             usual_latencies=tuple(self._usual_latencies(now, default_latencies)),
             message_round=stored.message_round + ROUND_LEAP,
@@ -226,7 +226,7 @@
     def unlisted_backends(self, now: float, boot: float) -> list[StoredBackend]:
         """Return unexpired records of backends that no list has named yet, in this boot's time."""
         age = self.age_of(self.head.clock.boot, now)
-        if self.backends and age >= expiry.BACKEND_SLOWNESS.horizon:
+        if self.backends and age >= expiry.BACKEND_LATENCY_RATIO.horizon:
             self.counts["knowledge_server_gone"] += len(self.backends)
             self.backends.clear()
         return [
--- a/tests/persistence/test_expiry.py
+++ b/tests/persistence/test_expiry.py
@@ -12,10 +12,10 @@
 from .strategies import AGES, BACKENDS
 
 RULES = [
-    expiry.BACKEND_SLOWNESS,
+    expiry.BACKEND_LATENCY_RATIO,
     expiry.BACKEND_FAILURES,
     expiry.USUAL_LATENCY,
-    expiry.FLEET_SLOWNESS,
+    expiry.FLEET_LATENCY_RATIO,
     expiry.RETRY_BUDGET,
 ]
 
