--- a/tests/net_world.py
+++ b/tests/net_world.py
@@ -203,7 +203,7 @@
         self.wfile.write(body)
 
 
-class World:
+class FakeServices:
     """Fake discovery and backends for one gateway process."""
 
     def __init__(self, port=0):
@@ -246,7 +246,7 @@
     build: tuple[str, ...] = ()
 
     def setUp(self):
-        self.world, self.lines, self.folder = World(), [], tempfile.TemporaryDirectory()
+        self.world, self.lines, self.folder = FakeServices(), [], tempfile.TemporaryDirectory()
         self.addCleanup(self.folder.cleanup)
         self.addCleanup(self.world.close)
         self.peer = socket.socket(socket.AF_INET, socket.SOCK_DGRAM)
--- a/tests/test_full_table.py
+++ b/tests/test_full_table.py
@@ -19,7 +19,7 @@
 
 from corkdeal.net.resp import command
 
-from .net_world import PATIENCE, World, served
+from .net_world import PATIENCE, FakeServices, served
 from .ports import reserve_address
 from .test_net_races import Moments
 
@@ -157,7 +157,7 @@
         self.world.add("old")
         known = {"revision": 1, "complete": True, "members": [self.world.backends["old"].entry]}
         self.start_full(config={"discovery": discovery}, known=known)
-        back = World(int(discovery.rpartition(":")[2]))
+        back = FakeServices(int(discovery.rpartition(":")[2]))
         self.addCleanup(back.close)
         back.revision = 2
         seen, rid, until = set(), 0, time.monotonic() + PATIENCE
--- a/tests/test_net_closing.py
+++ b/tests/test_net_closing.py
@@ -16,7 +16,7 @@
 from corkdeal.net import backend_connection, client_connection
 from corkdeal.net.resp import command
 
-from .net_world import PATIENCE, SETTINGS, Moments, World, served
+from .net_world import PATIENCE, SETTINGS, FakeServices, Moments, served
 
 
 class Closing(Moments):
@@ -141,7 +141,7 @@
 
     def start_other_discovery(self):
         """Start another discovery service, with the same backends."""
-        other = World()
+        other = FakeServices()
         self.addCleanup(other.close)
         other.backends, other.asked, other.revision = dict(self.world.backends), self.world.asked, 7
         return other
--- a/tests/test_net_races.py
+++ b/tests/test_net_races.py
@@ -20,7 +20,7 @@
 from corkdeal.net.resp import command
 from corkdeal.persistence import handover_files, store
 
-from .net_world import PATIENCE, ROOT, SETTINGS, Moments, World, served
+from .net_world import PATIENCE, ROOT, SETTINGS, FakeServices, Moments, served
 
 GONE = b"ERR failed"
 
@@ -104,7 +104,7 @@
 
     def run_program(self):
         """Start it with its configuration in a pipe; change the file and send SIGHUP while it reads that."""
-        self.other = World()
+        self.other = FakeServices()
         self.addCleanup(self.other.close)
         first = self.path.read_text()
         self.path.unlink()
--- a/tests/test_net_rules.py
+++ b/tests/test_net_rules.py
@@ -8,7 +8,7 @@
 
 from corkdeal.net.resp import MAX_VALUE, WHOLE, command
 
-from .net_world import Moments, Program, World, served
+from .net_world import FakeServices, Moments, Program, served
 from .ports import reserve_port
 
 
@@ -260,7 +260,7 @@
 
     def test_reload_moves_the_watch_and_disturbs_no_rpc(self):
         self.start(a={})  # without a handler, SIGHUP would end the process and lose accepted requests
-        other, client = World(), self.client()
+        other, client = FakeServices(), self.client()
         self.addCleanup(other.close)
         other.add("b")
         self.ask(client, b"pay", body=b"x")
