--- a/tests/net_world.py
+++ b/tests/net_world.py
@@ -343,7 +343,7 @@
     return settings
 
 
-class Moments(Program):
+class ControlledProgram(Program):
     """Base of tests that control when events happen, with a program that is frozen in between."""
 
     def patient(self, sockets=256, **more):
--- a/tests/test_full_table.py
+++ b/tests/test_full_table.py
@@ -21,7 +21,7 @@
 
 from .net_world import PATIENCE, FakeServices, served
 from .ports import reserve_address
-from .test_net_races import Moments
+from .test_net_races import ControlledProgram
 
 SOCKETS = 192
 PING = command(b"PING")
@@ -97,7 +97,7 @@
         self.thread.join(PATIENCE)
 
 
-class FullTable(Moments):
+class FullTable(ControlledProgram):
     build = ("-O",)
 
     def run_program(self):
--- a/tests/test_loop_lateness.py
+++ b/tests/test_loop_lateness.py
@@ -16,7 +16,7 @@
 from .net_world import PATIENCE
 from .ports import reserve_address
 from .test_idle_connections import make_gateway
-from .test_net_races import Moments
+from .test_net_races import ControlledProgram
 
 
 def test_the_greatest_lateness_is_reported_for_a_while():
@@ -87,7 +87,7 @@
         port.socket.close()
 
 
-class ProcessMetric(Moments):
+class ProcessMetric(ControlledProgram):
     """The metric of the real gateway process."""
 
     build = ("-O",)
--- a/tests/test_net_closing.py
+++ b/tests/test_net_closing.py
@@ -16,10 +16,10 @@
 from corkdeal.net import backend_connection, client_connection
 from corkdeal.net.resp import command
 
-from .net_world import PATIENCE, SETTINGS, FakeServices, Moments, served
+from .net_world import PATIENCE, SETTINGS, ControlledProgram, FakeServices, served
 
 
-class Closing(Moments):
+class Closing(ControlledProgram):
     """Base class with helpers."""
 
     def serve_all(self, clients):
--- a/tests/test_net_departures.py
+++ b/tests/test_net_departures.py
@@ -19,14 +19,14 @@
 from corkdeal.net import client_connection, config, gateway, invariants, tcp_state, timers
 from corkdeal.net.resp import command
 
-from .net_world import PATIENCE, SETTINGS, Moments, served
+from .net_world import PATIENCE, SETTINGS, ControlledProgram, served
 from .test_bodies import FakeTransport
 
 BUSY, FAILED = b"BUSY", b"ERR failed"
 STOPPED = 0.3  # s that the process is stopped after a client's close; no attempt may start after 0.1
 
 
-class Departures(Moments):
+class Departures(ControlledProgram):
     """No attempt starts for a client that has disconnected, after a short grace period."""
 
     def test_while_the_connection_to_its_backend_comes_up(self):
@@ -170,7 +170,7 @@
         self.assertEqual(self.process.wait(PATIENCE), 0)
 
 
-class StoppedProcess(Moments):
+class StoppedProcess(ControlledProgram):
     """A client disconnects while the process is stopped; an event that starts an attempt is handled first."""
 
     def leave(self, client, reset):
--- a/tests/test_net_edges.py
+++ b/tests/test_net_edges.py
@@ -14,7 +14,7 @@
 
 from corkdeal.net.resp import command
 
-from .net_world import PATIENCE, SETTINGS, Discovery, Moments, served
+from .net_world import PATIENCE, SETTINGS, ControlledProgram, Discovery, served
 
 FAILED = b"ERR failed"
 
@@ -28,7 +28,7 @@
     sock.close()
 
 
-class EdgeCases(Moments):
+class EdgeCases(ControlledProgram):
     """Base class of these tests."""
 
     def descriptors(self):
--- a/tests/test_net_races.py
+++ b/tests/test_net_races.py
@@ -20,12 +20,12 @@
 from corkdeal.net.resp import command
 from corkdeal.persistence import handover_files, store
 
-from .net_world import PATIENCE, ROOT, SETTINGS, FakeServices, Moments, served
+from .net_world import PATIENCE, ROOT, SETTINGS, ControlledProgram, FakeServices, served
 
 GONE = b"ERR failed"
 
 
-class Shutdown(Moments):
+class Shutdown(ControlledProgram):
     """A shutdown loses no request that arrived, and ends before the process would be killed."""
 
     def test_connections_that_wait_in_the_kernel_are_served(self):
@@ -99,7 +99,7 @@
         self.assertEqual(self.process.wait(PATIENCE), 0)
 
 
-class EarlyReload(Moments):
+class EarlyReload(ControlledProgram):
     """SIGHUP arrives before the gateway object exists."""
 
     def run_program(self):
@@ -154,7 +154,7 @@
         self.assertEqual((done.returncode, done.stdout), (0, "lives\n"))
 
 
-class ReloadDuringHandoverWait(Moments):
+class ReloadDuringHandoverWait(ControlledProgram):
     """SIGHUP arrives while a successor waits for a handover that its predecessor never makes."""
 
     build = ("-O",)
@@ -194,7 +194,7 @@
             self.assertEqual(client.read(), [b"v"])
 
 
-class UnreadBytes(Moments):
+class UnreadBytes(ControlledProgram):
     """A client connection with unread bytes is not closed as idle."""
 
     def open_clients(self, many, spoken):
--- a/tests/test_net_rules.py
+++ b/tests/test_net_rules.py
@@ -8,7 +8,7 @@
 
 from corkdeal.net.resp import MAX_VALUE, WHOLE, command
 
-from .net_world import FakeServices, Moments, Program, served
+from .net_world import ControlledProgram, FakeServices, Program, served
 from .ports import reserve_port
 
 
@@ -327,7 +327,7 @@
     build = ("-O",)
 
 
-class AddressInUse(Moments):
+class AddressInUse(ControlledProgram):
     """An address that another process still uses when the gateway starts."""
 
     def run_program(self):
