--- a/tests/net_world.py
+++ b/tests/net_world.py
@@ -21,7 +21,7 @@
 from .ports import reserve_address, reserve_port
 
 ROOT = pathlib.Path(__file__).parents[1]
-PATIENCE = 60.0  # s; longer than anything takes, SYN retries after 1, 3, 7, 15 and 31 s included
+WAIT_TIMEOUT = 60.0  # s; longer than anything takes, SYN retries after 1, 3, 7, 15 and 31 s included
 SETTINGS = {
     "balancers": 2,
     "me": 0,
@@ -80,7 +80,7 @@
 
     def __init__(self, sock):
         self.sock, self.parser = sock, Parser()
-        sock.settimeout(PATIENCE)
+        sock.settimeout(WAIT_TIMEOUT)
 
     def read(self):
         """The items of the next frame, or None at the end of the stream."""
@@ -180,7 +180,7 @@
         with world.changed:
             world.calls.put(after)
             world.changed.wait_for(lambda: world.closed or world.silent or world.revision > after, wait)
-            world.changed.wait_for(lambda: world.closed or not world.silent, PATIENCE)
+            world.changed.wait_for(lambda: world.closed or not world.silent, WAIT_TIMEOUT)
             body = (
                 world.raw
                 or json.dumps(
@@ -224,11 +224,11 @@
                 self.backends[name].entry["phase"] = phase
             self.raw, self.revision = raw, self.revision + 1
             self.changed.notify_all()
-        while self.calls.get(timeout=PATIENCE) != (self.revision if raw is None else -1):
+        while self.calls.get(timeout=WAIT_TIMEOUT) != (self.revision if raw is None else -1):
             pass
 
     def next(self):
-        return self.asked.get(timeout=PATIENCE)
+        return self.asked.get(timeout=WAIT_TIMEOUT)
 
     def close(self):
         with self.changed:
@@ -251,7 +251,7 @@
         self.addCleanup(self.world.close)
         self.peer = socket.socket(socket.AF_INET, socket.SOCK_DGRAM)
         self.peer.bind(("127.0.0.1", 0))
-        self.peer.settimeout(PATIENCE)
+        self.peer.settimeout(WAIT_TIMEOUT)
         self.addCleanup(self.peer.close)
 
     def start(self, known=None, options=None, config=None, **backends):
@@ -300,7 +300,7 @@
 
     def line(self, text):
         """Wait for a log line; a program that does not write it in time is killed, which fails the test."""
-        guard = threading.Timer(PATIENCE, self.process.kill)
+        guard = threading.Timer(WAIT_TIMEOUT, self.process.kill)
         guard.start()
         try:
             for line in self.process.stdout:
@@ -313,7 +313,7 @@
 
     def client(self):
         host, port = self.config["listen"].split(":")
-        conn = Conn(socket.create_connection((host, int(port)), PATIENCE))
+        conn = Conn(socket.create_connection((host, int(port)), WAIT_TIMEOUT))
         self.addCleanup(conn.sock.close)
         return conn
 
@@ -375,7 +375,7 @@
 
     def wait_for(self, true):
         """Poll until a condition holds."""
-        until = time.monotonic() + PATIENCE
+        until = time.monotonic() + WAIT_TIMEOUT
         while not true():
             self.assertLess(time.monotonic(), until)
             time.sleep(0.005)
--- a/tests/persistence/test_program.py
+++ b/tests/persistence/test_program.py
@@ -13,7 +13,7 @@
 from corkdeal.persistence.codec import decode_account, decode_snapshot
 from corkdeal.persistence.store import SnapshotStore, match_snapshot_name
 
-from ..net_world import PATIENCE, Program, served
+from ..net_world import WAIT_TIMEOUT, Program, served
 
 KILLS = 24
 
@@ -30,7 +30,7 @@
         return next(line for line in reversed(self.lines) if text in line)
 
     def restart(self):
-        self.process.wait(PATIENCE)
+        self.process.wait(WAIT_TIMEOUT)
         self.process.stdout.close()
         self.lines.clear()
         self.run_program()
@@ -44,7 +44,7 @@
         return sorted(p.name for p in (self.state / "n0").glob("*.know"))[-1:]
 
     def wait_until(self, condition):
-        for _ in range(int(PATIENCE / 0.01)):
+        for _ in range(int(WAIT_TIMEOUT / 0.01)):
             if condition():
                 return
             time.sleep(0.01)
@@ -97,7 +97,7 @@
             killer = threading.Timer(rng.uniform(0, 0.25), self.process.kill)
             killer.start()
             killer.join()
-            self.process.wait(PATIENCE)
+            self.process.wait(WAIT_TIMEOUT)
             loaded = self.newest()
             self.assertEqual(loaded.rejected, [])
             if loaded.snapshot is not None:
@@ -133,7 +133,7 @@
         self.process.send_signal(signal.SIGHUP)
         self.assertIn("changed=knowledge", self.line("options_reloaded"))
         self.process.send_signal(signal.SIGTERM)
-        self.assertEqual(self.process.wait(PATIENCE), 0)
+        self.assertEqual(self.process.wait(WAIT_TIMEOUT), 0)
 
     def test_a_removed_folder_is_created_again_and_a_file_in_its_place_is_logged_once(self):
         self.begin(a={})
--- a/tests/persistence/test_quota_handover.py
+++ b/tests/persistence/test_quota_handover.py
@@ -32,7 +32,7 @@
 from corkdeal.persistence.handover_files import HandoverFiles, HandoverPart
 from corkdeal.persistence.restore import RestoredState
 from tests.helpers import Ring, pick, request
-from tests.net_world import PATIENCE, Program, served
+from tests.net_world import WAIT_TIMEOUT, Program, served
 
 PLAN = Plan(rate=2.0, burst=6.0, name="p")
 ONE = Settings(
@@ -287,7 +287,7 @@
         served_.start()
         answer = client.read()
         self.world.asked.put(None)  # ends `serve` if the request was rejected and never reached a backend
-        served_.join(PATIENCE)
+        served_.join(WAIT_TIMEOUT)
         while not self.world.asked.empty():
             self.world.asked.get()
         return answer == [b"v"]
@@ -311,7 +311,7 @@
         old.send_signal(signal.SIGTERM)
         self.wait_for_line(old, "handover_rest")
         self.assertIn("part=1.0", self.line("handover_done"))
-        self.assertEqual(old.wait(PATIENCE), 0)
+        self.assertEqual(old.wait(WAIT_TIMEOUT), 0)
         self.assertEqual(self.admitted(self.client()), 0)
 
     def test_an_old_process_killed_before_it_gave_the_rest_leaves_its_rate_and_a_dead_new_one_gives_it_back(
@@ -333,9 +333,9 @@
         self.assertTrue(re.search("rest=False part=1.0", self.line("handover_done")))
         self.assertEqual(self.admitted(self.client()), 0)
         client, began = self.client(), time.monotonic()
-        while not self.admitted(client, 1) and time.monotonic() - began < 2 * PATIENCE:
+        while not self.admitted(client, 1) and time.monotonic() - began < 2 * WAIT_TIMEOUT:
             time.sleep(0.1)  # it refills at the whole rate, 0.1 per second
-        self.assertLess(time.monotonic() - began, 2 * PATIENCE)
+        self.assertLess(time.monotonic() - began, 2 * WAIT_TIMEOUT)
 
     def test_a_folder_that_goes_away_while_it_serves_harms_nothing(self):
         self.begin()
@@ -343,7 +343,7 @@
         next_old = self.next_process()  # it finds no predecessor, so both have the whole quota
         self.line("serving ")
         next_old.send_signal(signal.SIGTERM)
-        self.assertEqual(next_old.wait(PATIENCE), 0)
+        self.assertEqual(next_old.wait(WAIT_TIMEOUT), 0)
         self.assertEqual(self.admitted(self.client()), 2)
 
     def test_a_shared_folder_that_cannot_be_used_costs_the_handover_only(self):
--- a/tests/test_full_table.py
+++ b/tests/test_full_table.py
@@ -19,7 +19,7 @@
 
 from corkdeal.net.resp import command
 
-from .net_world import PATIENCE, FakeServices, served
+from .net_world import WAIT_TIMEOUT, FakeServices, served
 from .ports import reserve_address
 from .test_net_races import ControlledProgram
 
@@ -94,7 +94,7 @@
 
     def end(self):
         self.ended.set()
-        self.thread.join(PATIENCE)
+        self.thread.join(WAIT_TIMEOUT)
 
 
 class FullTable(ControlledProgram):
@@ -111,14 +111,14 @@
         host, port = self.config["listen"].split(":")
         self.crowd = Crowd((host, int(port)), self.process.pid)
         self.addCleanup(self.crowd.end)
-        self.assertTrue(self.crowd.turned_over.wait(PATIENCE))
+        self.assertTrue(self.crowd.turned_over.wait(WAIT_TIMEOUT))
 
     def admitted(self, requests):
         """Return a client that was accepted and has sent these requests; retry while no descriptor is free.
 
         The requests are sent together with the PING, since a client without a request can be evicted.
         """
-        until = time.monotonic() + PATIENCE
+        until = time.monotonic() + WAIT_TIMEOUT
         while time.monotonic() < until:
             client = self.client()
             with contextlib.suppress(OSError):
@@ -133,7 +133,7 @@
 
     def figures(self):
         host, port = self.ops.split(":")
-        conn = http.client.HTTPConnection(host, int(port), timeout=PATIENCE)
+        conn = http.client.HTTPConnection(host, int(port), timeout=WAIT_TIMEOUT)
         self.addCleanup(conn.close)
         conn.request("GET", "/status/metrics")
         return json.loads(conn.getresponse().read())
@@ -149,7 +149,7 @@
 
         thread = threading.Thread(target=run, daemon=True)
         thread.start()
-        self.addCleanup(thread.join, PATIENCE)
+        self.addCleanup(thread.join, WAIT_TIMEOUT)
         self.addCleanup(world.asked.put, None)
 
     def test_discovery_returns_with_many_new_backends_and_each_gets_requests(self):
@@ -160,7 +160,7 @@
         back = FakeServices(int(discovery.rpartition(":")[2]))
         self.addCleanup(back.close)
         back.revision = 2
-        seen, rid, until = set(), 0, time.monotonic() + PATIENCE
+        seen, rid, until = set(), 0, time.monotonic() + WAIT_TIMEOUT
         self.answer_all(back, seen)
         self.answer_all(self.world, set())
         with back.changed:
@@ -214,7 +214,7 @@
         for _ in range(4):
             self.assertEqual(client.read(), [b"v"])
         self.assertIsNone(client.read())
-        self.assertEqual(self.process.wait(PATIENCE), 0)
+        self.assertEqual(self.process.wait(WAIT_TIMEOUT), 0)
         self.assertLess(self.crowd.most_descriptors, SOCKETS)
 
 
--- a/tests/test_loop_lateness.py
+++ b/tests/test_loop_lateness.py
@@ -13,7 +13,7 @@
 from corkdeal.net.loop_lateness import MIN_RETENTION, OVERLOAD_LATENESS, LoopLateness
 
 from .net_fakes import connect
-from .net_world import PATIENCE
+from .net_world import WAIT_TIMEOUT
 from .ports import reserve_address
 from .test_idle_connections import make_gateway
 from .test_net_races import ControlledProgram
@@ -94,7 +94,7 @@
 
     def late_ms(self):
         host, port = self.config["ops"].split(":")
-        conn = http.client.HTTPConnection(host, int(port), timeout=PATIENCE)
+        conn = http.client.HTTPConnection(host, int(port), timeout=WAIT_TIMEOUT)
         self.addCleanup(conn.close)
         conn.request("GET", "/status/metrics")
         return json.loads(conn.getresponse().read())["app_loop_late_ms"]
@@ -103,7 +103,7 @@
         self.start(config={"ops": reserve_address()}, a={})
         self.freeze()
         self.thaw(after=0.5, since=time.monotonic())
-        until = time.monotonic() + PATIENCE
+        until = time.monotonic() + WAIT_TIMEOUT
         while self.late_ms() < 300 and time.monotonic() < until:
             time.sleep(0.01)  # until the periodic timer has fired
         self.assertGreaterEqual(self.late_ms(), 300)
--- a/tests/test_net_closing.py
+++ b/tests/test_net_closing.py
@@ -16,7 +16,7 @@
 from corkdeal.net import backend_connection, client_connection
 from corkdeal.net.resp import command
 
-from .net_world import PATIENCE, SETTINGS, ControlledProgram, FakeServices, served
+from .net_world import SETTINGS, WAIT_TIMEOUT, ControlledProgram, FakeServices, served
 
 
 class Closing(ControlledProgram):
@@ -45,7 +45,7 @@
         self.serve_all(clients)
         for client in clients:
             self.assertIsNone(client.read())
-        self.assertEqual(self.process.wait(PATIENCE), 0)
+        self.assertEqual(self.process.wait(WAIT_TIMEOUT), 0)
 
     def test_arriving_as_the_idle_timeout_expires_is_served(self):
         self.start(config={"limits": {"sockets": 33}}, a={})  # two clients shorten the idle timeout
@@ -65,7 +65,7 @@
             self.ask(client, b"pay", rid=rid, body=b"x")
         self.thaw()
         self.serve_all(clients)
-        self.assertEqual(self.process.wait(PATIENCE), 0)
+        self.assertEqual(self.process.wait(WAIT_TIMEOUT), 0)
 
     def test_arriving_after_quit_is_not_forwarded(self):
         self.start(a={})
@@ -79,7 +79,7 @@
         shut.send(request)  # after QUIT, an answer could not be sent any more
         self.assertEqual(self.serve(other, 2).words[2], b"%016x" % 2)
         self.process.send_signal(signal.SIGTERM)
-        self.assertEqual(self.process.wait(PATIENCE), 0)
+        self.assertEqual(self.process.wait(WAIT_TIMEOUT), 0)
         self.assertTrue(self.world.asked.empty())
 
 
@@ -102,7 +102,7 @@
                 self.thaw(after=0.1, since=stopped)  # idle for long enough to be reused
                 asked = self.world.next()
                 self.assertIsNot(asked.conn, warm.conn)
-                self.assertTrue(warm.ended.wait(PATIENCE))
+                self.assertTrue(warm.ended.wait(WAIT_TIMEOUT))
                 asked.conn.send(served(b"own"))
                 self.assertEqual(client.read(), [b"own"])
                 self.stop()
@@ -115,7 +115,7 @@
         self.thaw(after=0.1, since=stopped)
         asked = self.world.next()
         self.assertIsNot(asked.conn, warm.conn)
-        self.assertTrue(warm.ended.wait(PATIENCE))
+        self.assertTrue(warm.ended.wait(WAIT_TIMEOUT))
         asked.conn.send(served(b"own"))
         self.assertEqual(client.read(), [b"own"])
 
@@ -126,7 +126,7 @@
         stopped = self.freeze()
         warm.conn.send(b"*3\r\n$5\r\nab")
         self.thaw(after=0.6, since=stopped)
-        self.assertTrue(warm.ended.wait(PATIENCE))
+        self.assertTrue(warm.ended.wait(WAIT_TIMEOUT))
         self.assertIsNot(self.serve(client, 2).conn, warm.conn)
 
 
@@ -150,7 +150,7 @@
         self.start(a={}, b={})
         client, other = self.client(), self.start_other_discovery()
         self.reload_to(other)
-        self.assertEqual(other.calls.get(timeout=PATIENCE), -1)  # for the list in which both are ready
+        self.assertEqual(other.calls.get(timeout=WAIT_TIMEOUT), -1)  # for the list in which both are ready
         other.tell(a="Terminating")
         self.assertEqual({self.serve(client, rid).backend.name for rid in range(8)}, {"b"})
 
@@ -169,7 +169,7 @@
         self.world.next().conn.send(served())
         for each in (client, late):
             self.assertEqual(each.read(), [b"v"])
-        self.assertEqual(self.process.wait(PATIENCE), 0)
+        self.assertEqual(self.process.wait(WAIT_TIMEOUT), 0)
         self.line("reloaded")
 
 
@@ -179,7 +179,7 @@
     def transport(self, protocol):
         """Connect a protocol to Twisted's transport on a real socket; returns the socket's TCP_NODELAY."""
         with socket.create_server(("127.0.0.1", 0)) as listener:
-            far = socket.create_connection(listener.getsockname(), PATIENCE)
+            far = socket.create_connection(listener.getsockname(), WAIT_TIMEOUT)
             near = listener.accept()[0]
         self.addCleanup(far.close)
         self.addCleanup(near.close)
--- a/tests/test_net_departures.py
+++ b/tests/test_net_departures.py
@@ -19,7 +19,7 @@
 from corkdeal.net import client_connection, config, gateway, invariants, tcp_state, timers
 from corkdeal.net.resp import command
 
-from .net_world import PATIENCE, SETTINGS, ControlledProgram, served
+from .net_world import SETTINGS, WAIT_TIMEOUT, ControlledProgram, served
 from .test_bodies import FakeTransport
 
 BUSY, FAILED = b"BUSY", b"ERR failed"
@@ -49,10 +49,10 @@
         self.assertEqual(other.read(), [BUSY])  # by now the reset has been handled too
         staying = self.client()
         self.ask(staying, b"pay", d=80000, rid=3, body=b"of one who stays")
-        listener.settimeout(PATIENCE)
+        listener.settimeout(WAIT_TIMEOUT)
         while True:  # sockets that filled the queue, abandoned connections, then one with a request
             conn = listener.accept()[0]
-            conn.settimeout(PATIENCE)
+            conn.settimeout(WAIT_TIMEOUT)
             if data := conn.recv(65536, socket.MSG_DONTWAIT) if self.has_bytes(conn) else b"":
                 break
         self.assertIn(b"of one who stays", data)
@@ -167,7 +167,7 @@
         self.assertEqual(client.read(), [BUSY])
         self.assertEqual(client.read(), [b"PONG"])
         self.assertIsNone(client.read())
-        self.assertEqual(self.process.wait(PATIENCE), 0)
+        self.assertEqual(self.process.wait(WAIT_TIMEOUT), 0)
 
 
 class StoppedProcess(ControlledProgram):
@@ -232,7 +232,7 @@
         stopped = time.monotonic()
         self.leave(client, reset)
         self.thaw(after=2.6, since=stopped)  # late enough to time out, early enough for a retry
-        self.assertTrue(asked.ended.wait(PATIENCE))
+        self.assertTrue(asked.ended.wait(WAIT_TIMEOUT))
         if not reset:
             self.assertIn(client.read(), ([BUSY], [FAILED]))
         self.nothing_sent()
@@ -250,7 +250,7 @@
         self.ask(client, b"pay", d=80000, body=b"x")
         client.send(command(b"PING"))
         self.freeze()
-        listener.settimeout(PATIENCE)
+        listener.settimeout(WAIT_TIMEOUT)
         fillers = {each.getsockname() for each in self.filling}
         while (accepted := listener.accept())[1] in fillers:
             self.addCleanup(accepted[0].close)
@@ -259,7 +259,7 @@
         self.thaw(after=STOPPED, since=time.monotonic())
         if not reset:
             self.assertEqual(client.read(), [BUSY])
-        accepted[0].settimeout(PATIENCE)
+        accepted[0].settimeout(WAIT_TIMEOUT)
         self.assertFalse(self.received(accepted[0]))
 
     @staticmethod
@@ -422,7 +422,7 @@
         self.addCleanup(self.theirs.close)
 
     def wait_for(self, state):
-        until = time.monotonic() + PATIENCE
+        until = time.monotonic() + WAIT_TIMEOUT
         while tcp_state.peer_state(self.ours) is not state:
             self.assertLess(time.monotonic(), until)
 
--- a/tests/test_net_edges.py
+++ b/tests/test_net_edges.py
@@ -14,7 +14,7 @@
 
 from corkdeal.net.resp import command
 
-from .net_world import PATIENCE, SETTINGS, ControlledProgram, Discovery, served
+from .net_world import SETTINGS, WAIT_TIMEOUT, ControlledProgram, Discovery, served
 
 FAILED = b"ERR failed"
 
@@ -65,8 +65,8 @@
 
     def watching(self):
         """Wait until a watch is open; return its revision."""
-        self.assertEqual(self.world.calls.get(timeout=PATIENCE), -1)
-        self.assertEqual(self.world.calls.get(timeout=PATIENCE), self.world.revision)
+        self.assertEqual(self.world.calls.get(timeout=WAIT_TIMEOUT), -1)
+        self.assertEqual(self.world.calls.get(timeout=WAIT_TIMEOUT), self.world.revision)
         return self.world.revision
 
     def publish(self):
@@ -80,7 +80,7 @@
         self.watching()
         self.world.backends["a"].entry["phase"] = "Terminating"
         self.publish()
-        self.assertEqual(self.world.calls.get(timeout=PATIENCE), self.world.revision)  # it was applied
+        self.assertEqual(self.world.calls.get(timeout=WAIT_TIMEOUT), self.world.revision)  # it was applied
         client = self.client()
         self.assertEqual({self.serve(client, rid).backend.name for rid in range(6)}, {"b"})
 
@@ -91,7 +91,7 @@
         self.world.endings += ["short of its length, reset", "half, reset"]
         self.addCleanup(self.world.backends.pop("a").listener.close)
         self.publish()
-        calls = [self.world.calls.get(timeout=PATIENCE) for _ in range(6)]
+        calls = [self.world.calls.get(timeout=WAIT_TIMEOUT) for _ in range(6)]
         self.assertEqual(calls, [held] * 5 + [held + 1])  # each asks for changes since the list held
         client = self.client()
         self.assertEqual({self.serve(client, rid).backend.name for rid in range(6)}, {"b"})
@@ -104,7 +104,7 @@
         self.publish()
         client = self.client()
         for rid in range(3):
-            self.assertEqual(self.world.calls.get(timeout=PATIENCE), held)
+            self.assertEqual(self.world.calls.get(timeout=WAIT_TIMEOUT), held)
             self.assertEqual(self.serve(client, rid).backend.name, "a")
 
 
@@ -186,7 +186,7 @@
                 asked = self.world.next()
                 self.trickle(asked, start)
                 self.assertEqual(client.read(), [FAILED])
-                self.assertTrue(asked.ended.wait(PATIENCE))
+                self.assertTrue(asked.ended.wait(WAIT_TIMEOUT))
 
     def test_one_that_breaks_off_is_repeated_where_that_is_harmless_and_only_there(self):
         self.patient(a={}, b={})
@@ -231,7 +231,7 @@
         first = self.world.next()
         first.conn.send(b"*3\r\n$5\r\nab")
         again = self.world.next()
-        self.assertTrue(first.ended.wait(PATIENCE))  # before the other attempt started
+        self.assertTrue(first.ended.wait(WAIT_TIMEOUT))  # before the other attempt started
         again.conn.send(served())
         self.assertEqual(client.read(), [b"v"])
 
@@ -336,7 +336,7 @@
         self.world.backends["a"].entry["phase"] = "Terminating"
         with self.world.changed:
             self.world.revision += 1
-        self.assertEqual(self.world.calls.get(timeout=PATIENCE), self.world.revision - 1)  # a second call
+        self.assertEqual(self.world.calls.get(timeout=WAIT_TIMEOUT), self.world.revision - 1)  # a second call
         with self.world.changed:
             self.world.silent = False
             self.world.changed.notify_all()
--- a/tests/test_net_ops.py
+++ b/tests/test_net_ops.py
@@ -15,7 +15,7 @@
 from corkdeal.net import manual_overrides, ops
 from corkdeal.net.invariants import counts
 
-from .net_world import PATIENCE, Program, served
+from .net_world import WAIT_TIMEOUT, Program, served
 from .ports import reserve_address
 
 
@@ -135,7 +135,7 @@
 
     def call(self, method, path):
         host, port = self.ops.split(":")
-        conn = http.client.HTTPConnection(host, int(port), timeout=PATIENCE)
+        conn = http.client.HTTPConnection(host, int(port), timeout=WAIT_TIMEOUT)
         conn.request(method, path)
         answer = conn.getresponse()
         self.addCleanup(conn.close)
@@ -143,7 +143,7 @@
 
     def wait_for_list(self, count):
         """Wait until `count` backends are listed, since clients may be accepted before the first list."""
-        until = time.monotonic() + PATIENCE
+        until = time.monotonic() + WAIT_TIMEOUT
         while self.call("GET", "/status/metrics")[1]["app_hosts_listed"] < count:
             self.assertLess(time.monotonic(), until)
             time.sleep(0.01)
@@ -158,14 +158,14 @@
     def test_a_caller_that_stays_silent_or_halfway_delays_no_other(self):
         self.start_ops(a={})
         host, port = self.ops.split(":")
-        silent = socket.create_connection((host, int(port)), PATIENCE)
-        halfway = socket.create_connection((host, int(port)), PATIENCE)
+        silent = socket.create_connection((host, int(port)), WAIT_TIMEOUT)
+        halfway = socket.create_connection((host, int(port)), WAIT_TIMEOUT)
         halfway.sendall(b"GET /sta")
         self.addCleanup(silent.close)
         self.addCleanup(halfway.close)
         self.assertEqual(self.call("GET", "/status"), (200, {"word": "YES", "state": "serving"}))
         self.assertEqual(self.call("GET", "/nowhere")[0], 404)
-        bad = socket.create_connection((host, int(port)), PATIENCE)
+        bad = socket.create_connection((host, int(port)), WAIT_TIMEOUT)
         self.addCleanup(bad.close)
         bad.sendall(b"NOT HTTP AT ALL\r\n\r\n")
         self.assertTrue(bad.recv(100).startswith(b"HTTP/1.1 400"))
@@ -174,7 +174,7 @@
         self.start_ops(a={})
         folder = f"/proc/{self.process.pid}/fd"
         before, (host, port) = len(os.listdir(folder)), self.ops.split(":")
-        crowd = [socket.create_connection((host, int(port)), PATIENCE) for _ in range(40)]
+        crowd = [socket.create_connection((host, int(port)), WAIT_TIMEOUT) for _ in range(40)]
         for each in crowd:
             self.addCleanup(each.close)
         self.assertEqual(self.call("GET", "/status")[0], 200)  # queued behind them
--- a/tests/test_net_races.py
+++ b/tests/test_net_races.py
@@ -20,7 +20,7 @@
 from corkdeal.net.resp import command
 from corkdeal.persistence import handover_files, store
 
-from .net_world import PATIENCE, ROOT, SETTINGS, ControlledProgram, FakeServices, served
+from .net_world import ROOT, SETTINGS, WAIT_TIMEOUT, ControlledProgram, FakeServices, served
 
 GONE = b"ERR failed"
 
@@ -42,7 +42,7 @@
             self.world.next().conn.send(served())
         for client in clients:
             self.assertEqual(client.read(), [b"v"])
-        self.assertEqual(self.process.wait(PATIENCE), 0)
+        self.assertEqual(self.process.wait(WAIT_TIMEOUT), 0)
 
     def test_a_request_in_the_reactor_iteration_of_the_last_answer_is_served(self):
         self.start(a={})
@@ -61,7 +61,7 @@
         self.world.next().conn.send(served(b"second"))
         self.assertEqual(client.read(), [b"second"])
         self.assertIsNone(client.read())
-        self.assertEqual(self.process.wait(PATIENCE), 0)
+        self.assertEqual(self.process.wait(WAIT_TIMEOUT), 0)
 
     def test_what_is_still_open_is_answered_before_the_kill(self):
         settings = copy.deepcopy(SETTINGS)
@@ -83,8 +83,8 @@
         self.assertEqual(client.read(), [GONE])
         self.assertEqual(client.read(), [GONE])
         self.assertEqual(waiting.read(), [GONE])
-        self.assertEqual(self.process.wait(PATIENCE), 0)
-        self.assertTrue(all(each.ended.wait(PATIENCE) for each in (first, second, third)))
+        self.assertEqual(self.process.wait(WAIT_TIMEOUT), 0)
+        self.assertTrue(all(each.ended.wait(WAIT_TIMEOUT) for each in (first, second, third)))
 
     def test_signals_that_come_twice_or_late_change_nothing(self):
         self.start(a={})
@@ -96,7 +96,7 @@
         self.line("reloaded")
         asked.conn.send(served())
         self.assertEqual(client.read(), [b"v"])
-        self.assertEqual(self.process.wait(PATIENCE), 0)
+        self.assertEqual(self.process.wait(WAIT_TIMEOUT), 0)
 
 
 class EarlyReload(ControlledProgram):
@@ -131,7 +131,7 @@
     def test_the_reload_is_carried_out_once_the_gateway_exists(self):
         self.start(a={})
         self.seen("reloaded")
-        self.assertIsNotNone(self.other.calls.get(timeout=PATIENCE))
+        self.assertIsNotNone(self.other.calls.get(timeout=WAIT_TIMEOUT))
 
 
 class DeployCommand(unittest.TestCase):
@@ -147,7 +147,7 @@
                 ["/bin/sh", "-c", run],
                 capture_output=True,
                 text=True,
-                timeout=PATIENCE,
+                timeout=WAIT_TIMEOUT,
                 cwd=ROOT,
                 env={"PATH": f"{folder}:/usr/bin:/bin"},
             )
--- a/tests/test_start.py
+++ b/tests/test_start.py
@@ -9,7 +9,7 @@
 import tomllib
 
 from corkdeal.standin.fleet import limit_files
-from tests.net_world import PATIENCE, ROOT, Program
+from tests.net_world import ROOT, WAIT_TIMEOUT, Program
 from tests.ports import reserve_address
 
 PROBE = ROOT / "tests" / "start_probe"
@@ -53,7 +53,7 @@
             cwd=self.tree,
             capture_output=True,
             text=True,
-            timeout=PATIENCE,
+            timeout=WAIT_TIMEOUT,
         )
         self.assertEqual(done.returncode, 0, done.stderr)
 
--- a/tests/tier/test_tier.py
+++ b/tests/tier/test_tier.py
@@ -10,7 +10,7 @@
 from corkdeal.experiment import schedule
 from corkdeal.experiment.tier import Play
 
-from ..net_world import PATIENCE
+from ..net_world import WAIT_TIMEOUT
 
 SMALL_TIER = "tier gateways=3 servers=3 load=0.3 settled=0.5 "
 
@@ -27,7 +27,7 @@
 
 async def wait_until(condition):
     """Poll until a condition holds."""
-    async with asyncio.timeout(PATIENCE):
+    async with asyncio.timeout(WAIT_TIMEOUT):
         while not condition():
             await asyncio.sleep(0.01)
 
