--- a/corkdeal/net/answers.py
+++ b/corkdeal/net/answers.py
@@ -6,7 +6,7 @@
 
 from ..decisions.events import Status
 from .invariants import count
-from .resp import ARRAY, BULK, ERROR, SIMPLE, UNKNOWN_SIZE, Frame, Item, Malformed, skip_items
+from .resp import ARRAY, BULK, ERROR, SIMPLE, UNKNOWN_SIZE, Frame, Item, MalformedError, skip_items
 
 REPLY_ITEMS = 3  # the value, the usage metrics, the load report
 
@@ -21,19 +21,19 @@
 
 
 def check_header(kind: int, size: int) -> None:
-    """Raise `Malformed` unless a reply begins as an array of three items or an error line.
+    """Raise `MalformedError` unless a reply begins as an array of three items or an error line.
 
     A malformed reply so fails at its header, before the rest is received.
     """
     if kind != ERROR and (kind != ARRAY or size not in (REPLY_ITEMS, UNKNOWN_SIZE)):
-        raise Malformed("reply is neither an error nor an array of 3 items")
+        raise MalformedError("reply is neither an error nor an array of 3 items")
 
 
 def check_value(items: list[Item]) -> None:
-    """Raise `Malformed` unless the value, item 1, is a non-null bulk string or an array that begins so."""
+    """Raise `MalformedError` unless the value, item 1, is a non-null bulk string or an array beginning so."""
     first = items[2] if items[1].kind == ARRAY and items[1].size > 0 else items[1]
     if first.kind != BULK or first.size < 0:
-        raise Malformed("reply value is not a bulk string")
+        raise MalformedError("reply value is not a bulk string")
 
 
 def load_report_at(frame: Frame, i: int) -> bytes:
@@ -43,7 +43,7 @@
 
 
 def read_reply(frame: Frame) -> Reply:
-    """Parse a complete reply to an RPC; raise `Malformed` if it has none of the allowed forms.
+    """Parse a complete reply to an RPC; raise `MalformedError` if it has none of the allowed forms.
 
     Only the value is checked: usage metrics are not read here, and a malformed report counts as none.
     """
@@ -61,7 +61,7 @@
     if code == b"BUSY":
         return Reply(Status.REJECTED, report=rest)
     if code not in (b"ERR", b"SYNTAX", b"NOPERM"):
-        raise Malformed("unknown error code")
+        raise MalformedError("unknown error code")
     if code != b"ERR":
         count(f"backend_{code.decode().lower()}")
     return Reply(Status.ERROR, report=rest.rpartition(b" ")[2])
--- a/corkdeal/net/backend_connection.py
+++ b/corkdeal/net/backend_connection.py
@@ -20,7 +20,7 @@
 from .budget import Budget
 from .invariants import count, holds
 from .request_stream import CommandWriter
-from .resp import Frame, Malformed, Parser
+from .resp import Frame, MalformedError, Parser
 from .response_stream import ResponseStream
 from .rpc import RPC
 
@@ -132,8 +132,8 @@
             if not frame and self.attempt.rpc:
                 check_header(*self.parser.header())
             elif reply and self.command_writer and reply.status is Status.OK:
-                raise Malformed("reply before the command was fully written")
-        except Malformed:
+                raise MalformedError("reply before the command was fully written")
+        except MalformedError:
             return self.fail_malformed(self.attempt)
         # an incomplete reply must not hold its request until the deadline
         if not reply and not had_partial_frame:
@@ -164,7 +164,7 @@
     def start_response_stream(self, attempt: Attempt, frame: Frame) -> None:
         """Start to stream a reply that was received up to a large value."""
         if attempt.rpc is None or self.command_writer:
-            raise Malformed("unexpected large value")
+            raise MalformedError("unexpected large value")
         self.response_stream = ResponseStream(self, attempt, frame)
         self.response_stream.start()
 
--- a/corkdeal/net/client_connection.py
+++ b/corkdeal/net/client_connection.py
@@ -17,7 +17,7 @@
 from .descriptors import MIN_SILENT_TIME
 from .invariants import count, holds
 from .request_stream import RequestStream
-from .resp import Frame, Malformed, Parser
+from .resp import Frame, MalformedError, Parser
 from .response_stream import ResponseStream
 from .rpc import READ, RPC, WRITE, BadRequestError
 from .tcp_state import PeerState, peer_state, since_fin
@@ -108,7 +108,7 @@
                 else:
                     can_parse = self.handle_large_command(frame, now)
                 command_started_at = now
-        except Malformed as error:
+        except MalformedError as error:
             count("client_connection_malformed")
             self.drop_body()
             self.reply_and_close(b"-ERR Protocol error: %b\r\n" % str(error).encode())
@@ -120,7 +120,7 @@
     def handle_command(self, frame: Frame, now: float) -> None:
         """Handle one complete command; commands other than API.READ and API.WRITE are answered here."""
         if not frame.is_command():
-            raise Malformed("expected an array of bulk strings")
+            raise MalformedError("expected an array of bulk strings")
         self.has_sent_command = True
         name = frame.text(1).upper()
         if name in (READ, WRITE):
--- a/corkdeal/net/resp.py
+++ b/corkdeal/net/resp.py
@@ -20,7 +20,7 @@
 KINDS = frozenset((ARRAY, BULK, SIMPLE, ERROR, INTEGER))
 
 
-class Malformed(ValueError):
+class MalformedError(ValueError):
     """Input that is not valid RESP2, or exceeds a limit."""
 
 
@@ -123,7 +123,7 @@
         if self.value_left < 2:  # this piece holds one or both bytes of the CRLF
             tail = b"\r\n"[max(0, 2 - self.value_left - take) : 2 - self.value_left]
             if self.buf[end - len(tail) : end] != tail:
-                raise Malformed("value does not end where it should")
+                raise MalformedError("value does not end where it should")
         self.position = self.frame_start = end
         return memoryview(self.buf)[at:end]
 
@@ -137,14 +137,14 @@
             if at >= available:
                 return None
             if at - self.frame_start > MAX_FRAME:
-                raise Malformed("frame too long")
+                raise MalformedError("frame too long")
             kind = buf[at]
             if kind not in KINDS:
-                raise Malformed(f"unexpected byte {kind:#04x}")
+                raise MalformedError(f"unexpected byte {kind:#04x}")
             stop = buf.find(b"\r\n", at + 1, at + MAX_LINE)
             if stop < 0:
                 if available - at >= MAX_LINE:
-                    raise Malformed("line too long")
+                    raise MalformedError("line too long")
                 return None
             end = stop + 2
             if kind in (BULK, ARRAY):
@@ -158,13 +158,13 @@
                         self.needed = end
                         return None
                     if buf[stop] != 13 or buf[stop + 1] != 10:
-                        raise Malformed("value does not end where it should")
+                        raise MalformedError("value does not end where it should")
                     item = Item(kind, at, start, stop, end, size)
                 else:
                     item = Item(kind, at, end, end, end, size)
                     self.items_left += max(0, size)
                 if self.items_returned + len(self.items) + self.items_left > MAX_ITEMS + 1:
-                    raise Malformed("too many items")
+                    raise MalformedError("too many items")
             else:
                 item = Item(kind, at, at + 1, stop, end, stop - at - 1)
             self.items.append(item)
@@ -192,9 +192,9 @@
         if raw == b"-1":
             return -1
         if not raw.isdigit() or len(raw) > 8:
-            raise Malformed("bad length")
+            raise MalformedError("bad length")
         if (size := int(raw)) > MAX_VALUE:
-            raise Malformed("value too long")
+            raise MalformedError("value too long")
         return size
 
 
--- a/corkdeal/net/response_stream.py
+++ b/corkdeal/net/response_stream.py
@@ -13,7 +13,7 @@
 from ..decisions.events import Status
 from .answers import Reply, check_header, check_value, load_report_at
 from .invariants import count
-from .resp import Frame, Malformed, skip_items
+from .resp import Frame, MalformedError, skip_items
 
 if TYPE_CHECKING:
     from .backend_connection import Attempt, BackendConnection
@@ -26,13 +26,13 @@
     """One large reply on its way from a backend connection to a client connection."""
 
     def __init__(self, conn: BackendConnection, attempt: Attempt, frame: Frame) -> None:
-        """Take the reply as `frame`, up to its first large value; raise `Malformed` for any other form."""
+        """Take the reply up to its first large value; raise `MalformedError` for any other form."""
         items = frame.items
         check_header(items[0].kind, items[0].size)
         check_value(items)
         stop, self.remaining_items = skip_items(items, 1)  # items of the value after the large one
         if stop < len(items):
-            raise Malformed("unexpected large value")
+            raise MalformedError("unexpected large value")
         self.conn, self.attempt, self.rpc = conn, attempt, attempt.rpc
         self.head: memoryview | None = memoryview(frame.buf)[items[1].head : items[-1].start]
         self.ended = False  # whether the whole value was passed to the client connection
@@ -80,7 +80,7 @@
         parts: list[Any] = []
         try:
             reply = self.read(parts)
-        except Malformed:
+        except MalformedError:
             return self.conn.fail_malformed(self.attempt)
         self.rpc.reply += parts
         self.rpc.client_connection.forward_response(self.rpc)
@@ -110,7 +110,7 @@
                     continue
                 self.ended = True
             if not frame.is_last:
-                raise Malformed("unexpected large value")
+                raise MalformedError("unexpected large value")
             return Reply(Status.OK, None, load_report_at(frame, skip_items(frame.items, stop)[0]))
 
     def pause(self) -> None:
--- a/corkdeal/net/rpc.py
+++ b/corkdeal/net/rpc.py
@@ -8,7 +8,7 @@
 
 from ..decisions.events import Request
 from ..decisions.settings import Effect, Settings
-from .resp import ARRAY, BULK, Frame, Malformed, split_fields
+from .resp import ARRAY, BULK, Frame, MalformedError, split_fields
 
 CUSTOMER_LIMIT = 1 << 33
 READ, WRITE = b"API.READ", b"API.WRITE"
@@ -157,7 +157,7 @@
         """Parse a command received up to its long value, after which `left` more items follow."""
         top, words = frame.items[0], frame.items[1:]
         if top.kind != ARRAY or not all(i.kind == BULK and i.size >= 0 for i in words):
-            raise Malformed("expected an array of bulk strings")
+            raise MalformedError("expected an array of bulk strings")
         if len(words) != PARAMS + 1 or left or frame.text(1).upper() != WRITE:
             raise BadRequestError("only the last argument of API.WRITE may be so long")
         return self.read(frame, now)
--- a/tests/test_net_parsers.py
+++ b/tests/test_net_parsers.py
@@ -81,7 +81,7 @@
 
     def test_malformed(self):
         for raw in self.BAD:
-            with self.subTest(raw[:20]), self.assertRaises(resp.Malformed):
+            with self.subTest(raw[:20]), self.assertRaises(resp.MalformedError):
                 parser = resp.Parser()
                 parser.feed(raw)
                 parser.next()
@@ -127,7 +127,7 @@
             b"$1\r\nv\r\n",
             b"-BUSYBODY\r\n",
         ):
-            with self.subTest(raw), self.assertRaises(resp.Malformed):
+            with self.subTest(raw), self.assertRaises(resp.MalformedError):
                 parser = resp.Parser()
                 parser.feed(raw)
                 backend_connection.read_reply(parser.next())
