--- a/corkdeal/cli/check.py
+++ b/corkdeal/cli/check.py
@@ -15,7 +15,7 @@
     from ..net import config
 
     try:
-        config.load({"RELAY_CONFIG": path})
+        config.load_config({"RELAY_CONFIG": path})
     except config.ConfigError as error:
         key, _, rest = str(error).partition(" ")
         return [{"file": path, "line": 0, "column": 0, "key": key.rstrip(":"), "fault": rest or str(error)}]
--- a/corkdeal/net/__main__.py
+++ b/corkdeal/net/__main__.py
@@ -21,7 +21,7 @@
 
     options, path = None, os.environ.get(OPTIONS_VARIABLE, "")
     try:
-        gateway_config = config.load()
+        gateway_config = config.load_config()
         if path:
             from ..options import load
 
--- a/corkdeal/net/config.py
+++ b/corkdeal/net/config.py
@@ -74,7 +74,7 @@
         flat[path] = str(value).lower() if isinstance(value, bool) else str(value)
 
 
-def settings_of(raw: object) -> Settings:
+def parse_settings_object(raw: object) -> Settings:
     """Parse the settings of the decisions from their JSON form."""
     if not isinstance(raw, dict):
         raise ConfigError("settings must be a JSON object")
@@ -108,7 +108,7 @@
     return int(raw)
 
 
-def read(data: bytes, env: Mapping[str, str] = os.environ) -> Config:
+def parse_config(data: bytes, env: Mapping[str, str] = os.environ) -> Config:
     """Parse and check a configuration; missing keys come from the environment or have defaults."""
     try:
         raw = orjson.loads(data)
@@ -127,7 +127,7 @@
         raise ConfigError(f"limits.memory_mb must be a number from 16 to 1048576, not {memory!r:.60}")
     if not isinstance(peers, list):
         raise ConfigError("peers must be a JSON array")
-    settings = settings_of(raw.get("settings"))
+    settings = parse_settings_object(raw.get("settings"))
     if peers and len(peers) != settings.gateway_count:
         raise ConfigError(f"peers must list all {settings.gateway_count} gateways, not {len(peers)}")
     try:
@@ -151,13 +151,13 @@
     )
 
 
-def load(env: Mapping[str, str] = os.environ) -> Config:
+def load_config(env: Mapping[str, str] = os.environ) -> Config:
     """Load the configuration file named by RELAY_CONFIG."""
     path = env.get("RELAY_CONFIG")
     if not path:
         raise ConfigError("RELAY_CONFIG is not set")
     try:
         with open(path, "rb") as file:
-            return read(file.read(), env)
+            return parse_config(file.read(), env)
     except OSError as error:
         raise ConfigError(f"RELAY_CONFIG: {error.strerror}: {path}") from None
--- a/corkdeal/net/gateway.py
+++ b/corkdeal/net/gateway.py
@@ -48,7 +48,7 @@
 from .backend_connection import Attempt, BackendPool, Reply
 from .backends import Backends
 from .budget import Budget, budget_for
-from .config import Config, ConfigError, format_address, load
+from .config import Config, ConfigError, format_address, load_config
 from .descriptors import Descriptors
 from .discovery_snapshot import DiscoverySnapshot
 from .discovery_watch import DiscoveryWatch
@@ -269,7 +269,7 @@
         if self.ending:
             return  # the watch has been stopped for good
         try:
-            new_config = load()
+            new_config = load_config()
         except ConfigError as error:
             count("reload_refused")
             self.counters["reconfig_failed"] += 1
--- a/tests/test_idle_connections.py
+++ b/tests/test_idle_connections.py
@@ -25,7 +25,7 @@
 def make_gateway(sockets=100_000):
     reactor = MemoryReactorClock()
     made = gateway.Gateway(
-        reactor, dataclasses.replace(config.read(json.dumps(GIVEN).encode(), {}), sockets=sockets)
+        reactor, dataclasses.replace(config.parse_config(json.dumps(GIVEN).encode(), {}), sockets=sockets)
     )
     made.now = made.descriptors.now = reactor.seconds
     return made, reactor
--- a/tests/test_net_departures.py
+++ b/tests/test_net_departures.py
@@ -330,7 +330,7 @@
     def setUp(self):
         self.reactor = MemoryReactorClock()
         raw = json.dumps({"listen": "127.0.0.1:1", "discovery": "127.0.0.1:2", "settings": SETTINGS}).encode()
-        self.gateway = gateway.Gateway(self.reactor, config.read(raw, {}))
+        self.gateway = gateway.Gateway(self.reactor, config.parse_config(raw, {}))
         self.gateway.now = self.gateway.pool.now = self.gateway.descriptors.now = self.reactor.seconds
         self.gateway.timers.now = self.reactor.seconds
         self.ours, self.theirs = socket.socketpair()
--- a/tests/test_net_parsers.py
+++ b/tests/test_net_parsers.py
@@ -142,7 +142,7 @@
         return self.command_parser.read(parser.next(), 10.0)
 
     def setUp(self):
-        self.command_parser = rpc.CommandParser(config.settings_of(SETTINGS))
+        self.command_parser = rpc.CommandParser(config.parse_settings_object(SETTINGS))
 
     def test_good_ones(self):
         got = self.read(self.GOOD).request
@@ -189,7 +189,7 @@
 
 class Lists(unittest.TestCase):
     def setUp(self):
-        self.settings = config.settings_of(SETTINGS)
+        self.settings = config.parse_settings_object(SETTINGS)
 
     def test_a_list_in_the_modules_terms(self):
         result = discovery_snapshot.parse_list(LIST, self.settings)
@@ -220,7 +220,7 @@
 
 class Configurations(unittest.TestCase):
     def test_what_is_left_out_has_a_default(self):
-        got = config.read(json.dumps({**GIVEN, "known": LIST}).encode(), {})
+        got = config.parse_config(json.dumps({**GIVEN, "known": LIST}).encode(), {})
         self.assertEqual(
             (got.name, got.listen, got.sockets, got.seed, got.peers),
             ("gateway", ("127.0.0.1", 6379), 1024, 0x8C1F, ()),
@@ -229,7 +229,9 @@
         self.assertEqual(got.settings.report_fields, ("latency_ms", "qps"))
         self.assertEqual(got.known.revision, 4)
         bare = {k: v for k, v in GIVEN.items() if k != "listen"}
-        self.assertEqual(config.read(json.dumps(bare).encode(), {"RELAY_LISTEN": "127.0.0.1:1"}).listen[1], 1)
+        self.assertEqual(
+            config.parse_config(json.dumps(bare).encode(), {"RELAY_LISTEN": "127.0.0.1:1"}).listen[1], 1
+        )
 
     def test_messages_name_the_key(self):
         for path, value, key in [
@@ -250,7 +252,7 @@
             ("limits", 4, "limits"),
         ]:
             with self.subTest(path, value=value), self.assertRaisesRegex(config.ConfigError, key):
-                config.read(json.dumps(changed(GIVEN, path, value)).encode(), {})
+                config.parse_config(json.dumps(changed(GIVEN, path, value)).encode(), {})
 
     def test_the_program_ends_with_one_line_and_2(self):
         for env in ({}, {"RELAY_CONFIG": "/no/such/file"}, {"RELAY_CONFIG": str(ROOT / "README.md")}):
@@ -265,7 +267,7 @@
 class Limits(unittest.TestCase):
     def setUp(self):
         self.reactor = MemoryReactorClock()
-        given = config.read(json.dumps({**GIVEN, "known": LIST}).encode(), {})
+        given = config.parse_config(json.dumps({**GIVEN, "known": LIST}).encode(), {})
         self.gateway = gateway.Gateway(self.reactor, dataclasses.replace(given, sockets=256))
         self.gateway.handle_event(EndpointUpdate(UpdateKind.CACHED, given.known.entries))
         invariants.counts.clear()
