--- a/corkdeal/experiment/members.py
+++ b/corkdeal/experiment/members.py
@@ -34,7 +34,7 @@
 from ..decisions.gateway import Gateway
 from ..decisions.incarnations import is_later
 from ..membership.failure_detector import MemberState
-from ..membership.members import MembershipProtocol
+from ..membership.protocol import MembershipProtocol
 from ..recovery.resume import resume_after_stall
 from ..recovery.stall_detector import MIN_STALL
 from .explore import new_gateway
--- a/corkdeal/membership/members.py
+++ b/corkdeal/membership/protocol.py
@@ -1,4 +1,4 @@
-"""Membership of one gateway: combines the parts of this package and schedules the heartbeats.
+"""Membership of one gateway: combines the other modules of this package and schedules the heartbeats.
 
 The decisions query quota shares and call `step` and `receive_payload`; their host consumes the events.
 """
--- a/corkdeal/net/membership.py
+++ b/corkdeal/net/membership.py
@@ -13,7 +13,7 @@
 from ..decisions.incarnations import is_later
 from ..membership.events import LeaseLost, LeaseRegained, MembershipEvent, SharesReturned, SharesTakenOver
 from ..membership.failure_detector import StateChange
-from ..membership.members import MembershipProtocol
+from ..membership.protocol import MembershipProtocol
 
 POLL_INTERVAL = 0.1  # s between polls for events
 
@@ -24,8 +24,8 @@
     def __init__(self, reactor: Any, gateway: Any) -> None:
         self.reactor = reactor
         self.gateway = gateway
-        self.members = MembershipProtocol(gateway.decisions, is_later)
-        gateway.decisions.membership = self.members
+        self.protocol = MembershipProtocol(gateway.decisions, is_later)
+        gateway.decisions.membership = self.protocol
 
     def start(self) -> None:
         """Start logging events, and register for the shutdown of the process."""
@@ -38,10 +38,10 @@
         While another incarnation of this gateway is running, that one holds the leases.
         """
         upgrade_handover = self.gateway.upgrade_handover
-        self.members.set_delegated_share(
+        self.protocol.set_delegated_share(
             upgrade_handover is not None and upgrade_handover.is_awaiting_remainder
         )
-        for event in self.members.take_events():
+        for event in self.protocol.take_events():
             logs.event("membership", **log_fields(event))
         self.reactor.callLater(POLL_INTERVAL, self.poll)
 
@@ -56,7 +56,7 @@
             decisions = self.gateway.decisions
             decisions.now = self.gateway.now()
             decisions.actions = []
-            self.members.leave()
+            self.protocol.leave()
             for action in decisions.actions:
                 self.gateway.send_to_peer(action)
         done()
--- a/tests/membership/test_components.py
+++ b/tests/membership/test_components.py
@@ -11,8 +11,8 @@
 from corkdeal.membership.heartbeat_receiver import HeartbeatReceiver
 from corkdeal.membership.heartbeat_sender import REPLY_INTERVAL, HeartbeatSender
 from corkdeal.membership.leases import KEPT_FRACTION, LEASE_TIME, TAKEOVER_TIME, Leases, TakeoverRequest
-from corkdeal.membership.members import MAX_ROUND_INTERVAL, MembershipProtocol
 from corkdeal.membership.messages import GossipEntry, GossipKind, Heartbeat, HeartbeatFlag
+from corkdeal.membership.protocol import MAX_ROUND_INTERVAL, MembershipProtocol
 from corkdeal.membership.quota_shares import QuotaShares
 from corkdeal.membership.takeover import REQUEST_INTERVAL, Takeover
 from corkdeal.net.membership import log_fields
--- a/tests/membership/test_members.py
+++ b/tests/membership/test_members.py
@@ -14,8 +14,8 @@
 from corkdeal.membership import messages
 from corkdeal.membership.failure_detector import MIN_DEAD_SILENCE, FailureDetector, MemberState
 from corkdeal.membership.leases import KEPT_FRACTION, LEASE_TIME, TAKEOVER_TIME, Leases, TakeoverRequest
-from corkdeal.membership.members import MAX_ROUND_INTERVAL, MembershipProtocol
 from corkdeal.membership.messages import GossipEntry, GossipKind, Heartbeat, HeartbeatFlag
+from corkdeal.membership.protocol import MAX_ROUND_INTERVAL, MembershipProtocol
 from corkdeal.net.membership import MembershipService
 from corkdeal.recovery.quota_restore import QuotaRestore
 from corkdeal.recovery.resume import resume_after_stall
