--- a/corkdeal/net/gateway.py
+++ b/corkdeal/net/gateway.py
@@ -57,7 +57,7 @@
 from .manual_overrides import ManualOverrides
 from .operators import Operators
 from .peering import Peering
-from .resp import command, parse_load_report
+from .resp import encode_command, parse_load_report
 from .response_stream import ResponseStream
 from .rpc import RPC, CommandParser
 from .timers import Timers
@@ -625,7 +625,7 @@
         """Send a health check, which asks a backend for its load."""
         now = self.now()
         attempt = Attempt(
-            None, 0, action.backend, now, now + HEALTH_CHECK_TIMEOUT, [command(b"INFO", b"load")]
+            None, 0, action.backend, now, now + HEALTH_CHECK_TIMEOUT, [encode_command(b"INFO", b"load")]
         )
         self.add_timer(attempt.deadline, attempt)
         self.pool.send(attempt)
--- a/corkdeal/net/resp.py
+++ b/corkdeal/net/resp.py
@@ -206,7 +206,7 @@
     return i, left
 
 
-def command(*words: bytes) -> bytes:
+def encode_command(*words: bytes) -> bytes:
     """Encode a short command."""
     return b"*%d\r\n" % len(words) + b"".join(b"$%d\r\n%b\r\n" % (len(w), w) for w in words)
 
--- a/tests/net_world.py
+++ b/tests/net_world.py
@@ -16,7 +16,7 @@
 import unittest
 import urllib.parse
 
-from corkdeal.net.resp import Parser, command
+from corkdeal.net.resp import Parser, encode_command
 
 from .ports import reserve_address, reserve_port
 
@@ -327,7 +327,7 @@
         ]
 
     def ask(self, client, cls=b"look", **more):
-        client.send(command(*self.words(cls, **more)))
+        client.send(encode_command(*self.words(cls, **more)))
 
     def timed(self, act):
         began = time.monotonic()
@@ -384,7 +384,7 @@
         """Open idle client connections; each has sent one PING and got its reply."""
         clients = [self.client() for _ in range(many)]
         for client in clients:
-            client.send(command(b"PING"))
+            client.send(encode_command(b"PING"))
             self.assertEqual(client.read(), [b"PONG"])
         return clients
 
--- a/tests/test_bodies.py
+++ b/tests/test_bodies.py
@@ -35,7 +35,7 @@
     response_stream,
 )
 from corkdeal.net.budget import Budget
-from corkdeal.net.resp import WHOLE, command
+from corkdeal.net.resp import WHOLE, encode_command
 
 from .net_world import SETTINGS, Program, served
 
@@ -188,7 +188,7 @@
     def ask(self, rid):
         """Send one request; return the backend connection of its attempt, and its transport."""
         params = b"c=look,t=large,d=3000,units=1,spread=1,first=0"
-        self.client_connection.dataReceived(command(b"API.READ", b"%016x" % 7, b"%016x" % rid, params))
+        self.client_connection.dataReceived(encode_command(b"API.READ", b"%016x" % 7, b"%016x" % rid, params))
         return self.establish()
 
     def establish(self):
@@ -327,7 +327,9 @@
 
 def test_a_slow_commands_wait_counts_from_its_last_byte():
     pair = GatewayWithClient()
-    raw = command(b"API.READ", b"%016x" % 7, b"%016x" % 1, b"c=look,t=large,d=900,units=1,spread=1,first=0")
+    raw = encode_command(
+        b"API.READ", b"%016x" % 7, b"%016x" % 1, b"c=look,t=large,d=900,units=1,spread=1,first=0"
+    )
     pair.client_connection.dataReceived(raw[:-2])
     pair.reactor.advance(2.0)  # as long as a client may take
     pair.gateway.descriptors.sweep()
@@ -340,7 +342,7 @@
     """Return a command with a large value."""
     params = b"c=%b,t=%b,d=%d%b,units=1,spread=1,first=0" % (cls, plan, d, more)
     customer = 1 if plan == b"small" else 7
-    return command(b"API.WRITE", b"%016x" % customer, b"%016x" % rid, params, b"b" * size)
+    return encode_command(b"API.WRITE", b"%016x" % customer, b"%016x" % rid, params, b"b" * size)
 
 
 def without_wait(raw):
@@ -408,11 +410,11 @@
     assert not pair.client.taken.startswith(b"$")
 
 
-PING, PONG = command(b"PING"), b"+PONG\r\n"
+PING, PONG = encode_command(b"PING"), b"+PONG\r\n"
 BAD = [  # a command with a large value, and the reply before that to PING
-    (command(b"ECHO", b"x" * LONG), b"-ERR only the last"),
-    (command(b"PING", b"x" * LONG, b"x" * LONG), b"-ERR only the last"),
-    (command(b"API.READ", b"x" * LONG, b"1", b"c=look"), b"-ERR only the last"),
+    (encode_command(b"ECHO", b"x" * LONG), b"-ERR only the last"),
+    (encode_command(b"PING", b"x" * LONG, b"x" * LONG), b"-ERR only the last"),
+    (encode_command(b"API.READ", b"x" * LONG, b"1", b"c=look"), b"-ERR only the last"),
     (write().replace(b"API.WRITE", b"API.WROTE"), b"-ERR only the last"),
     (write().replace(b"*5", b"*6") + b"$1\r\nx\r\n", b"-ERR only the last"),
     (write().replace(b"c=note", b"c=nope"), b"-ERR unknown class"),
@@ -494,7 +496,7 @@
 def test_an_attempt_of_a_request_that_is_answered_does_not_begin_once_its_connection_comes_up():
     pair = GatewayWithClient()
     params = b"c=look,t=large,d=3000,units=1,spread=1,first=0"
-    pair.client_connection.dataReceived(command(b"API.READ", b"%016x" % 7, b"%016x" % 1, params))
+    pair.client_connection.dataReceived(encode_command(b"API.READ", b"%016x" % 7, b"%016x" % 1, params))
     rpc = pair.gateway.rpcs[1]
     pair.gateway.answer(1, [b"-ERR failed\r\n"])
     pair.client_connection.connectionLost()
@@ -514,7 +516,7 @@
     other.dataReceived(write(2, size=2 * LONG)[:LONG])
     asker = gateway.client_connection.ClientConnection(pair.gateway)
     asker.makeConnection(taker := FakeTransport())
-    asker.dataReceived(command(b"API.READ", b"%016x" % 7, b"%016x" % 3, b"c=look,t=large,d=3000"))
+    asker.dataReceived(encode_command(b"API.READ", b"%016x" % 7, b"%016x" % 3, b"c=look,t=large,d=3000"))
     conn, wire = pair.establish()
     budget.set_held(hog, budget.high_mark)
     assert other.paused and not pair.client_connection.paused  # the oldest body may be completed
--- a/tests/test_full_table.py
+++ b/tests/test_full_table.py
@@ -17,14 +17,14 @@
 import time
 import unittest
 
-from corkdeal.net.resp import command
+from corkdeal.net.resp import encode_command
 
 from .net_world import WAIT_TIMEOUT, FakeServices, served
 from .ports import reserve_address
 from .test_net_races import ControlledProgram
 
 SOCKETS = 192
-PING = command(b"PING")
+PING = encode_command(b"PING")
 PING_EVERY = 0.8  # s; an idle connection may be closed after 2 s
 BACKENDS = 40
 
@@ -129,7 +129,7 @@
 
     def request(self, rid):
         """Return a request with a customer of its own."""
-        return command(*self.words(b"look", d=4000, rid=rid, customer=rid + 10))
+        return encode_command(*self.words(b"look", d=4000, rid=rid, customer=rid + 10))
 
     def figures(self):
         host, port = self.ops.split(":")
--- a/tests/test_idle_connections.py
+++ b/tests/test_idle_connections.py
@@ -13,7 +13,7 @@
 from corkdeal.decisions.actions import Fail
 from corkdeal.net import config, descriptors, gateway
 from corkdeal.net.idle_connections import Awaited, IdleConnections, TimeOrderedQueue, Use
-from corkdeal.net.resp import command
+from corkdeal.net.resp import encode_command
 
 from .net_fakes import connect
 from .net_world import SETTINGS
@@ -77,7 +77,7 @@
     if not connection.parser.has_partial_frame:
         number = next(REQUEST_NUMBERS)
         params = b"c=look,t=large,d=4000,units=1,spread=1,first=0"
-        connection.dataReceived(command(b"API.READ", b"%016x" % number, b"%016x" % number, params))
+        connection.dataReceived(encode_command(b"API.READ", b"%016x" % number, b"%016x" % number, params))
 
 
 def is_answered(connection):
--- a/tests/test_net_closing.py
+++ b/tests/test_net_closing.py
@@ -14,7 +14,7 @@
 from twisted.internet.testing import MemoryReactorClock
 
 from corkdeal.net import backend_connection, client_connection
-from corkdeal.net.resp import command
+from corkdeal.net.resp import encode_command
 
 from .net_world import SETTINGS, WAIT_TIMEOUT, ControlledProgram, FakeServices, served
 
@@ -70,9 +70,9 @@
     def test_arriving_after_quit_is_not_forwarded(self):
         self.start(a={})
         ended, shut, other = self.client(), self.client(), self.client()
-        request = command(*self.words(b"pay", rid=1, body=b"of nobody"))
-        ended.send(command(b"QUIT") + request)
-        shut.send(command(b"QUIT"))
+        request = encode_command(*self.words(b"pay", rid=1, body=b"of nobody"))
+        ended.send(encode_command(b"QUIT") + request)
+        shut.send(encode_command(b"QUIT"))
         for client in (ended, shut):
             self.assertEqual(client.read(), [b"OK"])
             self.assertIsNone(client.read())
--- a/tests/test_net_departures.py
+++ b/tests/test_net_departures.py
@@ -17,7 +17,7 @@
 
 from corkdeal.decisions.events import Endpoint, EndpointState, EndpointUpdate, UpdateKind
 from corkdeal.net import client_connection, config, gateway, invariants, tcp_state, timers
-from corkdeal.net.resp import command
+from corkdeal.net.resp import encode_command
 
 from .net_world import SETTINGS, WAIT_TIMEOUT, ControlledProgram, served
 from .test_bodies import FakeTransport
@@ -117,7 +117,7 @@
     def test_behind_so_many_others_that_its_client_connection_is_not_read(self):
         self.patient()
         client, many = self.client(), 900  # not all read at once; the rest fits the kernel's buffer
-        client.send(b"".join(command(*self.words(b"look", d=80000, rid=rid)) for rid in range(many)))
+        client.send(b"".join(encode_command(*self.words(b"look", d=80000, rid=rid)) for rid in range(many)))
         client.sock.shutdown(socket.SHUT_WR)
         for _ in range(many):
             self.assertTrue(client.read()[0].startswith(BUSY))
@@ -126,7 +126,7 @@
     def test_a_reset_of_a_client_connection_that_is_not_read(self):
         self.patient()
         client, marker, staying = self.client(), self.client(), self.client()
-        client.send(b"".join(command(*self.words(b"look", d=80000, rid=rid)) for rid in range(900)))
+        client.send(b"".join(encode_command(*self.words(b"look", d=80000, rid=rid)) for rid in range(900)))
         self.ask(marker, d=80000, rid=5000, customer=8)
         self.ask(staying, b"pay", d=80000, rid=5001, customer=9, body=b"y")
         client.reset()
@@ -160,7 +160,7 @@
         self.start()  # without a backend it is held; after 1 s it would be rejected with a retry-after
         client = self.client()
         self.ask(client, b"pay", d=4000, body=b"x")
-        client.send(command(b"PING"))
+        client.send(encode_command(b"PING"))
         self.process.send_signal(signal.SIGTERM)
         self.line("draining")
         client.sock.shutdown(socket.SHUT_WR)
@@ -248,7 +248,7 @@
         self.patient()
         client = self.client()
         self.ask(client, b"pay", d=80000, body=b"x")
-        client.send(command(b"PING"))
+        client.send(encode_command(b"PING"))
         self.freeze()
         listener.settimeout(WAIT_TIMEOUT)
         fillers = {each.getsockname() for each in self.filling}
@@ -279,7 +279,7 @@
     def test_a_request_is_read_with_a_fin_behind_it(self):
         self.patient(a={})
         client = self.client()
-        client.send(command(b"PING"))
+        client.send(encode_command(b"PING"))
         self.assertEqual(client.read(), [b"PONG"])
         self.freeze()
         self.ask(client, b"pay", d=80000, body=b"x")
@@ -291,10 +291,10 @@
     def test_requests_are_read_with_others_and_a_fin_unread_behind_them(self):
         self.patient(a={})
         client, many = self.client(), 900  # more than are read at once, or before some are answered
-        client.send(command(b"PING"))
+        client.send(encode_command(b"PING"))
         self.assertEqual(client.read(), [b"PONG"])
         self.freeze()
-        client.send(b"".join(command(*self.words(b"look", d=80000, rid=rid)) for rid in range(many)))
+        client.send(b"".join(encode_command(*self.words(b"look", d=80000, rid=rid)) for rid in range(many)))
         self.leave(client, reset=False)
         self.thaw(after=STOPPED, since=time.monotonic())
         for _ in range(many):
@@ -306,7 +306,7 @@
         clients = []
         for _ in range(200):  # each sends at once: of so many, a connection silent for 0.25 s is closed
             clients.append(self.client())
-            clients[-1].send(command(b"PING"))
+            clients[-1].send(encode_command(b"PING"))
             self.assertEqual(clients[-1].read(), [b"PONG"])
         self.freeze()
         for rid, client in enumerate(clients):
@@ -349,7 +349,7 @@
 
     def ask(self, rid=1):
         params = b"c=look,t=large,d=3000,units=1,spread=1,first=0"
-        self.connection.dataReceived(command(b"API.READ", b"%016x" % 7, b"%016x" % rid, params))
+        self.connection.dataReceived(encode_command(b"API.READ", b"%016x" % 7, b"%016x" % rid, params))
 
     def establish(self):
         """Establish the backend connection opened last; return what is written on it."""
--- a/tests/test_net_edges.py
+++ b/tests/test_net_edges.py
@@ -12,13 +12,13 @@
 import threading
 import time
 
-from corkdeal.net.resp import command
+from corkdeal.net.resp import encode_command
 
 from .net_world import SETTINGS, WAIT_TIMEOUT, ControlledProgram, Discovery, served
 
 FAILED = b"ERR failed"
 
-PING = command(b"PING")
+PING = encode_command(b"PING")
 
 
 def reset(sock):
@@ -115,7 +115,11 @@
         self.start(a={})
         (good,) = self.pinged(1)
         before = self.descriptors()
-        floods = (b"GET / HTTP/1.1\r\n" * 20_000, command(b"API.READ") * 20_000, command(b"QUIT") * 20_000)
+        floods = (
+            b"GET / HTTP/1.1\r\n" * 20_000,
+            encode_command(b"API.READ") * 20_000,
+            encode_command(b"QUIT") * 20_000,
+        )
         clients = [self.client() for _ in range(30)]
         for flood, client in zip(itertools.cycle(floods), clients, strict=False):
             client.sock.setblocking(False)
@@ -134,7 +138,7 @@
         clients = [self.client() for _ in range(6)]
         for n, client in enumerate(clients):
             rids = range(1000 * n, 1000 * n + 600)
-            client.send(b"".join(command(*self.words(b"look", d=80000, rid=rid)) for rid in rids))
+            client.send(b"".join(encode_command(*self.words(b"look", d=80000, rid=rid)) for rid in rids))
         for client in clients:
             reset(client.sock)
         self.wait_for(lambda: self.descriptors() == before)
@@ -148,7 +152,7 @@
         self.start(a={})
         client = self.client()
         many = 700
-        client.send(b"".join(command(b"ECHO", b"%d" % i) + PING for i in range(many)))
+        client.send(b"".join(encode_command(b"ECHO", b"%d" % i) + PING for i in range(many)))
         client.sock.shutdown(socket.SHUT_WR)
         answers = [client.read() for _ in range(2 * many)]
         self.assertEqual(answers[::2], [[b"%d" % i] for i in range(many)])
@@ -243,7 +247,7 @@
         self.patient(a={})
         client = self.client()
         client.sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
-        commands = [command(*self.words(b"pay", d=80000, rid=rid, body=b"slow")) for rid in (1, 2)]
+        commands = [encode_command(*self.words(b"pay", d=80000, rid=rid, body=b"slow")) for rid in (1, 2)]
         raw, size = commands[0] + commands[1], len(commands[0])
         began, step = time.monotonic(), 1.7 / size  # each command is in time; both together are not
         for i in range(len(raw)):
--- a/tests/test_net_parsers.py
+++ b/tests/test_net_parsers.py
@@ -138,7 +138,7 @@
 
     def read(self, params, *more, name=b"API.READ", customer=b"%016x" % 7, rid=b"%016x" % 1):
         parser = resp.Parser()
-        parser.feed(resp.command(name, customer, rid, params, *more))
+        parser.feed(resp.encode_command(name, customer, rid, params, *more))
         return self.command_parser.read(parser.next(), 10.0)
 
     def setUp(self):
--- a/tests/test_net_races.py
+++ b/tests/test_net_races.py
@@ -17,7 +17,7 @@
 import tomllib
 import unittest
 
-from corkdeal.net.resp import command
+from corkdeal.net.resp import encode_command
 from corkdeal.persistence import handover_files, store
 
 from .net_world import ROOT, SETTINGS, WAIT_TIMEOUT, ControlledProgram, FakeServices, served
@@ -47,7 +47,7 @@
     def test_a_request_in_the_reactor_iteration_of_the_last_answer_is_served(self):
         self.start(a={})
         client, idle = self.client(), self.client()
-        idle.send(command(b"PING"))
+        idle.send(encode_command(b"PING"))
         self.assertEqual(idle.read(), [b"PONG"])
         self.ask(client, d=4000)
         asked = self.world.next()
@@ -69,7 +69,7 @@
             each.update(aim_us=600_000, deadline_us=600_000)  # so SIGKILL is due 1.3 s after SIGTERM
         self.start(config={"settings": settings}, a={}, b={}, c={}, d={})
         client, waiting, idle = self.client(), self.client(), self.client()
-        idle.send(command(b"PING"))
+        idle.send(encode_command(b"PING"))
         self.assertEqual(idle.read(), [b"PONG"])
         self.ask(client, b"pay", d=80000, body=b"x")
         self.ask(waiting, b"pay", d=80000, rid=2, body=b"y")
@@ -201,7 +201,7 @@
         """Open client connections; with `spoken`, each has sent a PING, otherwise nothing."""
         clients = [self.client() for _ in range(many)]
         for client in clients if spoken else ():
-            client.send(command(b"PING"))
+            client.send(encode_command(b"PING"))
             self.assertEqual(client.read(), [b"PONG"])
         return clients
 
@@ -209,20 +209,20 @@
         self.start(a={})
         probe = self.client()
         clients = self.open_clients(40, spoken=False)  # enough to shorten the timeout of silent connections
-        probe.send(command(b"PING"))
+        probe.send(encode_command(b"PING"))
         self.assertEqual(probe.read(), [b"PONG"])
         self.freeze()
         stopped = time.monotonic()
         for client in clients:
-            client.send(command(b"PING"))
+            client.send(encode_command(b"PING"))
         self.thaw(after=0.4, since=stopped)
         for client in clients:
             self.assertEqual(client.read(), [b"PONG"])
 
     def test_the_rest_of_a_command_that_has_come(self):
         self.start(a={})
-        client, whole = self.client(), command(b"PING")
-        client.send(command(b"PING") + whole[:9])
+        client, whole = self.client(), encode_command(b"PING")
+        client.send(encode_command(b"PING") + whole[:9])
         self.assertEqual(client.read(), [b"PONG"])
         self.freeze()
         stopped = time.monotonic()
@@ -236,11 +236,11 @@
         self.freeze()
         stopped = time.monotonic()
         other = self.client()  # needs an idle connection to be closed
-        clients[0].send(command(b"ECHO", b"still here"))  # idle for longest, but with unread bytes
+        clients[0].send(encode_command(b"ECHO", b"still here"))  # idle for longest, but with unread bytes
         self.thaw(after=0.4, since=stopped)
         self.assertEqual(clients[0].read(), [b"still here"])
         self.assertIsNone(clients[1].read())
-        other.send(command(b"PING"))
+        other.send(encode_command(b"PING"))
         self.assertEqual(other.read(), [b"PONG"])
 
 
--- a/tests/test_net_rules.py
+++ b/tests/test_net_rules.py
@@ -6,7 +6,7 @@
 import socket
 import time
 
-from corkdeal.net.resp import MAX_VALUE, WHOLE, command
+from corkdeal.net.resp import MAX_VALUE, WHOLE, encode_command
 
 from .net_world import ControlledProgram, FakeServices, Program, served
 from .ports import reserve_port
@@ -35,7 +35,7 @@
         self.start(a={})
         client, body = self.client(), bytes(range(256)) * 256
         words = self.words(b"note", rid=2**63 + 5, more=b",k=5c0f6e1a2b3d4c59", body=body)
-        whole = command(*words)
+        whole = encode_command(*words)
         client.send(whole[:90])  # in two pieces, so that the head arrives incomplete
         client.send(whole[90:])
         asked = self.world.next()
@@ -140,7 +140,9 @@
     def test_peers_get_updates_and_malformed_datagrams_are_dropped(self):
         self.start(a={})
         client = self.client()
-        client.send(command(*self.words(b"look")[:3], b"c=look,t=large,d=900,units=1,spread=2,first=0"))
+        client.send(
+            encode_command(*self.words(b"look")[:3], b"c=look,t=large,d=900,units=1,spread=2,first=0")
+        )
         host, port = self.udp.split(":")
         for junk in (b"junk", b"", b"x" * 257):
             self.peer.sendto(junk, (host, int(port)))
@@ -156,9 +158,9 @@
         self.start(a={}, b={})
         client = self.client()
         client.send(
-            b"".join(command(*self.words(b"pay", rid=rid, body=b"%d" % rid)) for rid in range(3))
-            + command(b"PING")
-            + command(b"NOSUCH")
+            b"".join(encode_command(*self.words(b"pay", rid=rid, body=b"%d" % rid)) for rid in range(3))
+            + encode_command(b"PING")
+            + encode_command(b"NOSUCH")
         )
         client.sock.shutdown(1)
         asked = sorted((self.world.next() for _ in range(3)), key=lambda a: a.words[2], reverse=True)
@@ -197,13 +199,13 @@
                 client.send(raw)
                 self.assertTrue(client.read()[0].startswith(b"ERR"))
                 self.assertIsNone(client.read())
-        other.send(command(b"PING"))
+        other.send(encode_command(b"PING"))
         self.assertEqual(other.read(), [b"PONG"])
 
     def test_a_long_pipeline_is_served_to_its_end(self):
         self.start(a={})
         client = self.client()  # sends more commands than a connection may have unanswered
-        client.send(b"".join(command(*self.words(b"look", customer=1, rid=rid)) for rid in range(600)))
+        client.send(b"".join(encode_command(*self.words(b"look", customer=1, rid=rid)) for rid in range(600)))
         for _ in range(2):
             self.world.next().conn.send(served())
         answers = [client.read()[0] for _ in range(600)]
@@ -216,9 +218,9 @@
         client.sock.settimeout(1.0)
         with self.assertRaises(TimeoutError):  # otherwise its answers would fill the gateway's memory
             while sent < 200_000_000:
-                sent += client.sock.send(command(b"ECHO", b"x" * WHOLE))
+                sent += client.sock.send(encode_command(b"ECHO", b"x" * WHOLE))
         other = self.client()
-        other.send(command(b"PING"))
+        other.send(encode_command(b"PING"))
         self.assertEqual(other.read(), [b"PONG"])
 
     def test_bad_requests_get_an_error_and_the_client_connection_stays(self):
@@ -235,10 +237,10 @@
             b"c=look,t=large,d=9,units=nan",
         ):
             with self.subTest(params):
-                client.send(command(*good[:3], params))
+                client.send(encode_command(*good[:3], params))
                 self.assertTrue(client.read()[0].startswith(b"ERR"))
         for words in (good[:2], [good[0], b"zz", *good[2:]], [*good, b"x", b"x"]):
-            client.send(command(*words))
+            client.send(encode_command(*words))
             self.assertTrue(client.read()[0].startswith(b"ERR"))
 
     def test_dead_backend_is_a_failed_connect_and_a_stale_connection_a_reset(self):
@@ -302,7 +304,7 @@
     def test_planned_end_does_not_wait_for_a_command_that_never_comes_whole(self):
         self.start(a={})
         client = self.client()
-        client.send(command(b"PING") + b"*1\r\n$4\r\nPI")
+        client.send(encode_command(b"PING") + b"*1\r\n$4\r\nPI")
         self.assertEqual(client.read(), [b"PONG"])
         self.process.send_signal(signal.SIGTERM)
         self.assertTrue(client.read()[0].startswith(b"ERR timeout"))
@@ -351,7 +353,7 @@
         client = self.client()
         words = self.words(b"look", more=b",spread=2")
         words[3] = words[3].replace(b",spread=1", b"")
-        client.send(command(*words))
+        client.send(encode_command(*words))
         self.world.next().conn.send(served())
         self.assertEqual(client.read(), [b"v"])
         _, sender = self.peer.recvfrom(2048)  # sent from the port that it has got by now
