--- a/corkdeal/net/resp.py
+++ b/corkdeal/net/resp.py
@@ -1,7 +1,7 @@
 """An incremental RESP2 parser that works in place on received buffers; no sockets and no decisions.
 
 A frame is a buffer and the offsets of its items, so values are never copied while being forwarded. A value of
-at most `WHOLE` bytes stays within its frame; a larger one is returned in pieces as it is received.
+at most `MAX_INLINE_VALUE` bytes stays within its frame; a larger one is returned in pieces as it is received.
 """
 
 from __future__ import annotations
@@ -10,9 +10,9 @@
 from dataclasses import dataclass
 
 MAX_VALUE = 4 << 20  # bytes in one value; the largest that clients and backends support
-WHOLE = 64 * 1024  # bytes in a value that is kept within its frame; larger ones are "large values"
+MAX_INLINE_VALUE = 64 * 1024  # bytes in a value that is kept within its frame; larger ones are "large values"
 MAX_LINE = 4096  # bytes in a simple string or an error line
-MAX_FRAME = 4 * WHOLE  # bytes buffered of one frame
+MAX_FRAME = 4 * MAX_INLINE_VALUE  # bytes buffered of one frame
 MAX_ITEMS = 64  # items in one frame, including nested ones
 ARRAY, BULK, SIMPLE, ERROR, INTEGER = b"*$+-:"
 UNKNOWN_SIZE = -2  # a size not received yet
@@ -151,7 +151,7 @@
                 size = self.read_length(at + 1, stop)
                 if kind == BULK and size >= 0:
                     start, stop = end, end + size
-                    if size > WHOLE:
+                    if size > MAX_INLINE_VALUE:
                         return self.large_value_frame(Item(kind, at, start, stop, stop + 2, size))
                     end = stop + 2
                     if available < end:
--- a/tests/test_bodies.py
+++ b/tests/test_bodies.py
@@ -35,11 +35,11 @@
     response_stream,
 )
 from corkdeal.net.budget import Budget
-from corkdeal.net.resp import WHOLE, encode_command
+from corkdeal.net.resp import MAX_INLINE_VALUE, encode_command
 
 from .net_world import SETTINGS, Program, served
 
-LONG = WHOLE + 1
+LONG = MAX_INLINE_VALUE + 1
 
 
 def split_at(raw, at):
@@ -57,7 +57,7 @@
         [
             bulk(0),
             bulk(5),
-            bulk(WHOLE),
+            bulk(MAX_INLINE_VALUE),
             bulk(LONG, b"\r"),
             b"*3\r\n" + bulk(LONG) + b"$-1\r\n$5\r\nqps=1\r\n",
             b"*3\r\n*3\r\n" + bulk(LONG, b"\n") + b":1\r\n" + bulk(2 * LONG) + b"$-1\r\n$-1\r\n",
@@ -131,7 +131,12 @@
 
     def write(self, data):
         self.dataBuffer += data
-        if self.producer and self.streaming and len(self.dataBuffer) > WHOLE and not self.producerPaused:
+        if (
+            self.producer
+            and self.streaming
+            and len(self.dataBuffer) > MAX_INLINE_VALUE
+            and not self.producerPaused
+        ):
             self.producerPaused = True
             self.producer.pauseProducing()
 
@@ -227,7 +232,7 @@
     pair.client.take()
     assert bytes(pair.client.taken) == bulk(1) + VALUE
     assert pair.outcomes() == [Status.OK] * 2
-    assert held <= 2 * len(max(split_at(HEAD + VALUE + TAIL, at), key=len)) + WHOLE
+    assert held <= 2 * len(max(split_at(HEAD + VALUE + TAIL, at), key=len)) + MAX_INLINE_VALUE
     assert not pair.client_connection.pending_replies and not pair.gateway.rpcs
     gc.disable()  # must be freed without the garbage collector, which runs rarely in the gateway
     try:
@@ -555,7 +560,7 @@
             bodies.append(BudgetHolder(budget, body=True))
         elif what == "answer" and not budget.is_full:
             answers_.append(BudgetHolder(budget))
-            budget.set_held(answers_[-1], WHOLE)
+            budget.set_held(answers_[-1], MAX_INLINE_VALUE)
         elif what == "taken" and (one := pick(answers_)):
             answers_.remove(one)
             budget.set_held(one, 0)
@@ -563,7 +568,7 @@
             for _ in range(n):
                 for one in [b for b in bodies if not b.is_held_back]:
                     if not one.is_held_back and one.held_bytes < resp.MAX_VALUE:
-                        budget.set_held(one, min(resp.MAX_VALUE, one.held_bytes + WHOLE))
+                        budget.set_held(one, min(resp.MAX_VALUE, one.held_bytes + MAX_INLINE_VALUE))
         elif what == "whole" and (one := next((b for b in bodies if b.held_bytes == resp.MAX_VALUE), None)):
             bodies.remove(one)
             whole.append(one)
@@ -573,7 +578,9 @@
             budget.remove_body(one)
             budget.set_held(one, 0)
         assert (
-            budget.total == sum(h.held_bytes for h in bodies + whole + answers_) <= budget.limit + 2 * WHOLE
+            budget.total
+            == sum(h.held_bytes for h in bodies + whole + answers_)
+            <= budget.limit + 2 * MAX_INLINE_VALUE
         )
         assert not bodies or any(not b.is_held_back for b in bodies)
         assert budget.is_full or budget.total > budget.low_mark or not any(b.is_held_back for b in bodies)
--- a/tests/test_net_parsers.py
+++ b/tests/test_net_parsers.py
@@ -62,7 +62,7 @@
         b"*65\r\n",
         b"$%d\r\n" % (resp.MAX_VALUE + 1),
         b"*2\r\n*32\r\n*32\r\n",
-        b"*9\r\n" + (b"$%d\r\n%b\r\n" % (resp.WHOLE, b"a" * resp.WHOLE)) * 5,
+        b"*9\r\n" + (b"$%d\r\n%b\r\n" % (resp.MAX_INLINE_VALUE, b"a" * resp.MAX_INLINE_VALUE)) * 5,
         b"+" + b"a" * 4096,
     ]
 
