--- a/corkdeal/net/application.py
+++ b/corkdeal/net/application.py
@@ -41,7 +41,7 @@
         if self.gateway.membership is not None:
             self.gateway.membership.start()
         if self.options and self.options.figures:
-            from .figures import MetricsLogger
+            from .metrics_log import MetricsLogger
 
             MetricsLogger(self.reactor, self.gateway, self.options.figures.every).start()
         if self.config.inherited is None:
