--- a/corkdeal/net/metrics_log.py
+++ b/corkdeal/net/metrics_log.py
@@ -12,7 +12,7 @@
 
 
 class MetricsLogger:
-    """Writes the log event `figures` every `every` seconds."""
+    """Writes the log event `figures` every `interval` seconds."""
 
     def __init__(self, reactor: Any, gateway: Any, interval: float) -> None:
         self.reactor, self.gateway, self.interval = reactor, gateway, interval
