--- a/corkdeal/net/backend_connection.py
+++ b/corkdeal/net/backend_connection.py
@@ -16,7 +16,7 @@
 from ..decisions.events import Status
 from ..decisions.settings import Settings
 from . import vectored_write
-from .answers import Reply, check_header, read_health_check, read_reply
+from .backend_replies import Reply, check_header, read_health_check, read_reply
 from .budget import Budget
 from .invariants import count, holds
 from .request_stream import CommandWriter
--- a/corkdeal/net/response_stream.py
+++ b/corkdeal/net/response_stream.py
@@ -11,7 +11,7 @@
 from typing import TYPE_CHECKING, Any
 
 from ..decisions.events import Status
-from .answers import Reply, check_header, check_value, load_report_at
+from .backend_replies import Reply, check_header, check_value, load_report_at
 from .invariants import count
 from .resp import Frame, MalformedError, skip_items
 
--- a/tests/test_bodies.py
+++ b/tests/test_bodies.py
@@ -25,8 +25,8 @@
     UpdateKind,
 )
 from corkdeal.net import (
-    answers,
     backend_connection,
+    backend_replies,
     config,
     gateway,
     invariants,
@@ -327,7 +327,7 @@
     conn.dataReceived(VALUE)
     assert conn.ended and invariants.counts["backend_connection_malformed"] == 1
     assert [e.status for e in pair.events if isinstance(e, HealthCheckResult)] == [Status.RESET]
-    assert dataclasses.is_dataclass(answers.Reply)
+    assert dataclasses.is_dataclass(backend_replies.Reply)
 
 
 def test_a_slow_commands_wait_counts_from_its_last_byte():
