--- a/corkdeal/net/gateway.py
+++ b/corkdeal/net/gateway.py
@@ -46,12 +46,12 @@
 from ..decisions.settings import Effect
 from . import client_connection, client_port, invariants
 from .backend_connection import Attempt, BackendPool, Reply
-from .backends import Backends
 from .budget import Budget, budget_for
 from .config import Config, ConfigError, format_address, load_config
 from .descriptors import Descriptors
 from .discovery_snapshot import DiscoverySnapshot
 from .discovery_watch import DiscoveryWatch
+from .endpoint_list import Backends
 from .invariants import count, holds
 from .loop_lateness import LoopLateness
 from .manual_overrides import ManualOverrides
--- a/corkdeal/net/operators.py
+++ b/corkdeal/net/operators.py
@@ -9,7 +9,7 @@
 from typing import Any
 
 from .. import logs
-from .backends import Backends
+from .endpoint_list import Backends
 
 
 class Operators:
