--- a/benchmarks/upgrade.py
+++ b/benchmarks/upgrade.py
@@ -177,7 +177,7 @@
     The predecessor encodes the remaining accounts in one step; the successor restores them in several.
     """
     from benchmarks.knowledge import make_gateway
-    from corkdeal.net.__main__ import GC_EVERY
+    from corkdeal.net.__main__ import GC_THRESHOLD
     from corkdeal.persistence import clock, quota_handover
     from corkdeal.persistence.capture import StateCapture
     from corkdeal.persistence.codec import decode_snapshot, encode_snapshot
@@ -186,7 +186,7 @@
     predecessor, now = make_gateway(accounts), 1000.0
     gc.collect()
     gc.freeze()
-    gc.set_threshold(GC_EVERY, 10, 50)  # as in corkdeal/net/__main__.py
+    gc.set_threshold(GC_THRESHOLD, 10, 50)  # as in corkdeal/net/__main__.py
     started_at = time.perf_counter()
     capture = StateCapture(predecessor, "n", "")
     for _ in capture.steps(lambda: now, clock.read_clocks, lambda: 0.0):
--- a/corkdeal/net/__main__.py
+++ b/corkdeal/net/__main__.py
@@ -7,7 +7,7 @@
 import signal
 import sys
 
-GC_EVERY = 5000  # allocations in excess of deallocations; requests create few reference cycles
+GC_THRESHOLD = 5000  # allocations in excess of deallocations; requests create few reference cycles
 OPTIONS_VARIABLE = "CORKDEAL_OPTIONS"  # names the options file; without one, all optional subsystems are off
 
 
@@ -43,7 +43,7 @@
         reactor.callFromThread(application.reload)
     reactor.callWhenRunning(application.start)
     gc.freeze()  # objects loaded so far are permanent; exclude them from later collections
-    gc.set_threshold(GC_EVERY, 10, 50)
+    gc.set_threshold(GC_THRESHOLD, 10, 50)
     gc.enable()
     reactor.run(installSignalHandlers=False)
     return 0
