--- a/corkdeal/net/backend_connection.py
+++ b/corkdeal/net/backend_connection.py
@@ -67,8 +67,8 @@
 
     line_mode = 0
 
-    def __init__(self, pool: BackendPool, server: str, attempt: Attempt) -> None:
-        self.pool, self.server, self.parser = pool, server, Parser()
+    def __init__(self, pool: BackendPool, backend: str, attempt: Attempt) -> None:
+        self.pool, self.backend, self.parser = pool, backend, Parser()
         self.attempt: Attempt | None = attempt
         self.is_connected = self.ended = False
         self.response_stream: ResponseStream | None = None  # the large reply being received
@@ -168,13 +168,13 @@
         self.response_stream = ResponseStream(self, attempt, frame)
         self.response_stream.start()
 
-    def check_reply_stall(self, attempt: Attempt, until: float, previous_size: int) -> None:
+    def check_reply_stall(self, attempt: Attempt, deadline: float, previous_size: int) -> None:
         """Fail an attempt whose reply was begun and makes no progress."""
         size = len(self.parser.buf)
         if self.response_stream is not None:
             return  # the stream has its own stall timer
-        if not attempt.is_finished and size > previous_size and self.pool.now() < until:
-            self.pool.reactor.callLater(REPLY_STALL_TIMEOUT, self.check_reply_stall, attempt, until, size)
+        if not attempt.is_finished and size > previous_size and self.pool.now() < deadline:
+            self.pool.reactor.callLater(REPLY_STALL_TIMEOUT, self.check_reply_stall, attempt, deadline, size)
         else:
             self.fail_malformed(attempt)
 
@@ -312,7 +312,7 @@
                 self.idle[attempt.backend].remove(conn)
                 return conn.write_attempt(attempt)
             conn.close()
-        if (at := self.addresses.get(attempt.backend)) is None:
+        if (address := self.addresses.get(attempt.backend)) is None:
             count("backend_connection_without_address")
             return self.finish(attempt, Reply(Status.CONNECT_FAILED))
         if (
@@ -325,7 +325,7 @@
         self.open.add(conn)
         self.opened += 1
         conn.connector = self.reactor.connectTCP(
-            *at, BackendConnectionFactory(conn), timeout=self.connect_timeout
+            *address, BackendConnectionFactory(conn), timeout=self.connect_timeout
         )
 
     def schedule_write_deadline(self, attempt: Attempt) -> None:
@@ -358,15 +358,15 @@
 
     def keep(self, conn: BackendConnection) -> None:
         """Keep a connection for reuse, unless its backend is no longer ready in the endpoint list."""
-        if conn.server not in self.addresses:
+        if conn.backend not in self.addresses:
             return conn.close()
         conn.idle_since = self.now()
-        self.idle.setdefault(conn.server, []).append(conn)
+        self.idle.setdefault(conn.backend, []).append(conn)
 
     def remove(self, conn: BackendConnection) -> None:
         """Remove a closed connection from the pool."""
         self.open.discard(conn)
-        if conn in (idle := self.idle.get(conn.server, [])):
+        if conn in (idle := self.idle.get(conn.backend, [])):
             idle.remove(conn)
 
     def finish(self, attempt: Attempt, reply: Reply) -> None:
@@ -383,22 +383,22 @@
                 attempt.conn.close()
             self.finish(attempt, Reply(status))
 
-    def close_idle(self, server: str) -> None:
+    def close_idle(self, backend: str) -> None:
         """Close a backend's idle connections."""
-        for conn in list(self.idle.pop(server, ())):
+        for conn in list(self.idle.pop(backend, ())):
             conn.close()
 
-    def update_endpoint(self, server: str, ready: bool, at: tuple[str, int]) -> None:
+    def update_endpoint(self, backend: str, ready: bool, address: tuple[str, int]) -> None:
         """Apply an endpoint-list update for one backend.
 
         Attempts still connecting to a draining backend end, since they could be written after its grace.
         """
-        moved = self.addresses.pop(server, at) != at
+        moved = self.addresses.pop(backend, address) != address
         if ready:  # nothing is kept of removed backends: there are many over a long run
-            self.addresses[server] = at
+            self.addresses[backend] = address
         if not ready or moved:
-            self.close_idle(server)
-            for conn in [c for c in self.open if c.server == server and not c.is_connected and c.attempt]:
+            self.close_idle(backend)
+            for conn in [c for c in self.open if c.backend == backend and not c.is_connected and c.attempt]:
                 count("backend_connection_drained_while_connecting")
                 self.abandon(conn.attempt, Status.CONNECT_FAILED)
 
