--- a/corkdeal/net/descriptors.py
+++ b/corkdeal/net/descriptors.py
@@ -64,7 +64,7 @@
         now, is_crowded = self.now(), len(self.client_connections) > self.limit // 8
         self.close_late_commands(now - COMMAND_TIMEOUT)
         self.close_silent(now - (MIN_SILENT_TIME if is_crowded else COMMAND_TIMEOUT))
-        for connection in self.idle.expiring[Awaited.NEXT_COMMAND].until(
+        for connection in self.idle.expiring[Awaited.NEXT_COMMAND].all_until(
             now - (MIN_IDLE_TIME if is_crowded else IDLE_TIMEOUT)
         ):
             count("client_connection_idle")
@@ -72,14 +72,14 @@
 
     def close_late_commands(self, latest: float) -> None:
         """Close connections with an incomplete command that started at `latest` or before."""
-        for connection in self.idle.expiring[Awaited.REST_OF_COMMAND].until(latest):
+        for connection in self.idle.expiring[Awaited.REST_OF_COMMAND].all_until(latest):
             if not connection.has_unread_bytes():
                 count("client_connection_without_command")
                 connection.reply_and_close(TIMEOUT_REPLY)
 
     def close_silent(self, latest: float) -> None:
         """Close connections that were accepted at `latest` or before and have sent nothing."""
-        for connection in self.idle.expiring[Awaited.FIRST_COMMAND].until(latest):
+        for connection in self.idle.expiring[Awaited.FIRST_COMMAND].all_until(latest):
             if not connection.has_unread_bytes():
                 count("client_connection_silent")
                 connection.reply_and_drop(TIMEOUT_REPLY)
--- a/corkdeal/net/idle_connections.py
+++ b/corkdeal/net/idle_connections.py
@@ -75,7 +75,7 @@
         """Remove a connection, if it is in the queue."""
         self.times.pop(connection, None)
 
-    def until(self, latest: float) -> list[Connection]:
+    def all_until(self, latest: float) -> list[Connection]:
         """Return the connections with a time up to `latest`, the earliest first."""
         return list(itertools.takewhile(lambda connection: self.times[connection] <= latest, self.times))
 
--- a/tests/test_idle_connections.py
+++ b/tests/test_idle_connections.py
@@ -166,7 +166,7 @@
             Awaited.NEXT_COMMAND: descriptors.MIN_IDLE_TIME if many else descriptors.IDLE_TIMEOUT,
         }
         queues = made.descriptors.idle.expiring
-        ours = {c: awaited for awaited, s in latest.items() for c in queues[awaited].until(now - s)}
+        ours = {c: awaited for awaited, s in latest.items() for c in queues[awaited].all_until(now - s)}
         assert ours == plain
 
 
@@ -248,9 +248,9 @@
     queue.put(first, 1.0)
     queue.put(second, 2.0)
     queue.put(first, 1.0)
-    assert (queue.head_until(1.5), queue.until(2.0)) == (first, [first, second])
+    assert (queue.head_until(1.5), queue.all_until(2.0)) == (first, [first, second])
     queue.put(first, 3.0)
-    assert (queue.head_until(1.5), queue.head_until(2.0), queue.until(2.5)) == (None, second, [second])
+    assert (queue.head_until(1.5), queue.head_until(2.0), queue.all_until(2.5)) == (None, second, [second])
 
 
 def test_the_least_used_goes_first_even_if_another_was_idle_for_longer():
