--- a/tests/membership/test_components.py
+++ b/tests/membership/test_components.py
@@ -21,8 +21,8 @@
 from .fake_host import FakeHost
 
 
-class Parts:
-    """All parts of membership on one host, connected to each other."""
+class Components:
+    """All components of membership on one host, connected to each other."""
 
     def __init__(self, host=None):
         self.host = host or FakeHost()
@@ -59,201 +59,210 @@
 
 
 def test_a_dead_member_s_shares_are_taken_over_requested_and_returned():
-    parts = Parts()
-    parts.declare_dead(0)
-    assert parts.takeover.update() == [TakeoverRequest(2, 0)]
-    assert parts.takeover.members == {0} and parts.host.refill_times == [109.0]
-    assert parts.takeover.update() == []  # the request is not due again
-    parts.host.now += REQUEST_INTERVAL
-    assert parts.takeover.update() == [TakeoverRequest(2, 0)]
-    parts.takeover.release(0)
-    parts.takeover.release(0)
-    assert parts.events == [SharesTakenOver(0), SharesReturned(0)] and not parts.takeover.members
+    components = Components()
+    components.declare_dead(0)
+    assert components.takeover.update() == [TakeoverRequest(2, 0)]
+    assert components.takeover.members == {0} and components.host.refill_times == [109.0]
+    assert components.takeover.update() == []  # the request is not due again
+    components.host.now += REQUEST_INTERVAL
+    assert components.takeover.update() == [TakeoverRequest(2, 0)]
+    components.takeover.release(0)
+    components.takeover.release(0)
+    assert components.events == [SharesTakenOver(0), SharesReturned(0)] and not components.takeover.members
 
 
 def test_nothing_is_taken_over_from_one_of_several_silent_members_or_in_a_tier_of_two():
-    parts = Parts()
-    parts.declare_dead(0)
-    parts.detector.members[2].updated_at = 100.0
-    parts.detector.update(parts.host.now)
-    assert parts.takeover.update() == [] and not parts.takeover.members
-    pair = Parts(FakeHost(gateway_count=2))
+    components = Components()
+    components.declare_dead(0)
+    components.detector.members[2].updated_at = 100.0
+    components.detector.update(components.host.now)
+    assert components.takeover.update() == [] and not components.takeover.members
+    pair = Components(FakeHost(gateway_count=2))
     pair.declare_dead(0)
     assert not pair.takeover.is_enabled and pair.takeover.update() == [] and not pair.takeover.members
 
 
 def test_a_taken_share_is_spent_only_with_permission_of_its_other_neighbour():
-    parts = Parts()
-    parts.declare_dead(0)
-    parts.takeover.update()
-    account = parts.host.account
-    assert parts.shares.taken_over_fraction(account, 0) == 0.0
-    parts.sender.advance()
-    parts.leases.record_grant(TakeoverRequest(2, 0), parts.sender.sequence)
-    assert parts.shares.taken_over_fraction(account, 0) == 1 - KEPT_FRACTION
-    assert parts.shares.taken_over_fraction(account, 2) == 0.0
-    parts.host.now += LEASE_TIME
-    assert parts.shares.taken_over_fraction(account, 0) == 0.0
+    components = Components()
+    components.declare_dead(0)
+    components.takeover.update()
+    account = components.host.account
+    assert components.shares.taken_over_fraction(account, 0) == 0.0
+    components.sender.advance()
+    components.leases.record_grant(TakeoverRequest(2, 0), components.sender.sequence)
+    assert components.shares.taken_over_fraction(account, 0) == 1 - KEPT_FRACTION
+    assert components.shares.taken_over_fraction(account, 2) == 0.0
+    components.host.now += LEASE_TIME
+    assert components.shares.taken_over_fraction(account, 0) == 0.0
     account.ledgers[0].peer_share = 0.5
-    parts.detector.members[0].has_announced_leave = True
+    components.detector.members[0].has_announced_leave = True
     own = KEPT_FRACTION / 3
-    assert parts.shares.quota_share(account) == pytest.approx(own + (1 - KEPT_FRACTION) * 0.5)
+    assert components.shares.quota_share(account) == pytest.approx(own + (1 - KEPT_FRACTION) * 0.5)
 
 
 def test_without_a_lease_a_quarter_of_the_own_share_remains_and_the_log_has_both_changes():
-    parts = Parts()
-    parts.host.silent_peers = {0, 2}
-    parts.leases.held_until[2] = 102.0
+    components = Components()
+    components.host.silent_peers = {0, 2}
+    components.leases.held_until[2] = 102.0
     for now in (100.0, 101.0, 102.0, 103.0):
-        parts.host.now = now
-        parts.shares.report_changes()
-    assert parts.shares.own_fraction(parts.host.account) == KEPT_FRACTION
-    parts.leases.held_until[0] = 109.0
-    parts.shares.report_changes()
-    assert parts.events == [LeaseLost((0, 2)), LeaseRegained((0, 2))] and parts.shares.lease_losses == 1
+        components.host.now = now
+        components.shares.report_changes()
+    assert components.shares.own_fraction(components.host.account) == KEPT_FRACTION
+    components.leases.held_until[0] = 109.0
+    components.shares.report_changes()
+    assert (
+        components.events == [LeaseLost((0, 2)), LeaseRegained((0, 2))]
+        and components.shares.lease_losses == 1
+    )
 
 
 def test_a_share_is_exclusive_where_another_holds_the_leases_or_a_neighbour_has_no_membership():
-    parts = Parts()
-    account = parts.host.account
-    assert parts.shares.is_exclusive(account)  # both neighbours send messages, but no heartbeats
-    parts.host.silent_peers = {0, 2}
-    assert not parts.shares.is_exclusive(account)
-    parts.shares.has_delegated_share = True
-    assert parts.shares.is_exclusive(account)
+    components = Components()
+    account = components.host.account
+    assert components.shares.is_exclusive(account)  # both neighbours send messages, but no heartbeats
+    components.host.silent_peers = {0, 2}
+    assert not components.shares.is_exclusive(account)
+    components.shares.has_delegated_share = True
+    assert components.shares.is_exclusive(account)
 
 
 def test_with_both_neighbours_down_a_lease_by_anybody_else_shows_that_this_is_no_partition():
-    parts = Parts(FakeHost(gateway_count=5))
-    parts.host.silent_peers = {0, 2}
-    parts.host.now = 120.0
-    assert not parts.shares.is_exclusive(parts.host.account)
-    parts.leases.held_until[4] = 121.0
-    assert parts.shares.is_exclusive(parts.host.account)
-    parts.detector.record_gossip(119.0, GossipEntry(GossipKind.ALIVE_UPDATE, 2, 12, 1))
-    assert not parts.shares.is_exclusive(parts.host.account)
+    components = Components(FakeHost(gateway_count=5))
+    components.host.silent_peers = {0, 2}
+    components.host.now = 120.0
+    assert not components.shares.is_exclusive(components.host.account)
+    components.leases.held_until[4] = 121.0
+    assert components.shares.is_exclusive(components.host.account)
+    components.detector.record_gossip(119.0, GossipEntry(GossipKind.ALIVE_UPDATE, 2, 12, 1))
+    assert not components.shares.is_exclusive(components.host.account)
 
 
 def test_a_heartbeat_renews_a_lease_once_and_returns_the_member_s_shares_before():
-    parts = Parts()
-    parts.takeover.members.add(0)
-    parts.sender.received_sequences[0] = 5
-    parts.sender.send(0)
-    parts.host.now += 1.0
-    parts.sender.send(0)
-    assert [h.renewed_sequence for _, h in parts.sent()] == [5, 5]
-    assert parts.events == [SharesReturned(0)] and parts.leases.renewed_at[0] == 100.0
-    parts.leases.granted_at[0] = 101.0
-    parts.sender.send(0)
-    assert [h.renewed_sequence for _, h in parts.sent()] == [0]
+    components = Components()
+    components.takeover.members.add(0)
+    components.sender.received_sequences[0] = 5
+    components.sender.send(0)
+    components.host.now += 1.0
+    components.sender.send(0)
+    assert [h.renewed_sequence for _, h in components.sent()] == [5, 5]
+    assert components.events == [SharesReturned(0)] and components.leases.renewed_at[0] == 100.0
+    components.leases.granted_at[0] = 101.0
+    components.sender.send(0)
+    assert [h.renewed_sequence for _, h in components.sent()] == [0]
 
 
 def test_flags_request_a_reply_while_no_lease_is_held_and_announce_the_leave():
-    parts = Parts()
-    parts.sender.send(0)
-    parts.leases.held_until[0] = 109.0
-    parts.sender.send(0)
-    parts.sender.has_left = True
-    parts.sender.send(0)
+    components = Components()
+    components.sender.send(0)
+    components.leases.held_until[0] = 109.0
+    components.sender.send(0)
+    components.sender.has_left = True
+    components.sender.send(0)
     expected = [HeartbeatFlag.REPLY_REQUESTED, HeartbeatFlag(0), HeartbeatFlag.LEAVING]
-    assert [h.flags for _, h in parts.sent()] == expected
+    assert [h.flags for _, h in components.sent()] == expected
 
 
 def test_nothing_is_sent_where_messages_to_peers_are_off():
     host = FakeHost()
     host.settings = settings(1, 3, may_message_peers=False)
-    parts = Parts(host)
-    parts.sender.send(0)
-    assert parts.host.actions == []
+    components = Components(host)
+    components.sender.send(0)
+    assert components.host.actions == []
 
 
 def test_the_first_sequence_number_follows_the_clock_and_each_advance_adds_one():
-    sender = Parts().sender
+    sender = Components().sender
     first = sender.sequence
     sender.advance()
     assert (first, sender.sequence) == (1001, 1002)
 
 
 def test_a_received_renewal_prolongs_the_lease_and_refills_the_buckets_once():
-    parts = Parts()
+    components = Components()
     renewal = heartbeat(received=1001, renewed=1001)
-    parts.receiver.receive(0, renewal)
-    parts.receiver.receive(0, renewal)
-    assert parts.leases.held_until == {0: 100.0 + LEASE_TIME} and parts.host.refill_times == [100.0]
-    assert parts.leases.acknowledged_sent_at == {0: 100.0} and parts.sender.received_sequences == {0: 1}
+    components.receiver.receive(0, renewal)
+    components.receiver.receive(0, renewal)
+    assert components.leases.held_until == {0: 100.0 + LEASE_TIME} and components.host.refill_times == [100.0]
+    assert components.leases.acknowledged_sent_at == {0: 100.0} and components.sender.received_sequences == {
+        0: 1
+    }
 
 
 def test_what_was_for_an_earlier_incarnation_of_this_gateway_renews_and_grants_nothing():
-    parts = Parts()
+    components = Components()
     entry = GossipEntry(GossipKind.LEASE_GRANT, 2, 12, 1001)
-    parts.receiver.receive(0, heartbeat(entry, receiver=76, received=1001, renewed=1001))
-    assert not parts.leases.held_until and not parts.leases.grants and not parts.leases.acknowledged_sent_at
-    parts.receiver.receive(0, heartbeat(entry, sequence=2))
-    assert parts.leases.grants == {TakeoverRequest(0, 2): 100.0 + LEASE_TIME}
+    components.receiver.receive(0, heartbeat(entry, receiver=76, received=1001, renewed=1001))
+    assert (
+        not components.leases.held_until
+        and not components.leases.grants
+        and not components.leases.acknowledged_sent_at
+    )
+    components.receiver.receive(0, heartbeat(entry, sequence=2))
+    assert components.leases.grants == {TakeoverRequest(0, 2): 100.0 + LEASE_TIME}
 
 
 @pytest.mark.parametrize(("wait", "kinds"), [(0.0, []), (TAKEOVER_TIME, [GossipKind.LEASE_GRANT])])
 def test_a_request_is_answered_at_once_and_granted_only_for_a_lapsed_lease(wait, kinds):
-    parts = Parts()
-    parts.host.now += wait
-    parts.receiver.receive(0, heartbeat(GossipEntry(GossipKind.LEASE_REQUEST, 2, 12, 9)))
-    ((receiver, answer),) = parts.sent()
-    own_entries = [entry for entry in answer.entries if entry.kind is not GossipKind.ALIVE_UPDATE]
+    components = Components()
+    components.host.now += wait
+    components.receiver.receive(0, heartbeat(GossipEntry(GossipKind.LEASE_REQUEST, 2, 12, 9)))
+    ((receiver, reply),) = components.sent()
+    own_entries = [entry for entry in reply.entries if entry.kind is not GossipKind.ALIVE_UPDATE]
     assert receiver == 0 and [entry.kind for entry in own_entries] == kinds
     assert all((entry.member, entry.incarnation, entry.sequence) == (2, 12, 9) for entry in own_entries)
 
 
 def test_replies_that_nothing_depends_on_are_limited():
-    parts = Parts()
+    components = Components()
     reply_requested = HeartbeatFlag.REPLY_REQUESTED
     for sequence, wait in ((1, 0.0), (2, 0.1), (3, REPLY_INTERVAL)):
-        parts.host.now += wait
-        parts.receiver.receive(0, heartbeat(sequence=sequence, flags=reply_requested))
-    assert len(parts.sent()) == 2
-    parts.host.now += REPLY_INTERVAL
-    parts.receiver.receive(0, heartbeat(sequence=4, flags=reply_requested | HeartbeatFlag.LEAVING))
-    assert parts.sent() == [] and parts.detector.members[0].state is MemberState.LEFT
+        components.host.now += wait
+        components.receiver.receive(0, heartbeat(sequence=sequence, flags=reply_requested))
+    assert len(components.sent()) == 2
+    components.host.now += REPLY_INTERVAL
+    components.receiver.receive(0, heartbeat(sequence=4, flags=reply_requested | HeartbeatFlag.LEAVING))
+    assert components.sent() == [] and components.detector.members[0].state is MemberState.LEFT
 
 
 def test_a_new_incarnation_of_a_member_voids_what_the_earlier_one_sent():
-    parts = Parts()
-    parts.receiver.receive(0, heartbeat(GossipEntry(GossipKind.LEASE_GRANT, 2, 12, 1001), sequence=9))
-    parts.receiver.receive(0, heartbeat(sequence=1, incarnation=11))
-    assert parts.sender.received_sequences == {0: 1} and not parts.leases.grants
+    components = Components()
+    components.receiver.receive(0, heartbeat(GossipEntry(GossipKind.LEASE_GRANT, 2, 12, 1001), sequence=9))
+    components.receiver.receive(0, heartbeat(sequence=1, incarnation=11))
+    assert components.sender.received_sequences == {0: 1} and not components.leases.grants
 
 
-def test_members_contacts_ring_neighbours_at_once_and_keeps_its_interval():
+def test_the_protocol_contacts_ring_neighbours_at_once_and_keeps_its_interval():
     host = FakeHost()
-    members = MembershipProtocol(host, is_later)
-    members.step()
+    protocol = MembershipProtocol(host, is_later)
+    protocol.step()
     contacted = {action.peer for action in host.actions}
     host.actions = []
     host.now += 0.05
-    members.step()
+    protocol.step()
     sent_early = list(host.actions)
     host.now += MAX_ROUND_INTERVAL
-    members.step()
+    protocol.step()
     assert contacted == {0, 2} and not sent_early and {action.peer for action in host.actions} == {0, 2}
 
 
-def test_members_hands_each_event_out_once_and_counts_states():
+def test_the_protocol_hands_each_event_out_once_and_counts_states():
     host = FakeHost()
-    members = MembershipProtocol(host, is_later)
-    members.receive(0, heartbeat(flags=HeartbeatFlag.LEAVING))
-    members.step()
-    assert members.take_events() == [
+    protocol = MembershipProtocol(host, is_later)
+    protocol.receive(0, heartbeat(flags=HeartbeatFlag.LEAVING))
+    protocol.step()
+    assert protocol.take_events() == [
         SharesTakenOver(0),
         SharesReturned(0),  # its last heartbeat is renewed once
         StateChange(0, MemberState.LEFT, MemberState.ALIVE, "announced its shutdown"),
     ]
-    assert members.take_events() == []
+    assert protocol.take_events() == []
     host.now += MAX_ROUND_INTERVAL
-    members.step()
-    assert members.take_events() == [SharesTakenOver(0)]
+    protocol.step()
+    assert protocol.take_events() == [SharesTakenOver(0)]
     expected = {"now_members": 1, "now_suspect": 0, "now_gone": 0, "now_taken": 1, "lapses": 0}
-    assert members.metrics() == expected
-    members.resume(3.0)
-    assert members.metrics()["now_taken"] == 0
+    assert protocol.metrics() == expected
+    protocol.resume(3.0)
+    assert protocol.metrics()["now_taken"] == 0
 
 
 @pytest.mark.parametrize(
@@ -283,12 +292,12 @@
 
 @pytest.mark.parametrize("is_accepted", [True, False])
 def test_a_payload_is_applied_if_it_is_a_heartbeat_that_the_decisions_accept(is_accepted):
-    members, asked = MembershipProtocol(FakeHost(), is_later), []
+    protocol, accept_calls = MembershipProtocol(FakeHost(), is_later), []
 
     def accept(*arguments):
-        asked.append(arguments)
+        accept_calls.append(arguments)
         return is_accepted
 
-    assert not members.receive_payload(b"\x03", 0, accept) and not asked
-    assert members.receive_payload(messages.pack(heartbeat()), 0, accept)
-    assert asked == [(0, 10, 77)] and members.sends_heartbeats(0) is is_accepted
+    assert not protocol.receive_payload(b"\x03", 0, accept) and not accept_calls
+    assert protocol.receive_payload(messages.pack(heartbeat()), 0, accept)
+    assert accept_calls == [(0, 10, 77)] and protocol.sends_heartbeats(0) is is_accepted
