--- a/tests/membership/test_members.py
+++ b/tests/membership/test_members.py
@@ -244,8 +244,8 @@
 
 def test_a_lease_counts_from_the_send_time_of_the_heartbeat_and_a_grant_prevents_renewal():
     owner, taker, other = Leases(), Leases(), Leases()
-    for each in (owner, taker, other):
-        each.record_sent(100.0, 1)
+    for leases in (owner, taker, other):
+        leases.record_sent(100.0, 1)
     other.record_renewal(0, 1, 100.2)
     assert owner.renewed_until(2, 1) == 100.0 + LEASE_TIME and owner.renewed_until(2, 7) is None
     assert not other.try_grant(0, 100.2 + TAKEOVER_TIME - 0.01) and other.try_grant(0, 100.2 + TAKEOVER_TIME)
--- a/tests/persistence/test_errors.py
+++ b/tests/persistence/test_errors.py
@@ -11,7 +11,9 @@
 
 from . import samples
 
-ALL = [made for _, made in inspect.getmembers(errors, inspect.isclass) if made.__module__ == errors.__name__]
+ALL = [
+    error for _, error in inspect.getmembers(errors, inspect.isclass) if error.__module__ == errors.__name__
+]
 
 
 @pytest.mark.parametrize("error", ALL)
--- a/tests/persistence/test_handover_files.py
+++ b/tests/persistence/test_handover_files.py
@@ -11,16 +11,16 @@
 @pytest.fixture
 def joined(tmp_path):
     """Returns a function that makes a `HandoverFiles` that has joined; all are closed at the end."""
-    made = []
+    opened = []
 
     def join():
         files = HandoverFiles(str(tmp_path))
         files.join()
-        made.append(files)
+        opened.append(files)
         return files
 
     yield join
-    for files in made:
+    for files in opened:
         files.close()
 
 
--- a/tests/persistence/test_migrate.py
+++ b/tests/persistence/test_migrate.py
@@ -10,19 +10,19 @@
 
 
 def test_format_1_becomes_format_2_with_times_relative_to_the_writing():
-    made = migrate.format_1_to_2(samples.FORMAT_1_DOCUMENT)
-    assert made["clock"] == {"wall": samples.FORMAT_1_DOCUMENT["wall"], "boot": 0.0, "boot_id": ""}
-    assert made["servers"][0]["at"] == -10.0 and made["servers"][0]["shut"] == []
-    assert made["fleet"]["work"] == [["look", 1, 0.25, 0.0]]
-    account = made["accounts"][7]
+    migrated = migrate.format_1_to_2(samples.FORMAT_1_DOCUMENT)
+    assert migrated["clock"] == {"wall": samples.FORMAT_1_DOCUMENT["wall"], "boot": 0.0, "boot_id": ""}
+    assert migrated["servers"][0]["at"] == -10.0 and migrated["servers"][0]["shut"] == []
+    assert migrated["fleet"]["work"] == [["look", 1, 0.25, 0.0]]
+    account = migrated["accounts"][7]
     assert (account["at"], account["level"], account["open"], account["pairs"]) == (-5.0, 0.5, 0, [])
 
 
 def test_format_2_becomes_arrays_without_ledgers():
-    made = migrate.format_2_to_3(samples.FORMAT_2_DOCUMENT)
-    assert made["head"]["clock"] == [1_790_000_000.0, 5000.0, "boot-a"]
-    assert (made["head"]["every"], made["head"]["clean"]) == (2.0, False)
-    assert made["head"]["fleet"] == [
+    migrated = migrate.format_2_to_3(samples.FORMAT_2_DOCUMENT)
+    assert migrated["head"]["clock"] == [1_790_000_000.0, 5000.0, "boot-a"]
+    assert (migrated["head"]["every"], migrated["head"]["clean"]) == (2.0, False)
+    assert migrated["head"]["fleet"] == [
         0.7,
         1.2,
         migrate.UNKNOWN_RETRY_BUDGET,
@@ -33,15 +33,17 @@
         0,
         [],
     ]
-    assert made["head"]["servers"] == [["s-1", 1000.0, 4990.0, 5.0, 2, True, 1.0, [["note", 2.0, 0.5]], ""]]
-    assert made["accounts"] == [
+    assert migrated["head"]["servers"] == [
+        ["s-1", 1000.0, 4990.0, 5.0, 2, True, 1.0, [["note", 2.0, 0.5]], ""]
+    ]
+    assert migrated["accounts"] == [
         {7: ["small", 0, 2, 4995.0, 4995.0, 0.5, 0.0, 0.25, 1, 0.0, 0.0, [], []]},
     ]
 
 
 def test_a_body_of_format_1_goes_through_both_steps():
-    made = migrate.migrate_to_current(1, msgspec.json.encode(samples.FORMAT_1_DOCUMENT))
-    assert made == migrate.format_2_to_3(migrate.format_1_to_2(samples.FORMAT_1_DOCUMENT))
+    migrated = migrate.migrate_to_current(1, msgspec.json.encode(samples.FORMAT_1_DOCUMENT))
+    assert migrated == migrate.format_2_to_3(migrate.format_1_to_2(samples.FORMAT_1_DOCUMENT))
 
 
 @pytest.mark.parametrize(
--- a/tests/persistence/test_program.py
+++ b/tests/persistence/test_program.py
@@ -64,11 +64,11 @@
             self.send_request(client, rid)
             self.world.next().conn.send(served())
             self.assertEqual(client.read(), [b"v"])
-        for rid, how in enumerate((signal.SIGTERM, signal.SIGKILL), 10):
-            if how is signal.SIGKILL:  # kill only after a snapshot was written since the start
+        for rid, stop_signal in enumerate((signal.SIGTERM, signal.SIGKILL), 10):
+            if stop_signal is signal.SIGKILL:  # kill only after a snapshot was written since the start
                 before = self.files()
                 self.wait_until(lambda before=before: self.files() > before)
-            self.process.send_signal(how)
+            self.process.send_signal(stop_signal)
             self.restart()
             self.assertIn("accounts=1", self.logged_line("knowledge_loaded"))
             self.assertIn("resumes=True", self.logged_line("knowledge_loaded"))
--- a/tests/persistence/test_quota_handover.py
+++ b/tests/persistence/test_quota_handover.py
@@ -195,16 +195,16 @@
             now += 0.05
             process = processes[-1]
             process.ask(now, 7, spread=2, units=0.2)
-            for one, other in ((process, peer), (peer, process)):
-                out = one.decisions.handle(now, [TimerExpired(0)])
+            for sender, receiver in ((process, peer), (peer, process)):
+                out = sender.decisions.handle(now, [TimerExpired(0)])
                 for _ in range(4):  # in both directions until no message is left
                     messages = [
-                        PeerMessage(one.decisions.settings.gateway_index, a.payload)
+                        PeerMessage(sender.decisions.settings.gateway_index, a.payload)
                         for a in out
                         if isinstance(a, SendToPeer)
                     ]
-                    one, other = other, one
-                    out = one.decisions.handle(now, messages) if messages else []
+                    sender, receiver = receiver, sender
+                    out = sender.decisions.handle(now, messages) if messages else []
 
     def total():
         return sum(process.decisions.accounts[7].base_share() for process in (processes[-1], peer))
@@ -283,11 +283,11 @@
         """Whether a request of customer 1 is admitted."""
         self.rid += 1
         self.ask(client, customer=1, rid=self.rid)
-        served_ = threading.Thread(target=self.serve, daemon=True)
-        served_.start()
+        serving_thread = threading.Thread(target=self.serve, daemon=True)
+        serving_thread.start()
         answer = client.read()
         self.world.asked.put(None)  # ends `serve` if the request was rejected and never reached a backend
-        served_.join(WAIT_TIMEOUT)
+        serving_thread.join(WAIT_TIMEOUT)
         while not self.world.asked.empty():
             self.world.asked.get()
         return answer == [b"v"]
--- a/tests/persistence/test_restore.py
+++ b/tests/persistence/test_restore.py
@@ -89,10 +89,10 @@
         0.4, rel=0.01
     ) and new.latency_model.queueing_factor == pytest.approx(0.7, rel=0.01)
     assert 1.6 < new.latency_model.fleet_latency_ratio < 2.0 and 3.0 < new.retries.budget < 5.0
-    a = new.backends.records["a"]
-    assert 4.6 < a.latency_ratio < 5.0 and a.failures == 4 and a.ejection_time < 2.0
-    assert a.is_ejected and a.ejected_until == 8003.0  # ejected, but due for a trial at once
-    assert a.rejecting_classes[1][1] == pytest.approx(8009.0)
+    backend = new.backends.records["a"]
+    assert 4.6 < backend.latency_ratio < 5.0 and backend.failures == 4 and backend.ejection_time < 2.0
+    assert backend.is_ejected and backend.ejected_until == 8003.0  # ejected, but due for a trial at once
+    assert backend.rejecting_classes[1][1] == pytest.approx(8009.0)
     new.handle(8003.0, [helpers.request(99, units=2.0)])
     account = new.accounts[7]
     filled = min(10.0, level + 2.0 * (8003.0 - 8000.8))
@@ -147,10 +147,10 @@
 def test_a_record_is_only_for_the_process_it_was_made_of(entry, at, found, counted):
     snapshot = samples.snapshot_of(msgspec.structs.replace(samples.HEAD, servers=(BACKEND,)), {})
     restored = restored_state(snapshot, 1.0, 9000.0, addresses={entry.backend: at})
-    made = restored.backend(entry, 9000.0)
-    assert (made is not None) is found and (not counted or restored.counts[counted] == 1)
+    record = restored.backend(entry, 9000.0)
+    assert (record is not None) is found and (not counted or restored.counts[counted] == 1)
     if found:
-        assert restored.backend(entry, 9000.0) is None and made.rejections == ()
+        assert restored.backend(entry, 9000.0) is None and record.rejections == ()
         assert restored.counts["knowledge_class_unknown"] == 1
 
 
@@ -177,8 +177,8 @@
 )
 def test_an_account_is_only_taken_for_the_same_plan_and_set(plan, first, spread, age, counted):
     restored = restored_state(samples.snapshot_of(), age, 9000.0, settings(plan=plan))
-    made = restored.account(7, plan, first, spread, 9000.0)
-    assert (made is not None) is (counted == "knowledge_account_used") and restored.counts == {counted: 1}
+    record = restored.account(7, plan, first, spread, 9000.0)
+    assert (record is not None) is (counted == "knowledge_account_used") and restored.counts == {counted: 1}
     assert restored.account(7, plan, first, spread, 9000.0) is None
 
 
@@ -187,8 +187,8 @@
     [(5.0, 0, 2, True), (31.0, 0, 2, False), (math.inf, 0, 2, False), (5.0, 1, 2, False), (5.0, 0, 3, False)],
 )
 def test_ledgers_are_resumed_only_soon_and_in_the_same_place(age, me, gateways, resumes):
-    s = settings(me, gateways)
-    gateway = restarted(samples.snapshot_of(), age, 9000.0, s)
+    gateway_settings = settings(me, gateways)
+    gateway = restarted(samples.snapshot_of(), age, 9000.0, gateway_settings)
     gateway.handle(9000.0, [listed_update("a"), helpers.request(1, spread=2)])
     if resumes:
         assert (gateway.incarnation, gateway.peer_incarnations) == (
@@ -304,8 +304,8 @@
         assert age == pytest.approx(expected_age) and anomalies == (
             ("clock_stepped",) if snapshot is snapshots[0] else ()
         )
-        made = restored_state(snapshot, age, 8002.1).account(7, PLAN, 0, 3, 8002.1)
-        assert made.refilled_at == pytest.approx(8000.0)
+        record = restored_state(snapshot, age, 8002.1).account(7, PLAN, 0, 3, 8002.1)
+        assert record.refilled_at == pytest.approx(8000.0)
 
 
 def test_only_changed_accounts_are_encoded_again_and_forgotten_ones_are_dropped():
@@ -341,11 +341,11 @@
         ring.run(0.8, ask=asked)  # more exchanges, which the snapshot does not have
         del ring.gateways[me]
         ring.run(0.7)
-        s = helpers.settings(me, 3, plans=(ring.plan,))
-        restored = RestoredState(snapshots[me], 1.5, ring.now, s, lambda name: "", Counter())
-        made = ring.gateways[me] = Gateway(s, seed=9)
-        made.restore(restored)
-        ring.take(me, made.handle(ring.now, [helpers.servers("a", "b", "c")]))
+        gateway_settings = helpers.settings(me, 3, plans=(ring.plan,))
+        restored = RestoredState(snapshots[me], 1.5, ring.now, gateway_settings, lambda name: "", Counter())
+        gateway = ring.gateways[me] = Gateway(gateway_settings, seed=9)
+        gateway.restore(restored)
+        ring.take(me, gateway.handle(ring.now, [helpers.servers("a", "b", "c")]))
         ring.run(3, ask=asked)
         assert sum(ring.slices().values()) == pytest.approx(1.0, abs=0.02)
     assert max(ring.slices().values()) > 0.45
--- a/tests/persistence/test_store.py
+++ b/tests/persistence/test_store.py
@@ -168,15 +168,15 @@
 
 
 def test_a_second_process_of_one_name_cannot_use_the_folder_until_the_first_ends(tmp_path):
-    one, other = SnapshotStore(str(tmp_path)), SnapshotStore(str(tmp_path))
-    one.write(numbered_parts)
+    first, second = SnapshotStore(str(tmp_path)), SnapshotStore(str(tmp_path))
+    first.write(numbered_parts)
     with pytest.raises(FolderLockedError):
-        other.open()
+        second.open()
     with pytest.raises(FolderLockedError):
-        other.write(numbered_parts)
-    one.close()
-    assert other.write(numbered_parts) == 2
-    other.close()
+        second.write(numbered_parts)
+    first.close()
+    assert second.write(numbered_parts) == 2
+    second.close()
 
 
 @pytest.mark.parametrize("name", ["n0", "../../etc", ".", "", "a/b", "halle-ä"])
@@ -191,8 +191,8 @@
     failing = ""
     number = errno.ENOSPC
 
-    def fail_if_selected(self, what):
-        if what == FailingFolder.failing:
+    def fail_if_selected(self, operation):
+        if operation == FailingFolder.failing:
             raise OSError(self.number, os.strerror(self.number))
 
     def create(self, name):
