--- a/tests/decisions/test_aggregation_tree.py
+++ b/tests/decisions/test_aggregation_tree.py
@@ -36,14 +36,14 @@
             50.0,
             0,
         )
-        self.timers, self.chance = [], random.Random(3)
-        for m, g in self.gateways.items():
-            self.apply_actions(m, g.handle(self.now, [servers("a", "b", "c")]))
+        self.timers, self.rng = [], random.Random(3)
+        for m, gateway in self.gateways.items():
+            self.apply_actions(m, gateway.handle(self.now, [servers("a", "b", "c")]))
 
     def apply_actions(self, me, actions):
         self.timers += [(self.now + x.delay, me) for x in pick(actions, SetTimer) if not x.token]
         for message in pick(actions, SendToPeer):
-            if self.chance.random() >= self.loss_rate:
+            if self.rng.random() >= self.loss_rate:
                 self.in_transit += [
                     (self.now + 0.02 * (1 + i), me, message.peer, message.payload) for i in range(self.copies)
                 ]
@@ -61,13 +61,15 @@
 
     def send_request(self, me):
         self.request_id += 1
-        g = self.gateways[me]
-        actions = g.handle(
+        gateway = self.gateways[me]
+        actions = gateway.handle(
             self.now, [request(self.request_id, units=2.0, spread=self.set[1], first=self.set[0])]
         )
         self.apply_actions(me, actions)
         for send in pick(actions, StartAttempt):
-            self.apply_actions(me, g.handle(self.now, [outcome(send.id, 0, send.backend, elapsed=0.05)]))
+            self.apply_actions(
+                me, gateway.handle(self.now, [outcome(send.id, 0, send.backend, elapsed=0.05)])
+            )
         return bool(pick(actions, StartAttempt))
 
     def send_requests(self, seconds, per_second):
@@ -135,15 +137,15 @@
     for i in range(40):  # demand of two customers with one tree is far beyond their quotas
         rows = [peer_messages.TreeTotals(c, 0, 0, 200, 8 * (i + 1), 2 * (i + 1)) for c in (0, ROOTS)]
         root.handle(50.0 + i / 20, [PeerMessage(aggregator, peer_messages.encode_totals(9, rows)[0])])
-    other = tree_routes(0, 0, 0, 200, 200)[1][1]
-    times = [at for at, peer in root.sent_totals if peer == other]
+    other_aggregator = tree_routes(0, 0, 0, 200, 200)[1][1]
+    times = [at for at, peer in root.sent_totals if peer == other_aggregator]
     assert (
         2 / root.aggregation_scheduler.push_interval - 1
         <= len(times)
         <= 2 / root.aggregation_scheduler.push_interval + 1
     )
     assert all(b - a >= root.aggregation_scheduler.push_interval for a, b in itertools.pairwise(times))
-    assert all(root.accounts[c].tree_edges[other].sent_requested > 0 for c in (0, ROOTS))
+    assert all(root.accounts[c].tree_edges[other_aggregator].sent_requested > 0 for c in (0, ROOTS))
 
 
 def test_a_fleet_keeps_near_its_quotas():
@@ -197,46 +199,46 @@
     ],
 )
 def test_foreign_and_malformed_totals_change_nothing(payload):
-    g = Gateway(settings(3, 130, plans=(PLAN,)), seed=1)
-    g.handle(50.0, [servers("a")])
+    gateway = Gateway(settings(3, 130, plans=(PLAN,)), seed=1)
+    gateway.handle(50.0, [servers("a")])
     for peer in (2, 3, 400):
-        assert not pick(g.handle(51.0, [PeerMessage(peer, payload)]), SendToPeer)
-    assert not g.accounts
+        assert not pick(gateway.handle(51.0, [PeerMessage(peer, payload)]), SendToPeer)
+    assert not gateway.accounts
 
 
 def test_gateways_prefer_few_backends_evenly():
     names, preferred_by = [f"s{i}" for i in range(80)], {}
     for me in range(400):
-        g = Gateway(settings(me, 400, plans=(PLAN,)), seed=1)
-        g.handle(50.0, [servers(*names)])
-        assert len(g.backends.preferred) == SUBSET_SIZE > MAX_EXCHANGE_MEMBERS
-        for s in g.backends.preferred:
-            preferred_by[s.endpoint.backend] = preferred_by.get(s.endpoint.backend, 0) + 1
+        gateway = Gateway(settings(me, 400, plans=(PLAN,)), seed=1)
+        gateway.handle(50.0, [servers(*names)])
+        assert len(gateway.backends.preferred) == SUBSET_SIZE > MAX_EXCHANGE_MEMBERS
+        for backend in gateway.backends.preferred:
+            preferred_by[backend.endpoint.backend] = preferred_by.get(backend.endpoint.backend, 0) + 1
     assert set(preferred_by.values()) == {50}
 
 
 def test_one_of_many_gateways_sends_where_it_has_fewest_requests_in_flight():
     plan = Plan(rate=1e6, burst=1e6)
     for seed in range(5):
-        g = Gateway(settings(3, 40, plans=(plan,)), seed=seed)
-        g.handle(50.0, [servers(*[f"s{i}" for i in range(60)])])
+        gateway = Gateway(settings(3, 40, plans=(plan,)), seed=seed)
+        gateway.handle(50.0, [servers(*[f"s{i}" for i in range(60)])])
         used = [
-            pick(g.handle(51.0, [request(i, spread=40)]), StartAttempt)[0].backend
+            pick(gateway.handle(51.0, [request(i, spread=40)]), StartAttempt)[0].backend
             for i in range(2 * SUBSET_SIZE)
         ]
-        assert {used.count(s) for s in set(used)} == {2}
+        assert {used.count(backend) for backend in set(used)} == {2}
         assert len(set(used)) == SUBSET_SIZE
 
 
 def test_a_backend_that_rejects_one_class_still_serves_the_other():
     plan = Plan(rate=1e6, burst=1e6)
-    g = Gateway(settings(0, 20, plans=(plan,), classes=(SAFE, UNSAFE)), seed=1)
-    g.handle(50.0, [servers("a", "b")])
+    gateway = Gateway(settings(0, 20, plans=(plan,), classes=(SAFE, UNSAFE)), seed=1)
+    gateway.handle(50.0, [servers("a", "b")])
     sent = {0: [], 1: []}
     for i in range(60):
-        for send in pick(g.handle(51 + i / 10, [request(i, cls=i % 2, spread=20)]), StartAttempt):
+        for send in pick(gateway.handle(51 + i / 10, [request(i, cls=i % 2, spread=20)]), StartAttempt):
             status = Status.REJECTED if (send.backend, i % 2) == ("a", 0) else Status.OK
-            g.handle(51 + i / 10, [outcome(send.id, 0, send.backend, status, final=True)])
+            gateway.handle(51 + i / 10, [outcome(send.id, 0, send.backend, status, final=True)])
             sent[i % 2].append(send.backend)
     assert sent[1].count("a") > 5 and sent[0].count("a") < 6
 
@@ -250,11 +252,11 @@
         for m in range(gateways)
     ]
     sent = 0
-    for g in tier:
-        g.handle(100.0, [servers("new", started=100.0)])
+    for gateway in tier:
+        gateway.handle(100.0, [servers("new", started=100.0)])
     for window in range(4):
-        for i, g in enumerate(tier):
-            actions = g.handle(
+        for i, gateway in enumerate(tier):
+            actions = gateway.handle(
                 101.0 + 1.5 * window, [request(1000 * window + i, customer=i, spread=gateways)]
             )
             sent += len(pick(actions, StartAttempt))
@@ -264,8 +266,8 @@
 
 
 def test_idle_gateway_sets_no_timer_and_sends_nothing():
-    g = Gateway(settings(0, 400, plans=(PLAN,)), seed=1)
-    assert g.handle(50.0, [servers("a", "b")]) == []
+    gateway = Gateway(settings(0, 400, plans=(PLAN,)), seed=1)
+    assert gateway.handle(50.0, [servers("a", "b")]) == []
 
 
 class FixedRate:
@@ -279,7 +281,7 @@
 
 
 def scheduled(gateway_index, requested):
-    """A scheduler, and an account of 200 gateways at one of them, with so many units requested."""
+    """Return a scheduler, and one of 200 gateways' account with these units requested."""
     routes = tree_routes(gateway_index, 0, 0, 200, 200)
     account = Account(PLAN, 0, 0, 200, 0.0, 0.0, parent=routes.parent, level=PLAN.burst)
     account.tree_edges = {peer: TreeEdge() for peer in routes.peers}
