--- a/tests/decisions/test_backend_selection.py
+++ b/tests/decisions/test_backend_selection.py
@@ -17,19 +17,19 @@
 NOW = 100.0
 
 
-class World:
+class SelectionFixture:
     """One gateway's backend selection with the components that it reads."""
 
     def __init__(self, names, zones=None, is_large_tier=False, **more):
-        given = settings(0, 300 if is_large_tier else 1, **more)
+        config = settings(0, 300 if is_large_tier else 1, **more)
         rng = random.Random(1)
         self.backends = Backends(0, is_large_tier)
-        self.latency_model = LatencyModel(given.classes, is_large_tier)
-        self.slow_start = SlowStartBudget(given, rng, self.latency_model.initial_latency)
+        self.latency_model = LatencyModel(config.classes, is_large_tier)
+        self.slow_start = SlowStartBudget(config, rng, self.latency_model.initial_latency)
         self.outlier_detection = OutlierDetection(is_large_tier)
-        self.classes = given.classes
+        self.classes = config.classes
         self.selection = BackendSelection(
-            given, rng, self.backends, self.latency_model, self.slow_start, self.outlier_detection
+            config, rng, self.backends, self.latency_model, self.slow_start, self.outlier_detection
         )
         self.backends.apply(servers(*names, zones=zones), lambda e: BackendRecord(e, first_seen_at=NOW))
 
@@ -48,70 +48,70 @@
 
 
 def test_without_a_backend_there_is_no_choice():
-    assert World(()).choose() is None
+    assert SelectionFixture(()).choose() is None
 
 
 def test_the_least_loaded_backend_is_chosen_whoever_loads_the_others():
-    world = World(("a", "b", "c"))
-    world["a"].in_flight.update({1: (NOW, 0.0), 2: (NOW, 0.0)})
-    world["b"].peer_load, world["b"].peer_load_at = 3.0, NOW
-    assert world.choose() == "c"
+    fixture = SelectionFixture(("a", "b", "c"))
+    fixture["a"].in_flight.update({1: (NOW, 0.0), 2: (NOW, 0.0)})
+    fixture["b"].peer_load, fixture["b"].peer_load_at = 3.0, NOW
+    assert fixture.choose() == "c"
 
 
 def test_a_slow_backend_is_avoided_until_its_record_decays():
-    world = World(("a", "b"))
-    world["a"].latency_ratio, world["a"].last_attempt_at = 50.0, NOW
-    assert world.choose() == "b"
-    world["b"].in_flight[1] = (NOW, 0.0)
-    assert world.choose() == "b" and world.choose(now=NOW + 60.0) == "a"
+    fixture = SelectionFixture(("a", "b"))
+    fixture["a"].latency_ratio, fixture["a"].last_attempt_at = 50.0, NOW
+    assert fixture.choose() == "b"
+    fixture["b"].in_flight[1] = (NOW, 0.0)
+    assert fixture.choose() == "b" and fixture.choose(now=NOW + 60.0) == "a"
 
 
 def test_a_backend_in_the_own_zone_wins_over_one_alike():
-    world = World(("far", "near"), zones=(1, 0))
-    chosen = [world.choose() for _ in range(400)]
+    fixture = SelectionFixture(("far", "near"), zones=(1, 0))
+    chosen = [fixture.choose() for _ in range(400)]
     assert chosen.count("near") > 1.5 * chosen.count("far") > 0
 
 
 def test_a_retry_goes_to_a_backend_that_was_not_tried():
-    world = World(("a", "b"))
-    pending = world.pending()
-    pending.tried_backends.append(world["a"])
-    world["b"].in_flight.update({1: (NOW, 0.0), 2: (NOW, 0.0)})
-    assert world.choose(pending) == "b"
-    pending.tried_backends.append(world["b"])
-    assert world.choose(pending) == "a"  # all were tried
+    fixture = SelectionFixture(("a", "b"))
+    pending = fixture.pending()
+    pending.tried_backends.append(fixture["a"])
+    fixture["b"].in_flight.update({1: (NOW, 0.0), 2: (NOW, 0.0)})
+    assert fixture.choose(pending) == "b"
+    pending.tried_backends.append(fixture["b"])
+    assert fixture.choose(pending) == "a"  # all were tried
 
 
 def test_an_ejected_backend_gets_one_idempotent_request_once_its_trial_is_due():
-    world = World(("a", "b", "c"))
-    world.outlier_detection.eject(world["a"], NOW)
-    due = world["a"].ejected_until
-    assert world.choose() != "a" and world.choose(world.pending(1), due) != "a"
-    assert world.choose(now=due) == "a"
-    world["a"].in_flight[1] = (due, 0.0)
-    assert world.choose(now=due) != "a"
+    fixture = SelectionFixture(("a", "b", "c"))
+    fixture.outlier_detection.eject(fixture["a"], NOW)
+    due = fixture["a"].ejected_until
+    assert fixture.choose() != "a" and fixture.choose(fixture.pending(1), due) != "a"
+    assert fixture.choose(now=due) == "a"
+    fixture["a"].in_flight[1] = (due, 0.0)
+    assert fixture.choose(now=due) != "a"
 
 
 def test_a_backend_that_rejects_a_class_still_gets_the_others():
-    world = World(("a", "b"))
-    world["b"].in_flight.update({1: (NOW, 0.0), 2: (NOW, 0.0)})
-    world.outlier_detection.on_rejection(world["a"], 0, NOW)
-    assert world.choose(world.pending(0)) == "b" and world.choose(world.pending(1)) == "a"
+    fixture = SelectionFixture(("a", "b"))
+    fixture["b"].in_flight.update({1: (NOW, 0.0), 2: (NOW, 0.0)})
+    fixture.outlier_detection.on_rejection(fixture["a"], 0, NOW)
+    assert fixture.choose(fixture.pending(0)) == "b" and fixture.choose(fixture.pending(1)) == "a"
 
 
 def test_where_too_many_are_ejected_all_are_used():
-    world = World(("a", "b"))
-    world["b"].in_flight.update({k: (NOW, 0.0) for k in range(9)})
+    fixture = SelectionFixture(("a", "b"))
+    fixture["b"].in_flight.update({k: (NOW, 0.0) for k in range(9)})
     for name in ("a", "b"):
-        world.outlier_detection.eject(world[name], NOW)
-    assert world.choose() == "a"
+        fixture.outlier_detection.eject(fixture[name], NOW)
+    assert fixture.choose() == "a"
 
 
 @pytest.mark.parametrize(
-    ("scope", "found"),
+    ("scope", "expected"),
     [(DeduplicationScope.ALL, "b"), (DeduplicationScope.ZONE, "a"), (DeduplicationScope.CELL, "a")],
 )
-def test_a_keyed_request_that_may_have_run_goes_where_a_repeat_is_deduplicated(scope, found):
+def test_a_keyed_request_that_may_have_run_goes_where_a_repeat_is_deduplicated(scope, expected):
     keyed = RequestClass(
         latency_objective=1.0,
         deadline=3.0,
@@ -119,30 +119,30 @@
         deduplication_scope=scope,
         deduplication_window=2.0,
     )
-    world = World(("first", "a", "b"), zones=(1, 1, 2), classes=(keyed, SAFE, UNSAFE))
-    world["a"].in_flight.update({k: (NOW, 0.0) for k in range(9)})
-    pending = world.pending()
-    pending.tried_backends.append(world["first"])
-    pending.may_have_run_at, pending.may_have_run_on = NOW, world["first"]
-    assert world.choose(pending, NOW + 1.0) == found
-    assert world.choose(pending, NOW + 2.0) is None  # the retry would run again
+    fixture = SelectionFixture(("first", "a", "b"), zones=(1, 1, 2), classes=(keyed, SAFE, UNSAFE))
+    fixture["a"].in_flight.update({k: (NOW, 0.0) for k in range(9)})
+    pending = fixture.pending()
+    pending.tried_backends.append(fixture["first"])
+    pending.may_have_run_at, pending.may_have_run_on = NOW, fixture["first"]
+    assert fixture.choose(pending, NOW + 1.0) == expected
+    assert fixture.choose(pending, NOW + 2.0) is None  # the retry would run again
 
 
 def test_a_gateway_leaves_its_subset_only_if_all_of_it_failed():
-    world = World(tuple(map(str, range(40))), is_large_tier=True)
-    preferred = {record.endpoint.backend for record in world.backends.preferred}
-    assert {world.choose() for _ in range(50)} <= preferred
-    for record in world.backends.preferred:
+    fixture = SelectionFixture(tuple(map(str, range(40))), is_large_tier=True)
+    preferred = {record.endpoint.backend for record in fixture.backends.preferred}
+    assert {fixture.choose() for _ in range(50)} <= preferred
+    for record in fixture.backends.preferred:
         record.failures, record.last_attempt_at = 1, NOW
-    assert world.choose() not in preferred
+    assert fixture.choose() not in preferred
 
 
 def test_the_expected_latency_grows_with_load_and_latency_ratio():
-    world = World(("a",))
-    pending, record = world.pending(), world["a"]
-    idle = world.selection.expected_latency(record, pending, NOW)
-    assert idle == world.latency_model.usual_latency(pending)
+    fixture = SelectionFixture(("a",))
+    pending, record = fixture.pending(), fixture["a"]
+    idle = fixture.selection.expected_latency(record, pending, NOW)
+    assert idle == fixture.latency_model.usual_latency(pending)
     record.latency_ratio, record.last_attempt_at = 3.0, NOW
-    assert world.selection.expected_latency(record, pending, NOW) == pytest.approx(3 * idle)
+    assert fixture.selection.expected_latency(record, pending, NOW) == pytest.approx(3 * idle)
     record.in_flight.update({k: (NOW, 0.0) for k in range(3)})
-    assert world.selection.expected_latency(record, pending, NOW) == pytest.approx(6 * idle)
+    assert fixture.selection.expected_latency(record, pending, NOW) == pytest.approx(6 * idle)
