--- a/tests/decisions/test_degradation.py
+++ b/tests/decisions/test_degradation.py
@@ -22,30 +22,30 @@
 
 def gateway_with(*names, **more):
     more.setdefault("plans", (UNLIMITED,))
-    g = Gateway(settings(**more), seed=3)
-    g.handle(100.0, [servers(*names)])
-    return g
+    gateway = Gateway(settings(**more), seed=3)
+    gateway.handle(100.0, [servers(*names)])
+    return gateway
 
 
-def send_requests(g, count, behave, now=101.0, step=0.05, cls=0):
-    """Send `count` requests; `behave(backend)` is the status of an attempt or None for no answer.
+def send_requests(gateway, count, status_of, now=101.0, step=0.05, cls=0):
+    """Send `count` requests; `status_of(backend)` is the status of an attempt or None for no answer.
 
     Returns the number of attempts by backend, and the time after the last one.
     """
     attempts_by_backend = {}
     for _ in range(count):
         now += step
-        actions = g.handle(now, [request(int(now * 1000), cls=cls), TimerExpired(0)])
+        actions = gateway.handle(now, [request(int(now * 1000), cls=cls), TimerExpired(0)])
         for send in pick(actions, StartAttempt):
             attempts_by_backend[send.backend] = attempts_by_backend.get(send.backend, 0) + 1
-            status = behave(send.backend)
+            status = status_of(send.backend)
             if status is not None:
-                g.handle(
+                gateway.handle(
                     now,
                     [
                         outcome(
                             send.id,
-                            len(g.requests.pending[send.id].tried_backends) - 1,
+                            len(gateway.requests.pending[send.id].tried_backends) - 1,
                             send.backend,
                             status,
                             elapsed=0.03,
@@ -58,22 +58,22 @@
 
 @pytest.mark.parametrize("failure", [Status.ERROR, Status.CONNECT_FAILED, Status.REJECTED, None])
 def test_failing_rejecting_and_hanging_backends_are_avoided(failure):
-    g = gateway_with("a", "b", "c", "d")
-    attempts, now = send_requests(g, 100, lambda s: failure if s == "a" else Status.OK)
+    gateway = gateway_with("a", "b", "c", "d")
+    attempts, now = send_requests(gateway, 100, lambda backend: failure if backend == "a" else Status.OK)
     assert attempts["a"] < 15
-    _, now = send_requests(g, 300, lambda s: Status.OK, now)
-    later_attempts, _ = send_requests(g, 200, lambda s: Status.OK, now)
+    _, now = send_requests(gateway, 300, lambda backend: Status.OK, now)
+    later_attempts, _ = send_requests(gateway, 200, lambda backend: Status.OK, now)
     if failure is not None:
-        assert not g.backends.records["a"].is_ejected and later_attempts["a"] > 20
+        assert not gateway.backends.records["a"].is_ejected and later_attempts["a"] > 20
 
 
 def test_a_hanging_attempt_of_an_idempotent_request_moves_to_another_backend():
-    g = gateway_with("a", "b", "c", "d")
-    first = pick(g.handle(101.0, [request(1)]), StartAttempt)[0]
-    g.handle(101.4, [TimerExpired(0)])
-    cancel = pick(g.handle(101.7, [TimerExpired(0)]), CancelAttempt)
+    gateway = gateway_with("a", "b", "c", "d")
+    first = pick(gateway.handle(101.0, [request(1)]), StartAttempt)[0]
+    gateway.handle(101.4, [TimerExpired(0)])
+    cancel = pick(gateway.handle(101.7, [TimerExpired(0)]), CancelAttempt)
     assert cancel == [CancelAttempt(1, 0)]
-    moved = pick(g.handle(101.7, [outcome(1, 0, first.backend, Status.CANCELLED, 0.7)]), StartAttempt)
+    moved = pick(gateway.handle(101.7, [outcome(1, 0, first.backend, Status.CANCELLED, 0.7)]), StartAttempt)
     assert len(moved) == 1 and moved[0].backend != first.backend
 
 
@@ -81,142 +81,149 @@
 def test_a_lost_answer_moves_its_request_but_ejects_no_backend(effect):
     moves = effect is not Effect.NOT_IDEMPOTENT
     cls = RequestClass(latency_objective=1.5, deadline=4.0, effect=effect, deduplication_window=10.0)
-    g = gateway_with("a", classes=(cls,))
-    g.handle(101.0, [request(1, timeout=4.0)])
+    gateway = gateway_with("a", classes=(cls,))
+    gateway.handle(101.0, [request(1, timeout=4.0)])
     for i in range(20):  # meanwhile the backend answers other requests
-        g.handle(101.0 + i * 0.05, [request(10 + i, timeout=4.0)])
-        g.handle(101.02 + i * 0.05, [outcome(10 + i, 0, "a", elapsed=0.02)])
-    actions = g.handle(102.2, [TimerExpired(0)])
-    assert (g.requests.pending[1].is_cancelled, g.backends.records["a"].is_ejected) == (moves, False)
+        gateway.handle(101.0 + i * 0.05, [request(10 + i, timeout=4.0)])
+        gateway.handle(101.02 + i * 0.05, [outcome(10 + i, 0, "a", elapsed=0.02)])
+    actions = gateway.handle(102.2, [TimerExpired(0)])
+    assert (gateway.requests.pending[1].is_cancelled, gateway.backends.records["a"].is_ejected) == (
+        moves,
+        False,
+    )
     if moves:
-        g.handle(102.2, [outcome(1, 0, "a", Status.CANCELLED, 1.2)])
-    assert (g.requests.pending[1].attempts, len(pick(actions, (Fail, Reject)))) == (1 + moves, 0)
+        gateway.handle(102.2, [outcome(1, 0, "a", Status.CANCELLED, 1.2)])
+    assert (gateway.requests.pending[1].attempts, len(pick(actions, (Fail, Reject)))) == (1 + moves, 0)
 
 
 def test_most_of_the_fleet_is_never_ejected():
-    g = gateway_with("a", "b", "c", "d")
-    send_requests(g, 60, lambda s: Status.ERROR)
-    actions = g.handle(200.0, [request(999999)])
+    gateway = gateway_with("a", "b", "c", "d")
+    send_requests(gateway, 60, lambda backend: Status.ERROR)
+    actions = gateway.handle(200.0, [request(999999)])
     assert pick(actions, StartAttempt)
 
 
 def test_retry_budget_prevents_storms():
-    g = gateway_with(*"abcdefgh", max_attempts=6)
-    sends = firsts = 0
+    gateway = gateway_with(*"abcdefgh", max_attempts=6)
+    send_count = first_attempts = 0
     for i in range(200):
-        out = pick(g.handle(101.0 + i / 20, [request(i)]), StartAttempt)
-        firsts += bool(out)
+        starts = pick(gateway.handle(101.0 + i / 20, [request(i)]), StartAttempt)
+        first_attempts += bool(starts)
         attempt = 0
-        while out:
-            sends += 1
-            bad = outcome(i, attempt, out[0].backend, Status.ERROR, 0.001)
-            out = pick(g.handle(101.0 + i / 20, [bad]), StartAttempt)
+        while starts:
+            send_count += 1
+            failed = outcome(i, attempt, starts[0].backend, Status.ERROR, 0.001)
+            starts = pick(gateway.handle(101.0 + i / 20, [failed]), StartAttempt)
             attempt += 1
-    assert sends <= firsts * 1.2 + MAX_RETRY_BUDGET + 1
+    assert send_count <= first_attempts * 1.2 + MAX_RETRY_BUDGET + 1
 
 
 def test_an_overloaded_fleet_rejects_early():
-    g = gateway_with("a", "b")
+    gateway = gateway_with("a", "b")
     for i in range(40):
-        g.handle(101.0 + i / 100, [request(i)])
-    rejections = pick(g.handle(101.5, [request(99)]), Reject)
-    assert rejections and len(g.requests.pending) < 20
+        gateway.handle(101.0 + i / 100, [request(i)])
+    rejections = pick(gateway.handle(101.5, [request(99)]), Reject)
+    assert rejections and len(gateway.requests.pending) < 20
 
 
 def test_a_bad_record_does_not_exclude_a_backend():
-    g = gateway_with("a")
-    g.backends.records["a"].latency_ratio, g.backends.records["a"].last_attempt_at = 50.0, 99.9
-    assert pick(g.handle(100.1, [request(1)]), Reject)
-    assert pick(g.handle(101.0, [request(2)]), StartAttempt)
+    gateway = gateway_with("a")
+    gateway.backends.records["a"].latency_ratio, gateway.backends.records["a"].last_attempt_at = 50.0, 99.9
+    assert pick(gateway.handle(100.1, [request(1)]), Reject)
+    assert pick(gateway.handle(101.0, [request(2)]), StartAttempt)
 
 
 def test_marked_retries_add_no_demand():
-    g = gateway_with("a", plans=(PLAN,))
-    g.handle(101.0, [request(1)])
-    before = g.accounts[7].demand
-    g.handle(101.0, [request(2, is_retry=True)])
-    assert g.accounts[7].demand == before
+    gateway = gateway_with("a", plans=(PLAN,))
+    gateway.handle(101.0, [request(1)])
+    before = gateway.accounts[7].demand
+    gateway.handle(101.0, [request(2, is_retry=True)])
+    assert gateway.accounts[7].demand == before
 
 
 def test_a_request_beyond_the_quota_is_rejected_at_once_with_retry_after():
-    g = gateway_with("a", "b", plans=(PLAN,))
-    answers = [g.handle(101.0, [request(i, units=4.0)]) for i in range(12)]
-    rejections = [r for a in answers for r in pick(a, Reject)]
+    gateway = gateway_with("a", "b", plans=(PLAN,))
+    answers = [gateway.handle(101.0, [request(i, units=4.0)]) for i in range(12)]
+    rejections = [r for actions in answers for r in pick(actions, Reject)]
     assert rejections and all(0 < r.retry_after <= 1.0 for r in rejections)
 
 
 def test_a_neighbours_level_is_credit():
-    g = gateway_with("a", "b", plans=(PLAN,))
-    a = g.account(7, 0, 0, 3)
-    a.level, a.refilled_at = 0.0, 101.0
-    assert not g.admission.is_within_quota(a, 2.0, 1 / 3, g.now)
-    g.now, g.peer_last_received_at[1] = 101.0, 101.0
-    a.ledgers[1].peer_level, a.ledgers[1].peer_state_at = 8.0, 101.0
-    assert g.admission.is_within_quota(a, 2.0, 1 / 3, g.now)
-    a.ledgers[1].peer_state_at = 50.0
-    assert not g.admission.is_within_quota(a, 2.0, 1 / 3, g.now)
+    gateway = gateway_with("a", "b", plans=(PLAN,))
+    account = gateway.account(7, 0, 0, 3)
+    account.level, account.refilled_at = 0.0, 101.0
+    assert not gateway.admission.is_within_quota(account, 2.0, 1 / 3, gateway.now)
+    gateway.now, gateway.peer_last_received_at[1] = 101.0, 101.0
+    account.ledgers[1].peer_level, account.ledgers[1].peer_state_at = 8.0, 101.0
+    assert gateway.admission.is_within_quota(account, 2.0, 1 / 3, gateway.now)
+    account.ledgers[1].peer_state_at = 50.0
+    assert not gateway.admission.is_within_quota(account, 2.0, 1 / 3, gateway.now)
 
 
 def test_concurrency_slots_are_shared_and_small_shares_not_starved():
     plan = Plan(max_in_flight=2)
-    g = gateway_with("a", "b", plans=(plan,))
-    assert pick(g.handle(101.0, [request(1)]), StartAttempt)
-    assert pick(g.handle(101.0, [request(2)]), Reject)
-    g.handle(101.1, [outcome(1, 0, g.requests.pending[1].backend.endpoint.backend)])
-    assert pick(g.handle(101.2, [request(3)]), StartAttempt)
+    gateway = gateway_with("a", "b", plans=(plan,))
+    assert pick(gateway.handle(101.0, [request(1)]), StartAttempt)
+    assert pick(gateway.handle(101.0, [request(2)]), Reject)
+    gateway.handle(101.1, [outcome(1, 0, gateway.requests.pending[1].backend.endpoint.backend)])
+    assert pick(gateway.handle(101.2, [request(3)]), StartAttempt)
 
 
 def test_true_units_correct_the_bucket():
-    g = gateway_with("a", plans=(PLAN,), is_post_paid=True)
-    send = pick(g.handle(101.0, [request(1, units=1.0)]), StartAttempt)[0]
-    before = g.accounts[7].level
-    g.handle(101.0, [outcome(1, 0, send.backend, true_units=4.0)])
-    assert g.accounts[7].level == pytest.approx(before - 3.0)
+    gateway = gateway_with("a", plans=(PLAN,), is_post_paid=True)
+    send = pick(gateway.handle(101.0, [request(1, units=1.0)]), StartAttempt)[0]
+    before = gateway.accounts[7].level
+    gateway.handle(101.0, [outcome(1, 0, send.backend, true_units=4.0)])
+    assert gateway.accounts[7].level == pytest.approx(before - 3.0)
 
 
 def test_streams_have_no_deadline():
     stream = RequestClass(latency_objective=1.0, deadline=2.0, is_streaming=True)
-    g = gateway_with("a", classes=(stream,))
-    actions = g.handle(101.0, [request(1, timeout=2.0)])
+    gateway = gateway_with("a", classes=(stream,))
+    actions = gateway.handle(101.0, [request(1, timeout=2.0)])
     token = next(x.token for x in pick(actions, SetTimer) if x.token)
-    g.handle(101.1, [StreamStarted(1, 0, "a", 0.1)])
-    assert not pick(g.handle(103.0, [TimerExpired(token), TimerExpired(0)]), (Fail, Reject, CancelAttempt))
+    gateway.handle(101.1, [StreamStarted(1, 0, "a", 0.1)])
+    assert not pick(
+        gateway.handle(103.0, [TimerExpired(token), TimerExpired(0)]), (Fail, Reject, CancelAttempt)
+    )
 
 
 def test_endpoint_lists_on_request_are_watched_again():
-    g = Gateway(settings(is_endpoint_list_pushed=False, poll_interval=4.0), seed=1)
-    assert pick(g.handle(100.0, []), WatchEndpoints)
-    assert pick(g.handle(102.0, [EndpointUpdate(UpdateKind.FAILED), TimerExpired(0)]), WatchEndpoints)
+    gateway = Gateway(settings(is_endpoint_list_pushed=False, poll_interval=4.0), seed=1)
+    assert pick(gateway.handle(100.0, []), WatchEndpoints)
+    assert pick(gateway.handle(102.0, [EndpointUpdate(UpdateKind.FAILED), TimerExpired(0)]), WatchEndpoints)
 
 
 def test_shared_slowness_is_seen_within_a_second_of_answers():
-    g = gateway_with(*"abcdefghij")
-    _, now = send_requests(g, 100, lambda s: Status.OK)
-    usual = g.latency_model.fleet_latency_ratio
+    gateway = gateway_with(*"abcdefghij")
+    _, now = send_requests(gateway, 100, lambda backend: Status.OK)
+    usual = gateway.latency_model.fleet_latency_ratio
     for i in range(20):
         now += 0.05
-        for send in pick(g.handle(now, [request(i)]), StartAttempt):
-            g.handle(now, [outcome(i, 0, send.backend, elapsed=0.3)])
-    assert g.latency_model.fleet_latency_ratio > 2 * usual
+        for send in pick(gateway.handle(now, [request(i)]), StartAttempt):
+            gateway.handle(now, [outcome(i, 0, send.backend, elapsed=0.3)])
+    assert gateway.latency_model.fleet_latency_ratio > 2 * usual
 
 
 def test_idle_backends_share_the_work():
-    g = gateway_with("a", "b", "c", "d")
-    attempts, _ = send_requests(g, 400, lambda s: Status.OK)
+    gateway = gateway_with("a", "b", "c", "d")
+    attempts, _ = send_requests(gateway, 400, lambda backend: Status.OK)
     assert min(attempts.values()) > 40
 
 
 def test_no_messages_where_they_are_not_allowed():
-    g = gateway_with("a", may_message_peers=False, gateways=2)
-    assert not pick(g.handle(101.0, [request(1, spread=2), TimerExpired(0)]), SendToPeer)
-    g.handle(105.0, [TimerExpired(0)])
-    assert g.quota_share(g.accounts[7]) == pytest.approx(1 / 2)  # no messages, so silence is no failure
+    gateway = gateway_with("a", may_message_peers=False, gateways=2)
+    assert not pick(gateway.handle(101.0, [request(1, spread=2), TimerExpired(0)]), SendToPeer)
+    gateway.handle(105.0, [TimerExpired(0)])
+    assert gateway.quota_share(gateway.accounts[7]) == pytest.approx(
+        1 / 2
+    )  # no messages, so silence is no failure
 
 
 def test_retry_after_of_a_concurrency_limit_is_about_a_service_time():
-    g = gateway_with("a", "b", plans=(Plan(max_in_flight=2),))
-    g.handle(101.0, [request(1)])
-    rejections = pick(g.handle(101.0, [request(2)]), Reject)
+    gateway = gateway_with("a", "b", plans=(Plan(max_in_flight=2),))
+    gateway.handle(101.0, [request(1)])
+    rejections = pick(gateway.handle(101.0, [request(2)]), Reject)
     assert len(rejections) == 1 and 0 < rejections[0].retry_after < 0.5
 
 
@@ -227,9 +234,9 @@
         RequestClass(latency_objective=0.8, deadline=1.6),
         RequestClass(latency_objective=3.5, deadline=9.0),
     )
-    g = gateway_with("a", gateways=12, plans=(Plan(max_in_flight=4),), classes=(quick, slow)[::order])
-    a = g.account(7, 0, 0, 12)
-    assert g.rate(a) == pytest.approx(0.3 * 4 / (0.15 * 0.8))
+    gateway = gateway_with("a", gateways=12, plans=(Plan(max_in_flight=4),), classes=(quick, slow)[::order])
+    account = gateway.account(7, 0, 0, 12)
+    assert gateway.rate(account) == pytest.approx(0.3 * 4 / (0.15 * 0.8))
 
 
 def test_loaded_backends_serve_requests_within_quota_first():
@@ -237,15 +244,17 @@
     plan = Plan(rate=100.0, burst=100.0, over_quota_weight=0.3)
     sent = {}
     for elapsed in (0.1, 0.3, 0.6):
-        g = gateway_with("a", "b", plans=(plan,))
+        gateway = gateway_with("a", "b", plans=(plan,))
         for i in range(300):
-            g.handle(101.0 + i / 10, [request(i, customer=i)])
-            for (rid, attempt), (server, _) in list(g.requests.attempts_in_flight.items()):
-                g.handle(101.0 + i / 10, [outcome(rid, attempt, server.endpoint.backend, elapsed=elapsed)])
+            gateway.handle(101.0 + i / 10, [request(i, customer=i)])
+            for (request_id, attempt), (backend, _) in list(gateway.requests.attempts_in_flight.items()):
+                gateway.handle(
+                    101.0 + i / 10, [outcome(request_id, attempt, backend.endpoint.backend, elapsed=elapsed)]
+                )
         for beyond in (False, True):
-            g.handle(131.0, [outcome(1, 0, "a")])
-            a = g.account(7, 0, 0, 3)
-            a.level = a.demand = 0.0 if beyond else 30.0
-            a.refilled_at = 131.0
-            sent[elapsed, beyond] = len(pick(g.handle(131.0, [request(900 + beyond)]), StartAttempt))
+            gateway.handle(131.0, [outcome(1, 0, "a")])
+            account = gateway.account(7, 0, 0, 3)
+            account.level = account.demand = 0.0 if beyond else 30.0
+            account.refilled_at = 131.0
+            sent[elapsed, beyond] = len(pick(gateway.handle(131.0, [request(900 + beyond)]), StartAttempt))
     assert [sent[key] for key in sorted(sent)] == [1, 1, 1, 0, 0, 0]
