--- a/tests/decisions/test_quota_exchange.py
+++ b/tests/decisions/test_quota_exchange.py
@@ -18,8 +18,8 @@
 from tests.helpers import PLAN, Ring, pick, request, settings
 
 
-def busy_at(one):
-    return lambda me: 1.0 if me == one else 0.0
+def busy_at(busy_gateway):
+    return lambda me: 1.0 if me == busy_gateway else 0.0
 
 
 def total(ring):
@@ -28,10 +28,10 @@
 
 def test_shares_are_even_at_the_start():
     ring = Ring()
-    for g in ring.gateways.values():
-        a = g.account(7, 0, 2, 2)
-        assert a.base_share() == pytest.approx(1 / 2)
-        assert a.level == pytest.approx(PLAN.burst / 2)
+    for gateway in ring.gateways.values():
+        account = gateway.account(7, 0, 2, 2)
+        assert account.base_share() == pytest.approx(1 / 2)
+        assert account.level == pytest.approx(PLAN.burst / 2)
     assert sorted(ring.gateways[0].accounts[7].ledgers) == [2]  # the set (2, 0) wraps around
     assert not ring.gateways[1].accounts[7].is_member
 
@@ -39,29 +39,29 @@
 @pytest.mark.parametrize("gateways", [2, 3, 4])
 def test_shares_follow_demand_and_their_sum_is_conserved(gateways):
     ring = Ring(gateways)
-    for g in ring.gateways.values():
-        g.account(7, 0, 0, gateways)
+    for gateway in ring.gateways.values():
+        gateway.account(7, 0, 0, gateways)
     ring.run(6, busy_at(1))
-    held = ring.slices()
-    assert held[1] == max(held.values()) and held[1] > 0.5
+    shares = ring.slices()
+    assert shares[1] == max(shares.values()) and shares[1] > 0.5
     ring.run(3)
     assert total(ring) == pytest.approx(1, abs=0.02)
-    assert min(held.values()) >= 0
+    assert min(shares.values()) >= 0
 
 
-@pytest.mark.parametrize("trouble", ["loss", "repeats", "delay"])
-def test_shares_recover_from_lost_repeated_and_late_messages(trouble):
+@pytest.mark.parametrize("fault", ["loss", "repeats", "delay"])
+def test_shares_recover_from_lost_repeated_and_late_messages(fault):
     ring = Ring()
-    if trouble == "loss":
+    if fault == "loss":
         ring.lost = lambda sender, to, number: number % 3 == 0
-    elif trouble == "repeats":
+    elif fault == "repeats":
         ring.repeat = 3
     else:
         ring.delay = 0.2
     ring.run(5, busy_at(0))
     ring.run(5, busy_at(2))
     assert ring.slices()[2] > 0.5
-    ring.lost, ring.repeat, ring.delay = (lambda *a: False), 1, 0.02
+    ring.lost, ring.repeat, ring.delay = (lambda *args: False), 1, 0.02
     ring.run(5)
     assert total(ring) == pytest.approx(1, abs=0.02)
 
@@ -105,23 +105,23 @@
     stopped = ring.gateways.pop(1)
     ring.run(2, lambda me: 1.0)
     borrower, other = ring.gateways[2], ring.gateways[0]
-    a = borrower.accounts[7]
-    assert borrower.quota_share(a) == pytest.approx(
-        borrower.accounts[7].base_share() + a.ledgers[1].peer_share
+    account = borrower.accounts[7]
+    assert borrower.quota_share(account) == pytest.approx(
+        borrower.accounts[7].base_share() + account.ledgers[1].peer_share
     )
     assert other.quota_share(other.accounts[7]) == pytest.approx(other.accounts[7].base_share())
     ring.gateways[1] = stopped
     ring.run(1, lambda me: 1.0)
-    assert borrower.quota_share(a) == pytest.approx(borrower.accounts[7].base_share())
+    assert borrower.quota_share(account) == pytest.approx(borrower.accounts[7].base_share())
 
 
 def test_a_gateway_that_is_cut_off_borrows_nothing():
     ring = Ring()
     ring.run(2, lambda me: 1.0)
-    ring.lost = lambda *a: True
+    ring.lost = lambda *args: True
     ring.run(3, lambda me: 1.0)
-    for g in ring.gateways.values():
-        assert g.quota_share(g.accounts[7]) == pytest.approx(g.accounts[7].base_share())
+    for gateway in ring.gateways.values():
+        assert gateway.quota_share(gateway.accounts[7]) == pytest.approx(gateway.accounts[7].base_share())
 
 
 @pytest.mark.parametrize("payload", [b"", b"\x01abc", b"\x09" + bytes(60), bytes(13)])
@@ -129,31 +129,37 @@
     ring = Ring()
     ring.run(2, busy_at(0))
     before = ring.slices()
-    for g in ring.gateways.values():
+    for gateway in ring.gateways.values():
         for peer in (0, 1, 2, 9):
-            assert pick(g.handle(ring.now, [PeerMessage(peer, payload)]), Reject) == []
+            assert pick(gateway.handle(ring.now, [PeerMessage(peer, payload)]), Reject) == []
     assert ring.slices() == before
 
 
 def test_stale_incarnation_is_dropped():
     ring = Ring()
     ring.run(2, busy_at(0))
-    g = ring.gateways[1]
+    gateway = ring.gateways[1]
     update = peer_messages.AccountUpdate(7, 0, 0, 3, 0.9, 9.0, 0.0, 9000, 50.0)
     before = ring.slices()
-    g.handle(
+    gateway.handle(
         ring.now,
         [
             PeerMessage(
-                0, *peer_messages.encode_exchange(g.peer_incarnations[0] - 5, g.incarnation, 10**6, [update])
+                0,
+                *peer_messages.encode_exchange(
+                    gateway.peer_incarnations[0] - 5, gateway.incarnation, 10**6, [update]
+                ),
             )
         ],
     )
-    g.handle(
+    gateway.handle(
         ring.now,
         [
             PeerMessage(
-                0, *peer_messages.encode_exchange(g.peer_incarnations[0], g.incarnation - 5, 10**6, [update])
+                0,
+                *peer_messages.encode_exchange(
+                    gateway.peer_incarnations[0], gateway.incarnation - 5, 10**6, [update]
+                ),
             )
         ],
     )
@@ -162,28 +168,28 @@
 
 def test_messages_fit_and_idle_customers_are_forgotten():
     ring = Ring()
-    g = ring.gateways[0]
-    actions = g.handle(ring.now, [request(1000 + i, customer=i, units=1.0) for i in range(60)])
-    for a in g.accounts.values():
-        a.level = 0.0
+    gateway = ring.gateways[0]
+    actions = gateway.handle(ring.now, [request(1000 + i, customer=i, units=1.0) for i in range(60)])
+    for account in gateway.accounts.values():
+        account.level = 0.0
     ring.now += 0.3
-    messages = pick(g.handle(ring.now, [TimerExpired(0)]), SendToPeer)
+    messages = pick(gateway.handle(ring.now, [TimerExpired(0)]), SendToPeer)
     assert actions and max(len(m.payload) for m in messages) <= peer_messages.MESSAGE_BYTES
     assert len([m for m in messages if m.peer == 1]) > 1
-    for rid, send in [(s.id, s) for s in pick(actions, StartAttempt)]:
-        g.requests.attempts_in_flight.pop((rid, 0))[1].in_flight -= 1
+    for request_id, send in [(s.id, s) for s in pick(actions, StartAttempt)]:
+        gateway.requests.attempts_in_flight.pop((request_id, 0))[1].in_flight -= 1
         assert send
     ring.now += 61
-    g.handle(ring.now, [TimerExpired(0)])
-    assert not g.accounts
+    gateway.handle(ring.now, [TimerExpired(0)])
+    assert not gateway.accounts
 
 
 def test_inactive_customers_cause_no_updates_and_are_forgotten_at_both_ends():
-    ring, asked = Ring(), []
+    ring, requesters = Ring(), []
     ring.run(3)
-    ring.run(1, lambda me: 0.0 if asked else asked.append(me) or 1.0)
+    ring.run(1, lambda me: 0.0 if requesters else requesters.append(me) or 1.0)
     ring.run(9)
-    assert all(7 in g.accounts for g in ring.gateways.values())
+    assert all(7 in gateway.accounts for gateway in ring.gateways.values())
     ring.delay = 100.0  # holds messages in flight; updates of each end used to keep the other's account alive
     ring.run(0.5)
     assert {len(payload) for *_, payload in ring.flight} == {
@@ -191,7 +197,7 @@
     }  # empty messages only
     ring.delay = 0.02
     ring.run(15)
-    assert not any(g.accounts or g.active_accounts for g in ring.gateways.values())
+    assert not any(gateway.accounts or gateway.active_accounts for gateway in ring.gateways.values())
 
 
 @pytest.mark.parametrize("busy", [0, 2])
@@ -206,11 +212,11 @@
     ring.gateways[restarted].active_accounts.clear()
     for _ in range(10):
         ring.run(0.3, lambda me: 0.05 if me == requester else 0.0)
-        for g in ring.gateways.values():  # units moved before must not be taken from a bucket again
+        for gateway in ring.gateways.values():  # units moved before must not be taken from a bucket again
             assert (
-                7 not in g.accounts
-                or g.quota_exchange.state(g.accounts[7]).level
-                > 0.25 * g.accounts[7].base_share() * PLAN.burst
+                7 not in gateway.accounts
+                or gateway.quota_exchange.state(gateway.accounts[7]).level
+                > 0.25 * gateway.accounts[7].base_share() * PLAN.burst
             )
     assert total(ring) == pytest.approx(1, abs=0.02)
 
@@ -218,12 +224,12 @@
 def test_totals_of_a_forgotten_account_are_taken_over_from_the_other_end():
     ring = Ring()
     ring.run(2)
-    g = ring.gateways[1]
+    gateway = ring.gateways[1]
     update = peer_messages.AccountUpdate(
         7, 0, 0, 3, 0.6, 1.0, 18.0, 8000, 12.0
     )  # its bucket is full with 12 units received from this gateway
-    message = PeerMessage(0, *peer_messages.encode_exchange(5, g.incarnation, 1, [update]))
-    sent = pick(g.handle(ring.now, [message]), SendToPeer)[-1]
+    message = PeerMessage(0, *peer_messages.encode_exchange(5, gateway.incarnation, 1, [update]))
+    sent = pick(gateway.handle(ring.now, [message]), SendToPeer)[-1]
     (reply,) = peer_messages.decode_exchange(sent.payload, 1, ring.gateways[0].settings).updates
     assert (
         reply.received_units <= -11.0 and reply.received_share < -4000
@@ -233,15 +239,15 @@
 def test_a_reordered_message_changes_nothing():
     ring = Ring()
     ring.run(1, busy_at(0))
-    g = ring.gateways[0]
-    peer_incarnation, ledger = g.peer_incarnations[1], g.accounts[7].ledgers[1]
+    gateway = ring.gateways[0]
+    peer_incarnation, ledger = gateway.peer_incarnations[1], gateway.accounts[7].ledgers[1]
     for number, received in ((10**6 + 2, 6000), (10**6 + 1, -3000)):
         update = peer_messages.AccountUpdate(7, 0, 0, 3, 0.5, 3.0, 5.0, received, received / 1000)
-        g.handle(
+        gateway.handle(
             ring.now,
             [
                 PeerMessage(
-                    1, *peer_messages.encode_exchange(peer_incarnation, g.incarnation, number, [update])
+                    1, *peer_messages.encode_exchange(peer_incarnation, gateway.incarnation, number, [update])
                 )
             ],
         )
@@ -251,12 +257,13 @@
 def test_a_new_incarnation_resets_the_ledger_at_once():
     ring = Ring()
     ring.run(5, busy_at(0))
-    g = ring.gateways[0]
-    assert g.accounts[7].ledgers[1].received_share > 0
-    g.handle(
-        ring.now, [PeerMessage(1, *peer_messages.encode_exchange(g.peer_incarnations[1] + 9000, 0, 1, []))]
+    gateway = ring.gateways[0]
+    assert gateway.accounts[7].ledgers[1].received_share > 0
+    gateway.handle(
+        ring.now,
+        [PeerMessage(1, *peer_messages.encode_exchange(gateway.peer_incarnations[1] + 9000, 0, 1, []))],
     )
-    assert g.accounts[7].ledgers[1].received_share == 0
+    assert gateway.accounts[7].ledgers[1].received_share == 0
 
 
 class StandaloneExchange:
@@ -294,13 +301,13 @@
 def test_a_pair_alone_conserves_the_sum_whatever_is_lost_or_repeated():
     low, high = StandaloneExchange(0), StandaloneExchange(1)
     low.account.demand, high.account.demand = 1.0, 3.0
-    chance = random.Random(5)
+    rng = random.Random(5)
     for number in range(1, 60):
         update = low.exchange.update_for(7, low.account, 1, 100.0)
-        if chance.random() < 0.7:
+        if rng.random() < 0.7:
             reply = high.receive(0, number, update)
             assert high.receive(0, number, update) is None  # duplicate
-            if chance.random() < 0.7:
+            if rng.random() < 0.7:
                 low.receive(1, number, reply)
     update = low.exchange.update_for(7, low.account, 1, 100.0)
     low.receive(1, 60, high.receive(0, 60, update))
@@ -309,26 +316,31 @@
 
 
 def test_updates_are_frequent_in_need_rare_otherwise_and_end_when_inactive():
-    one = StandaloneExchange(0)
-    one.table.active[7] = one.account
-    assert [u.customer for u in one.exchange.due(100.0, lambda peer: True)[1]] == [7]
-    assert one.exchange.due(100.0 + EXCHANGE_INTERVAL, lambda peer: True) == {1: []}
-    one.account.level = 0.0
-    assert one.exchange.due(100.0 + EXCHANGE_INTERVAL, lambda peer: False) == {1: []}
-    assert len(one.exchange.due(100.0 + EXCHANGE_INTERVAL, lambda peer: True)[1]) == 1
-    one.account.level = one.account.ledgers[1].peer_level = PLAN.burst
-    assert one.exchange.due(100.0 + 2 * EXCHANGE_INTERVAL, lambda peer: True) == {1: []}
-    assert len(one.exchange.due(100.0 + EXCHANGE_INTERVAL + IDLE_INTERVAL, lambda peer: True)[1]) == 1
-    assert one.exchange.due(100.0 + INACTIVITY_TIMEOUT, lambda peer: True) == {1: []} and not one.table.active
+    standalone = StandaloneExchange(0)
+    standalone.table.active[7] = standalone.account
+    assert [u.customer for u in standalone.exchange.due(100.0, lambda peer: True)[1]] == [7]
+    assert standalone.exchange.due(100.0 + EXCHANGE_INTERVAL, lambda peer: True) == {1: []}
+    standalone.account.level = 0.0
+    assert standalone.exchange.due(100.0 + EXCHANGE_INTERVAL, lambda peer: False) == {1: []}
+    assert len(standalone.exchange.due(100.0 + EXCHANGE_INTERVAL, lambda peer: True)[1]) == 1
+    standalone.account.level = standalone.account.ledgers[1].peer_level = PLAN.burst
+    assert standalone.exchange.due(100.0 + 2 * EXCHANGE_INTERVAL, lambda peer: True) == {1: []}
+    assert len(standalone.exchange.due(100.0 + EXCHANGE_INTERVAL + IDLE_INTERVAL, lambda peer: True)[1]) == 1
+    assert (
+        standalone.exchange.due(100.0 + INACTIVITY_TIMEOUT, lambda peer: True) == {1: []}
+        and not standalone.table.active
+    )
 
 
 def test_a_share_is_borrowed_only_from_a_silent_predecessor():
-    one = StandaloneExchange(0, gateway_count=3)
-    one.account.ledgers[2].peer_share = 0.2
-    assert one.account.predecessor == 2
-    one.exchange.peer_last_received_at = {1: 100.0, 2: 100.0}
-    own = one.account.base_share()
-    assert one.exchange.share_with_loan(one.account, 100.0 + SILENCE_TIMEOUT) == own
-    assert one.exchange.share_with_loan(one.account, 100.1 + SILENCE_TIMEOUT) == own  # cut off from all peers
-    one.exchange.peer_last_received_at[1] = 101.0
-    assert one.exchange.share_with_loan(one.account, 100.1 + SILENCE_TIMEOUT) == own + 0.2
+    standalone = StandaloneExchange(0, gateway_count=3)
+    standalone.account.ledgers[2].peer_share = 0.2
+    assert standalone.account.predecessor == 2
+    standalone.exchange.peer_last_received_at = {1: 100.0, 2: 100.0}
+    own = standalone.account.base_share()
+    assert standalone.exchange.share_with_loan(standalone.account, 100.0 + SILENCE_TIMEOUT) == own
+    assert (
+        standalone.exchange.share_with_loan(standalone.account, 100.1 + SILENCE_TIMEOUT) == own
+    )  # cut off from all peers
+    standalone.exchange.peer_last_received_at[1] = 101.0
+    assert standalone.exchange.share_with_loan(standalone.account, 100.1 + SILENCE_TIMEOUT) == own + 0.2
