--- a/tests/decisions/test_request_lifecycle.py
+++ b/tests/decisions/test_request_lifecycle.py
@@ -51,14 +51,14 @@
 
 def make(*names):
     config = settings(0, 1, plans=(PLAN,))
-    host, chance = FakeHost(config), random.Random(1)
+    host, rng = FakeHost(config), random.Random(1)
     backends = Backends(0, False)
     backends.apply(servers(*names), lambda endpoint: BackendRecord(endpoint, first_seen_at=host.now))
     latency_model = LatencyModel(config.classes, False)
-    slow_start = SlowStartBudget(config, chance, latency_model.initial_latency)
+    slow_start = SlowStartBudget(config, rng, latency_model.initial_latency)
     outlier_detection = OutlierDetection(False)
-    selection = BackendSelection(config, chance, backends, latency_model, slow_start, outlier_detection)
-    admission = Admission(chance, AggregationScheduler(1, 0.0), lambda *_: False, latency_model.attempt_time)
+    selection = BackendSelection(config, rng, backends, latency_model, slow_start, outlier_detection)
+    admission = Admission(rng, AggregationScheduler(1, 0.0), lambda *_: False, latency_model.attempt_time)
     lifecycle = RequestLifecycle(
         config,
         host,
