--- a/tests/decisions/test_retries.py
+++ b/tests/decisions/test_retries.py
@@ -34,8 +34,8 @@
 @pytest.mark.parametrize("effect", EFFECTS)
 @pytest.mark.parametrize("has_run", [False, True])
 def test_only_what_may_run_twice_is_retried_once_it_may_have_run(effect, has_run):
-    may = retries().may_retry(pending(effect, has_run=has_run), 0.1, NOW)
-    assert may is not (has_run and effect is Effect.NOT_IDEMPOTENT)
+    may_retry = retries().may_retry(pending(effect, has_run=has_run), 0.1, NOW)
+    assert may_retry is not (has_run and effect is Effect.NOT_IDEMPOTENT)
 
 
 def test_the_number_of_attempts_is_limited():
