--- a/tests/decisions/test_settings_parser.py
+++ b/tests/decisions/test_settings_parser.py
@@ -49,7 +49,7 @@
     }
     for record, rows in filled.items():
         names = [row.field_name for row in rows]
-        expected = {one.name for one in dataclasses.fields(record)} - {"classes", "plans"}
+        expected = {field.name for field in dataclasses.fields(record)} - {"classes", "plans"}
         assert len(names) == len(set(names)) and set(names) == expected
         assert len({row.path for row in rows}) == len(rows)
 
