--- a/tests/decisions/test_slow_start.py
+++ b/tests/decisions/test_slow_start.py
@@ -21,23 +21,27 @@
 def test_a_fleet_uses_a_cold_backend_without_overloading_it(gateways, skew):
     """Each gateway prefers 10 of 30 backends, and would send all its requests to the cold one."""
     rng = random.Random(gateways)
-    s = settings(gateways=gateways, initial_capacity=0.25, warm_up_time=16.0, overload_multiple=4.0)
-    budgets = [SlowStartBudget(s, random.Random(i), WORK) for i in range(gateways)]
-    sharing = [g for g in range(gateways) if gateways < 10 or g % 3 == 0]
-    weights = [1 / (1 + g) ** skew for g in range(gateways)]
+    config = settings(gateways=gateways, initial_capacity=0.25, warm_up_time=16.0, overload_multiple=4.0)
+    budgets = [SlowStartBudget(config, random.Random(i), WORK) for i in range(gateways)]
+    sharing = [index for index in range(gateways) if gateways < 10 or index % 3 == 0]
+    weights = [1 / (1 + index) ** skew for index in range(gateways)]
     cold = [BackendRecord(Endpoint("new", EndpointState.READY, started=20.0)) for _ in range(gateways)]
     preferred = 30 if gateways < 10 else 10
-    warm_backend_rate = sum(weights[g] for g in sharing) / sum(weights) * RATE * 30 / preferred  # requests/s
+    warm_backend_rate = (
+        sum(weights[index] for index in sharing) / sum(weights) * RATE * 30 / preferred
+    )  # requests/s
     sent, now = [], 0.0
     while now < 36.0:
         now += rng.expovariate(RATE * 30)
-        g = rng.choices(range(gateways), weights)[0]
+        index = rng.choices(range(gateways), weights)[0]
         sharers = gateways * preferred / 30
-        may = now > 20.0 and g in sharing and budgets[g].has_credit(cold[g], now, WORK, sharers)
-        if may and budgets[g].spend_credit(cold[g], WORK):
+        may_send = (
+            now > 20.0 and index in sharing and budgets[index].has_credit(cold[index], now, WORK, sharers)
+        )
+        if may_send and budgets[index].spend_credit(cold[index], WORK):
             sent.append(now)
         else:
-            budgets[g].served.add(now, WORK / preferred)
+            budgets[index].served.add(now, WORK / preferred)
     for at in sent:
         capacity_fraction = 0.25 + 0.75 * (at - 20.0) / 16.0
         assert sum(at - 1.0 < x <= at for x in sent) <= 4.0 * capacity_fraction * max(
@@ -48,8 +52,8 @@
 
 
 def test_a_cold_backend_is_used_before_anything_was_served():
-    s = settings(gateways=40, initial_capacity=0.25, warm_up_time=16.0)
-    budget = SlowStartBudget(s, random.Random(1), WORK)
+    config = settings(gateways=40, initial_capacity=0.25, warm_up_time=16.0)
+    budget = SlowStartBudget(config, random.Random(1), WORK)
     cold = BackendRecord(Endpoint("new", EndpointState.READY, started=1.0))
     sent = 0
     for k in range(160):
@@ -73,16 +77,16 @@
         RequestClass(latency_objective=1.0, deadline=9.0),
         RequestClass(latency_objective=1.0, deadline=9.0),
     )
-    g = Gateway(settings(0, 4, plans=(Plan(rate=1e6, burst=1e6),), classes=(heavy, light)), seed=1)
-    g.handle(100.0, [servers("a", "b")])
+    gateway = Gateway(settings(0, 4, plans=(Plan(rate=1e6, burst=1e6),), classes=(heavy, light)), seed=1)
+    gateway.handle(100.0, [servers("a", "b")])
     works = []
     for k in range(800):
         now, slow = 100.0 + k / 10, 1 if k < 400 else 4
-        send = pick(g.handle(now, [request(k, cls=k % 2, timeout=9.0)]), StartAttempt)[0]
+        send = pick(gateway.handle(now, [request(k, cls=k % 2, timeout=9.0)]), StartAttempt)[0]
         if k in (398, 399, 798, 799):
-            works.append(g.latency_model.work(g.requests.pending[k]))
+            works.append(gateway.latency_model.work(gateway.requests.pending[k]))
         latency = (0.02 if k % 2 else 0.04) * slow
-        g.handle(now, [outcome(k, 0, send.backend, elapsed=latency)])
+        gateway.handle(now, [outcome(k, 0, send.backend, elapsed=latency)])
     assert works[:2] == pytest.approx(works[2:], rel=0.1)
     assert works[0] == pytest.approx(2 * works[1], rel=0.1)
 
@@ -98,11 +102,11 @@
 
 def budgets_of(gateways, works, load, seed):
     """Budgets of gateways whose served rate for 10 s matched one backend of that load (work per second)."""
-    s = settings(
+    config = settings(
         gateways=gateways, initial_capacity=0.25, warm_up_time=1e9, overload_multiple=4.0, overload_window=1.0
     )
     mean = sum(works) / len(works)
-    budgets = [SlowStartBudget(s, random.Random(seed + i), mean) for i in range(gateways)]
+    budgets = [SlowStartBudget(config, random.Random(seed + i), mean) for i in range(gateways)]
     for budget in budgets:
         for k in range(101):
             budget.served.add(k / 10, load / 10 / gateways)
@@ -119,14 +123,14 @@
 
     With few sharers, budgets start with random credit, so full buckets at all of them are not covered here.
     """
-    chance = random.Random(1)
+    rng = random.Random(1)
     for seed in range(0, 20_000, 1000):
         budgets, cold = budgets_of(gateways, works, load=2.6, seed=seed)
         sent_work = 0.0
-        for at in sorted(chance.uniform(15.0, 16.0) for _ in range(10)):
-            for budget, server in zip(budgets, cold, strict=True):
-                work = chance.choice(works)
-                if budget.has_credit(server, at, work, gateways) and budget.spend_credit(server, work):
+        for at in sorted(rng.uniform(15.0, 16.0) for _ in range(10)):
+            for budget, backend in zip(budgets, cold, strict=True):
+                work = rng.choice(works)
+                if budget.has_credit(backend, at, work, gateways) and budget.spend_credit(backend, work):
                     sent_work += work
         allowed = 2.6 * 4.0 * 0.25 / 0.2
         assert sent_work / 0.2 <= allowed + 2 * math.sqrt(allowed) + 2
@@ -138,28 +142,30 @@
         for seed in range(0, 40_000, 1000):
             budgets, cold = budgets_of(100, (0.1, 0.3), load=2.6, seed=seed)
             for at in (11.0, 12.0, 13.0, 14.0):
-                for budget, server in zip(budgets, cold, strict=True):
-                    if budget.has_credit(server, at, work, 100) and budget.spend_credit(server, work):
+                for budget, backend in zip(budgets, cold, strict=True):
+                    if budget.has_credit(backend, at, work, 100) and budget.spend_credit(backend, work):
                         sent[work] += work
     assert sent[0.1] == pytest.approx(sent[0.3], rel=0.2)
 
 
 @pytest.mark.parametrize("is_sent, goes_to", [(True, "new"), (False, "warm")])
 def test_a_failed_draw_sends_the_request_to_the_next_best_backend(is_sent, goes_to):
-    g = Gateway(settings(0, 200, plans=(Plan(rate=1e6, burst=1e6),)), seed=1)
-    g.handle(100.0, [servers("warm")])
-    g.handle(100.0, [servers("new", kind=UpdateKind.DELTA, started=100.0)])
+    gateway = Gateway(settings(0, 200, plans=(Plan(rate=1e6, burst=1e6),)), seed=1)
+    gateway.handle(100.0, [servers("warm")])
+    gateway.handle(100.0, [servers("new", kind=UpdateKind.DELTA, started=100.0)])
     draws = []
-    g.slow_start.has_credit = lambda server, now, need, sharers: True
-    g.slow_start.spend_credit = lambda server, need: draws.append((server.endpoint.backend, need)) or is_sent
-    g.backends.records["warm"].in_flight.update({-k: (100.0, 0.0) for k in range(1, 3)})
-    assert pick(g.handle(100.1, [request(1, spread=200)]), StartAttempt)[0].backend == goes_to
-    assert draws == [("new", g.latency_model.initial_latency)]
-    g.backends.records[
+    gateway.slow_start.has_credit = lambda backend, now, work, sharers: True
+    gateway.slow_start.spend_credit = (
+        lambda backend, work: draws.append((backend.endpoint.backend, work)) or is_sent
+    )
+    gateway.backends.records["warm"].in_flight.update({-k: (100.0, 0.0) for k in range(1, 3)})
+    assert pick(gateway.handle(100.1, [request(1, spread=200)]), StartAttempt)[0].backend == goes_to
+    assert draws == [("new", gateway.latency_model.initial_latency)]
+    gateway.backends.records[
         "warm"
     ].in_flight.clear()  # a draw uses up credit, so none is made if another backend is better
-    g.backends.records["new"].in_flight.update({-k: (100.0, 0.0) for k in range(1, 3)})
-    assert pick(g.handle(100.2, [request(2, spread=200)]), StartAttempt)[0].backend == "warm"
+    gateway.backends.records["new"].in_flight.update({-k: (100.0, 0.0) for k in range(1, 3)})
+    assert pick(gateway.handle(100.2, [request(2, spread=200)]), StartAttempt)[0].backend == "warm"
     assert len(draws) == 1
 
 
