--- a/tests/simulator/test_decoding.py
+++ b/tests/simulator/test_decoding.py
@@ -40,9 +40,9 @@
 
 
 def test_a_batch_has_its_time_in_seconds_and_the_events_in_order():
-    got = decode_batch(batch(record(EventCode.TIMER_EXPIRED, "<I", 8), record(9, "<", gateway=4)), {})
-    assert got.time == 2.5
-    assert got.events == (GatewayEvent(3, events.TimerExpired(8)), GatewayEvent(4, GatewayKilled()))
+    result = decode_batch(batch(record(EventCode.TIMER_EXPIRED, "<I", 8), record(9, "<", gateway=4)), {})
+    assert result.time == 2.5
+    assert result.events == (GatewayEvent(3, events.TimerExpired(8)), GatewayEvent(4, GatewayKilled()))
 
 
 def test_a_start_has_settings_and_seed_and_names_the_columns_of_reports():
@@ -66,18 +66,18 @@
 
 
 def test_stream_started():
-    got = decoded(record(EventCode.STREAM_STARTED, "<QB6sI", 77, 1, BACKEND, 2_000))
-    assert got == [events.StreamStarted(77, 1, BACKEND, 0.002)]
+    result = decoded(record(EventCode.STREAM_STARTED, "<QB6sI", 77, 1, BACKEND, 2_000))
+    assert result == [events.StreamStarted(77, 1, BACKEND, 0.002)]
 
 
 def test_attempt_ended_without_use_units_and_report():
-    got = decoded(record(EventCode.ATTEMPT_ENDED, "<QB6sBIBHHB", 77, 1, BACKEND, 14, 1_000, 0, 0, 0, 0))
-    assert got == [events.AttemptEnded(77, 1, BACKEND, Status.CONNECT_FAILED, 0.001, False)]
+    result = decoded(record(EventCode.ATTEMPT_ENDED, "<QB6sBIBHHB", 77, 1, BACKEND, 14, 1_000, 0, 0, 0, 0))
+    assert result == [events.AttemptEnded(77, 1, BACKEND, Status.CONNECT_FAILED, 0.001, False)]
 
 
 def test_columns_of_a_report_that_are_not_finite_are_left_out():
-    got = decoded(record(EventCode.HEALTH_CHECK_RESULT, "<6sBIB2f", BACKEND, 4, 1_000, 2, math.nan, 3.0))
-    assert got == [events.HealthCheckResult(BACKEND, Status.TIMEOUT, 0.001, {"qps": 3.0})]
+    result = decoded(record(EventCode.HEALTH_CHECK_RESULT, "<6sBIB2f", BACKEND, 4, 1_000, 2, math.nan, 3.0))
+    assert result == [events.HealthCheckResult(BACKEND, Status.TIMEOUT, 0.001, {"qps": 3.0})]
 
 
 def test_small_events():
