--- a/corkdeal/experiment/measure.py
+++ b/corkdeal/experiment/measure.py
@@ -30,7 +30,9 @@
     return UNNOTIFIED_FRACTION * spread * burst + AGGREGATED_INITIAL_FILL * burst * starts
 
 
-def requests_within_quota(requests: list[clients.Ask], customers: dict[int, clients.Customer]) -> set[int]:
+def requests_within_quota(
+    requests: list[clients.ClientRequest], customers: dict[int, clients.Customer]
+) -> set[int]:
     """Indices of the requests that one token bucket per customer would admit; a request costs one unit."""
     buckets: dict[int, tuple[float, float]] = {}
     allowed = set()
@@ -46,7 +48,7 @@
 
 
 def service_shares(
-    requests: list[clients.Ask], allowed: set[int], low: float, high: float
+    requests: list[clients.ClientRequest], allowed: set[int], low: float, high: float
 ) -> tuple[float, float]:
     """The parts of worth served in time and of quota used, of the requests within quotas in [low, high)."""
     selected = [
@@ -59,7 +61,7 @@
 
 
 def service_metrics(
-    requests: list[clients.Ask],
+    requests: list[clients.ClientRequest],
     customers: dict[int, clients.Customer],
     first_attempts: dict[int, list[float]],
     settled: float,
--- a/corkdeal/experiment/restarts.py
+++ b/corkdeal/experiment/restarts.py
@@ -167,7 +167,7 @@
     }
 
 
-def total_worth(requests: list[clients.Ask], outcome: str = "") -> float:
+def total_worth(requests: list[clients.ClientRequest], outcome: str = "") -> float:
     """The total worth of the requests, or of those with that outcome."""
     return round(sum(request.worth for request in requests if not outcome or request.outcome == outcome), 3)
 
--- a/corkdeal/experiment/tier.py
+++ b/corkdeal/experiment/tier.py
@@ -42,7 +42,7 @@
     clock: Callable[[], float]
 
     def asked(
-        self, request_id: int, request: clients.Ask, gateway: int, planned: float, time_left: float
+        self, request_id: int, request: clients.ClientRequest, gateway: int, planned: float, time_left: float
     ) -> None:
         """Record an attempt that is sent."""
         now = self.clock()
@@ -425,7 +425,7 @@
                 )
         return quotas
 
-    def results(self, requests: list[clients.Ask], end: float) -> dict[str, Any]:
+    def results(self, requests: list[clients.ClientRequest], end: float) -> dict[str, Any]:
         """The results of a run, as they are saved."""
         quotas, firsts = self.quotas(), self.history.firsts()
         over_units = {
--- a/corkdeal/standin/clients.py
+++ b/corkdeal/standin/clients.py
@@ -30,7 +30,7 @@
 
 
 @dataclass(slots=True)
-class Ask:
+class ClientRequest:
     """One request of a client, including its retry."""
 
     at: float  # s since the start of the run
@@ -40,7 +40,7 @@
     work: int = 0
     worth: float = 0.0
     outcome: str = ""  # served, late, refused, failed
-    took: float = 0.0  # s from the planned time to the last reply
+    latency: float = 0.0  # s from the planned time to the last reply
 
 
 PLANS = [  # values from the middle of the ranges that the load model specifies
@@ -96,7 +96,9 @@
     return result
 
 
-def arrivals(rng: random.Random, population: list[Customer], seconds: float, gateways: int) -> list[Ask]:
+def arrivals(
+    rng: random.Random, population: list[Customer], seconds: float, gateways: int
+) -> list[ClientRequest]:
     """Draw all requests of a run, sorted by time."""
     requests = []
     for c in population:
@@ -109,7 +111,7 @@
             index = rng.choices(range(c.spread), weights)[0]
             cls = int(rng.random() < 0.44)
             worth = CLASSES[cls]["points"] * PLANS[c.plan]["value_factor"]
-            requests.append(Ask(at, c, cls, (c.first + index) % gateways, worth=worth))
+            requests.append(ClientRequest(at, c, cls, (c.first + index) % gateways, worth=worth))
             at += rng.expovariate(c.asks)
     return sorted(requests, key=lambda a: a.at)
 
@@ -148,61 +150,61 @@
 class Clients:
     """Sends all requests at their times and records the outcomes."""
 
-    def __init__(self, gateways: list[Gateway], asks: list[Ask], rng: random.Random) -> None:
+    def __init__(self, gateways: list[Gateway], asks: list[ClientRequest], rng: random.Random) -> None:
         self.gateways, self.asks, self.rng = gateways, asks, rng
         self.pools = [ConnectionPool(g) for g in gateways]
         self.last_id = 1 << 40
         self.down_since: dict[int, float] = {}
         self.sent_to: dict[int, int] = {}  # the gateway of each attempt, by attempt ID
 
-    def asked(self, rid: int, ask: Ask, gateway: int, planned: float, left: float) -> None:
+    def asked(self, rid: int, request: ClientRequest, gateway: int, planned: float, left: float) -> None:
         """Hook for subclasses: called before an attempt is sent."""
 
     def answered(self, rid: int, first: str) -> None:
         """Hook for subclasses: called with the first byte of the reply, or with "" if there was none."""
 
-    def choose_gateway(self, ask: Ask) -> int:
+    def choose_gateway(self, request: ClientRequest) -> int:
         """The gateway to send to: the planned one, or the next of the set that is not known to be down."""
-        c = ask.customer
+        c = request.customer
         for step in range(c.spread):
-            number = (c.first + (ask.gateway - c.first + step) % c.spread) % len(self.gateways)
+            number = (c.first + (request.gateway - c.first + step) % c.spread) % len(self.gateways)
             if (
                 self.gateways[number].up
                 or time.monotonic() - self.down_since.get(number, 0.0) < FAILURE_NOTICE_DELAY
             ):
                 return number
-        return ask.gateway
+        return request.gateway
 
-    def encode_request(self, ask: Ask, left: float, is_retry: bool, gateway: int) -> bytes:
+    def encode_request(self, request: ClientRequest, left: float, is_retry: bool, gateway: int) -> bytes:
         """Encode an attempt under a new ID, and note its gateway."""
         self.last_id += 1
         self.sent_to[self.last_id] = gateway
-        c, cls = ask.customer, CLASSES[ask.cls]
+        c, cls = request.customer, CLASSES[request.cls]
         params = (
             f"c={cls['name']},t={PLANS[c.plan]['name']},d={int(left * 1000)},"
-            f"{f'k={self.last_id:016x},' if ask.cls else ''}{'r=1,' if is_retry else ''}units=1,"
+            f"{f'k={self.last_id:016x},' if request.cls else ''}{'r=1,' if is_retry else ''}units=1,"
             f"spread={c.spread},first={c.first}"
         )
         arguments = [
-            b"API.WRITE" if ask.cls else b"API.READ",
+            b"API.WRITE" if request.cls else b"API.READ",
             b"%016x" % c.id,
             b"%016x" % self.last_id,
             params.encode(),
         ]
-        arguments += [b"stars"] if ask.cls else []
+        arguments += [b"stars"] if request.cls else []
         return b"*%d\r\n%b" % (len(arguments), b"".join(b"$%d\r\n%b\r\n" % (len(w), w) for w in arguments))
 
-    async def send_with_retry(self, ask: Ask, began: float) -> None:
+    async def send_with_retry(self, request: ClientRequest, began: float) -> None:
         """Send one request, with one retry after a -BUSY reply; times count from the planned time."""
-        limit = CLASSES[ask.cls]["deadline_us"] / 1e6
-        ask.outcome = "failed"
+        limit = CLASSES[request.cls]["deadline_us"] / 1e6
+        request.outcome = "failed"
         for is_retry in (False, True):
-            number = self.choose_gateway(ask)
+            number = self.choose_gateway(request)
             left = limit - (time.monotonic() - began)
             if left < 0.2:
                 return
-            command = self.encode_request(ask, left, is_retry, number)
-            self.asked(self.last_id, ask, number, began, left)
+            command = self.encode_request(request, left, is_retry, number)
+            self.asked(self.last_id, request, number, began, left)
             rid = self.last_id
             try:
                 async with asyncio.timeout(left + 0.1):
@@ -211,23 +213,25 @@
                 self.answered(rid, "")
                 return
             self.answered(rid, first_line[:1].decode("latin-1"))
-            ask.took = time.monotonic() - began
+            request.latency = time.monotonic() - began
             if first_line[:1] == b"$":
-                ask.outcome = "served" if ask.took <= CLASSES[ask.cls]["aim_us"] / 1e6 else "late"
+                request.outcome = (
+                    "served" if request.latency <= CLASSES[request.cls]["aim_us"] / 1e6 else "late"
+                )
                 return
             if not first_line.startswith(b"-BUSY"):
                 return
-            ask.outcome = "refused"
+            request.outcome = "refused"
             wait = first_line[6:].strip()
             await asyncio.sleep(int(wait) / 1000 if wait else 0.3)
 
     async def run(self, began: float) -> None:
         """Send all requests; returns once the last one has ended, or after 6 s more."""
         tasks = set()
-        for ask in self.asks:
-            if (wait := began + ask.at - time.monotonic()) > 0:
+        for request in self.asks:
+            if (wait := began + request.at - time.monotonic()) > 0:
                 await asyncio.sleep(wait)
-            task = asyncio.ensure_future(self.send_with_retry(ask, began + ask.at))
+            task = asyncio.ensure_future(self.send_with_retry(request, began + request.at))
             tasks.add(task)
             task.add_done_callback(tasks.discard)
         if tasks:
