--- a/corkdeal/experiment/tier.py
+++ b/corkdeal/experiment/tier.py
@@ -41,7 +41,7 @@
     history: History
     clock: Callable[[], float]
 
-    def asked(
+    def on_attempt_sent(
         self, request_id: int, request: clients.ClientRequest, gateway: int, planned: float, time_left: float
     ) -> None:
         """Record an attempt that is sent."""
@@ -50,7 +50,7 @@
             request_id, request.customer.id, gateway, request.at, now, now + time_left
         )
 
-    def answered(self, request_id: int, first_byte: str) -> None:
+    def on_reply(self, request_id: int, first_byte: str) -> None:
         """Record the reply to an attempt, or that its connection ended without one."""
         if first_byte:
             self.history.tries[request_id].answers.append((self.clock(), first_byte))
--- a/corkdeal/standin/clients.py
+++ b/corkdeal/standin/clients.py
@@ -157,10 +157,12 @@
         self.down_since: dict[int, float] = {}
         self.sent_to: dict[int, int] = {}  # the gateway of each attempt, by attempt ID
 
-    def asked(self, rid: int, request: ClientRequest, gateway: int, planned: float, left: float) -> None:
+    def on_attempt_sent(
+        self, rid: int, request: ClientRequest, gateway: int, planned: float, left: float
+    ) -> None:
         """Hook for subclasses: called before an attempt is sent."""
 
-    def answered(self, rid: int, first: str) -> None:
+    def on_reply(self, rid: int, first: str) -> None:
         """Hook for subclasses: called with the first byte of the reply, or with "" if there was none."""
 
     def choose_gateway(self, request: ClientRequest) -> int:
@@ -204,15 +206,15 @@
             if left < 0.2:
                 return
             command = self.encode_request(request, left, is_retry, number)
-            self.asked(self.last_id, request, number, began, left)
+            self.on_attempt_sent(self.last_id, request, number, began, left)
             rid = self.last_id
             try:
                 async with asyncio.timeout(left + 0.1):
                     first_line = await self.pools[number].request(command)
             except (OSError, TimeoutError, asyncio.IncompleteReadError):
-                self.answered(rid, "")
+                self.on_reply(rid, "")
                 return
-            self.answered(rid, first_line[:1].decode("latin-1"))
+            self.on_reply(rid, first_line[:1].decode("latin-1"))
             request.latency = time.monotonic() - began
             if first_line[:1] == b"$":
                 request.outcome = (
