--- a/corkdeal/standin/clients.py
+++ b/corkdeal/standin/clients.py
@@ -23,7 +23,7 @@
     id: int
     plan: int
     rate: float  # quota, units/s
-    asks: float  # units/s requested
+    request_rate: float  # units/s
     first: int  # the first gateway of its set
     spread: int  # the number of gateways in its set
     weights: tuple[float, ...]  # how its requests are spread over the set
@@ -102,7 +102,7 @@
     """Draw all requests of a run, sorted by time."""
     requests = []
     for c in population:
-        at, weights = rng.expovariate(c.asks), list(c.weights)
+        at, weights = rng.expovariate(c.request_rate), list(c.weights)
         shift = rng.uniform(6, 24)
         while at < seconds:
             if at > shift:  # its traffic shifts to other gateways of its set
@@ -112,7 +112,7 @@
             cls = int(rng.random() < 0.44)
             worth = CLASSES[cls]["points"] * PLANS[c.plan]["value_factor"]
             requests.append(ClientRequest(at, c, cls, (c.first + index) % gateways, worth=worth))
-            at += rng.expovariate(c.asks)
+            at += rng.expovariate(c.request_rate)
     return sorted(requests, key=lambda a: a.at)
 
 
@@ -150,8 +150,8 @@
 class Clients:
     """Sends all requests at their times and records the outcomes."""
 
-    def __init__(self, gateways: list[Gateway], asks: list[ClientRequest], rng: random.Random) -> None:
-        self.gateways, self.asks, self.rng = gateways, asks, rng
+    def __init__(self, gateways: list[Gateway], requests: list[ClientRequest], rng: random.Random) -> None:
+        self.gateways, self.requests, self.rng = gateways, requests, rng
         self.pools = [ConnectionPool(g) for g in gateways]
         self.last_id = 1 << 40
         self.down_since: dict[int, float] = {}
@@ -230,7 +230,7 @@
     async def run(self, began: float) -> None:
         """Send all requests; returns once the last one has ended, or after 6 s more."""
         tasks = set()
-        for request in self.asks:
+        for request in self.requests:
             if (wait := began + request.at - time.monotonic()) > 0:
                 await asyncio.sleep(wait)
             task = asyncio.ensure_future(self.send_with_retry(request, began + request.at))
--- a/tests/test_standin.py
+++ b/tests/test_standin.py
@@ -101,7 +101,7 @@
     one, other = ([(a.at, a.customer.id, a.gateway) for a in each] for each in made)
     assert one == other
     assert all((a.gateway - a.customer.first) % 3 < a.customer.spread for a in made[0])
-    inside = sum(min(c.rate, c.asks) for c in {a.customer.id: a.customer for a in made[0]}.values())
+    inside = sum(min(c.rate, c.request_rate) for c in {a.customer.id: a.customer for a in made[0]}.values())
     assert inside == pytest.approx(30, rel=0.4)
 
 
