--- a/corkdeal/experiment/restarts.py
+++ b/corkdeal/experiment/restarts.py
@@ -107,7 +107,7 @@
         for backend in backends:
             backend.die()
     slow_names = {backend.model.name for backend in slowdowns}
-    admissions = clients.books(arrivals, {c.id: c for c in customers})
+    admissions = clients.classify_by_quota(arrivals, {c.id: c for c in customers})
     # Excludes, in every variant, requests for a gateway that is down or about to be killed.
     excluded = [
         (gateway_index, restart_at - IN_FLIGHT_MARGIN, restart_at + downtime + STARTUP_TIME)
@@ -142,7 +142,7 @@
                     "to_slow": sum(
                         1
                         for arrival in arrivals
-                        if load_generator.sent_to.get(arrival.request) == gateway_index
+                        if load_generator.gateway_of_attempt.get(arrival.request) == gateway_index
                         and arrival.server in slow_names
                         and window_start <= arrival.at - wall_started_at < window_start + length
                     ),
--- a/corkdeal/standin/clients.py
+++ b/corkdeal/standin/clients.py
@@ -155,7 +155,7 @@
         self.pools = [ConnectionPool(g) for g in gateways]
         self.last_id = 1 << 40
         self.down_since: dict[int, float] = {}
-        self.sent_to: dict[int, int] = {}  # the gateway of each attempt, by attempt ID
+        self.gateway_of_attempt: dict[int, int] = {}  # the gateway of each attempt, by attempt ID
 
     def on_attempt_sent(
         self, rid: int, request: ClientRequest, gateway: int, planned: float, left: float
@@ -180,7 +180,7 @@
     def encode_request(self, request: ClientRequest, left: float, is_retry: bool, gateway: int) -> bytes:
         """Encode an attempt under a new ID, and note its gateway."""
         self.last_id += 1
-        self.sent_to[self.last_id] = gateway
+        self.gateway_of_attempt[self.last_id] = gateway
         c, cls = request.customer, CLASSES[request.cls]
         params = (
             f"c={cls['name']},t={PLANS[c.plan]['name']},d={int(left * 1000)},"
@@ -240,7 +240,7 @@
             await asyncio.wait(tasks, timeout=6)
 
 
-def books(seen: list[Any], customers_by_id: dict[int, Customer]) -> list[tuple[float, bool, int]]:
+def classify_by_quota(seen: list[Any], customers_by_id: dict[int, Customer]) -> list[tuple[float, bool, int]]:
     """Per request that reached a backend: its wall-clock time, whether it was over its quota, and its plan.
 
     A customer's quota over all gateways is a token bucket that starts full: a request within the quota takes
--- a/tests/test_standin.py
+++ b/tests/test_standin.py
@@ -110,7 +110,7 @@
     at = [0.0] * 7 + [10.0, 10.0]  # a burst of 5.6: five within, two beyond; refilled later
     seen = [SimpleNamespace(at=a, customer=7, request=i) for i, a in enumerate(at)]
     seen += [SimpleNamespace(at=0.1, customer=7, request=0), SimpleNamespace(at=0.0, customer=9, request=50)]
-    booked = clients.books(seen, who)  # a second attempt and an unknown customer are not counted
+    booked = clients.classify_by_quota(seen, who)  # a second attempt and an unknown customer are not counted
     assert [over for _, over, _ in booked] == [False] * 5 + [True] * 2 + [False] * 2
 
 
