--- a/corkdeal/net/request_stream.py
+++ b/corkdeal/net/request_stream.py
@@ -106,8 +106,8 @@
 class CommandWriter:
     """Writes a large command as fast as its backend reads it: a pull producer of a transport."""
 
-    def __init__(self, transport: Any, parts: list[Any], done: Any) -> None:
-        self.transport, self.done = transport, done
+    def __init__(self, transport: Any, parts: list[Any], on_written: Any) -> None:
+        self.transport, self.on_written = transport, on_written
         self.parts: Iterator[Any] = iter(parts)
         self.is_finished = False
 
@@ -127,7 +127,7 @@
             if not batch:
                 self.is_finished = True
                 self.transport.unregisterProducer()
-                self.done()
+                self.on_written()
             elif not vectored_write.write(self.transport, batch):
                 self.is_finished = True  # broken; the backend connection sees that not all was written
 
