--- a/tests/test_discovery_watch.py
+++ b/tests/test_discovery_watch.py
@@ -20,36 +20,38 @@
 class Discovery:
     """Serves calls one by one, also those already abandoned; calls of a continuing watch cost nothing."""
 
-    def __init__(self, clock, a_call=0.13, a_line=0.005, lines=60):
-        self.clock, self.a_call, self.whole = clock, a_call, a_line * lines
+    def __init__(self, clock, call_cost=0.13, entry_cost=0.005, entries=60):
+        self.clock, self.call_cost, self.full_list_cost = clock, call_cost, entry_cost * entries
         self.free_at, self.watching, self.calls = 0.0, {}, []
 
     def call(self, watch):
         """Replaces the watch's own call over HTTP."""
         now, done = self.clock.seconds(), Deferred()
         if watch.revision is not None and now - self.watching.get(watch, -1.0) <= 0.2:
-            self.later(watch, done, 2.0)
+            self.respond_after(watch, done, 2.0)
             return done
         self.calls.append((now, watch.revision))
-        self.free_at = max(now, self.free_at) + self.a_call + (self.whole if watch.revision is None else 0.0)
+        self.free_at = (
+            max(now, self.free_at) + self.call_cost + (self.full_list_cost if watch.revision is None else 0.0)
+        )
         if self.free_at - now <= QUEUE_TIMEOUT:
-            self.later(watch, done, self.free_at - now)
+            self.respond_after(watch, done, self.free_at - now)
         else:
             self.clock.callLater(QUEUE_TIMEOUT, done.errback, discovery_watch.OverloadedError("503"))
         return done
 
-    def later(self, watch, done, wait):
-        def answer():
+    def respond_after(self, watch, done, wait):
+        def respond():
             self.watching[watch] = self.clock.seconds()
             done.callback(discovery_snapshot.DiscoverySnapshot(3, watch.revision is None, (), {}))
 
-        self.clock.callLater(wait, answer)
+        self.clock.callLater(wait, respond)
 
 
-def start(clock, discovery, me, told, held=HELD, **more):
-    given = settings(me, is_endpoint_list_pushed=False, **more)
+def start(clock, discovery, index, received, held=HELD, **more):
+    watch_settings = settings(index, is_endpoint_list_pushed=False, **more)
     watch = discovery_watch.DiscoveryWatch(
-        clock, ("127.0.0.1", 1), given, told.append, held, random.Random(me)
+        clock, ("127.0.0.1", 1), watch_settings, received.append, held, random.Random(index)
     )
     watch.call = lambda: discovery.call(watch)
     watch.run()
@@ -63,18 +65,18 @@
 
 @pytest.mark.parametrize("gateways", [4, 40, 100])
 def test_gateways_that_start_together_all_come_to_watch(gateways):
-    clock, told = Clock(), [[] for _ in range(gateways)]
+    clock, received = Clock(), [[] for _ in range(gateways)]
     discovery = Discovery(clock)
-    for me in range(gateways):
-        start(clock, discovery, me, told[me], gateways=gateways)
+    for index in range(gateways):
+        start(clock, discovery, index, received[index], gateways=gateways)
     advance(clock, 1.0 + gateways)
-    assert all(told)
+    assert all(received)
     assert len(discovery.calls) < 3 * gateways
     assert all(revision == HELD.revision for _, revision in discovery.calls)
 
 
 def test_a_failure_keeps_what_is_held_and_a_bad_list_asks_for_all_of_it():
-    clock, told = Clock(), []
+    clock, received = Clock(), []
     discovery = Discovery(clock)
     failures = [
         discovery_watch.UnavailableError("503"),
@@ -82,11 +84,11 @@
         discovery_snapshot.ListError("revision"),
         None,
     ]
-    watch = start(clock, discovery, 0, told, gateways=4)
-    asked = []
+    watch = start(clock, discovery, 0, received, gateways=4)
+    asked_revisions = []
 
     def call():
-        asked.append(watch.revision)
+        asked_revisions.append(watch.revision)
         if failures and (error := failures.pop(0)):
             done = Deferred()
             clock.callLater(0.01, done.errback, error)
@@ -95,18 +97,18 @@
 
     watch.call = call
     advance(clock, 12.0)
-    assert asked[:5] == [3, 3, 3, None, 3]
-    assert told
+    assert asked_revisions[:5] == [3, 3, 3, None, 3]
+    assert received
 
 
 def test_a_discovery_that_began_anew_is_asked_for_the_whole_list():
-    clock, told = Clock(), []
+    clock, received = Clock(), []
     held = discovery_snapshot.DiscoverySnapshot(41, True, (), {})
     discovery = Discovery(clock)
-    start(clock, discovery, 0, told, held, gateways=4)
+    start(clock, discovery, 0, received, held, gateways=4)
     advance(clock, 3.0)
     assert [revision for _, revision in discovery.calls] == [41, None]
-    assert [result.complete for result in told][:1] == [True]
+    assert [result.complete for result in received][:1] == [True]
 
 
 def test_a_stop_while_it_waits_to_call_makes_no_call():
@@ -123,7 +125,7 @@
     code = 200
 
     def __init__(self, clock, head_after):
-        self.clock, self.head_after, self.calls, self.given_up = clock, head_after, [], 0
+        self.clock, self.head_after, self.calls, self.abandoned = clock, head_after, [], 0
 
     def request(self, method, url):
         self.calls.append(self.clock.seconds())
@@ -136,14 +138,14 @@
 
     def loseConnection(self):
         """The call was abandoned."""
-        self.given_up += 1
+        self.abandoned += 1
 
 
 @pytest.mark.parametrize("head_after", [0.0, 1.5, 2.9])
 def test_head_and_body_of_an_answer_together_have_the_time_of_one_call(head_after):
-    clock, told = Clock(), []
+    clock, received = Clock(), []
     watch = discovery_watch.DiscoveryWatch(
-        clock, ("127.0.0.1", 1), settings(drain_grace=0.25), told.append, HELD, random.Random(1)
+        clock, ("127.0.0.1", 1), settings(drain_grace=0.25), received.append, HELD, random.Random(1)
     )
     watch.agent = agent = HeadersOnly(clock, head_after)
     watch.run()
@@ -151,8 +153,8 @@
     limit = discovery_watch.LONG_POLL_MS / 1000 + discovery_watch.RESPONSE_GRACE
     gaps = [b - a for a, b in zip(agent.calls, agent.calls[1:], strict=False)]
     assert len(gaps) >= 5 and max(gaps) <= limit + 0.25 + 0.11
-    assert told == []
-    assert agent.given_up >= len(agent.calls) - 1  # otherwise each would leave an open connection
+    assert received == []
+    assert agent.abandoned >= len(agent.calls) - 1  # otherwise each would leave an open connection
 
 
 def test_a_pushed_list_is_asked_for_again_within_the_grace_of_a_drain():
@@ -198,13 +200,13 @@
 
 @pytest.mark.parametrize("silent_at", [0.5, 13.0, 13.9])
 def test_a_watch_that_was_fine_for_long_and_falls_silent_is_opened_anew(silent_at):
-    clock, told = Clock(), []
+    clock, received = Clock(), []
     watch = discovery_watch.DiscoveryWatch(
-        clock, ("127.0.0.1", 1), settings(drain_grace=0.25), told.append, HELD, random.Random(1)
+        clock, ("127.0.0.1", 1), settings(drain_grace=0.25), received.append, HELD, random.Random(1)
     )
     watch.agent = agent = FallsSilent(clock, silent_at)
     watch.run()
     advance(clock, 20.0)
-    anew = next(at for at in agent.calls if at > silent_at)
-    assert anew - silent_at <= 6.0  # by then a gateway counts as notified of a change
-    assert len([at for at in agent.calls if at > anew]) >= 1 and told
+    reopened_at = next(at for at in agent.calls if at > silent_at)
+    assert reopened_at - silent_at <= 6.0  # by then a gateway counts as notified of a change
+    assert len([at for at in agent.calls if at > reopened_at]) >= 1 and received
