--- a/tests/persistence/test_codec.py
+++ b/tests/persistence/test_codec.py
@@ -33,7 +33,7 @@
 def test_frozen_files_of_every_format_are_read(format_number):
     _, stored_format, snapshot = decode_snapshot((samples.DATA / f"format-{format_number}.know").read_bytes())
     head, account = snapshot.head, decode_account(snapshot.encoded_accounts()[7])
-    (server,), (work,) = head.servers, head.fleet.usual_latencies
+    (server,), (latency,) = head.servers, head.fleet.usual_latencies
     assert stored_format == format_number and (head.name, server.backend, server.started) == (
         "n0",
         "s-1",
@@ -47,7 +47,7 @@
         2: (5, 0.5, 2),
         3: (4, 1.5, 1),
     }[format_number]
-    assert (work.request_class, work.size, head.clock.boot - work.recorded_at) == ("look", 1, 0.0)
+    assert (latency.request_class, latency.size, head.clock.boot - latency.recorded_at) == ("look", 1, 0.0)
     assert [s.request_class for s in server.rejections] == ([] if format_number == 1 else ["note"]) and bool(
         account.ledgers
     ) is (format_number == 3)
@@ -124,14 +124,14 @@
     )
     bomb = zstandard.compress(bytes(3 << 30))  # 3 GiB of zeros compressed to about 100 kB
     for data in (resized(3 << 30, bomb), resized(1 << 20, bomb)):
-        done = subprocess.run(
+        finished = subprocess.run(
             [sys.executable, "-c", code],
             input=data,
             capture_output=True,
             check=True,
             cwd=pathlib.Path(__file__).parents[2],
         )
-        assert b"unpack" in done.stdout, done.stderr
+        assert b"unpack" in finished.stdout, finished.stderr
 
 
 def test_the_header_is_as_documented():
--- a/tests/persistence/test_restore.py
+++ b/tests/persistence/test_restore.py
@@ -42,19 +42,19 @@
     return codec.decode_snapshot(b"".join(codec.encode_snapshot(1, head, pages)))[2]
 
 
-def restored_state(snapshot, age, now, s=None, addresses=None):
+def restored_state(snapshot, age, now, gateway_settings=None, addresses=None):
     counts = Counter()
     return (
-        RestoredState(snapshot, age, now, s or settings(), (addresses or {}).get, counts)
+        RestoredState(snapshot, age, now, gateway_settings or settings(), (addresses or {}).get, counts)
         if addresses
-        else RestoredState(snapshot, age, now, s or settings(), lambda name: "", counts)
+        else RestoredState(snapshot, age, now, gateway_settings or settings(), lambda name: "", counts)
     )
 
 
-def restarted(snapshot, age, now, s=None):
-    gateway = Gateway(s or settings(), seed=2)
+def restarted(snapshot, age, now, gateway_settings=None):
+    gateway = Gateway(gateway_settings or settings(), seed=2)
     gateway.now = 0.0
-    gateway.restore(restored_state(snapshot, age, now, s))
+    gateway.restore(restored_state(snapshot, age, now, gateway_settings))
     return gateway
 
 
@@ -203,15 +203,14 @@
 def test_a_ledger_with_a_peer_that_started_again_begins_anew():
     """The peer's rounds start at 1 again; a ledger with a higher last round would ignore its messages."""
     gateway = restarted(samples.snapshot_of(), 5.0, 9000.0, settings(0, 2))
-    again = peer_messages.encode_exchange(9000_500, gateway.incarnation, 1, [])[
-        0
-    ]  # the peer started after the record was made
-    gateway.handle(9000.0, [listed_update("a"), PeerMessage(1, again)])
+    # the peer started after the record was made
+    first_message = peer_messages.encode_exchange(9000_500, gateway.incarnation, 1, [])[0]
+    gateway.handle(9000.0, [listed_update("a"), PeerMessage(1, first_message)])
     gateway.handle(9000.1, [helpers.request(1, spread=2)])  # the account is created only now
     assert gateway.accounts[7].ledgers[1].last_round == 0 == gateway.accounts[7].ledgers[1].received_share
-    note = peer_messages.AccountUpdate(7, 0, 0, 2, 0.5, 1.0, 1.0, 0, 0.0)
+    update = peer_messages.AccountUpdate(7, 0, 0, 2, 0.5, 1.0, 1.0, 0, 0.0)
     gateway.handle(
-        9000.2, [PeerMessage(1, peer_messages.encode_exchange(9000_500, gateway.incarnation, 2, [note])[0])]
+        9000.2, [PeerMessage(1, peer_messages.encode_exchange(9000_500, gateway.incarnation, 2, [update])[0])]
     )
     assert gateway.accounts[7].ledgers[1].last_round == 2
 
