--- a/corkdeal/logs/structured.py
+++ b/corkdeal/logs/structured.py
@@ -33,7 +33,7 @@
     return value if isinstance(value, int | float | bool) else str(value).replace("\r", "\\r")
 
 
-def sink(line_format: str, name: str, out: BinaryIO | None = None) -> Any:
+def make_sink(line_format: str, name: str, out: BinaryIO | None = None) -> Any:
     """Create a sink for `logs.configure`; each line has the gateway's name."""
     logger = structlog.wrap_logger(
         structlog.BytesLogger(out or sys.stdout.buffer),
--- a/corkdeal/net/application.py
+++ b/corkdeal/net/application.py
@@ -123,7 +123,7 @@
     if options and options.log:
         from ..logs import structured
 
-        logs.configure(structured.sink(options.log.format, name), options.log.level)
+        logs.configure(structured.make_sink(options.log.format, name), options.log.level)
         observer: Any = structured.observe_library_event
     else:
         logs.configure(None)
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -27,7 +27,7 @@
 
 def test_a_json_line_is_parsed_as_well():
     out = io.BytesIO()
-    logs.configure(structured.sink("json", "n0", out))
+    logs.configure(structured.make_sink("json", "n0", out))
     logs.event("figures", asked=7, now_slow=1.5)
     logs.configure(None)
     assert fleet.parse_metrics_line(out.getvalue().decode())[1] == {"asked": 7.0, "now_slow": 1.5}
--- a/tests/test_logs.py
+++ b/tests/test_logs.py
@@ -21,7 +21,7 @@
 
 
 def test_a_json_line_is_one_document_however_odd_its_fields(out):
-    logs.configure(structured.sink("json", "n0", out))
+    logs.configure(structured.make_sink("json", "n0", out))
     logs.event("serving", name="n0", at="127.0.0.1:1")
     logs.event("reload_refused", error='two\nlines \u00e4 "quoted"')
     logs.event("action_failed", action=object, trace="a\nb")
@@ -40,14 +40,14 @@
 
 
 def test_a_text_line_is_one_line(out):
-    logs.configure(structured.sink("text", "n0", out))
+    logs.configure(structured.make_sink("text", "n0", out))
     logs.event("reload_refused", error="two\nlines\r and more")
     (line,) = out.getvalue().splitlines()
     assert b"event=reload_refused" in line and b'error="two\\nlines' in line
 
 
 def test_a_line_whose_level_is_off_costs_no_formatting(out):
-    logs.configure(structured.sink("json", "n0", out), "error")
+    logs.configure(structured.make_sink("json", "n0", out), "error")
 
     class Costly:
         def __str__(self):
@@ -71,7 +71,7 @@
 def test_a_library_s_warnings_become_events(out):
     from twisted.logger import LogLevel
 
-    logs.configure(structured.sink("json", "n0", out))
+    logs.configure(structured.make_sink("json", "n0", out))
     structured.observe_library_event({"log_level": LogLevel.info, "log_format": "quiet"})
     structured.observe_library_event(
         {"log_level": LogLevel.warn, "log_format": "odd {x}", "x": 3, "log_namespace": "twisted"}
