--- a/corkdeal/net/client_connection.py
+++ b/corkdeal/net/client_connection.py
@@ -474,7 +474,7 @@
         """
         if (age := since_fin(self.transport.getHandle())) is not None:
             return age + KERNEL_TICK
-        return now - self.seen_open_at if self.paused else self.gateway.timers.late
+        return now - self.seen_open_at if self.paused else self.gateway.timers.lateness
 
     def stop_attempts(self) -> None:
         """Start no further attempts for pending requests, nor for those still unread."""
--- a/corkdeal/net/timers.py
+++ b/corkdeal/net/timers.py
@@ -13,13 +13,15 @@
 
 from .backend_connection import Attempt
 
-LATE_LEAST = 0.01  # s; a smaller lateness isn't reported, since each report costs a reactor iteration
+MIN_REPORTED_LATENESS = (
+    0.01  # s; a smaller lateness isn't reported, since each report costs a reactor iteration
+)
 
 
 class Timers:
     """Tokens and attempts by when they are due, in s of the gateway's clock; `on_expired` receives both.
 
-    Until the end of a reactor iteration, `late` is by how many s its timers, and so all of it, ran late.
+    Until the end of a reactor iteration, `lateness` is by how many s its timers, and so all of it, ran late.
     """
 
     def __init__(
@@ -30,7 +32,7 @@
         self.sequence = 0
         self.delayed_call: Any = None
         self.delayed_call_at = math.inf
-        self.late = 0.0
+        self.lateness = 0.0
 
     def add(self, due: float, target: int | Attempt) -> None:
         """Add a timer that returns a token or ends an attempt at `due`; `arm` must be called afterwards."""
@@ -53,8 +55,8 @@
     def expire(self) -> None:
         """Expire all timers that are due, in one batch."""
         now = self.now()
-        if (late := now - self.delayed_call_at) > LATE_LEAST:
-            self.late = late
+        if (lateness := now - self.delayed_call_at) > MIN_REPORTED_LATENESS:
+            self.lateness = lateness
             self.reactor.callLater(0, self.reset_lateness)
         self.delayed_call, self.delayed_call_at = None, math.inf
         tokens: list[int] = []
@@ -67,4 +69,4 @@
 
     def reset_lateness(self) -> None:
         """Reset the lateness: the late iteration and its socket events are over, and the next has begun."""
-        self.late = 0.0
+        self.lateness = 0.0
--- a/tests/test_net_departures.py
+++ b/tests/test_net_departures.py
@@ -397,7 +397,7 @@
         self.reactor.advance(STOPPED)  # an earlier late iteration has no effect
         self.add_backend()
         self.theirs.shutdown(socket.SHUT_WR)
-        self.reactor.pump([timers.LATE_LEAST / 2] * 100)
+        self.reactor.pump([timers.MIN_REPORTED_LATENESS / 2] * 100)
         self.assertEqual(len(self.reactor.tcpClients), 1)
 
     def test_on_a_connection_that_is_not_read_it_counts_from_the_last_look(self):
@@ -406,7 +406,7 @@
         self.assertTrue(self.connection.paused)
         self.add_backend()
         self.theirs.shutdown(socket.SHUT_WR)
-        self.reactor.pump([timers.LATE_LEAST / 2] * 100)
+        self.reactor.pump([timers.MIN_REPORTED_LATENESS / 2] * 100)
         self.assertFalse(self.reactor.tcpClients)
         self.assertEqual(self.wire.taken.count(b"-BUSY"), client_connection.MAX_PENDING_REPLIES)
 
