--- a/corkdeal/net/gateway.py
+++ b/corkdeal/net/gateway.py
@@ -409,7 +409,7 @@
         return [Fail(i) for i in sorted(ids) if i in self.rpcs and not self.rpcs[i].attempt]
 
     def accept_rpc(self, rpc: RPC) -> None:
-        """Accept an RPC that was received completely; it is rejected at once if its time is over."""
+        """Accept an RPC that was received completely; it is rejected at once if its deadline has passed."""
         self.rpcs[rpc.request.id] = rpc
         if self.draining and rpc.deadline > self.answer_deadline:
             rpc.deadline = self.answer_deadline
@@ -445,10 +445,10 @@
                 self.pool.abandon(rpc.attempt, Status.ABANDONED)
 
     def client_half_closed(self, rpc: RPC) -> None:
-        """The client has closed its sending side, as one that has disconnected: start nothing more for it.
+        """The client has closed its sending side; it may have disconnected, so no further attempt is started.
 
-        A client that has only half-closed the connection still reads, so it gets its one final answer: an
-        attempt that a backend has received completely goes on and provides it, else the RPC is rejected.
+        If it has only half-closed the connection, it still reads and gets its one final answer: an attempt
+        that was written completely goes on and provides it; otherwise the RPC is abandoned.
         """
         if rpc.attempt is None or not rpc.attempt.is_fully_written:
             return self.abandon(rpc)
@@ -505,7 +505,7 @@
         )
 
     def response_started(self, attempt: Attempt, response_stream: ResponseStream) -> bool:
-        """A long answer has begun, which makes it final; returns whether the RPC still waits for one.
+        """A long answer has begun, which makes its attempt final; returns whether the RPC was still open.
 
         The decisions get the time until now, because the rest depends on how fast the client reads.
         """
