--- a/corkdeal/net/gateway.py
+++ b/corkdeal/net/gateway.py
@@ -196,8 +196,10 @@
 
     def listen_for_peers(self) -> None:
         """Listen for the peers' datagrams. During an upgrade, the predecessor has the port until it ends."""
-        waits = self.upgrade_handover is not None and self.upgrade_handover.is_awaiting_remainder
-        if not self.config.peer_listen or self.peering_stopped or waits:
+        is_awaiting_remainder = (
+            self.upgrade_handover is not None and self.upgrade_handover.is_awaiting_remainder
+        )
+        if not self.config.peer_listen or self.peering_stopped or is_awaiting_remainder:
             return
         host, port = self.config.peer_listen
         try:
@@ -306,8 +308,8 @@
             if self.config.inherited is None:  # the queue of an inherited socket is left to other processes
                 self.port.accept_queued()
             self.port.stopListening()
-        for each in list(self.client_connections):
-            each.close_when_idle()
+        for connection in list(self.client_connections):
+            connection.close_when_idle()
         self.client_connection_ended()
 
     def answer_open_rpcs(self) -> None:
@@ -404,8 +406,8 @@
 
     def failures_for(self, events: list[Event]) -> list[Action]:
         """Failures for the RPCs of these events, except those for which an attempt was just started."""
-        sent = {a.id for a in self.decisions.actions if isinstance(a, StartAttempt)}
-        ids = {e.id for e in events if isinstance(e, Request | AttemptEnded)} - sent
+        started_ids = {a.id for a in self.decisions.actions if isinstance(a, StartAttempt)}
+        ids = {e.id for e in events if isinstance(e, Request | AttemptEnded)} - started_ids
         return [Fail(i) for i in sorted(ids) if i in self.rpcs and not self.rpcs[i].attempt]
 
     def accept_rpc(self, rpc: RPC) -> None:
@@ -604,8 +606,8 @@
 
     def encode_rejection(self, retry_after: float) -> bytes:
         """Encode a rejection; `retry_after` is in s, and 0 stands for none."""
-        wait = math.ceil(retry_after * 1000) if self.settings.may_send_retry_after else 0
-        return b"-BUSY %d\r\n" % wait if wait > 0 else b"-BUSY\r\n"
+        retry_after_ms = math.ceil(retry_after * 1000) if self.settings.may_send_retry_after else 0
+        return b"-BUSY %d\r\n" % retry_after_ms if retry_after_ms > 0 else b"-BUSY\r\n"
 
     def fail(self, action: Fail) -> None:
         """Answer that a request failed; it may or may not have run."""
