--- a/corkdeal/simulator/decoding.py
+++ b/corkdeal/simulator/decoding.py
@@ -119,8 +119,8 @@
 
 def _decode_endpoint(reader: FrameReader) -> Endpoint:
     start, kind, weight, zone, state, cell, backend = reader.unpack(protocol.ENDPOINT, "Membership entry")
-    known_state = _look_up(protocol.ENDPOINT_STATES, state, "condition", reader)
-    return Endpoint(backend, known_state, zone, cell, weight, kind, start / MICROSECONDS_PER_SECOND)
+    endpoint_state = _look_up(protocol.ENDPOINT_STATES, state, "condition", reader)
+    return Endpoint(backend, endpoint_state, zone, cell, weight, kind, start / MICROSECONDS_PER_SECOND)
 
 
 def _decode_endpoint_update(reader: FrameReader) -> EndpointUpdate:
@@ -196,8 +196,8 @@
 
 def _decode_counter_result(reader: FrameReader) -> CounterResult:
     total, name, elapsed, status = reader.unpack(protocol.COUNTER_RESULT, "Total")
-    known_status = _look_up(protocol.STATUSES, status, "outcome", reader)
-    return CounterResult(name, total, known_status, elapsed / MICROSECONDS_PER_SECOND)
+    counter_status = _look_up(protocol.STATUSES, status, "outcome", reader)
+    return CounterResult(name, total, counter_status, elapsed / MICROSECONDS_PER_SECOND)
 
 
 EVENT_DECODERS: dict[int, Callable[[FrameReader], SimulatorEvent]] = {
--- a/corkdeal/simulator/encoding.py
+++ b/corkdeal/simulator/encoding.py
@@ -19,7 +19,7 @@
     return min(protocol.MAX_U32, max(0, rounded_up))
 
 
-def _text(text: str) -> bytes:
+def _encode_text(text: str) -> bytes:
     raw = text.encode()[: protocol.MAX_TEXT_BYTES]
     return U16.pack(len(raw)) + raw
 
@@ -69,13 +69,13 @@
 @encode_action.register
 def _(action: actions.SendToPeer, gateway: int) -> bytes:
     peer = protocol.ALL_PEERS if action.peer is None else action.peer
-    head = struct.pack("<BIIH", ActionCode.SEND_TO_PEER, gateway, peer, len(action.payload))
-    return head + action.payload
+    header = struct.pack("<BIIH", ActionCode.SEND_TO_PEER, gateway, peer, len(action.payload))
+    return header + action.payload
 
 
 @encode_action.register
 def _(action: actions.Log, gateway: int) -> bytes:
-    return struct.pack("<BI", ActionCode.LOG, gateway) + _text(action.text)
+    return struct.pack("<BI", ActionCode.LOG, gateway) + _encode_text(action.text)
 
 
 @encode_action.register
@@ -96,7 +96,7 @@
 
 def encode_decision_error(gateway: int, text: str) -> bytes:
     """Encode a record that reports an exception in a gateway's decisions."""
-    return struct.pack("<BI", ActionCode.DECISION_ERROR, gateway) + _text(text)
+    return struct.pack("<BI", ActionCode.DECISION_ERROR, gateway) + _encode_text(text)
 
 
 def encode_reply(records: Sequence[bytes]) -> bytes:
