--- a/tests/test_quotas.py
+++ b/tests/test_quotas.py
@@ -9,7 +9,7 @@
 OPEN = Plan(max_in_flight=2, over_quota_cost=1.0)
 
 
-def customer(plan=0, number=0, **more):
+def make_customer(plan=0, number=0, **more):
     return quotas.Customer(number, plan, 0, 2, quotas.CALM, 1.0, **more)
 
 
@@ -24,25 +24,25 @@
     ],
 )
 def test_what_is_inside_and_beyond_a_quota(plan, sent, inside, beyond):
-    judge, c = quotas.Judge((plan,)), customer(store=plan.burst)
+    judge, customer = quotas.Judge((plan,)), make_customer(store=plan.burst)
     for at, units in sent:
-        judge.sent(c, at, units)
+        judge.sent(customer, at, units)
     assert (judge.inside[0], judge.beyond[0]) == (inside, beyond)
 
 
 def test_an_ended_attempt_frees_its_slot():
-    judge, c = quotas.Judge((OPEN,)), customer()
+    judge, customer = quotas.Judge((OPEN,)), make_customer()
     for _ in range(3):
-        judge.sent(c, 0.0, 1)
-        c.out -= 1
+        judge.sent(customer, 0.0, 1)
+        customer.out -= 1
     assert (judge.inside[0], judge.beyond[0]) == (3, 0)
 
 
 def test_the_over_quota_cost_is_relative_to_the_value_offered():
-    judge, c = quotas.Judge((RATE,)), customer(store=6.0, ideal=6.0)
+    judge, customer = quotas.Judge((RATE,)), make_customer(store=6.0, ideal=6.0)
     for _ in range(4):  # an ideal gateway admits three of these
-        judge.offer(c, 0.0, 2)
-        judge.sent(c, 0.0, 2)
+        judge.offer(customer, 0.0, 2)
+        judge.sent(customer, 0.0, 2)
     assert judge.table() == {"inside": 1.0, "over_quota": round(2 * 0.5 / 6, 4), "beyond": [round(2 / 6, 3)]}
 
 
@@ -68,7 +68,9 @@
 
 def test_wrong_decisions_are_detected():
     gateway_classes = (quotas.Gateway, AdmitsAll, RejectsAll)
-    normal, all_admitted, none_admitted = (quotas.World(fleet(), 1, make).run() for make in gateway_classes)
+    normal, all_admitted, none_admitted = (
+        quotas.World(fleet(), 1, gateway_class).run() for gateway_class in gateway_classes
+    )
     assert all_admitted["over_quota"] > 3 * normal["over_quota"]
     assert none_admitted["inside"] == none_admitted["over_quota"] == 0.0 < normal["inside"]
 
