--- a/benchmarks/crowd.py
+++ b/benchmarks/crowd.py
@@ -30,9 +30,9 @@
 from collections.abc import Callable
 from typing import Any
 
+from corkdeal.standin.backends import BackendModel, FakeBackend, work_drawer
 from corkdeal.standin.discovery import Discovery
 from corkdeal.standin.fleet import tier
-from corkdeal.standin.servers import Model, Server, work_drawer
 
 BACKENDS = 4
 PROBES, PROBE_EVERY = 4, 0.1  # persistent connections; s between two requests of one
@@ -86,10 +86,12 @@
     async def run(self) -> dict[str, Any]:
         """Starts discovery, backends and the gateway, and returns the results."""
         models = [
-            Model(f"s{i}", "north-hall", cell=i % 2, cores=8, queue=4000, fall_multiple=1000.0)
+            BackendModel(f"s{i}", "north-hall", cell=i % 2, cores=8, queue=4000, fall_multiple=1000.0)
             for i in range(BACKENDS)
         ]
-        backends = [Server(model, work_drawer(self.rng, 0.02, 0.5), lambda arrival: None) for model in models]
+        backends = [
+            FakeBackend(model, work_drawer(self.rng, 0.02, 0.5), lambda arrival: None) for model in models
+        ]
         for each in backends:
             await each.start()
         discovery = Discovery(lambda: [backend.entry() for backend in backends])
--- a/benchmarks/departures.py
+++ b/benchmarks/departures.py
@@ -30,9 +30,9 @@
 from collections import Counter
 from typing import Any
 
+from corkdeal.standin.backends import Arrival, BackendModel, FakeBackend, work_drawer
 from corkdeal.standin.discovery import Discovery
 from corkdeal.standin.fleet import tier
-from corkdeal.standin.servers import Arrival, Model, Server, work_drawer
 
 LATE_AFTER = 0.1  # s after a disconnect, from which on an attempt of that client counts as late
 GATEWAYS, BACKENDS = 3, 6
@@ -136,7 +136,7 @@
         self.reply_kinds[behaviour][await connection.reply_kind()] += 1
         connection.sock.close()
 
-    async def inject_faults(self, discovery: Discovery, backends: list[Server]) -> None:
+    async def inject_faults(self, discovery: Discovery, backends: list[FakeBackend]) -> None:
         """Makes requests wait: backends hang in turn, and the endpoint list is empty at times."""
         while True:
             hung_backends = self.rng.sample(backends, 2)
@@ -155,10 +155,10 @@
     async def run(self) -> dict[str, Any]:
         """Starts discovery, backends and gateways, runs the clients, and returns the metrics."""
         models = [
-            Model(f"s{i}", "north-hall", cell=i % 2, cores=8, queue=4000, fall_multiple=1000.0)
+            BackendModel(f"s{i}", "north-hall", cell=i % 2, cores=8, queue=4000, fall_multiple=1000.0)
             for i in range(BACKENDS)
         ]
-        backends = [Server(m, work_drawer(self.rng, 0.15, 0.5), self.record_attempt) for m in models]
+        backends = [FakeBackend(m, work_drawer(self.rng, 0.15, 0.5), self.record_attempt) for m in models]
         for each in backends:
             await each.start()
         discovery = Discovery(lambda: [] if self.is_list_empty else [s.entry() for s in backends])
--- a/corkdeal/experiment/restarts.py
+++ b/corkdeal/experiment/restarts.py
@@ -20,8 +20,8 @@
 from typing import Any
 
 from ..standin import clients, fleet
+from ..standin.backends import Arrival, BackendModel, FakeBackend, work_drawer
 from ..standin.discovery import Discovery
-from ..standin.servers import Arrival, Model, Server, work_drawer
 
 ARMS = ("calm", "forgets", "knows")
 GATEWAYS, SERVERS = 3, 12
@@ -52,7 +52,7 @@
     backends = []
     for i in range(SERVERS):
         speed = rng.uniform(0.85, 1.1) if rng.random() < 0.7 else rng.uniform(0.64, 0.86)
-        model = Model(
+        model = BackendModel(
             f"s-{rng.getrandbits(32):08x}",
             fleet.HALLS[i % 3],
             cell=i // 6,
@@ -60,7 +60,7 @@
             queue=rng.randint(45, 110),
         )
         backends.append(
-            Server(
+            FakeBackend(
                 model,
                 work_drawer(random.Random(rng.random()), rng.uniform(0.16, 0.27), 0.9),
                 arrivals.append,
--- a/corkdeal/experiment/tier.py
+++ b/corkdeal/experiment/tier.py
@@ -19,11 +19,11 @@
 from typing import Any
 
 from ..standin import clients, fleet
+from ..standin.backends import Arrival, BackendModel, FakeBackend, work_drawer
 from ..standin.discovery import Discovery
 from ..standin.history import Attempt, Away, History, Quota, Told, Try, check, most_over
 from ..standin.links import OPEN, DoorFault, Links
 from ..standin.links import Fault as LinkFault
-from ..standin.servers import Arrival, Model, Server, work_drawer
 from . import measure
 from .schedule import Schedule, Step, Tier, steps
 
@@ -71,7 +71,7 @@
         self.history = History()
         self.began = time.monotonic()
         self.gateways: list[fleet.Gateway] = []
-        self.servers: list[Server] = []
+        self.servers: list[FakeBackend] = []
         self.removed: set[str] = set()
         self.draining: set[str] = set()
         self.rejecting: set[str] = set()
@@ -93,7 +93,7 @@
         """Start the fake services and links, and create the gateways without starting them."""
         tier, rng = self.tier, self.rng
         for i in range(tier.servers):
-            model = Model(
+            model = BackendModel(
                 f"s-{i:02d}-{rng.getrandbits(16):04x}",
                 fleet.HALLS[i % 3],
                 cell=i // 6,
@@ -102,7 +102,7 @@
                 queue=rng.randint(45, 110),
                 cold_s=tier.cold,
             )
-            server = Server(
+            server = FakeBackend(
                 model, work_drawer(random.Random(rng.random()), MEAN_WORK, 0.7), self.record_attempt
             )
             await server.start(gateways=tier.gateways)
--- a/corkdeal/standin/servers.py
+++ b/corkdeal/standin/backends.py
@@ -82,7 +82,7 @@
 
 
 @dataclass(slots=True)
-class Model:
+class BackendModel:
     """The parameters of a backend."""
 
     name: str
@@ -99,10 +99,10 @@
 
 
 @dataclass(eq=False)
-class Server:
+class FakeBackend:
     """One fake backend."""
 
-    model: Model
+    model: BackendModel
     draw_work: Callable[[], float]  # draws the work of a request, in s on a core of speed 1
     on_arrival: Callable[[Arrival], None]
     slow: float = 1.0  # factor by which it is slower than its model
--- a/tests/test_standin.py
+++ b/tests/test_standin.py
@@ -12,8 +12,8 @@
 
 from corkdeal.experiment import summary
 from corkdeal.standin import clients
+from corkdeal.standin.backends import BackendModel, FakeBackend
 from corkdeal.standin.discovery import Discovery
-from corkdeal.standin.servers import Model, Server
 
 
 async def send_request(server, number=1):
@@ -31,7 +31,7 @@
 
 def with_server(work, **more):
     async def play(script):
-        server = Server(Model("s", "north-hall", **more), lambda: work, lambda a: None)
+        server = FakeBackend(BackendModel("s", "north-hall", **more), lambda: work, lambda a: None)
         await server.start()
         try:
             return await script(server)
