--- a/benchmarks/crowd.py
+++ b/benchmarks/crowd.py
@@ -30,7 +30,7 @@
 from collections.abc import Callable
 from typing import Any
 
-from corkdeal.standin.backends import BackendModel, FakeBackend, work_drawer
+from corkdeal.standin.backends import BackendModel, FakeBackend, gamma_work
 from corkdeal.standin.discovery import Discovery
 from corkdeal.standin.fleet import tier
 
@@ -90,7 +90,7 @@
             for i in range(BACKENDS)
         ]
         backends = [
-            FakeBackend(model, work_drawer(self.rng, 0.02, 0.5), lambda arrival: None) for model in models
+            FakeBackend(model, gamma_work(self.rng, 0.02, 0.5), lambda arrival: None) for model in models
         ]
         for each in backends:
             await each.start()
@@ -109,7 +109,7 @@
                 await gateway.end()
                 discovery.close()
                 for each in backends:
-                    each.die()
+                    each.crash()
 
     async def run_phases(self, gateway: Any) -> dict[str, Any]:
         """Runs the four phases against the started gateway."""
--- a/benchmarks/departures.py
+++ b/benchmarks/departures.py
@@ -30,7 +30,7 @@
 from collections import Counter
 from typing import Any
 
-from corkdeal.standin.backends import Arrival, BackendModel, FakeBackend, work_drawer
+from corkdeal.standin.backends import Arrival, BackendModel, FakeBackend, gamma_work
 from corkdeal.standin.discovery import Discovery
 from corkdeal.standin.fleet import tier
 
@@ -158,7 +158,7 @@
             BackendModel(f"s{i}", "north-hall", cell=i % 2, cores=8, queue=4000, fall_multiple=1000.0)
             for i in range(BACKENDS)
         ]
-        backends = [FakeBackend(m, work_drawer(self.rng, 0.15, 0.5), self.record_attempt) for m in models]
+        backends = [FakeBackend(m, gamma_work(self.rng, 0.15, 0.5), self.record_attempt) for m in models]
         for each in backends:
             await each.start()
         discovery = Discovery(lambda: [] if self.is_list_empty else [s.entry() for s in backends])
@@ -182,7 +182,7 @@
                 await asyncio.gather(*(g.end() for g in gateways))
                 discovery.close()
                 for each in backends:
-                    each.die()
+                    each.crash()
         return self.metrics()
 
     async def run_clients(self, gateways: list[Any]) -> None:
--- a/corkdeal/experiment/kills.py
+++ b/corkdeal/experiment/kills.py
@@ -18,7 +18,7 @@
 from ..persistence.codec import decode_account
 from ..persistence.store import SnapshotStore, gateway_folder, match_snapshot_name
 from ..standin import clients, fleet
-from ..standin.backends import BackendModel, FakeBackend, work_drawer
+from ..standin.backends import BackendModel, FakeBackend, gamma_work
 from ..standin.discovery import Discovery
 
 UPTIME_RANGE = (0.05, 0.9)  # s between the first reply of a gateway and its kill, drawn uniformly
@@ -85,7 +85,7 @@
     """Kill `kills` times in all, spread evenly over a tier of `together` gateways."""
     folder, rng = pathlib.Path(tempfile.mkdtemp(prefix="kills-")), random.Random(seed)
     servers = [
-        FakeBackend(BackendModel(f"s-{i}", fleet.HALLS[i % 3]), work_drawer(rng, 0.02, 0.5), lambda a: None)
+        FakeBackend(BackendModel(f"s-{i}", fleet.HALLS[i % 3]), gamma_work(rng, 0.02, 0.5), lambda a: None)
         for i in range(6)
     ]
     for server in servers:
@@ -117,7 +117,7 @@
         for gateway in gateways:
             await gateway.end()
         for server in servers:
-            server.die()
+            server.crash()
         shutil.rmtree(folder, ignore_errors=True)
     totals = {key: sum(result[key] for result in results) for key in ("kills", "generations", "loads")}
     return {
--- a/corkdeal/experiment/restarts.py
+++ b/corkdeal/experiment/restarts.py
@@ -20,7 +20,7 @@
 from typing import Any
 
 from ..standin import clients, fleet
-from ..standin.backends import Arrival, BackendModel, FakeBackend, work_drawer
+from ..standin.backends import Arrival, BackendModel, FakeBackend, gamma_work
 from ..standin.discovery import Discovery
 
 ARMS = ("calm", "forgets", "knows")
@@ -62,7 +62,7 @@
         backends.append(
             FakeBackend(
                 model,
-                work_drawer(random.Random(rng.random()), rng.uniform(0.16, 0.27), 0.9),
+                gamma_work(random.Random(rng.random()), rng.uniform(0.16, 0.27), 0.9),
                 arrivals.append,
             )
         )
@@ -105,7 +105,7 @@
         for gateway in gateways:
             await gateway.end()
         for backend in backends:
-            backend.die()
+            backend.crash()
     slow_names = {backend.model.name for backend in slowdowns}
     admissions = clients.classify_by_quota(arrivals, {c.id: c for c in customers})
     # Excludes, in every variant, requests for a gateway that is down or about to be killed.
@@ -162,7 +162,7 @@
             outcome: sum(request.outcome == outcome for request in requests)
             for outcome in ("served", "late", "refused", "failed", "")
         },
-        "fallen": sum(backend.fallen for backend in backends),
+        "fallen": sum(backend.has_crashed for backend in backends),
         "late": round(time.monotonic() - started_at - DURATION, 2),
     }
 
--- a/corkdeal/experiment/tier.py
+++ b/corkdeal/experiment/tier.py
@@ -19,7 +19,7 @@
 from typing import Any
 
 from ..standin import clients, fleet
-from ..standin.backends import Arrival, BackendModel, FakeBackend, work_drawer
+from ..standin.backends import Arrival, BackendModel, FakeBackend, gamma_work
 from ..standin.discovery import Discovery
 from ..standin.history import Attempt, Away, History, Quota, Told, Try, check, most_over
 from ..standin.links import OPEN, DoorFault, Links
@@ -103,7 +103,7 @@
                 cold_s=tier.cold,
             )
             server = FakeBackend(
-                model, work_drawer(random.Random(rng.random()), MEAN_WORK, 0.7), self.record_attempt
+                model, gamma_work(random.Random(rng.random()), MEAN_WORK, 0.7), self.record_attempt
             )
             await server.start(gateways=tier.gateways)
             assert server.doors is not None
@@ -154,7 +154,7 @@
     def record_attempt(self, a: Arrival) -> None:
         """Record an attempt at a backend, with the backend of another open attempt of the same request."""
         others = self.open_attempts.setdefault(a.request, [])
-        other_backend = next((o.server for o in others if o.live()), "")
+        other_backend = next((o.server for o in others if o.is_open()), "")
         others.append(a)
         self.history.attempts.append(
             Attempt(self.clock(), a.server, int(a.gateway), a.request, a.customer, other_backend)
@@ -405,7 +405,7 @@
         for g in self.gateways:
             await g.end()
         for s in self.servers:
-            s.die()
+            s.crash()
         if hasattr(self, "discovery"):
             self.discovery.close()
         if hasattr(self, "links"):
@@ -464,7 +464,7 @@
             "over_sum": {f"{w:g}": round(sum(v), 1) for w, v in over_units.items()},
             "over_bound": round(max((q.bound for q in quotas.values()), default=0.0), 2),
             "broken": [{"rule": b.rule, "lines": b.lines} for b in broken],
-            "fallen": sum(s.fallen for s in self.servers),
+            "fallen": sum(s.has_crashed for s in self.servers),
             "links": dict(self.links.carried),
             "link_delay_ms": measure.latency_summary(self.links.delays),
             "ready_s": [round(startup_time, 2) for _, _, startup_time in self.ready],
--- a/corkdeal/standin/backends.py
+++ b/corkdeal/standin/backends.py
@@ -4,7 +4,7 @@
 at a time, each for its drawn work divided by the backend's speed. The rest wait in a FIFO queue; when it is
 full, the reply is `-BUSY`. A backend that has just started has `cold_from` of its capacity, which grows
 linearly to all of it over `cold_s`. A cold backend that is sent more than `fall_multiple` times its current
-capacity within `fall_s` crashes, sets `fallen` and stays down.
+capacity within `fall_s` crashes, sets `has_crashed` and stays down.
 """
 
 from __future__ import annotations
@@ -55,7 +55,7 @@
     customer: int
     request: int
     gateway: str  # the number of its gateway if the backend has doors, else empty
-    live: Callable[[], bool] = lambda: False  # whether its gateway is still waiting for the reply
+    is_open: Callable[[], bool] = lambda: False  # whether its gateway is still waiting for the reply
 
 
 def is_peer_connected(writer: asyncio.StreamWriter) -> bool:
@@ -86,7 +86,7 @@
     """The parameters of a backend."""
 
     name: str
-    hall: str
+    zone: str
     cell: int = 0
     cores: int = 3
     speed: float = 1.0
@@ -108,7 +108,7 @@
     slow: float = 1.0  # factor by which it is slower than its model
     up_since: float = 0.0  # wall-clock time, 0 if it started long ago
     is_cut_off: bool = False  # no data passes in either direction; connections stay open
-    fallen: bool = False
+    has_crashed: bool = False
     port: int = 0
     busy_cores: int = 0
     queue: deque[QueuedRequest] = field(default_factory=deque)
@@ -121,7 +121,7 @@
     doors: Doors | None = None
 
     async def start(self, port: int = 0, host: str = "127.0.0.1", gateways: int = 0) -> None:
-        """Listen; with `gateways`, on one door per gateway. A start after `die` simulates a new process."""
+        """Listen; with `gateways`, on one door per gateway. A start after `crash` simulates a new process."""
         if gateways:
             self.doors = Doors(self.serve, random.Random(self.model.name))
             return await self.doors.start(gateways)
@@ -134,7 +134,7 @@
         return {
             "id": self.model.name,
             "host_port": f"127.0.0.1:{port}",
-            "locality": self.model.hall,
+            "locality": self.model.zone,
             "flavor": self.model.host_type,
             "cell": self.model.cell,
             "phase": phase,
@@ -161,10 +161,10 @@
             self.recent_work.popleft()
         limit = self.model.fall_multiple * self.capacity() * self.model.fall_s
         if self.warm_fraction() < 1 and sum(w for _, w in self.recent_work) > limit:
-            self.fallen = True
-            self.die()
+            self.has_crashed = True
+            self.crash()
 
-    def die(self) -> None:
+    def crash(self) -> None:
         """Simulate the end of its process: connections are reset, new ones refused."""
         if self.listener is not None:
             self.listener.close()
@@ -227,7 +227,7 @@
             self.connections.discard(writer)
             writer.transport.abort()
 
-    async def answer(self, arguments: list[bytes], gateway: str, live: Callable[[], bool]) -> bytes:
+    async def answer(self, arguments: list[bytes], gateway: str, is_open: Callable[[], bool]) -> bytes:
         """Execute one command; returns the reply."""
         if arguments[0].upper() == b"PING":
             return b"+PONG\r\n"
@@ -235,10 +235,12 @@
             return b"-ERR unknown command\r\n"
         work = self.draw_work()
         self.on_arrival(
-            Arrival(time.time(), self.model.name, int(arguments[1], 16), int(arguments[2], 16), gateway, live)
+            Arrival(
+                time.time(), self.model.name, int(arguments[1], 16), int(arguments[2], 16), gateway, is_open
+            )
         )
         self.record_work(work)
-        if self.fallen or len(self.queue) >= self.model.queue:
+        if self.has_crashed or len(self.queue) >= self.model.queue:
             return b"-BUSY\r\n"
         began = time.monotonic()
         if self.busy_cores >= self.model.cores:
@@ -266,7 +268,7 @@
         return b"*3\r\n$%d\r\n%b\r\n$-1\r\n$%d\r\n%b\r\n" % (len(value), value, len(load), load)
 
 
-def work_drawer(rng: random.Random, mean: float, cv: float) -> Callable[[], float]:
+def gamma_work(rng: random.Random, mean: float, cv: float) -> Callable[[], float]:
     """A function that draws work from a gamma distribution with that mean and coefficient of variation."""
     shape = 1 / cv**2
     return lambda: max(0.005, rng.gammavariate(shape, mean / shape))
--- a/tests/test_standin.py
+++ b/tests/test_standin.py
@@ -36,7 +36,7 @@
         try:
             return await script(server)
         finally:
-            server.die()
+            server.crash()
 
     return play
 
@@ -53,7 +53,7 @@
     async def script(server):
         server.up_since = time.time()
         await asyncio.gather(*(send_request(server, n) for n in range(10)))
-        return server.fallen
+        return server.has_crashed
 
     assert asyncio.run(with_server(0.5, cores=1, queue=99)(script))
     assert not asyncio.run(with_server(0.001, cores=1, queue=99)(script))
