--- a/corkdeal/net/backend_connection.py
+++ b/corkdeal/net/backend_connection.py
@@ -24,12 +24,13 @@
 from .response_stream import ResponseStream
 from .rpc import RPC
 
-# of the idle timeout; a backend closes at the timeout at the latest, and a write that crosses that is reset
+# share of the idle timeout after which an idle connection is closed: a backend closes it at the timeout at
+# the latest, and a write that crosses that close is reset
 IDLE_TIMEOUT_SHARE = 0.8
 REUSE_DELAY = 0.007  # s between a reply and reuse: bytes after the reply must not be read as the next RPC's
-# s without a further byte of a reply; s from its first byte to its last
+# s that a reply may take between two reads, and from its first byte to its last
 REPLY_STALL_TIMEOUT, REPLY_TIMEOUT = 0.1, 0.3
-CONNECT_TIMEOUT_SHARE = 0.25  # of the shortest latency objective: timeout for connecting
+CONNECT_TIMEOUT_SHARE = 0.25  # share of the shortest latency objective that connecting may take
 ABORTED = Failure(ConnectionAborted())
 
 
@@ -45,9 +46,8 @@
     parts: list[vectored_write.Part]
     conn: BackendConnection | None = None
     is_finished: bool = False
-    first_byte_latency: float | None = (
-        None  # s from sending it to the first byte of a large reply, once that is streamed
-    )
+    # s from sending it to the first byte of a large reply, once that is streamed
+    first_byte_latency: float | None = None
     decided_at: float = 0.0  # when the decisions started it; unlike `sent_at`, never changed
     write_by: float = math.inf  # deadline for its last byte: backends deduplicate a retry until then only
 
