--- a/corkdeal/net/backend_replies.py
+++ b/corkdeal/net/backend_replies.py
@@ -23,7 +23,7 @@
 def check_header(kind: int, size: int) -> None:
     """Raise `MalformedError` unless a reply begins as an array of three items or an error line.
 
-    A malformed reply so fails at its header, before the rest is received.
+    So a malformed reply fails as soon as its header is received.
     """
     if kind != ERROR and (kind != ARRAY or size not in (REPLY_ITEMS, UNKNOWN_SIZE)):
         raise MalformedError("reply is neither an error nor an array of 3 items")
