--- a/corkdeal/net/request_stream.py
+++ b/corkdeal/net/request_stream.py
@@ -90,7 +90,7 @@
         self.client_connection.gateway.reactor.callLater(RATE_CHECK_INTERVAL, self.check_rate)
 
     def check_rate(self) -> None:
-        """Close the client connection if the value arrives too slowly, as for a partial command."""
+        """Close the client connection if the value arrives more slowly than `MIN_RECEIVE_RATE`."""
         if self.is_finished:
             return
         if (
