--- a/corkdeal/net/discovery_retry.py
+++ b/corkdeal/net/discovery_retry.py
@@ -16,12 +16,13 @@
 NOTIFIED_AFTER = 6.0  # s after discovery has a change and is reachable, at which a gateway counts as notified
 CALL_ALLOWANCE = 1.0  # s of NOTIFIED_AFTER reserved for the call that returns the change
 MIN_PAUSE, MAX_PAUSE = 0.1, 1.0  # s, bounds of a pause if discovery pushes its list and calls cost it nothing
-# of the drain grace: upper bound of a pause if the list is pushed, since changes that happened during an
+# upper bound of a pause if the list is pushed, as a share of the drain grace: changes that happened during an
 # outage count as notified as soon as discovery is back
 DRAIN_GRACE_SHARE = 0.8
 SPREAD_PER_GATEWAY = 0.1  # s per gateway of the tier, over which calls are spread if the list is not pushed
-MAX_SPREAD_FACTOR = 4  # times that, at most: enough for a service four times slower than assumed
-# of the longest pause: lower bound from the second failure on; the first has spread the tier
+MAX_SPREAD_FACTOR = 4  # largest spread over the smallest; covers a service four times slower than assumed
+# lower bound of a pause from the second failure on, as a share of the longest one; the first pause, which has
+# no lower bound, has already spread the tier
 MIN_RETRY_SHARE = 0.5
 
 
