--- a/corkdeal/net/vectored_write.py
+++ b/corkdeal/net/vectored_write.py
@@ -1,7 +1,7 @@
 """Vectored writes on Twisted's transports.
 
 ITransport.writeSequence only queues its parts: the transport joins them into one bytes object in the
-next reactor iteration, which copies every body and costs two epoll_ctl and one more epoll_wait.
+next reactor iteration, which copies every body and costs two more calls of epoll_ctl and one of epoll_wait.
 """
 
 from __future__ import annotations
@@ -11,7 +11,7 @@
 from .invariants import count
 
 Part = bytes | memoryview
-MAX_PARTS = 512  # per sendmsg; Linux fails above 1024 (IOV_MAX)
+MAX_PARTS = 512  # parts of one sendmsg, which fails above 1024 (IOV_MAX) on Linux
 
 
 def pending(transport: Any) -> bool:
