--- a/corkdeal/net/rpc.py
+++ b/corkdeal/net/rpc.py
@@ -95,8 +95,8 @@
         Everything is checked here: an invalid request would distort a customer's quota or count against a
         backend.
         """
-        write = frame.text(1).upper() == WRITE
-        if not PARAMS < len(frame.items) <= PARAMS + 1 + write:
+        is_write = frame.text(1).upper() == WRITE
+        if not PARAMS < len(frame.items) <= PARAMS + 1 + is_write:
             raise BadRequestError("wrong number of arguments")
         raw, settings = frame.text(PARAMS), self.settings
         parameters = self.parse_parameters(raw)
@@ -104,7 +104,7 @@
         if class_index is None or plan_index is None:
             raise BadRequestError("unknown class or plan")
         effect = settings.classes[class_index].effect
-        if write is (effect is Effect.IDEMPOTENT):
+        if is_write is (effect is Effect.IDEMPOTENT):
             raise BadRequestError("this class is served by the other command")
         if effect is Effect.IDEMPOTENCY_KEY and b"k" not in parameters:
             raise BadRequestError("this class needs a key")
@@ -143,7 +143,7 @@
                 member_count,
                 max(0.0, deadline - now),
                 parameters.get(b"r") == b"1",
-                write,
+                is_write,
                 waited,
             ),
             rid,
@@ -153,12 +153,12 @@
             deadline,
         )
 
-    def read_head(self, frame: Frame, left: int, now: float) -> RPC:
-        """Parse a command received up to its long value, after which `left` more items follow."""
-        top, words = frame.items[0], frame.items[1:]
-        if top.kind != ARRAY or not all(i.kind == BULK and i.size >= 0 for i in words):
+    def read_head(self, frame: Frame, items_left: int, now: float) -> RPC:
+        """Parse a command received up to its long value, after which `items_left` more items follow."""
+        array, arguments = frame.items[0], frame.items[1:]
+        if array.kind != ARRAY or not all(i.kind == BULK and i.size >= 0 for i in arguments):
             raise MalformedError("expected an array of bulk strings")
-        if len(words) != PARAMS + 1 or left or frame.text(1).upper() != WRITE:
+        if len(arguments) != PARAMS + 1 or items_left or frame.text(1).upper() != WRITE:
             raise BadRequestError("only the last argument of API.WRITE may be so long")
         return self.read(frame, now)
 
