--- a/corkdeal/net/invariants.py
+++ b/corkdeal/net/invariants.py
@@ -7,18 +7,18 @@
 counts: Counter[str] = Counter()  # broken invariants and anomalies, by name
 
 
-def count(what: str) -> None:
+def count(name: str) -> None:
     """Count an anomaly, most often caused by the other side; unlike a broken invariant it is never raised."""
-    counts[what] += 1
+    counts[name] += 1
 
 
-def holds(truth: object, what: str) -> bool:
+def holds(condition: object, name: str) -> bool:
     """Check an invariant; if it is broken, a debug build raises and a release build counts it."""
     if __debug__:
-        assert truth, what
-    elif not truth:
-        counts[what] += 1
-    return bool(truth)
+        assert condition, name
+    elif not condition:
+        counts[name] += 1
+    return bool(condition)
 
 
 def report() -> str:
