--- a/corkdeal/net/client_connection.py
+++ b/corkdeal/net/client_connection.py
@@ -26,9 +26,9 @@
 MAX_BAD_REQUESTS = 16  # bad requests at which a connection is closed, so that a flood of them costs little
 # A client that sends its request and its FIN together (`printf ... | nc`) still reads the reply, so attempts
 # for it may start within HALF_CLOSE_GRACE of the FIN. A client that has closed the connection looks the same,
-# and no attempt for it may start more than 0.1 s after the close. The margin between the two covers the
-# kernel tick in which a FIN is timestamped (at most 10 ms), the network delay to the backend, and preemption
-# of this process between the check and the write.
+# and no attempt for it may start more than 0.1 s after the close. The margin of 0.05 s covers the kernel
+# tick in which a FIN is timestamped (at most 10 ms), the network delay to the backend, and preemption of this
+# process between the check and the write.
 HALF_CLOSE_GRACE = 0.05  # s
 KERNEL_TICK = 0.01  # s; the longest tick of any kernel configuration
 LINGER = 0.5  # s that a rejected connection stays open, unread, so that the client can read the error
@@ -60,7 +60,7 @@
         self.pending_replies: deque[RPC | ImmediateReply] = deque()  # in command order
         self.command_started_at = 0.0  # when the first byte of an incomplete command was read
         self.idle_since = gateway.now()  # when it was accepted or last became idle
-        # whether a complete command was read; number of RPCs
+        # whether the client has sent a complete command, and the number of its RPCs
         self.has_sent_command, self.request_count = False, 0
         self.bad_request_count = 0
         self.unread_time = 0.0  # s that the bytes being read lay in the socket while the process was stalled
@@ -296,7 +296,7 @@
                 self.is_shut_down = True
                 self.transport.unregisterProducer()
                 self.transport.loseWriteConnection()
-                self.transport.pauseProducing()  # discarding 60 MB costs more than the connection itself
+                self.transport.pauseProducing()  # reading 60 MB to discard it costs more than the connection
                 self.gateway.reactor.callLater(LINGER, self.transport.abortConnection)
             elif self.half_closed:
                 self.close_when_written()
