--- a/corkdeal/net/client_connection.py
+++ b/corkdeal/net/client_connection.py
@@ -20,7 +20,7 @@
 from .resp import Frame, MalformedError, Parser
 from .response_stream import ResponseStream
 from .rpc import READ, RPC, WRITE, BadRequestError
-from .tcp_state import PeerState, peer_state, since_fin
+from .tcp_state import PeerState, peer_state, seconds_since_fin
 
 MAX_PENDING_REPLIES = 256  # unanswered commands at which the gateway stops reading from a client connection
 MAX_BAD_REQUESTS = 16  # bad requests at which a connection is closed, so that a flood of them costs little
@@ -472,7 +472,7 @@
         If the kernel does not report it: on a paused connection the FIN arrived after the last check;
         otherwise it arrived in this event-loop iteration, or in the time by which the iteration is late.
         """
-        if (age := since_fin(self.transport.getHandle())) is not None:
+        if (age := seconds_since_fin(self.transport.getHandle())) is not None:
             return age + KERNEL_TICK
         return now - self.seen_open_at if self.paused else self.gateway.timers.lateness
 
--- a/corkdeal/net/recovery.py
+++ b/corkdeal/net/recovery.py
@@ -22,7 +22,7 @@
 from ..recovery.resume import resume_after_stall
 from ..recovery.stall_detector import StallDetector
 from .invariants import count
-from .tcp_state import since_last_data
+from .tcp_state import seconds_since_last_data
 
 CHECK_INTERVAL = 0.1  # s
 # s to wait for discovery's first reply before anything is sent, after a stall as after a start
@@ -175,7 +175,7 @@
         self.check_stall(now)
         if now - self.stall_ended_at > UNREAD_WINDOW:
             return 0.0
-        age = since_last_data(handle)
+        age = seconds_since_last_data(handle)
         if age is None:  # not reported by the kernel
             return 0.0
         return min(age, self.stall_time + now - self.stall_ended_at)
--- a/corkdeal/net/tcp_state.py
+++ b/corkdeal/net/tcp_state.py
@@ -36,13 +36,13 @@
     return PeerState.OPEN
 
 
-def since_last_data(handle: Any) -> float | None:
+def seconds_since_last_data(handle: Any) -> float | None:
     """Return the seconds since the kernel received the latest bytes; None if it does not report that."""
     info = tcp_info(handle)
     return ARRIVAL_AGES.unpack_from(info, ARRIVAL_AGES_OFFSET)[0] / 1000 if info else None
 
 
-def since_fin(handle: Any) -> float | None:
+def seconds_since_fin(handle: Any) -> float | None:
     """Return the seconds since the kernel received a peer's FIN; None if it does not report that.
 
     This is the age of the latest segment, with or without data: a peer that has closed sends nothing after
--- a/tests/recovery/test_net_recovery.py
+++ b/tests/recovery/test_net_recovery.py
@@ -93,7 +93,7 @@
     [(None, 0.1, 0.0), (0.3, 0.1, 0.3), (99.0, 0.1, 5.1), (99.0, UNREAD_WINDOW + 0.1, 0.0)],
 )
 def test_unread_bytes_are_as_old_as_the_kernel_tells_within_the_stall(monkeypatch, age, elapsed, expected):
-    monkeypatch.setattr(net_recovery, "since_last_data", lambda handle: age)
+    monkeypatch.setattr(net_recovery, "seconds_since_last_data", lambda handle: age)
     world = World()
     world.clock.rightNow += 5.0
     world.recovery.check_stall(world.clock.seconds())
--- a/tests/test_net_departures.py
+++ b/tests/test_net_departures.py
@@ -429,7 +429,7 @@
     def test_a_fin_behind_unread_bytes_and_then_a_reset(self):
         self.theirs.sendall(b"unread")
         self.assertIs(tcp_state.peer_state(self.ours), tcp_state.PeerState.OPEN)
-        self.assertIsNone(tcp_state.since_fin(self.ours))
+        self.assertIsNone(tcp_state.seconds_since_fin(self.ours))
         self.theirs.shutdown(socket.SHUT_WR)
         self.wait_for(tcp_state.PeerState.HALF_CLOSED)
         self.theirs.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, b"\1\0\0\0\0\0\0\0")
@@ -443,17 +443,17 @@
         self.theirs.shutdown(socket.SHUT_WR)
         self.wait_for(tcp_state.PeerState.HALF_CLOSED)
         time.sleep(STOPPED)
-        age = tcp_state.since_fin(self.ours)
+        age = tcp_state.seconds_since_fin(self.ours)
         self.assertLessEqual(age, time.monotonic() - ended + client_connection.KERNEL_TICK)
         self.assertGreaterEqual(age, STOPPED - client_connection.KERNEL_TICK)
-        self.assertGreaterEqual(tcp_state.since_last_data(self.ours) - age, STOPPED)
+        self.assertGreaterEqual(tcp_state.seconds_since_last_data(self.ours) - age, STOPPED)
 
     def test_a_socket_whose_kernel_dates_nothing(self):
         ours, theirs = socket.socketpair()
         self.addCleanup(ours.close)
         theirs.close()
-        self.assertIsNone(tcp_state.since_fin(ours))
-        self.assertIsNone(tcp_state.since_last_data(ours))
+        self.assertIsNone(tcp_state.seconds_since_fin(ours))
+        self.assertIsNone(tcp_state.seconds_since_last_data(ours))
         ours.close()
         self.assertIs(tcp_state.peer_state(ours), tcp_state.PeerState.OPEN)
 
