--- a/corkdeal/net/application.py
+++ b/corkdeal/net/application.py
@@ -23,7 +23,7 @@
         self.options = options
         self.gateway = Gateway(reactor, config)
         self.snapshot_writer: SnapshotWriter | None = None
-        if options and options.recovery:  # before the load: restored accounts also ask ring neighbours
+        if options and options.recovery:  # before the restore: restored accounts also ask ring neighbours
             from .recovery import RecoveryService
 
             self.gateway.recovery = RecoveryService(reactor, self.gateway)
--- a/corkdeal/net/operators.py
+++ b/corkdeal/net/operators.py
@@ -22,7 +22,7 @@
 
     @property
     def ready(self) -> bool:
-        """Whether new clients should come here: it is serving, and neither draining nor on standby."""
+        """Whether new clients should use this gateway: it is serving, neither draining nor on standby."""
         return self.gateway.is_serving and not (self.gateway.draining or self.standby)
 
     def state(self) -> str:
--- a/corkdeal/net/ops.py
+++ b/corkdeal/net/ops.py
@@ -61,7 +61,7 @@
         return parts[:-1] if parts and not parts[-1] else parts
 
     def render(self, request: Any) -> bytes:
-        """Answer other methods than these three with 405; Twisted would answer 501."""
+        """Answer methods other than GET, HEAD and PUT with 405; Twisted would answer 501."""
         if request.method not in (b"GET", b"HEAD", b"PUT"):
             request.setHeader(b"allow", b"GET, HEAD, PUT")
             return json_response(request, 405, {"word": "NO", "error": "method not allowed"})
