--- a/corkdeal/net/operators.py
+++ b/corkdeal/net/operators.py
@@ -21,7 +21,7 @@
         self.counters: Counter[str] = Counter()  # answers by kind, attempts, reloads and peer messages
 
     @property
-    def ready(self) -> bool:
+    def is_ready(self) -> bool:
         """Whether new clients should use this gateway: it is serving, neither draining nor on standby."""
         return self.gateway.is_serving and not (self.gateway.draining or self.standby)
 
--- a/corkdeal/net/ops.py
+++ b/corkdeal/net/ops.py
@@ -71,11 +71,11 @@
         """Answer requests for status and metrics."""
         parts = self.path_segments(request)
         if parts == ["status"]:
-            ready = self.operators.ready
+            is_ready = self.operators.is_ready
             return json_response(
                 request,
-                200 if ready else 503,
-                {"word": "YES" if ready else "NO", "state": self.operators.state()},
+                200 if is_ready else 503,
+                {"word": "YES" if is_ready else "NO", "state": self.operators.state()},
             )
         if parts == ["status", "metrics"]:
             return json_response(
@@ -106,12 +106,12 @@
 
     def reject_path(self, request: Any, parts: list[str], method: str) -> bytes:
         """Answer 405 for a path that exists for another method, else 404."""
-        gets = parts in (["status"], ["status", "metrics"])
-        puts = (len(parts) == 1 and parts[0] in PUT_PATHS) or (
+        is_get_path = parts in (["status"], ["status", "metrics"])
+        is_put_path = (len(parts) == 1 and parts[0] in PUT_PATHS) or (
             len(parts) == 3 and parts[0] == "maintenance" and parts[1] in MAINTENANCE_ACTIONS
         )
-        if (gets and method != "GET") or (puts and method != "PUT"):
-            request.setHeader(b"allow", b"GET, HEAD" if gets else b"PUT")
+        if (is_get_path and method != "GET") or (is_put_path and method != "PUT"):
+            request.setHeader(b"allow", b"GET, HEAD" if is_get_path else b"PUT")
             return json_response(request, 405, {"word": "NO", "error": f"{method} is not allowed here"})
         return json_response(request, 404, {"word": "NO", "error": "no such call"})
 
@@ -142,14 +142,14 @@
         return super().buildProtocol(addr)
 
 
-def listen(reactor: Any, at: tuple[str, int], operators: Any) -> Any:
+def listen(reactor: Any, address: tuple[str, int], operators: Any) -> Any:
     """Listen on the operations address, and on no other interface."""
     from .. import logs
 
     port = reactor.listenTCP(
-        at[1],
+        address[1],
         ConnectionLimiter(Site(OperationsResource(operators), timeout=REQUEST_TIMEOUT)),
-        interface=at[0],
+        interface=address[0],
     )
-    logs.event("ops_listening", at=format_address(at))
+    logs.event("ops_listening", at=format_address(address))
     return port
--- a/tests/test_net_ops.py
+++ b/tests/test_net_ops.py
@@ -22,7 +22,7 @@
 class FakeOperators:
     """A fake of the gateway's operator interface that records the changes made through it."""
 
-    ready = True
+    is_ready = True
 
     def __init__(self):
         self.changes = []
