--- a/corkdeal/net/idle_connections.py
+++ b/corkdeal/net/idle_connections.py
@@ -104,9 +104,9 @@
             if previous is not None:
                 self.leave_queues(connection, previous, placement)
         awaited, use = placement
-        begins_with_command = awaited is Awaited.REST_OF_COMMAND
+        has_partial_command = awaited is Awaited.REST_OF_COMMAND
         self.expiring[awaited].put(
-            connection, connection.command_started_at if begins_with_command else connection.idle_since
+            connection, connection.command_started_at if has_partial_command else connection.idle_since
         )
         if use is not None:
             self.evictable[use].put(connection, connection.idle_since)
