--- a/corkdeal/net/endpoint_list.py
+++ b/corkdeal/net/endpoint_list.py
@@ -14,7 +14,7 @@
 from .manual_overrides import ManualOverrides
 
 
-class Backends:
+class EndpointList:
     """The current endpoint list.
 
     `queue_event` adds an event to the decisions' next batch, and `process_events` hands that batch to them.
--- a/corkdeal/net/gateway.py
+++ b/corkdeal/net/gateway.py
@@ -51,7 +51,7 @@
 from .descriptors import Descriptors
 from .discovery_snapshot import DiscoverySnapshot
 from .discovery_watch import DiscoveryWatch
-from .endpoint_list import Backends
+from .endpoint_list import EndpointList
 from .invariants import count, holds
 from .loop_lateness import LoopLateness
 from .manual_overrides import ManualOverrides
@@ -133,10 +133,10 @@
         overrides = ManualOverrides(config.name) if config.ops else None
         if overrides:
             overrides.load()
-        self.backends = Backends(
+        self.endpoint_list = EndpointList(
             self.pool, overrides, lambda event: self.queued_events.append(event), self.process_events
         )
-        self.operators = Operators(self, self.backends)
+        self.operators = Operators(self, self.endpoint_list)
         self.counters = self.operators.counters
         self.action_handlers = {
             StartAttempt: self.start_attempt,
@@ -166,7 +166,7 @@
         if self.recovery is not None:
             self.recovery.limit_start(len(known.entries) if known else 0)
         if known:
-            self.backends.apply(known, UpdateKind.CACHED)
+            self.endpoint_list.apply(known, UpdateKind.CACHED)
         else:
             self.handle_event(EndpointUpdate(UpdateKind.CACHED))
         self.listen_for_operators()
@@ -533,7 +533,7 @@
         if self.recovery is not None:
             self.recovery.record_discovery_reply()
             self.recovery.limit_start(len(result.entries))
-        self.backends.apply(result, UpdateKind.COMPLETE if result.complete else UpdateKind.DELTA)
+        self.endpoint_list.apply(result, UpdateKind.COMPLETE if result.complete else UpdateKind.DELTA)
         self.accept_clients()
 
     def add_timer(self, due: float, target: int | Attempt) -> None:
--- a/corkdeal/net/operators.py
+++ b/corkdeal/net/operators.py
@@ -9,14 +9,14 @@
 from typing import Any
 
 from .. import logs
-from .endpoint_list import Backends
+from .endpoint_list import EndpointList
 
 
 class Operators:
     """Operators' commands to one gateway, and the metrics that they read."""
 
-    def __init__(self, gateway: Any, backends: Backends) -> None:
-        self.gateway, self.backends, self.overrides = gateway, backends, backends.overrides
+    def __init__(self, gateway: Any, endpoint_list: EndpointList) -> None:
+        self.gateway, self.endpoint_list, self.overrides = gateway, endpoint_list, endpoint_list.overrides
         self.standby = False  # if set, PING gets an error, and client connections close as they become idle
         self.counters: Counter[str] = Counter()  # answers by kind, attempts, reloads and peer messages
 
@@ -39,7 +39,7 @@
 
     def metrics(self) -> dict[str, int]:
         """Metrics: counters since the start, and gauges of open requests, backends and loop lateness."""
-        listed, down = self.backends.count_listed()
+        listed, down = self.endpoint_list.count_listed()
         counters = {k: self.counters[k] for k in ("success", "busy", "failure", "backend_calls")}
         return {
             **counters,
@@ -75,7 +75,7 @@
         """Apply overrides made at the predecessor or successor, while both processes are running."""
         for server in sorted(self.overrides.reload_if_replaced()) if self.overrides is not None else ():
             logs.event("held_elsewhere", server=server, out=server in self.overrides.held_out)
-            self.backends.update_override(server)
+            self.endpoint_list.update_override(server)
 
     def hold_out(self, server: str) -> bool | None:
         """Hold a backend out, whatever its state in the endpoint list.
@@ -83,12 +83,12 @@
         Returns whether it is a change; None for an unknown id.
         """
         assert self.overrides is not None
-        if not self.backends.is_known(server):
+        if not self.endpoint_list.is_known(server):
             return None
         self.sync_overrides()  # first, so that the file written next keeps overrides made at another process
         is_change = self.overrides.hold_out(server)
         logs.event("held_out", server=server, new=is_change)
-        self.backends.update_override(server)
+        self.endpoint_list.update_override(server)
         return is_change
 
     def return_to_service(self, server: str) -> bool | None:
@@ -97,10 +97,10 @@
         Returns whether it was held out; None for an unknown id.
         """
         assert self.overrides is not None
-        if not self.backends.is_known(server):
+        if not self.endpoint_list.is_known(server):
             return None
         self.sync_overrides()
         was_held_out = self.overrides.let_back(server, self.gateway.now())
         logs.event("let_back", server=server, new=was_held_out)
-        self.backends.update_override(server)
+        self.endpoint_list.update_override(server)
         return was_held_out
