--- a/tests/test_idle_connections.py
+++ b/tests/test_idle_connections.py
@@ -24,11 +24,11 @@
 
 def make_gateway(sockets=100_000):
     reactor = MemoryReactorClock()
-    made = gateway.Gateway(
+    new_gateway = gateway.Gateway(
         reactor, dataclasses.replace(config.parse_config(json.dumps(GIVEN).encode(), {}), sockets=sockets)
     )
-    made.now = made.descriptors.now = reactor.seconds
-    return made, reactor
+    new_gateway.now = new_gateway.descriptors.now = reactor.seconds
+    return new_gateway, reactor
 
 
 def has_work_or_ends(c):
@@ -51,7 +51,7 @@
     return sorted(idle, key=lambda c: (min(c.request_count, 2), c.idle_since))
 
 
-def expired(connections, now, many):
+def expired(connections, now, is_crowded):
     """The reference: the connections that a sweep closes, with what was awaited on them."""
     found = {}
     for c in connections:
@@ -65,9 +65,11 @@
             if now - c.command_started_at >= descriptors.COMMAND_TIMEOUT:
                 found[c] = Awaited.REST_OF_COMMAND
         elif not c.has_sent_command:
-            if now - c.idle_since >= (descriptors.MIN_SILENT_TIME if many else descriptors.COMMAND_TIMEOUT):
+            if now - c.idle_since >= (
+                descriptors.MIN_SILENT_TIME if is_crowded else descriptors.COMMAND_TIMEOUT
+            ):
                 found[c] = Awaited.FIRST_COMMAND
-        elif now - c.idle_since >= (descriptors.MIN_IDLE_TIME if many else descriptors.IDLE_TIMEOUT):
+        elif now - c.idle_since >= (descriptors.MIN_IDLE_TIME if is_crowded else descriptors.IDLE_TIMEOUT):
             found[c] = Awaited.NEXT_COMMAND
     return found
 
@@ -81,9 +83,9 @@
 
 
 def is_answered(connection):
-    owed = [rpc for rpc in connection.pending_replies if rpc.reply is None]
-    if owed:
-        connection.gateway.fail(Fail(owed[0].request.id))
+    unanswered = [rpc for rpc in connection.pending_replies if rpc.reply is None]
+    if unanswered:
+        connection.gateway.fail(Fail(unanswered[0].request.id))
 
 
 def half_command(connection):
@@ -142,104 +144,104 @@
 @settings(max_examples=400)
 @given(STEPS, st.randoms(use_true_random=False))
 def test_the_same_go_in_the_same_order_as_by_a_look_through_all(steps, chance):
-    made, reactor = make_gateway()
-    for name, which, wait in steps:
+    new_gateway, reactor = make_gateway()
+    for name, index, wait in steps:
         now = reactor.seconds()
-        open_now = sorted(made.client_connections, key=lambda c: c.idle_since)
+        open_now = sorted(new_gateway.client_connections, key=lambda c: c.idle_since)
         if name == "standby":
-            made.operators.standby = not made.operators.standby
+            new_gateway.operators.standby = not new_gateway.operators.standby
         elif name == "accept":
-            connect(made)
+            connect(new_gateway)
         elif open_now:
-            happens(name, open_now[which % len(open_now)])
+            happens(name, open_now[index % len(open_now)])
         reactor.rightNow = now + wait  # without running the timers of the connections
-        check_expiry(made, reactor.seconds())
-    check_evictions(made, reactor, chance)
+        check_expiry(new_gateway, reactor.seconds())
+    check_evictions(new_gateway, reactor, chance)
 
 
-def check_expiry(made, now):
-    for many in (False, True):
-        plain = expired(made.client_connections, now, many)
+def check_expiry(new_gateway, now):
+    for is_crowded in (False, True):
+        expected = expired(new_gateway.client_connections, now, is_crowded)
         latest = {
-            Awaited.FIRST_COMMAND: descriptors.MIN_SILENT_TIME if many else descriptors.COMMAND_TIMEOUT,
+            Awaited.FIRST_COMMAND: descriptors.MIN_SILENT_TIME if is_crowded else descriptors.COMMAND_TIMEOUT,
             Awaited.REST_OF_COMMAND: descriptors.COMMAND_TIMEOUT,
-            Awaited.NEXT_COMMAND: descriptors.MIN_IDLE_TIME if many else descriptors.IDLE_TIMEOUT,
+            Awaited.NEXT_COMMAND: descriptors.MIN_IDLE_TIME if is_crowded else descriptors.IDLE_TIMEOUT,
         }
-        queues = made.descriptors.idle.expiring
-        ours = {c: awaited for awaited, s in latest.items() for c in queues[awaited].all_until(now - s)}
-        assert ours == plain
+        queues = new_gateway.descriptors.idle.expiring
+        actual = {c: awaited for awaited, s in latest.items() for c in queues[awaited].all_until(now - s)}
+        assert actual == expected
 
 
-def check_evictions(made, reactor, chance):
+def check_evictions(new_gateway, reactor, chance):
     """Evict all connections that can be, while some turn out to have unread bytes."""
-    unread = {c: chance.random() < 0.3 for c in made.client_connections}
+    unread = {c: chance.random() < 0.3 for c in new_gateway.client_connections}
     for c, has_bytes in unread.items():
         c.has_unread_bytes = lambda has_bytes=has_bytes: has_bytes
     while True:
-        before = set(made.client_connections)
-        plain = next((c for c in to_evict(before, reactor.seconds()) if not unread[c]), None)
-        evicted = made.descriptors.evict()
-        assert before - made.client_connections == ({plain} if plain else set())
-        assert evicted is (plain is not None)
+        before = set(new_gateway.client_connections)
+        expected = next((c for c in to_evict(before, reactor.seconds()) if not unread[c]), None)
+        evicted = new_gateway.descriptors.evict()
+        assert before - new_gateway.client_connections == ({expected} if expected else set())
+        assert evicted is (expected is not None)
         if not evicted:
             return
 
 
 def test_one_with_bytes_to_be_read_can_go_once_they_were():
-    made, reactor = make_gateway()
-    connection = connect(made)
+    new_gateway, reactor = make_gateway()
+    connection = connect(new_gateway)
     reactor.advance(descriptors.MIN_SILENT_TIME)
     connection.has_unread_bytes = lambda: True
-    assert not made.descriptors.evict()
+    assert not new_gateway.descriptors.evict()
     connection.dataReceived(PING)
     connection.has_unread_bytes = lambda: False
     reactor.advance(descriptors.MIN_SILENT_TIME)
-    assert made.descriptors.evict()
-
-
-@pytest.mark.parametrize("spoken", [False, True])
-def test_a_full_table_is_not_looked_through_for_each_connection_or_sweep(spoken):
-    made, reactor = make_gateway(sockets=2048)
-    looks = []
-    room = made.descriptors.limit - made.descriptors.reserved_for_backends()
-    for number in range(room):
-        connection = connect(made)
-        connection.has_unread_bytes = lambda number=number: looks.append(number)
-        if spoken:
+    assert new_gateway.descriptors.evict()
+
+
+@pytest.mark.parametrize("has_sent_ping", [False, True])
+def test_a_full_table_is_not_looked_through_for_each_connection_or_sweep(has_sent_ping):
+    new_gateway, reactor = make_gateway(sockets=2048)
+    checks = []
+    capacity = new_gateway.descriptors.limit - new_gateway.descriptors.reserved_for_backends()
+    for number in range(capacity):
+        connection = connect(new_gateway)
+        connection.has_unread_bytes = lambda number=number: checks.append(number)
+        if has_sent_ping:
             connection.dataReceived(PING)
     reactor.rightNow += descriptors.MIN_SILENT_TIME
     for _ in range(100):
-        connect(made)
-    assert looks == list(range(100))  # in the order of acceptance, one check each
+        connect(new_gateway)
+    assert checks == list(range(100))  # in the order of acceptance, one check each
 
 
 def test_only_paused_connections_are_looked_behind():
-    made, _ = make_gateway()
-    looked = []
-    connections = [connect(made) for _ in range(5)]
+    new_gateway, _ = make_gateway()
+    checked = []
+    connections = [connect(new_gateway) for _ in range(5)]
     for connection in connections:
-        connection.check_paused = lambda connection=connection: looked.append(connection)
+        connection.check_paused = lambda connection=connection: checked.append(connection)
     for connection in connections[1:3]:
         connection.at_reply_limit = True
         connection.update_reading()
     connections[2].at_reply_limit = False
     connections[2].update_reading()
-    made.descriptors.sweep()
-    assert looked == connections[1:2]
+    new_gateway.descriptors.sweep()
+    assert checked == connections[1:2]
 
 
 def test_no_ended_connection_stays_in_a_queue():
-    made, _ = make_gateway()
+    new_gateway, _ = make_gateway()
     chance = random.Random(1)
     for _ in range(200):
-        connection = connect(made)
+        connection = connect(new_gateway)
         for name in chance.choices(sorted(EVENTS), k=5):
-            if connection in made.client_connections:
+            if connection in new_gateway.client_connections:
                 happens(name, connection)
         connection.connectionLost()
-    idle = made.descriptors.idle
+    idle = new_gateway.descriptors.idle
     queues = [*idle.expiring.values(), *idle.evictable.values()]
-    assert not any(queue.times for queue in queues) and not made.descriptors.paused
+    assert not any(queue.times for queue in queues) and not new_gateway.descriptors.paused
 
 
 def test_a_queue_keeps_its_order_where_a_time_does_not_change():
