--- a/tests/test_loop_lateness.py
+++ b/tests/test_loop_lateness.py
@@ -36,22 +36,22 @@
 def test_two_late_firings_in_a_row_are_an_overload_if_the_process_used_the_cpu(own_part, overloaded):
     lateness, now, cpu_time = LoopLateness(), 1.0, 0.5
     lateness.record_firing(now, now, cpu_time)
-    for turn, late in enumerate((OVERLOAD_LATENESS, OVERLOAD_LATENESS, OVERLOAD_LATENESS / 2)):
+    for firing, late in enumerate((OVERLOAD_LATENESS, OVERLOAD_LATENESS, OVERLOAD_LATENESS / 2)):
         due, now = now + 0.1, now + 0.1 + late * 1.001
         cpu_time += own_part * (late + 0.1)
         lateness.record_firing(due, now, cpu_time)
-        assert lateness.is_overloaded is (overloaded and turn == 1)
+        assert lateness.is_overloaded is (overloaded and firing == 1)
 
 
 def test_new_connections_are_shed_while_the_loop_is_late_and_not_while_it_ends():
-    made, _ = make_gateway()
-    kept = connect(made)
-    made.lateness.consecutive_late_firings = 2
-    shed = connect(made)
-    assert shed.transport.value() == b"-ERR max number of clients reached\r\n"
-    assert made.client_connections == {kept}
-    made.draining = True  # connections that the kernel has accepted must be served then
-    assert connect(made) in made.client_connections
+    gateway, _ = make_gateway()
+    connection = connect(gateway)
+    gateway.lateness.consecutive_late_firings = 2
+    shed_connection = connect(gateway)
+    assert shed_connection.transport.value() == b"-ERR max number of clients reached\r\n"
+    assert gateway.client_connections == {connection}
+    gateway.draining = True  # connections that the kernel has accepted must be served then
+    assert connect(gateway) in gateway.client_connections
 
 
 class RecordingFactory(ServerFactory):
@@ -80,10 +80,10 @@
         port.accept_queued()
         assert len(factory.accepted) == 60
     finally:
-        for each in clients:
-            each.close()
-        for each in factory.accepted:
-            each.transport.socket.close()
+        for client in clients:
+            client.close()
+        for protocol in factory.accepted:
+            protocol.transport.socket.close()
         port.socket.close()
 
 
--- a/tests/test_net_ops.py
+++ b/tests/test_net_ops.py
@@ -175,8 +175,8 @@
         folder = f"/proc/{self.process.pid}/fd"
         before, (host, port) = len(os.listdir(folder)), self.ops.split(":")
         crowd = [socket.create_connection((host, int(port)), WAIT_TIMEOUT) for _ in range(40)]
-        for each in crowd:
-            self.addCleanup(each.close)
+        for caller in crowd:
+            self.addCleanup(caller.close)
         self.assertEqual(self.call("GET", "/status")[0], 200)  # queued behind them
         self.assertLessEqual(len(os.listdir(folder)), before + ops.MAX_CONNECTIONS)
         with contextlib.suppress(ConnectionResetError):
