--- a/corkdeal/net/backend_connection.py
+++ b/corkdeal/net/backend_connection.py
@@ -226,7 +226,7 @@
         self.transport.connectionLost(ABORTED)
 
     def handle_loss(self) -> None:
-        """Connecting failed or the connection broke: the attempt may have run only if fully written."""
+        """Connecting failed or the connection broke; the attempt may have run only if fully written."""
         if self.ended:
             return
         attempt, self.ended, self.attempt = self.attempt, True, None
