--- a/corkdeal/decisions/incarnations.py
+++ b/corkdeal/decisions/incarnations.py
@@ -18,7 +18,7 @@
 INCARNATION_RANGE = 1 << 32  # ms, at which incarnations wrap around
 UNKNOWN = 0  # placeholder for an unknown incarnation
 CORRECTION_INTERVAL = 0.25  # s, minimum time between corrections of one peer
-OLDER_MARGIN = 3000  # ms; a peer that started earlier by more than this counted units spent before
+START_MARGIN = 3000  # ms; a peer that started earlier by more than this counted units spent before
 
 
 class IncarnationStatus(enum.Enum):
@@ -83,8 +83,8 @@
     def advance_past(self, own: int) -> bool:
         """Choose an incarnation after all known ones if a peer knows a later one of this gateway.
 
-        Returns whether it did. The new incarnation is more than OLDER_MARGIN later, so that all peers count
-        as older and their totals are adopted.
+        Returns whether it did. The new incarnation is more than START_MARGIN later, so that all peers
+        predate it and their totals are adopted.
         """
         if own == UNKNOWN or not is_later(own, self.own):
             return False
@@ -92,9 +92,9 @@
         for incarnation in self.peers.values():
             if is_later(incarnation, latest):
                 latest = incarnation
-        self.own = incarnation_after(latest, OLDER_MARGIN + 1)
+        self.own = incarnation_after(latest, START_MARGIN + 1)
         return True
 
     def predates_start(self, incarnation: int) -> bool:
         """Return whether a peer started before this gateway, and so counted units spent earlier."""
-        return is_later(self.own, incarnation + OLDER_MARGIN)
+        return is_later(self.own, incarnation + START_MARGIN)
--- a/tests/decisions/test_incarnations.py
+++ b/tests/decisions/test_incarnations.py
@@ -5,7 +5,7 @@
 from corkdeal.decisions.incarnations import (
     CORRECTION_INTERVAL,
     INCARNATION_RANGE,
-    OLDER_MARGIN,
+    START_MARGIN,
     Incarnations,
     IncarnationStatus,
     incarnation_after,
@@ -64,7 +64,7 @@
         and incarnations.own == 100
     )
     assert incarnations.advance_past(500)
-    assert incarnations.own == 90_000 + OLDER_MARGIN + 1
+    assert incarnations.own == 90_000 + START_MARGIN + 1
     assert incarnations.predates_start(90_000) and not incarnations.predates_start(
-        incarnations.own - OLDER_MARGIN
+        incarnations.own - START_MARGIN
     )
--- a/tests/decisions/test_peer_protocol.py
+++ b/tests/decisions/test_peer_protocol.py
@@ -7,7 +7,7 @@
 from corkdeal.decisions.actions import Log, SendToPeer
 from corkdeal.decisions.aggregation_tree import AggregationScheduler
 from corkdeal.decisions.events import PeerMessage
-from corkdeal.decisions.incarnations import OLDER_MARGIN
+from corkdeal.decisions.incarnations import START_MARGIN
 from corkdeal.decisions.peer_messages import SHARE_STEPS, AccountUpdate, TreeTotals
 from corkdeal.decisions.peer_protocol import PeerProtocol
 from corkdeal.decisions.quota_exchange import QuotaExchange
@@ -118,7 +118,7 @@
 def test_a_gateway_whose_clock_was_set_back_advances_past_what_its_peers_know():
     peers, host = make()
     peers.receive(exchange_message([], own_incarnation=OWN_INCARNATION + 5000))
-    assert peers.incarnations.own == OWN_INCARNATION + 5000 + OLDER_MARGIN + 1
+    assert peers.incarnations.own == OWN_INCARNATION + 5000 + START_MARGIN + 1
     assert any(isinstance(action, Log) for action in host.actions)
 
 
