--- a/tests/decisions/test_gateway.py
+++ b/tests/decisions/test_gateway.py
@@ -1,4 +1,4 @@
-"""Guards of the rules: final replies, no unsafe repeats, attempts, drained and cold backends, hard limits."""
+"""Rules that always hold: one final reply, no unsafe retry, attempt limits, slow start, hard limits."""
 
 import pytest
 
--- a/tests/decisions/test_quota_exchange.py
+++ b/tests/decisions/test_quota_exchange.py
@@ -264,7 +264,7 @@
 
 
 class StandaloneExchange:
-    """A quota exchange without a gateway: accounts need no refill, and nothing is borrowed."""
+    """A quota exchange without a gateway, where accounts are not refilled and nothing is borrowed."""
 
     def __init__(self, gateway_index, plan=PLAN, gateway_count=2):
         self.table = AccountTable(settings(gateway_index, gateway_count, plans=(plan,)))
--- a/tests/decisions/test_slow_start.py
+++ b/tests/decisions/test_slow_start.py
@@ -100,7 +100,10 @@
 
 
 def budgets_of(gateways, works, load, seed):
-    """Budgets of gateways whose served rate for 10 s matched one backend of that load (work per second)."""
+    """Return the budget of each gateway, and its record of a cold backend.
+
+    For 10 s before, the gateways together gave each warm backend `load` s of work per second.
+    """
     config = settings(
         gateways=gateways, initial_capacity=0.25, warm_up_time=1e9, overload_multiple=4.0, overload_window=1.0
     )
