--- a/corkdeal/net/client_port.py
+++ b/corkdeal/net/client_port.py
@@ -33,9 +33,9 @@
         super().doRead()
 
 
-def listen(reactor: Any, at: tuple[str, int], factory: Any) -> ClientPort:
+def listen(reactor: Any, address: tuple[str, int], factory: Any) -> ClientPort:
     """Listen on this address only."""
-    port = ClientPort(at[1], factory, socket.SOMAXCONN, at[0], reactor)
+    port = ClientPort(address[1], factory, socket.SOMAXCONN, address[0], reactor)
     port.startListening()
     return port
 
--- a/corkdeal/net/discovery_watch.py
+++ b/corkdeal/net/discovery_watch.py
@@ -48,8 +48,8 @@
 class DiscoveryEndpointFactory:
     """The one address of discovery. Agent's own endpoints look names up in a thread, even for an address."""
 
-    def __init__(self, reactor: Any, at: tuple[str, int]) -> None:
-        self.endpoint = TCP4ClientEndpoint(reactor, *at, timeout=CONNECT_TIMEOUT)
+    def __init__(self, reactor: Any, address: tuple[str, int]) -> None:
+        self.endpoint = TCP4ClientEndpoint(reactor, *address, timeout=CONNECT_TIMEOUT)
 
     def endpointForURI(self, uri: Any) -> TCP4ClientEndpoint:
         """Return the endpoint of discovery, whatever the URI."""
@@ -102,7 +102,7 @@
     def __init__(
         self,
         reactor: Any,
-        at: tuple[str, int],
+        address: tuple[str, int],
         settings: Settings,
         on_snapshot: Callable[[DiscoverySnapshot], None],
         initial: DiscoverySnapshot | None = None,
@@ -113,10 +113,12 @@
         self.revision = initial.revision if initial and initial.complete else None
         self.has_received = False  # whether any list was received yet
         self.pauses = RetryPauses(settings, rng or random.Random())
-        self.url = f"http://{at[0]}:{at[1]}/v1/servers".encode()
+        self.url = f"http://{address[0]}:{address[1]}/v1/servers".encode()
         self.pool = HTTPConnectionPool(reactor, persistent=True)
         self.pool.retryAutomatically = False
-        self.agent = Agent.usingEndpointFactory(reactor, DiscoveryEndpointFactory(reactor, at), self.pool)
+        self.agent = Agent.usingEndpointFactory(
+            reactor, DiscoveryEndpointFactory(reactor, address), self.pool
+        )
         self.running = False
         self.pending: Any = None  # the Deferred that the pending call waits for
 
