--- a/tests/decisions/test_gateway.py
+++ b/tests/decisions/test_gateway.py
@@ -1,4 +1,4 @@
-"""Rules that always hold: one final reply, no unsafe retry, attempt limits, slow start, hard limits."""
+"""Fixed rules: one final reply, no unsafe retry, attempt limits, draining and cold backends, hard limits."""
 
 import pytest
 
