--- a/tests/test_bodies.py
+++ b/tests/test_bodies.py
@@ -100,7 +100,7 @@
     offset, _tempDataBuffer, _tempDataLen, connected = 0, (), 0, True
 
     def __init__(self):
-        self.taken, self.room, self.dataBuffer = bytearray(), 1 << 40, b""
+        self.taken, self.free_space, self.dataBuffer = bytearray(), 1 << 40, b""
         self.producerPaused = self.reading_paused = self.closed = self.aborted = False
         self.producer = None
 
@@ -122,11 +122,11 @@
         return -1
 
     def sendmsg(self, parts):
-        data = b"".join(parts)[: self.room]
+        data = b"".join(parts)[: self.free_space]
         if not data:
             raise BlockingIOError
         self.taken += data
-        self.room -= len(data)
+        self.free_space -= len(data)
         return len(data)
 
     def write(self, data):
@@ -146,7 +146,7 @@
     def take(self):
         """The peer reads all and has free space again."""
         self.taken += self.dataBuffer
-        self.dataBuffer, self.room = b"", 1 << 40
+        self.dataBuffer, self.free_space = b"", 1 << 40
         if self.producer and (self.producerPaused or not self.streaming):
             self.producerPaused = False
             self.producer.resumeProducing()
@@ -215,13 +215,13 @@
     pair = GatewayWithClient()
     first, _ = pair.ask(1)
     conn, wire = pair.ask(2)  # its reply has to wait for that of the first
-    pair.client.room = 1000
+    pair.client.free_space = 1000
     pieces, held, takes = deque(split_at(HEAD + VALUE + TAIL, at)), 0, deque(takes)
     while pieces:
         if wire.reading_paused:
             if not first.attempt:
                 pair.client.take()
-                pair.client.room = takes.popleft() * LONG if takes else 0
+                pair.client.free_space = takes.popleft() * LONG if takes else 0
             else:
                 first.dataReceived(served())
             continue
@@ -238,10 +238,10 @@
     try:
         conn, _ = pair.ask(3)
         conn.dataReceived((HEAD + VALUE + TAIL)[:90000])
-        gone = weakref.ref(conn.response_stream)
+        stream_ref = weakref.ref(conn.response_stream)
         conn.dataReceived((HEAD + VALUE + TAIL)[90000:])
         pair.client.take()
-        assert conn.response_stream is None and gone() is None
+        assert conn.response_stream is None and stream_ref() is None
     finally:
         gc.enable()
 
@@ -259,20 +259,20 @@
 ]
 
 
-@pytest.mark.parametrize(("given", "status", "name", "gone"), BAD_REPLIES)
-def test_a_backend_that_spoils_a_long_answer_costs_that_answer_only(given, status, name, gone):
+@pytest.mark.parametrize(("events", "status", "name", "is_closed"), BAD_REPLIES)
+def test_a_backend_that_spoils_a_long_answer_costs_that_answer_only(events, status, name, is_closed):
     pair = GatewayWithClient()
     conn, _ = pair.ask(1)
-    for what in given:
-        if what is None:
+    for event in events:
+        if event is None:
             conn.connectionLost()
-        elif isinstance(what, float):
-            pair.reactor.advance(what)
+        elif isinstance(event, float):
+            pair.reactor.advance(event)
         else:
-            conn.dataReceived(what)
+            conn.dataReceived(event)
     assert pair.outcomes()[0] is status
     assert invariants.counts[name] == 1
-    assert pair.client.closed is gone
+    assert pair.client.closed is is_closed
     assert bytes(pair.client.taken) in VALUE
 
 
@@ -291,8 +291,8 @@
     conn, wire = pair.ask(1)
     pair.reactor.advance(0.25)
     conn.dataReceived(HEAD + VALUE[:90000])
-    server = pair.gateway.decisions.backends.records["a"]
-    assert not server.in_flight and len(server.streaming) == 1
+    backend = pair.gateway.decisions.backends.records["a"]
+    assert not backend.in_flight and len(backend.streaming) == 1
     for _ in range(8):  # far past its deadline, a byte every second
         pair.reactor.advance(1.0)
         conn.dataReceived(b"v")
@@ -300,17 +300,17 @@
     assert bytes(pair.client.taken) == VALUE
     last = [e for e in pair.events if isinstance(e, AttemptEnded)][-1]
     assert (last.status, last.elapsed, last.report) == (Status.OK, 0.25, {"qps": 1.0})
-    assert not server.streaming and len(pair.reactor.tcpClients) == 1
+    assert not backend.streaming and len(pair.reactor.tcpClients) == 1
 
 
 def test_a_client_that_takes_nothing_ends_and_one_that_goes_away_frees_its_backend():
-    for leave in (False, True):
+    for is_closed in (False, True):
         pair = GatewayWithClient()
         conn, wire = pair.ask(1)
-        pair.client.room = 0
+        pair.client.free_space = 0
         conn.dataReceived(HEAD + VALUE[:90000])
         assert wire.reading_paused
-        if leave:
+        if is_closed:
             pair.client_connection.connectionLost()
         else:
             for _ in range(4):
@@ -363,11 +363,11 @@
         pair.client_connection.dataReceived(piece)
         pair.reactor.advance(0.01)
     conn, wire = pair.reactor.tcpClients[-1][2].buildProtocol(None), FakeTransport()
-    wire.room = 1000
+    wire.free_space = 1000
     conn.makeConnection(wire)
     for n in takes:
         wire.take()
-        wire.room = n * LONG
+        wire.free_space = n * LONG
     wire.take()
     assert without_wait(wire.taken) == without_wait(raw)
     assert pair.gateway.budget.total >= 3 * LONG  # until its reply, since it may have to be retried
@@ -381,12 +381,14 @@
     # may be retried only because it can't have run
     pair.client_connection.dataReceived(write(cls=b"pay", more=b""))
     conn, wire = pair.reactor.tcpClients[-1][2].buildProtocol(None), FakeTransport()
-    wire.room = LONG
+    wire.free_space = LONG
     conn.makeConnection(wire)
     conn.connectionLost()
     assert pair.outcomes() == [Status.CONNECT_FAILED]
-    again, whole = pair.establish()
-    assert again is not conn and without_wait(whole.taken) == without_wait(write(cls=b"pay", more=b""))
+    second_conn, second_wire = pair.establish()
+    assert second_conn is not conn and without_wait(second_wire.taken) == without_wait(
+        write(cls=b"pay", more=b"")
+    )
 
 
 def test_a_connection_that_breaks_under_a_long_command_never_had_it_whole():
@@ -403,20 +405,20 @@
 EARLY_REPLIES = [(b"-BUSY\r\n", Status.REJECTED), (served(), Status.RESET), (HEAD + VALUE, Status.RESET)]
 
 
-@pytest.mark.parametrize(("answer", "status"), EARLY_REPLIES)
-def test_an_answer_to_a_command_that_is_not_whole_ends_its_connection(answer, status):
+@pytest.mark.parametrize((("reply", "status")), EARLY_REPLIES)
+def test_an_answer_to_a_command_that_is_not_whole_ends_its_connection(reply, status):
     pair = GatewayWithClient()
     pair.client_connection.dataReceived(write())
     conn, wire = pair.reactor.tcpClients[-1][2].buildProtocol(None), FakeTransport()
-    wire.room = LONG
+    wire.free_space = LONG
     conn.makeConnection(wire)
-    conn.dataReceived(answer)
+    conn.dataReceived(reply)
     assert pair.outcomes() == [status] and conn.ended and wire.aborted
     assert not pair.client.taken.startswith(b"$")
 
 
 PING, PONG = encode_command(b"PING"), b"+PONG\r\n"
-BAD = [  # a command with a large value, and the reply before that to PING
+BAD_COMMANDS = [  # a command with a large value, and the reply before that to PING
     (encode_command(b"ECHO", b"x" * LONG), b"-ERR only the last"),
     (encode_command(b"PING", b"x" * LONG, b"x" * LONG), b"-ERR only the last"),
     (encode_command(b"API.READ", b"x" * LONG, b"1", b"c=look"), b"-ERR only the last"),
@@ -427,14 +429,14 @@
 ]
 
 
-@pytest.mark.parametrize(("raw", "answer"), BAD)
-def test_a_bad_command_with_a_long_value_is_read_past_and_the_client_connection_stays(raw, answer):
+@pytest.mark.parametrize(("raw", "reply"), BAD_COMMANDS)
+def test_a_bad_command_with_a_long_value_is_read_past_and_the_client_connection_stays(raw, reply):
     for size in (len(raw), 5000):
         pair = GatewayWithClient()
         for i in range(0, len(raw), size):
             pair.client_connection.dataReceived(raw[i : i + size])
         pair.client_connection.dataReceived(PING)
-        assert pair.client.taken.startswith(answer) and pair.client.taken.endswith(PONG)
+        assert pair.client.taken.startswith(reply) and pair.client.taken.endswith(PONG)
         assert bytes(pair.client.taken).count(b"\r\n") == 2
         assert (
             not pair.gateway.command_parser.open_ids
@@ -472,14 +474,14 @@
 ]
 
 
-@pytest.mark.parametrize(("leave", "answer", "name"), INCOMPLETE_BODIES)
-def test_a_body_that_does_not_come_whole_costs_its_own_command(leave, answer, name):
+@pytest.mark.parametrize(("interrupt", "reply", "name"), INCOMPLETE_BODIES)
+def test_a_body_that_does_not_come_whole_costs_its_own_command(interrupt, reply, name):
     pair = GatewayWithClient()
     pair.client_connection.dataReceived(write()[:LONG])
     assert pair.gateway.command_parser.open_ids
     pair.reactor.advance(0.1)
-    leave(pair)
-    assert bytes(pair.client.taken).startswith(answer) and bool(answer) == bool(pair.client.taken)
+    interrupt(pair)
+    assert bytes(pair.client.taken).startswith(reply) and bool(reply) == bool(pair.client.taken)
     assert not name or invariants.counts[name] == 1
     assert (
         not pair.gateway.command_parser.open_ids and pair.gateway.budget.total == 0 and not pair.gateway.rpcs
@@ -514,23 +516,23 @@
 def test_a_body_without_room_waits_then_is_refused_and_an_answer_without_room_waits():
     pair = GatewayWithClient()
     budget = pair.gateway.budget
-    hog = BudgetHolder(budget)
+    holder = BudgetHolder(budget)
     pair.client_connection.dataReceived(write(1, size=2 * LONG)[:LONG])
     other = gateway.client_connection.ClientConnection(pair.gateway)
     other.makeConnection(FakeTransport())
     other.dataReceived(write(2, size=2 * LONG)[:LONG])
-    asker = gateway.client_connection.ClientConnection(pair.gateway)
-    asker.makeConnection(taker := FakeTransport())
-    asker.dataReceived(encode_command(b"API.READ", b"%016x" % 7, b"%016x" % 3, b"c=look,t=large,d=3000"))
+    reader = gateway.client_connection.ClientConnection(pair.gateway)
+    reader.makeConnection(reader_transport := FakeTransport())
+    reader.dataReceived(encode_command(b"API.READ", b"%016x" % 7, b"%016x" % 3, b"c=look,t=large,d=3000"))
     conn, wire = pair.establish()
-    budget.set_held(hog, budget.high_mark)
+    budget.set_held(holder, budget.high_mark)
     assert other.paused and not pair.client_connection.paused  # the oldest body may be completed
     conn.dataReceived(HEAD + VALUE)
-    assert wire.reading_paused and not taker.taken
+    assert wire.reading_paused and not reader_transport.taken
     pair.reactor.advance(request_stream.MEMORY_TIMEOUT)
     assert other.transport.taken.startswith(b"-BUSY 500") and not other.paused
-    budget.set_held(hog, 0)
-    assert bytes(taker.taken) == VALUE and not wire.reading_paused
+    budget.set_held(holder, 0)
+    assert bytes(reader_transport.taken) == VALUE and not wire.reading_paused
 
 
 class BudgetHolder:
