--- a/tests/test_net_closing.py
+++ b/tests/test_net_closing.py
@@ -167,8 +167,8 @@
         self.thaw()
         asked.conn.send(served())
         self.world.next().conn.send(served())
-        for each in (client, late):
-            self.assertEqual(each.read(), [b"v"])
+        for connection in (client, late):
+            self.assertEqual(connection.read(), [b"v"])
         self.assertEqual(self.process.wait(WAIT_TIMEOUT), 0)
         self.line("reloaded")
 
--- a/tests/test_net_races.py
+++ b/tests/test_net_races.py
@@ -65,8 +65,8 @@
 
     def test_what_is_still_open_is_answered_before_the_kill(self):
         settings = copy.deepcopy(SETTINGS)
-        for each in settings["classes"]:
-            each.update(aim_us=600_000, deadline_us=600_000)  # so SIGKILL is due 1.3 s after SIGTERM
+        for request_class in settings["classes"]:
+            request_class.update(aim_us=600_000, deadline_us=600_000)  # so SIGKILL is due 1.3 s after SIGTERM
         self.start(config={"settings": settings}, a={}, b={}, c={}, d={})
         client, waiting, idle = self.client(), self.client(), self.client()
         idle.send(encode_command(b"PING"))
@@ -84,7 +84,7 @@
         self.assertEqual(client.read(), [GONE])
         self.assertEqual(waiting.read(), [GONE])
         self.assertEqual(self.process.wait(WAIT_TIMEOUT), 0)
-        self.assertTrue(all(each.ended.wait(WAIT_TIMEOUT) for each in (first, second, third)))
+        self.assertTrue(all(asked.ended.wait(WAIT_TIMEOUT) for asked in (first, second, third)))
 
     def test_signals_that_come_twice_or_late_change_nothing(self):
         self.start(a={})
@@ -197,10 +197,10 @@
 class UnreadBytes(ControlledProgram):
     """A client connection with unread bytes is not closed as idle."""
 
-    def open_clients(self, many, spoken):
-        """Open client connections; with `spoken`, each has sent a PING, otherwise nothing."""
-        clients = [self.client() for _ in range(many)]
-        for client in clients if spoken else ():
+    def open_clients(self, count, send_ping):
+        """Open client connections; with `send_ping`, each has sent a PING, otherwise nothing."""
+        clients = [self.client() for _ in range(count)]
+        for client in clients if send_ping else ():
             client.send(encode_command(b"PING"))
             self.assertEqual(client.read(), [b"PONG"])
         return clients
@@ -208,7 +208,9 @@
     def test_a_silent_client_connection_whose_first_command_has_come(self):
         self.start(a={})
         probe = self.client()
-        clients = self.open_clients(40, spoken=False)  # enough to shorten the timeout of silent connections
+        clients = self.open_clients(
+            40, send_ping=False
+        )  # enough to shorten the timeout of silent connections
         probe.send(encode_command(b"PING"))
         self.assertEqual(probe.read(), [b"PONG"])
         self.freeze()
@@ -221,18 +223,18 @@
 
     def test_the_rest_of_a_command_that_has_come(self):
         self.start(a={})
-        client, whole = self.client(), encode_command(b"PING")
-        client.send(encode_command(b"PING") + whole[:9])
+        client, ping = self.client(), encode_command(b"PING")
+        client.send(encode_command(b"PING") + ping[:9])
         self.assertEqual(client.read(), [b"PONG"])
         self.freeze()
         stopped = time.monotonic()
-        client.send(whole[9:])
+        client.send(ping[9:])
         self.thaw(after=2.7, since=stopped)
         self.assertEqual(client.read(), [b"PONG"])
 
     def test_one_that_would_be_closed_for_another(self):
         self.start(config={"limits": {"sockets": 33}}, a={})
-        clients = self.open_clients(8, spoken=True)  # all that may be open beside one backend connection
+        clients = self.open_clients(8, send_ping=True)  # all that may be open beside one backend connection
         self.freeze()
         stopped = time.monotonic()
         other = self.client()  # needs an idle connection to be closed
