--- a/corkdeal/experiment/tier.py
+++ b/corkdeal/experiment/tier.py
@@ -21,7 +21,7 @@
 from ..standin import clients, fleet
 from ..standin.backends import Arrival, BackendModel, FakeBackend, gamma_work
 from ..standin.discovery import Discovery
-from ..standin.history import Attempt, Away, History, Quota, Told, Try, check, most_over
+from ..standin.history import Attempt, Away, ClientAttempt, History, Quota, Told, check, most_over
 from ..standin.links import OPEN, DoorFault, Links
 from ..standin.links import Fault as LinkFault
 from . import measure
@@ -46,16 +46,16 @@
     ) -> None:
         """Record an attempt that is sent."""
         now = self.clock()
-        self.history.tries[request_id] = Try(
+        self.history.client_attempts[request_id] = ClientAttempt(
             request_id, request.customer.id, gateway, request.at, now, now + time_left
         )
 
     def on_reply(self, request_id: int, first_byte: str) -> None:
         """Record the reply to an attempt, or that its connection ended without one."""
         if first_byte:
-            self.history.tries[request_id].answers.append((self.clock(), first_byte))
+            self.history.client_attempts[request_id].answers.append((self.clock(), first_byte))
         else:
-            self.history.tries[request_id].cut_at = self.clock()
+            self.history.client_attempts[request_id].cut_at = self.clock()
 
 
 class Play:
--- a/corkdeal/standin/history.py
+++ b/corkdeal/standin/history.py
@@ -18,7 +18,7 @@
 
 
 @dataclass(slots=True)
-class Try:
+class ClientAttempt:
     """One attempt of a client: a request with an ID of its own."""
 
     id: int
@@ -91,7 +91,7 @@
     """All observations of a run; each list is in the order of the events."""
 
     def __init__(self) -> None:
-        self.tries: dict[int, Try] = {}
+        self.client_attempts: dict[int, ClientAttempt] = {}
         self.attempts: list[Attempt] = []
         self.told: dict[int, list[Told]] = defaultdict(list)
         self.away: list[Away] = []
@@ -129,7 +129,7 @@
 def check_replies(history: History, end: float) -> list[Violation]:
     """Each client attempt gets exactly one reply in time, if its gateway was up and running throughout."""
     violations = []
-    for t in history.tries.values():
+    for t in history.client_attempts.values():
         until = t.deadline + ANSWER_SLACK
         if len(t.answers) > 1:
             violations.append(Violation("one final answer", (str(t),)))
@@ -143,7 +143,7 @@
     return [
         Violation("nothing sent on after its time", (str(t), str(a)))
         for a in history.attempts
-        if (t := history.tries.get(a.request)) is not None and a.at > t.deadline + slack
+        if (t := history.client_attempts.get(a.request)) is not None and a.at > t.deadline + slack
     ]
 
 
--- a/tests/tier/test_history.py
+++ b/tests/tier/test_history.py
@@ -2,14 +2,14 @@
 
 import pytest
 
-from corkdeal.standin.history import Attempt, Away, History, Quota, Told, Try, check
+from corkdeal.standin.history import Attempt, Away, ClientAttempt, History, Quota, Told, check
 
 QUOTAS = {7: Quota(rate=1.0, burst=3.0, bound=0.0)}
 
 
-def history(tries=(), attempts=(), told=(), away=()):
+def history(client_attempts=(), attempts=(), told=(), away=()):
     result = History()
-    result.tries = {t.id: t for t in tries}
+    result.client_attempts = {t.id: t for t in client_attempts}
     result.attempts, result.away = list(attempts), list(away)
     for gateway, *rest in told:
         result.told[gateway].append(Told(*rest))
@@ -17,7 +17,7 @@
 
 
 def client_attempt(*answers):
-    return Try(1, 7, 0, 1.0, 1.0, 3.0, [(at, "$") for at in answers])
+    return ClientAttempt(1, 7, 0, 1.0, 1.0, 3.0, [(at, "$") for at in answers])
 
 
 def burst(count, gap):
