--- a/corkdeal/experiment/tier.py
+++ b/corkdeal/experiment/tier.py
@@ -21,7 +21,7 @@
 from ..standin import clients, fleet
 from ..standin.backends import Arrival, BackendModel, FakeBackend, gamma_work
 from ..standin.discovery import Discovery
-from ..standin.history import Attempt, Away, ClientAttempt, History, Quota, Told, check, most_over
+from ..standin.history import Away, BackendAttempt, ClientAttempt, History, Quota, Told, check, most_over
 from ..standin.links import OPEN, DoorFault, Links
 from ..standin.links import Fault as LinkFault
 from . import measure
@@ -157,7 +157,7 @@
         other_backend = next((o.server for o in others if o.is_open()), "")
         others.append(a)
         self.history.attempts.append(
-            Attempt(self.clock(), a.server, int(a.gateway), a.request, a.customer, other_backend)
+            BackendAttempt(self.clock(), a.server, int(a.gateway), a.request, a.customer, other_backend)
         )
 
     # Steps
--- a/corkdeal/standin/history.py
+++ b/corkdeal/standin/history.py
@@ -39,7 +39,7 @@
         )
 
 
-class Attempt(NamedTuple):
+class BackendAttempt(NamedTuple):
     """One attempt of a gateway, as it arrived at its backend."""
 
     at: float
@@ -92,7 +92,7 @@
 
     def __init__(self) -> None:
         self.client_attempts: dict[int, ClientAttempt] = {}
-        self.attempts: list[Attempt] = []
+        self.attempts: list[BackendAttempt] = []
         self.told: dict[int, list[Told]] = defaultdict(list)
         self.away: list[Away] = []
         self.events: list[tuple[float, str]] = []
--- a/tests/tier/test_history.py
+++ b/tests/tier/test_history.py
@@ -2,7 +2,7 @@
 
 import pytest
 
-from corkdeal.standin.history import Attempt, Away, ClientAttempt, History, Quota, Told, check
+from corkdeal.standin.history import Away, BackendAttempt, ClientAttempt, History, Quota, Told, check
 
 QUOTAS = {7: Quota(rate=1.0, burst=3.0, bound=0.0)}
 
@@ -21,7 +21,7 @@
 
 
 def burst(count, gap):
-    return [Attempt(10 + n * gap, "s", 0, n, 7) for n in range(count)]
+    return [BackendAttempt(10 + n * gap, "s", 0, n, 7) for n in range(count)]
 
 
 LISTS = [(0, 0.0, frozenset("ab")), (0, 5.0, frozenset("b"))]
@@ -35,12 +35,18 @@
         (history([client_attempt()]), "one final answer"),
         (history([client_attempt()], away=[Away(0, 2.0, 9.0)]), None),
         (history([client_attempt()], away=[Away(1, 2.0, 9.0)]), "one final answer"),
-        (history(attempts=[Attempt(1.0, "a", 0, 1, 7)]), None),
-        (history(attempts=[Attempt(1.0, "a", 0, 1, 7, "b")]), "never two attempts at once"),
-        (history(attempts=[Attempt(5.2, "a", 0, 1, 7)], told=LISTS), None),
-        (history(attempts=[Attempt(5.3, "a", 0, 1, 7)], told=LISTS), "nothing new to a server told away"),
-        (history(attempts=[Attempt(9.0, "b", 0, 1, 7)], told=LISTS), None),
-        (history(attempts=[Attempt(9.0, "c", 0, 1, 7)], told=LISTS), "nothing new to a server told away"),
+        (history(attempts=[BackendAttempt(1.0, "a", 0, 1, 7)]), None),
+        (history(attempts=[BackendAttempt(1.0, "a", 0, 1, 7, "b")]), "never two attempts at once"),
+        (history(attempts=[BackendAttempt(5.2, "a", 0, 1, 7)], told=LISTS), None),
+        (
+            history(attempts=[BackendAttempt(5.3, "a", 0, 1, 7)], told=LISTS),
+            "nothing new to a server told away",
+        ),
+        (history(attempts=[BackendAttempt(9.0, "b", 0, 1, 7)], told=LISTS), None),
+        (
+            history(attempts=[BackendAttempt(9.0, "c", 0, 1, 7)], told=LISTS),
+            "nothing new to a server told away",
+        ),
         (history(attempts=burst(3, 0.0)), None),
         (history(attempts=burst(20, 1.0)), None),
         (history(attempts=burst(4, 0.0)), "units within quota"),
