--- a/corkdeal/experiment/tier.py
+++ b/corkdeal/experiment/tier.py
@@ -21,7 +21,7 @@
 from ..standin import clients, fleet
 from ..standin.backends import Arrival, BackendModel, FakeBackend, gamma_work
 from ..standin.discovery import Discovery
-from ..standin.history import Away, BackendAttempt, ClientAttempt, History, Quota, Told, check, most_over
+from ..standin.history import Away, BackendAttempt, ClientAttempt, History, Quota, SentList, check, most_over
 from ..standin.links import OPEN, DoorFault, Links
 from ..standin.links import Fault as LinkFault
 from . import measure
@@ -149,7 +149,7 @@
     def record_endpoint_list(self, gateway: int, endpoints: list[dict[str, Any]]) -> None:
         """Record the endpoint list that a gateway received."""
         ready = frozenset(m["id"] for m in endpoints if m["phase"] == "Ready")
-        self.history.told[gateway].append(Told(self.clock(), ready))
+        self.history.sent_lists[gateway].append(SentList(self.clock(), ready))
 
     def record_attempt(self, a: Arrival) -> None:
         """Record an attempt at a backend, with the backend of another open attempt of the same request."""
@@ -202,7 +202,7 @@
 
     async def start(self, i: int) -> None:
         """Start a gateway; one that is killed before its first reply does not count as available again."""
-        previous_list = self.history.told[i][-1] if self.history.told[i] else None
+        previous_list = self.history.sent_lists[i][-1] if self.history.sent_lists[i] else None
         endpoint_document = self.discovery.document(i)
         if previous_list is None:
             self.record_endpoint_list(i, endpoint_document["members"])
@@ -392,8 +392,8 @@
     def discard_startup_history(self) -> None:
         """Discard what was recorded during the first starts, before the run."""
         self.history.attempts.clear()
-        self.history.told = {
-            i: [Told(-START_DELAY, lists[-1].ready)] for i, lists in self.history.told.items()
+        self.history.sent_lists = {
+            i: [SentList(-START_DELAY, lists[-1].ready)] for i, lists in self.history.sent_lists.items()
         }
         for kept in (self.connections, self.datagrams, self.ready, self.links.delays):
             kept.clear()  # type: ignore[attr-defined]
@@ -453,7 +453,7 @@
                 {
                     "attempts": [(a.at, a.server) for a in self.history.attempts],
                     "connections": self.connections,
-                    "discovery": [(t.at, "") for told in self.history.told.values() for t in told],
+                    "discovery": [(t.at, "") for lists in self.history.sent_lists.values() for t in lists],
                     "datagrams": [(at, "") for at in self.datagrams],
                 },
                 self.tier.settled,
--- a/corkdeal/standin/history.py
+++ b/corkdeal/standin/history.py
@@ -57,7 +57,7 @@
         )
 
 
-class Told(NamedTuple):
+class SentList(NamedTuple):
     """An endpoint list that a gateway was sent: the backends in state ready."""
 
     at: float
@@ -93,7 +93,7 @@
     def __init__(self) -> None:
         self.client_attempts: dict[int, ClientAttempt] = {}
         self.attempts: list[BackendAttempt] = []
-        self.told: dict[int, list[Told]] = defaultdict(list)
+        self.sent_lists: dict[int, list[SentList]] = defaultdict(list)
         self.away: list[Away] = []
         self.events: list[tuple[float, str]] = []
 
@@ -158,10 +158,10 @@
     """Attempts go to backends that were ready in the list REMOVAL_GRACE s before, or in a later one."""
     violations = []
     for a in history.attempts:
-        lists = history.told.get(a.gateway, [])
-        newest = bisect.bisect_right(lists, a.at - REMOVAL_GRACE - slack, key=lambda told: told.at) - 1
+        lists = history.sent_lists.get(a.gateway, [])
+        newest = bisect.bisect_right(lists, a.at - REMOVAL_GRACE - slack, key=lambda sent: sent.at) - 1
         since = lists[max(0, newest) :]
-        if newest >= 0 and not any(a.server in told.ready for told in since if told.at <= a.at):
+        if newest >= 0 and not any(a.server in sent.ready for sent in since if sent.at <= a.at):
             violations.append(
                 Violation(
                     "nothing new to a server told away",
--- a/tests/tier/test_history.py
+++ b/tests/tier/test_history.py
@@ -2,17 +2,17 @@
 
 import pytest
 
-from corkdeal.standin.history import Away, BackendAttempt, ClientAttempt, History, Quota, Told, check
+from corkdeal.standin.history import Away, BackendAttempt, ClientAttempt, History, Quota, SentList, check
 
 QUOTAS = {7: Quota(rate=1.0, burst=3.0, bound=0.0)}
 
 
-def history(client_attempts=(), attempts=(), told=(), away=()):
+def history(client_attempts=(), attempts=(), sent_lists=(), away=()):
     result = History()
     result.client_attempts = {t.id: t for t in client_attempts}
     result.attempts, result.away = list(attempts), list(away)
-    for gateway, *rest in told:
-        result.told[gateway].append(Told(*rest))
+    for gateway, *rest in sent_lists:
+        result.sent_lists[gateway].append(SentList(*rest))
     return result
 
 
@@ -37,14 +37,14 @@
         (history([client_attempt()], away=[Away(1, 2.0, 9.0)]), "one final answer"),
         (history(attempts=[BackendAttempt(1.0, "a", 0, 1, 7)]), None),
         (history(attempts=[BackendAttempt(1.0, "a", 0, 1, 7, "b")]), "never two attempts at once"),
-        (history(attempts=[BackendAttempt(5.2, "a", 0, 1, 7)], told=LISTS), None),
+        (history(attempts=[BackendAttempt(5.2, "a", 0, 1, 7)], sent_lists=LISTS), None),
         (
-            history(attempts=[BackendAttempt(5.3, "a", 0, 1, 7)], told=LISTS),
+            history(attempts=[BackendAttempt(5.3, "a", 0, 1, 7)], sent_lists=LISTS),
             "nothing new to a server told away",
         ),
-        (history(attempts=[BackendAttempt(9.0, "b", 0, 1, 7)], told=LISTS), None),
+        (history(attempts=[BackendAttempt(9.0, "b", 0, 1, 7)], sent_lists=LISTS), None),
         (
-            history(attempts=[BackendAttempt(9.0, "c", 0, 1, 7)], told=LISTS),
+            history(attempts=[BackendAttempt(9.0, "c", 0, 1, 7)], sent_lists=LISTS),
             "nothing new to a server told away",
         ),
         (history(attempts=burst(3, 0.0)), None),
