--- a/corkdeal/experiment/tier.py
+++ b/corkdeal/experiment/tier.py
@@ -21,7 +21,16 @@
 from ..standin import clients, fleet
 from ..standin.backends import Arrival, BackendModel, FakeBackend, gamma_work
 from ..standin.discovery import Discovery
-from ..standin.history import Away, BackendAttempt, ClientAttempt, History, Quota, SentList, check, most_over
+from ..standin.history import (
+    BackendAttempt,
+    ClientAttempt,
+    Downtime,
+    History,
+    Quota,
+    SentList,
+    check,
+    most_over,
+)
 from ..standin.links import OPEN, DoorFault, Links
 from ..standin.links import Fault as LinkFault
 from . import measure
@@ -198,7 +207,7 @@
     def mark_available(self, i: int) -> None:
         """Record that a gateway is available again."""
         if (since := self.away_since.pop(i, None)) is not None:
-            self.history.away.append(Away(i, since, self.clock()))
+            self.history.downtimes.append(Downtime(i, since, self.clock()))
 
     async def start(self, i: int) -> None:
         """Start a gateway; one that is killed before its first reply does not count as available again."""
@@ -386,7 +395,7 @@
             end = self.clock()
         finally:
             await self.stop_all()
-        self.history.away += [Away(i, since, NEVER) for i, since in self.away_since.items()]
+        self.history.downtimes += [Downtime(i, since, NEVER) for i, since in self.away_since.items()]
         return self.results(requests, end)
 
     def discard_startup_history(self) -> None:
@@ -436,7 +445,7 @@
         planned = steps(self.schedule)
         away = [s.second for s in planned if s.kind in ("kill", "term", "stop")]
         first = min(away or [s.second for s in planned], default=self.tier.seconds)
-        last = max((a.end if a.end < NEVER else a.begin for a in self.history.away), default=first)
+        last = max((a.end if a.end < NEVER else a.begin for a in self.history.downtimes), default=first)
         return {
             "seed": self.seed,
             "gateways": self.tier.gateways,
--- a/corkdeal/standin/history.py
+++ b/corkdeal/standin/history.py
@@ -64,7 +64,7 @@
     ready: frozenset[str]
 
 
-class Away(NamedTuple):
+class Downtime(NamedTuple):
     """A period in which a gateway was down or stopped (SIGSTOP)."""
 
     gateway: int
@@ -94,7 +94,7 @@
         self.client_attempts: dict[int, ClientAttempt] = {}
         self.attempts: list[BackendAttempt] = []
         self.sent_lists: dict[int, list[SentList]] = defaultdict(list)
-        self.away: list[Away] = []
+        self.downtimes: list[Downtime] = []
         self.events: list[tuple[float, str]] = []
 
     def firsts(self) -> dict[int, list[float]]:
@@ -109,7 +109,7 @@
 
     def was_up(self, gateway: int, begin: float, end: float) -> bool:
         """Whether a gateway was up and running throughout a period."""
-        return not any(a.gateway == gateway and a.begin < end and a.end > begin for a in self.away)
+        return not any(a.gateway == gateway and a.begin < end and a.end > begin for a in self.downtimes)
 
 
 def check(history: History, quotas: dict[int, Quota], end: float, slack: float) -> list[Violation]:
--- a/tests/tier/test_history.py
+++ b/tests/tier/test_history.py
@@ -2,15 +2,15 @@
 
 import pytest
 
-from corkdeal.standin.history import Away, BackendAttempt, ClientAttempt, History, Quota, SentList, check
+from corkdeal.standin.history import BackendAttempt, ClientAttempt, Downtime, History, Quota, SentList, check
 
 QUOTAS = {7: Quota(rate=1.0, burst=3.0, bound=0.0)}
 
 
-def history(client_attempts=(), attempts=(), sent_lists=(), away=()):
+def history(client_attempts=(), attempts=(), sent_lists=(), downtimes=()):
     result = History()
     result.client_attempts = {t.id: t for t in client_attempts}
-    result.attempts, result.away = list(attempts), list(away)
+    result.attempts, result.downtimes = list(attempts), list(downtimes)
     for gateway, *rest in sent_lists:
         result.sent_lists[gateway].append(SentList(*rest))
     return result
@@ -33,8 +33,8 @@
         (history([client_attempt(2.0)]), None),
         (history([client_attempt(2.0, 2.1)]), "one final answer"),
         (history([client_attempt()]), "one final answer"),
-        (history([client_attempt()], away=[Away(0, 2.0, 9.0)]), None),
-        (history([client_attempt()], away=[Away(1, 2.0, 9.0)]), "one final answer"),
+        (history([client_attempt()], downtimes=[Downtime(0, 2.0, 9.0)]), None),
+        (history([client_attempt()], downtimes=[Downtime(1, 2.0, 9.0)]), "one final answer"),
         (history(attempts=[BackendAttempt(1.0, "a", 0, 1, 7)]), None),
         (history(attempts=[BackendAttempt(1.0, "a", 0, 1, 7, "b")]), "never two attempts at once"),
         (history(attempts=[BackendAttempt(5.2, "a", 0, 1, 7)], sent_lists=LISTS), None),
