--- a/corkdeal/experiment/tier.py
+++ b/corkdeal/experiment/tier.py
@@ -29,7 +29,7 @@
     Quota,
     SentList,
     check,
-    most_over,
+    max_over_quota,
 )
 from ..standin.links import OPEN, DoorFault, Links
 from ..standin.links import Fault as LinkFault
@@ -436,9 +436,9 @@
 
     def results(self, requests: list[clients.ClientRequest], end: float) -> dict[str, Any]:
         """The results of a run, as they are saved."""
-        quotas, firsts = self.quotas(), self.history.firsts()
+        quotas, first_arrivals = self.quotas(), self.history.first_arrivals()
         over_units = {
-            w: [max(0.0, most_over(firsts.get(c, []), q, w)[0]) for c, q in quotas.items()]
+            w: [max(0.0, max_over_quota(first_arrivals.get(c, []), q, w)[0]) for c, q in quotas.items()]
             for w in (1.0, 5.0, 30.0)
         }
         broken = check(self.history, quotas, end, SLACK)
@@ -456,7 +456,7 @@
                 for o in ("served", "late", "refused", "failed", "")
             },
             **measure.service_metrics(
-                requests, self.customers, firsts, self.tier.settled, first, last, self.tier.seconds
+                requests, self.customers, first_arrivals, self.tier.settled, first, last, self.tier.seconds
             ),
             "peaks": measure.peak_metrics(
                 {
--- a/corkdeal/standin/history.py
+++ b/corkdeal/standin/history.py
@@ -97,7 +97,7 @@
         self.downtimes: list[Downtime] = []
         self.events: list[tuple[float, str]] = []
 
-    def firsts(self) -> dict[int, list[float]]:
+    def first_arrivals(self) -> dict[int, list[float]]:
         """The arrival times of the first attempts of all requests, by customer."""
         seen: set[int] = set()
         first_arrivals: dict[int, list[float]] = defaultdict(list)
@@ -171,7 +171,7 @@
     return violations
 
 
-def most_over(times: list[float], quota: Quota, window: float) -> tuple[float, float]:
+def max_over_quota(times: list[float], quota: Quota, window: float) -> tuple[float, float]:
     """The most units beyond the quota in any window of that length, and the start of that window."""
     best, when, low = 0.0, 0.0, 0
     for high, at in enumerate(times):
@@ -187,11 +187,11 @@
 def check_quotas(history: History, quotas: dict[int, Quota]) -> list[Violation]:
     """The units admitted in any window stay within the quota plus its bound."""
     violations = []
-    for customer, times in sorted(history.firsts().items()):
+    for customer, times in sorted(history.first_arrivals().items()):
         if (quota := quotas.get(customer)) is None:
             continue
         for window in WINDOWS:
-            over, when = most_over(times, quota, window)
+            over, when = max_over_quota(times, quota, window)
             if over > quota.bound + 1e-6:
                 mine = [
                     a
