--- a/corkdeal/net/descriptors.py
+++ b/corkdeal/net/descriptors.py
@@ -8,11 +8,15 @@
 from .idle_connections import Awaited, IdleConnections, Use
 from .invariants import count
 
-RESERVED = 24  # reserved for the log, discovery, peers and connections being closed
+RESERVED = 24  # descriptors for the log, discovery, peers and connections being closed
 COMMAND_TIMEOUT = 2.5  # s within which a command must be complete; clients are promised 2 s
 IDLE_TIMEOUT = 10.0  # s without a pending RPC after which a client connection is closed
-MIN_IDLE_TIME = 2.0  # s, the same while descriptors are short; clients are promised no less
-MIN_SILENT_TIME = 0.25  # s, the same for silent connections, and for evicting one that has sent only PINGs
+# s without a pending RPC after which a client connection may be evicted, or is closed while many are open;
+# clients are promised no less
+MIN_IDLE_TIME = 2.0
+# s without a pending RPC after which a connection that has sent no RPC may be evicted, or is closed while
+# many are open if it has sent nothing at all
+MIN_SILENT_TIME = 0.25
 TIMEOUT_REPLY = b"-ERR timeout: no whole command has come\r\n"
 
 
@@ -42,7 +46,7 @@
         return len(self.client_connections) + backends < self.limit or self.evict()
 
     def evict(self) -> bool:
-        """Close the least used client connection, idle for longest among those; none that has work."""
+        """Close the least used idle client connection, of those the longest idle; return whether it did."""
         now = self.now()
         latest = {
             Use.NO_REQUEST: now - MIN_SILENT_TIME,
