--- a/corkdeal/net/gateway.py
+++ b/corkdeal/net/gateway.py
@@ -124,9 +124,8 @@
         self.recovery: RecoveryService | None = None  # handles starts and stalls, if enabled
         self.membership: MembershipService | None = None  # tracks the tier's running gateways, if enabled
         self.upgrade_handover: UpgradeHandover | None = None  # only if the listening socket is inherited
-        self.subsystems_to_stop: list[
-            Any
-        ] = []  # `stop(done)` of each is called after the last answer, before exit
+        # `stop(done)` of each is called after the last answer, before the process exits.
+        self.subsystems_to_stop: list[Any] = []
         self.logged_counters = ""
         self.logged_rejections = 0
         self.ops_port: Any = None
