--- a/corkdeal/net/client_connection.py
+++ b/corkdeal/net/client_connection.py
@@ -125,7 +125,7 @@
         name = frame.text(1).upper()
         if name in (READ, WRITE):
             try:
-                rpc = self.gateway.command_parser.read(frame, now, self.unread_time)
+                rpc = self.gateway.command_parser.parse(frame, now, self.unread_time)
             except BadRequestError as error:
                 return self.reject_bad_request(error)
             self.enqueue(rpc)
@@ -171,7 +171,7 @@
         if self.body is None:
             self.has_sent_command = True
             try:
-                rpc = self.gateway.command_parser.read_head(frame, self.parser.items_left, now)
+                rpc = self.gateway.command_parser.parse_head(frame, self.parser.items_left, now)
                 self.enqueue(rpc)
                 rpc.body = self.body = RequestStream(self.gateway.budget, self, rpc)
                 if (wait := self.gateway.early_retry_after(rpc.request)) is not None:
--- a/corkdeal/net/rpc.py
+++ b/corkdeal/net/rpc.py
@@ -87,7 +87,7 @@
         self.request_count = 0  # RPCs so far; each gets the next number as its request id
         self.open_ids: set[int] = set()  # clients' ids of the unanswered RPCs
 
-    def read(self, frame: Frame, now: float, waited: float = 0.0) -> RPC:
+    def parse(self, frame: Frame, now: float, waited: float = 0.0) -> RPC:
         """Parse one complete API command; its timeout counts from the arrival of its last byte.
 
         `waited` is how long that byte lay unread in s, if the process was stalled.
@@ -153,14 +153,14 @@
             deadline,
         )
 
-    def read_head(self, frame: Frame, items_left: int, now: float) -> RPC:
+    def parse_head(self, frame: Frame, items_left: int, now: float) -> RPC:
         """Parse a command received up to its long value, after which `items_left` more items follow."""
         array, arguments = frame.items[0], frame.items[1:]
         if array.kind != ARRAY or not all(i.kind == BULK and i.size >= 0 for i in arguments):
             raise MalformedError("expected an array of bulk strings")
         if len(arguments) != PARAMS + 1 or items_left or frame.text(1).upper() != WRITE:
             raise BadRequestError("only the last argument of API.WRITE may be so long")
-        return self.read(frame, now)
+        return self.parse(frame, now)
 
     def parse_parameters(self, raw: bytes) -> dict[bytes, bytes]:
         """Parse the parameters; each may occur once. Unknown ones are allowed and forwarded as they are."""
--- a/tests/test_net_parsers.py
+++ b/tests/test_net_parsers.py
@@ -139,7 +139,7 @@
     def read(self, params, *more, name=b"API.READ", customer=b"%016x" % 7, rid=b"%016x" % 1):
         parser = resp.Parser()
         parser.feed(resp.encode_command(name, customer, rid, params, *more))
-        return self.command_parser.read(parser.next(), 10.0)
+        return self.command_parser.parse(parser.next(), 10.0)
 
     def setUp(self):
         self.command_parser = rpc.CommandParser(config.parse_settings_object(SETTINGS))
