--- a/tests/test_bodies.py
+++ b/tests/test_bodies.py
@@ -212,35 +212,35 @@
 
 @given(st.lists(st.integers(0, 10**6), max_size=8), st.lists(st.integers(0, 3), max_size=12))
 def test_a_value_arrives_whole_whatever_the_cuts_and_however_the_client_takes_it(at, takes):
-    pair = GatewayWithClient()
-    first, _ = pair.ask(1)
-    conn, wire = pair.ask(2)  # its reply has to wait for that of the first
-    pair.client.free_space = 1000
+    harness = GatewayWithClient()
+    first, _ = harness.ask(1)
+    conn, wire = harness.ask(2)  # its reply has to wait for that of the first
+    harness.client.free_space = 1000
     pieces, held, takes = deque(split_at(HEAD + VALUE + TAIL, at)), 0, deque(takes)
     while pieces:
         if wire.reading_paused:
             if not first.attempt:
-                pair.client.take()
-                pair.client.free_space = takes.popleft() * LONG if takes else 0
+                harness.client.take()
+                harness.client.free_space = takes.popleft() * LONG if takes else 0
             else:
                 first.dataReceived(served())
             continue
         conn.dataReceived(pieces.popleft())
-        held = max(held, len(pair.client.dataBuffer))
+        held = max(held, len(harness.client.dataBuffer))
     if first.attempt:
         first.dataReceived(served())
-    pair.client.take()
-    assert bytes(pair.client.taken) == bulk(1) + VALUE
-    assert pair.outcomes() == [Status.OK] * 2
+    harness.client.take()
+    assert bytes(harness.client.taken) == bulk(1) + VALUE
+    assert harness.outcomes() == [Status.OK] * 2
     assert held <= 2 * len(max(split_at(HEAD + VALUE + TAIL, at), key=len)) + MAX_INLINE_VALUE
-    assert not pair.client_connection.pending_replies and not pair.gateway.rpcs
+    assert not harness.client_connection.pending_replies and not harness.gateway.rpcs
     gc.disable()  # must be freed without the garbage collector, which runs rarely in the gateway
     try:
-        conn, _ = pair.ask(3)
+        conn, _ = harness.ask(3)
         conn.dataReceived((HEAD + VALUE + TAIL)[:90000])
         stream_ref = weakref.ref(conn.response_stream)
         conn.dataReceived((HEAD + VALUE + TAIL)[90000:])
-        pair.client.take()
+        harness.client.take()
         assert conn.response_stream is None and stream_ref() is None
     finally:
         gc.enable()
@@ -261,85 +261,85 @@
 
 @pytest.mark.parametrize(("events", "status", "name", "is_closed"), BAD_REPLIES)
 def test_a_backend_that_spoils_a_long_answer_costs_that_answer_only(events, status, name, is_closed):
-    pair = GatewayWithClient()
-    conn, _ = pair.ask(1)
+    harness = GatewayWithClient()
+    conn, _ = harness.ask(1)
     for event in events:
         if event is None:
             conn.connectionLost()
         elif isinstance(event, float):
-            pair.reactor.advance(event)
+            harness.reactor.advance(event)
         else:
             conn.dataReceived(event)
-    assert pair.outcomes()[0] is status
+    assert harness.outcomes()[0] is status
     assert invariants.counts[name] == 1
-    assert pair.client.closed is is_closed
-    assert bytes(pair.client.taken) in VALUE
+    assert harness.client.closed is is_closed
+    assert bytes(harness.client.taken) in VALUE
 
 
 def test_nothing_follows_a_value_that_is_not_whole():
-    pair = GatewayWithClient()
-    conn, _ = pair.ask(1)
-    other, _ = pair.ask(2)
+    harness = GatewayWithClient()
+    conn, _ = harness.ask(1)
+    other, _ = harness.ask(2)
     conn.dataReceived(HEAD + VALUE[:90000])
     conn.connectionLost()
     other.dataReceived(served())
-    assert bytes(pair.client.taken) == VALUE[:90000] and pair.client.closed
+    assert bytes(harness.client.taken) == VALUE[:90000] and harness.client.closed
 
 
 def test_what_was_begun_is_neither_timed_out_nor_sent_again_and_loads_no_server():
-    pair = GatewayWithClient()
-    conn, wire = pair.ask(1)
-    pair.reactor.advance(0.25)
+    harness = GatewayWithClient()
+    conn, wire = harness.ask(1)
+    harness.reactor.advance(0.25)
     conn.dataReceived(HEAD + VALUE[:90000])
-    backend = pair.gateway.decisions.backends.records["a"]
+    backend = harness.gateway.decisions.backends.records["a"]
     assert not backend.in_flight and len(backend.streaming) == 1
     for _ in range(8):  # far past its deadline, a byte every second
-        pair.reactor.advance(1.0)
+        harness.reactor.advance(1.0)
         conn.dataReceived(b"v")
     conn.dataReceived(VALUE[90008:] + TAIL)
-    assert bytes(pair.client.taken) == VALUE
-    last = [e for e in pair.events if isinstance(e, AttemptEnded)][-1]
+    assert bytes(harness.client.taken) == VALUE
+    last = [e for e in harness.events if isinstance(e, AttemptEnded)][-1]
     assert (last.status, last.elapsed, last.report) == (Status.OK, 0.25, {"qps": 1.0})
-    assert not backend.streaming and len(pair.reactor.tcpClients) == 1
+    assert not backend.streaming and len(harness.reactor.tcpClients) == 1
 
 
 def test_a_client_that_takes_nothing_ends_and_one_that_goes_away_frees_its_backend():
     for is_closed in (False, True):
-        pair = GatewayWithClient()
-        conn, wire = pair.ask(1)
-        pair.client.free_space = 0
+        harness = GatewayWithClient()
+        conn, wire = harness.ask(1)
+        harness.client.free_space = 0
         conn.dataReceived(HEAD + VALUE[:90000])
         assert wire.reading_paused
         if is_closed:
-            pair.client_connection.connectionLost()
+            harness.client_connection.connectionLost()
         else:
             for _ in range(4):
-                pair.reactor.advance(response_stream.CLIENT_STALL_TIMEOUT)
-            assert pair.client.closed and invariants.counts["answer_not_taken"] == 1
-        assert conn.ended and pair.outcomes() == [Status.CANCELLED]
+                harness.reactor.advance(response_stream.CLIENT_STALL_TIMEOUT)
+            assert harness.client.closed and invariants.counts["answer_not_taken"] == 1
+        assert conn.ended and harness.outcomes() == [Status.CANCELLED]
 
 
 def test_a_probe_has_no_long_answer():
-    pair = GatewayWithClient()
-    pool = pair.gateway.pool
+    harness = GatewayWithClient()
+    pool = harness.gateway.pool
     pool.send(backend_connection.Attempt(None, 0, "a", 0.0, 9.0, [b"x"]))
-    conn, _ = pair.establish()
+    conn, _ = harness.establish()
     conn.dataReceived(VALUE)
     assert conn.ended and invariants.counts["backend_connection_malformed"] == 1
-    assert [e.status for e in pair.events if isinstance(e, HealthCheckResult)] == [Status.RESET]
+    assert [e.status for e in harness.events if isinstance(e, HealthCheckResult)] == [Status.RESET]
     assert dataclasses.is_dataclass(backend_replies.Reply)
 
 
 def test_a_slow_commands_wait_counts_from_its_last_byte():
-    pair = GatewayWithClient()
+    harness = GatewayWithClient()
     raw = encode_command(
         b"API.READ", b"%016x" % 7, b"%016x" % 1, b"c=look,t=large,d=900,units=1,spread=1,first=0"
     )
-    pair.client_connection.dataReceived(raw[:-2])
-    pair.reactor.advance(2.0)  # as long as a client may take
-    pair.gateway.descriptors.sweep()
-    pair.client_connection.dataReceived(raw[-2:])
-    (request,) = [e for e in pair.events if isinstance(e, Request)]
+    harness.client_connection.dataReceived(raw[:-2])
+    harness.reactor.advance(2.0)  # as long as a client may take
+    harness.gateway.descriptors.sweep()
+    harness.client_connection.dataReceived(raw[-2:])
+    (request,) = [e for e in harness.events if isinstance(e, Request)]
     assert request.timeout == pytest.approx(0.9, abs=0.01)
 
 
@@ -356,13 +356,13 @@
 
 @given(st.lists(st.integers(0, 10**6), max_size=12), st.lists(st.integers(1, 3), max_size=9))
 def test_a_long_command_reaches_its_backend_whole_whatever_the_cuts(at, takes):
-    pair = GatewayWithClient()
+    harness = GatewayWithClient()
     raw = write()
     for piece in split_at(raw, at):
-        assert not pair.reactor.tcpClients  # nothing is sent before the last byte was received
-        pair.client_connection.dataReceived(piece)
-        pair.reactor.advance(0.01)
-    conn, wire = pair.reactor.tcpClients[-1][2].buildProtocol(None), FakeTransport()
+        assert not harness.reactor.tcpClients  # nothing is sent before the last byte was received
+        harness.client_connection.dataReceived(piece)
+        harness.reactor.advance(0.01)
+    conn, wire = harness.reactor.tcpClients[-1][2].buildProtocol(None), FakeTransport()
     wire.free_space = 1000
     conn.makeConnection(wire)
     for n in takes:
@@ -370,51 +370,51 @@
         wire.free_space = n * LONG
     wire.take()
     assert without_wait(wire.taken) == without_wait(raw)
-    assert pair.gateway.budget.total >= 3 * LONG  # until its reply, since it may have to be retried
+    assert harness.gateway.budget.total >= 3 * LONG  # until its reply, since it may have to be retried
     conn.dataReceived(served())
-    assert bytes(pair.client.taken) == bulk(1) and pair.outcomes() == [Status.OK]
-    assert pair.gateway.budget.total == 0
+    assert bytes(harness.client.taken) == bulk(1) and harness.outcomes() == [Status.OK]
+    assert harness.gateway.budget.total == 0
 
 
 def test_a_long_command_that_broke_off_is_sent_again_and_counts_as_never_come():
-    pair = GatewayWithClient()
+    harness = GatewayWithClient()
     # may be retried only because it can't have run
-    pair.client_connection.dataReceived(write(cls=b"pay", more=b""))
-    conn, wire = pair.reactor.tcpClients[-1][2].buildProtocol(None), FakeTransport()
+    harness.client_connection.dataReceived(write(cls=b"pay", more=b""))
+    conn, wire = harness.reactor.tcpClients[-1][2].buildProtocol(None), FakeTransport()
     wire.free_space = LONG
     conn.makeConnection(wire)
     conn.connectionLost()
-    assert pair.outcomes() == [Status.CONNECT_FAILED]
-    second_conn, second_wire = pair.establish()
+    assert harness.outcomes() == [Status.CONNECT_FAILED]
+    second_conn, second_wire = harness.establish()
     assert second_conn is not conn and without_wait(second_wire.taken) == without_wait(
         write(cls=b"pay", more=b"")
     )
 
 
 def test_a_connection_that_breaks_under_a_long_command_never_had_it_whole():
-    pair = GatewayWithClient()
-    pair.client_connection.dataReceived(write())
-    conn, wire = pair.reactor.tcpClients[-1][2].buildProtocol(None), FakeTransport()
+    harness = GatewayWithClient()
+    harness.client_connection.dataReceived(write())
+    conn, wire = harness.reactor.tcpClients[-1][2].buildProtocol(None), FakeTransport()
     wire.sendmsg = unittest.mock.Mock(side_effect=BrokenPipeError)
     conn.makeConnection(wire)
     assert wire.aborted and wire.sendmsg.call_count == 1
     conn.connectionLost()
-    assert pair.outcomes() == [Status.CONNECT_FAILED]
+    assert harness.outcomes() == [Status.CONNECT_FAILED]
 
 
 EARLY_REPLIES = [(b"-BUSY\r\n", Status.REJECTED), (served(), Status.RESET), (HEAD + VALUE, Status.RESET)]
 
 
-@pytest.mark.parametrize((("reply", "status")), EARLY_REPLIES)
+@pytest.mark.parametrize(("reply", "status"), EARLY_REPLIES)
 def test_an_answer_to_a_command_that_is_not_whole_ends_its_connection(reply, status):
-    pair = GatewayWithClient()
-    pair.client_connection.dataReceived(write())
-    conn, wire = pair.reactor.tcpClients[-1][2].buildProtocol(None), FakeTransport()
+    harness = GatewayWithClient()
+    harness.client_connection.dataReceived(write())
+    conn, wire = harness.reactor.tcpClients[-1][2].buildProtocol(None), FakeTransport()
     wire.free_space = LONG
     conn.makeConnection(wire)
     conn.dataReceived(reply)
-    assert pair.outcomes() == [status] and conn.ended and wire.aborted
-    assert not pair.client.taken.startswith(b"$")
+    assert harness.outcomes() == [status] and conn.ended and wire.aborted
+    assert not harness.client.taken.startswith(b"$")
 
 
 PING, PONG = encode_command(b"PING"), b"+PONG\r\n"
@@ -432,42 +432,42 @@
 @pytest.mark.parametrize(("raw", "reply"), BAD_COMMANDS)
 def test_a_bad_command_with_a_long_value_is_read_past_and_the_client_connection_stays(raw, reply):
     for size in (len(raw), 5000):
-        pair = GatewayWithClient()
+        harness = GatewayWithClient()
         for i in range(0, len(raw), size):
-            pair.client_connection.dataReceived(raw[i : i + size])
-        pair.client_connection.dataReceived(PING)
-        assert pair.client.taken.startswith(reply) and pair.client.taken.endswith(PONG)
-        assert bytes(pair.client.taken).count(b"\r\n") == 2
+            harness.client_connection.dataReceived(raw[i : i + size])
+        harness.client_connection.dataReceived(PING)
+        assert harness.client.taken.startswith(reply) and harness.client.taken.endswith(PONG)
+        assert bytes(harness.client.taken).count(b"\r\n") == 2
         assert (
-            not pair.gateway.command_parser.open_ids
-            and pair.gateway.budget.total == 0
-            and not pair.reactor.tcpClients
+            not harness.gateway.command_parser.open_ids
+            and harness.gateway.budget.total == 0
+            and not harness.reactor.tcpClients
         )
 
 
 def test_what_is_beyond_a_quota_is_refused_at_the_head_and_read_past():
-    pair = GatewayWithClient()
+    harness = GatewayWithClient()
     for rid in range(2):  # the burst that the plan allows
-        pair.client_connection.dataReceived(write(rid, plan=b"small"))
+        harness.client_connection.dataReceived(write(rid, plan=b"small"))
     raw = write(9, plan=b"small")
-    pair.client_connection.dataReceived(raw[:300])
+    harness.client_connection.dataReceived(raw[:300])
     assert invariants.counts["refused_at_head"] == 1
-    pair.establish()[0].dataReceived(served())
-    assert not pair.client.taken  # the reply to the first is still pending
-    pair.client_connection.dataReceived(raw[300:] + PING)
-    assert len(pair.reactor.tcpClients) == 2 and pair.gateway.operators.counters["busy"] == 1
+    harness.establish()[0].dataReceived(served())
+    assert not harness.client.taken  # the reply to the first is still pending
+    harness.client_connection.dataReceived(raw[300:] + PING)
+    assert len(harness.reactor.tcpClients) == 2 and harness.gateway.operators.counters["busy"] == 1
 
 
 INCOMPLETE_BODIES = [  # event in the middle of a body, what the client reads, counter
-    (lambda pair: pair.client_connection.readConnectionLost(), b"", "command_cut_short"),
-    (lambda pair: pair.client_connection.connectionLost(), b"", None),
+    (lambda harness: harness.client_connection.readConnectionLost(), b"", "command_cut_short"),
+    (lambda harness: harness.client_connection.connectionLost(), b"", None),
     (
-        lambda pair: pair.reactor.pump([request_stream.RATE_CHECK_INTERVAL] * 2),
+        lambda harness: harness.reactor.pump([request_stream.RATE_CHECK_INTERVAL] * 2),
         b"-ERR timeout",
         "body_stalled",
     ),
     (
-        lambda pair: pair.client_connection.dataReceived(b"b" * 3 * LONG),
+        lambda harness: harness.client_connection.dataReceived(b"b" * 3 * LONG),
         b"-ERR Protocol error",
         "client_connection_malformed",
     ),
@@ -476,60 +476,62 @@
 
 @pytest.mark.parametrize(("interrupt", "reply", "name"), INCOMPLETE_BODIES)
 def test_a_body_that_does_not_come_whole_costs_its_own_command(interrupt, reply, name):
-    pair = GatewayWithClient()
-    pair.client_connection.dataReceived(write()[:LONG])
-    assert pair.gateway.command_parser.open_ids
-    pair.reactor.advance(0.1)
-    interrupt(pair)
-    assert bytes(pair.client.taken).startswith(reply) and bool(reply) == bool(pair.client.taken)
+    harness = GatewayWithClient()
+    harness.client_connection.dataReceived(write()[:LONG])
+    assert harness.gateway.command_parser.open_ids
+    harness.reactor.advance(0.1)
+    interrupt(harness)
+    assert bytes(harness.client.taken).startswith(reply) and bool(reply) == bool(harness.client.taken)
     assert not name or invariants.counts[name] == 1
     assert (
-        not pair.gateway.command_parser.open_ids and pair.gateway.budget.total == 0 and not pair.gateway.rpcs
+        not harness.gateway.command_parser.open_ids
+        and harness.gateway.budget.total == 0
+        and not harness.gateway.rpcs
     )
-    pair.reactor.advance(60.0)  # no timer of the command has any further effect
-    assert not pair.reactor.tcpClients
+    harness.reactor.advance(60.0)  # no timer of the command has any further effect
+    assert not harness.reactor.tcpClients
 
 
 def test_a_body_that_comes_whole_after_its_client_has_left_is_refused_and_kept_no_longer():
-    pair, raw = GatewayWithClient(), write()
-    pair.client_connection.dataReceived(raw[:LONG])
-    pair.client_connection.stop_attempts()
-    assert pair.gateway.budget.total > 0
-    pair.client_connection.dataReceived(raw[LONG:])
-    assert bytes(pair.client.taken) == b"-BUSY\r\n"
-    assert pair.gateway.budget.total == 0 and not pair.gateway.command_parser.open_ids
+    harness, raw = GatewayWithClient(), write()
+    harness.client_connection.dataReceived(raw[:LONG])
+    harness.client_connection.stop_attempts()
+    assert harness.gateway.budget.total > 0
+    harness.client_connection.dataReceived(raw[LONG:])
+    assert bytes(harness.client.taken) == b"-BUSY\r\n"
+    assert harness.gateway.budget.total == 0 and not harness.gateway.command_parser.open_ids
 
 
 def test_an_attempt_of_a_request_that_is_answered_does_not_begin_once_its_connection_comes_up():
-    pair = GatewayWithClient()
+    harness = GatewayWithClient()
     params = b"c=look,t=large,d=3000,units=1,spread=1,first=0"
-    pair.client_connection.dataReceived(encode_command(b"API.READ", b"%016x" % 7, b"%016x" % 1, params))
-    rpc = pair.gateway.rpcs[1]
-    pair.gateway.answer(1, [b"-ERR failed\r\n"])
-    pair.client_connection.connectionLost()
-    pair.client.connected = False
-    _, wire = pair.establish()
-    assert not wire.taken and rpc.attempt is None and not pair.gateway.attempts_in_flight
-    assert [e.status for e in pair.events if isinstance(e, AttemptEnded)] == [Status.ABANDONED]
+    harness.client_connection.dataReceived(encode_command(b"API.READ", b"%016x" % 7, b"%016x" % 1, params))
+    rpc = harness.gateway.rpcs[1]
+    harness.gateway.answer(1, [b"-ERR failed\r\n"])
+    harness.client_connection.connectionLost()
+    harness.client.connected = False
+    _, wire = harness.establish()
+    assert not wire.taken and rpc.attempt is None and not harness.gateway.attempts_in_flight
+    assert [e.status for e in harness.events if isinstance(e, AttemptEnded)] == [Status.ABANDONED]
 
 
 def test_a_body_without_room_waits_then_is_refused_and_an_answer_without_room_waits():
-    pair = GatewayWithClient()
-    budget = pair.gateway.budget
+    harness = GatewayWithClient()
+    budget = harness.gateway.budget
     holder = BudgetHolder(budget)
-    pair.client_connection.dataReceived(write(1, size=2 * LONG)[:LONG])
-    other = gateway.client_connection.ClientConnection(pair.gateway)
+    harness.client_connection.dataReceived(write(1, size=2 * LONG)[:LONG])
+    other = gateway.client_connection.ClientConnection(harness.gateway)
     other.makeConnection(FakeTransport())
     other.dataReceived(write(2, size=2 * LONG)[:LONG])
-    reader = gateway.client_connection.ClientConnection(pair.gateway)
+    reader = gateway.client_connection.ClientConnection(harness.gateway)
     reader.makeConnection(reader_transport := FakeTransport())
     reader.dataReceived(encode_command(b"API.READ", b"%016x" % 7, b"%016x" % 3, b"c=look,t=large,d=3000"))
-    conn, wire = pair.establish()
+    conn, wire = harness.establish()
     budget.set_held(holder, budget.high_mark)
-    assert other.paused and not pair.client_connection.paused  # the oldest body may be completed
+    assert other.paused and not harness.client_connection.paused  # the oldest body may be completed
     conn.dataReceived(HEAD + VALUE)
     assert wire.reading_paused and not reader_transport.taken
-    pair.reactor.advance(request_stream.MEMORY_TIMEOUT)
+    harness.reactor.advance(request_stream.MEMORY_TIMEOUT)
     assert other.transport.taken.startswith(b"-BUSY 500") and not other.paused
     budget.set_held(holder, 0)
     assert bytes(reader_transport.taken) == VALUE and not wire.reading_paused
@@ -555,33 +557,35 @@
 
 @given(STEPS)
 def test_the_budget_is_never_passed_and_somebody_always_moves(steps):
-    budget, bodies, whole, answers_ = Budget(3 * resp.MAX_VALUE), [], [], []
-    for what, n in steps:
-        pick = lambda some, n=n: some[n % len(some)] if some else None  # noqa: E731
-        if what == "join":
+    budget, bodies, complete, replies = Budget(3 * resp.MAX_VALUE), [], [], []
+    for step, n in steps:
+        pick = lambda holders, n=n: holders[n % len(holders)] if holders else None  # noqa: E731
+        if step == "join":
             bodies.append(BudgetHolder(budget, body=True))
-        elif what == "answer" and not budget.is_full:
-            answers_.append(BudgetHolder(budget))
-            budget.set_held(answers_[-1], MAX_INLINE_VALUE)
-        elif what == "taken" and (one := pick(answers_)):
-            answers_.remove(one)
-            budget.set_held(one, 0)
-        elif what == "grow":  # all bodies that may grow, piece by piece, some until complete
+        elif step == "answer" and not budget.is_full:
+            replies.append(BudgetHolder(budget))
+            budget.set_held(replies[-1], MAX_INLINE_VALUE)
+        elif step == "taken" and (holder := pick(replies)):
+            replies.remove(holder)
+            budget.set_held(holder, 0)
+        elif step == "grow":  # all bodies that may grow, piece by piece, some until complete
             for _ in range(n):
-                for one in [b for b in bodies if not b.is_held_back]:
-                    if not one.is_held_back and one.held_bytes < resp.MAX_VALUE:
-                        budget.set_held(one, min(resp.MAX_VALUE, one.held_bytes + MAX_INLINE_VALUE))
-        elif what == "whole" and (one := next((b for b in bodies if b.held_bytes == resp.MAX_VALUE), None)):
-            bodies.remove(one)
-            whole.append(one)
-            budget.remove_body(one)
-        elif what == "drop" and (one := pick(bodies + whole)):
-            (bodies if one in bodies else whole).remove(one)
-            budget.remove_body(one)
-            budget.set_held(one, 0)
+                for holder in [b for b in bodies if not b.is_held_back]:
+                    if not holder.is_held_back and holder.held_bytes < resp.MAX_VALUE:
+                        budget.set_held(holder, min(resp.MAX_VALUE, holder.held_bytes + MAX_INLINE_VALUE))
+        elif step == "whole" and (
+            holder := next((b for b in bodies if b.held_bytes == resp.MAX_VALUE), None)
+        ):
+            bodies.remove(holder)
+            complete.append(holder)
+            budget.remove_body(holder)
+        elif step == "drop" and (holder := pick(bodies + complete)):
+            (bodies if holder in bodies else complete).remove(holder)
+            budget.remove_body(holder)
+            budget.set_held(holder, 0)
         assert (
             budget.total
-            == sum(h.held_bytes for h in bodies + whole + answers_)
+            == sum(h.held_bytes for h in bodies + complete + replies)
             <= budget.limit + 2 * MAX_INLINE_VALUE
         )
         assert not bodies or any(not b.is_held_back for b in bodies)
