--- a/tests/test_full_table.py
+++ b/tests/test_full_table.py
@@ -35,25 +35,25 @@
     def __init__(self, address, pid):
         self.address, self.pid = address, pid
         self.ended = threading.Event()
-        self.turned_over = threading.Event()  # the table is full: many connections were evicted
-        self.answers = collections.Counter()
+        self.table_filled = threading.Event()  # the table is full: many connections were evicted
+        self.replies = collections.Counter()
         self.most_descriptors = 0
         self.selector = selectors.DefaultSelector()
-        self.due = {}  # by socket, when it sends its next PING
+        self.next_ping_at = {}  # by socket, when it sends its next PING
         self.thread = threading.Thread(target=self.run, daemon=True)
         self.thread.start()
 
     def run(self):
         while not self.ended.is_set():
             self.most_descriptors = max(self.most_descriptors, self.descriptors())
-            if len(self.due) < SOCKETS + 20:
+            if len(self.next_ping_at) < SOCKETS + 20:
                 self.connect()
             for key, _ in self.selector.select(0.002):
                 self.read(key.fileobj)
             now = time.monotonic()
-            for sock in [s for s, at in self.due.items() if at <= now]:
+            for sock in [s for s, at in self.next_ping_at.items() if at <= now]:
                 self.ping(sock, now)
-        for sock in list(self.due):
+        for sock in list(self.next_ping_at):
             self.close(sock)
         self.selector.close()
 
@@ -67,10 +67,10 @@
         sock.setblocking(False)
         sock.connect_ex(self.address)
         self.selector.register(sock, selectors.EVENT_READ)
-        self.due[sock] = time.monotonic() + 0.05
+        self.next_ping_at[sock] = time.monotonic() + 0.05
 
     def ping(self, sock, now):
-        self.due[sock] = now + PING_EVERY
+        self.next_ping_at[sock] = now + PING_EVERY
         try:
             sock.send(PING)
         except OSError:
@@ -81,15 +81,15 @@
             data = sock.recv(4096)
         except OSError:
             data = b""
-        self.answers[data[:5]] += 1
+        self.replies[data[:5]] += 1
         if not data.startswith(b"+PONG"):
             self.close(sock)
-            if self.answers[b""] + self.answers[b"-ERR "] > 60:
-                self.turned_over.set()
+            if self.replies[b""] + self.replies[b"-ERR "] > 60:
+                self.table_filled.set()
 
     def close(self, sock):
         self.selector.unregister(sock)
-        del self.due[sock]
+        del self.next_ping_at[sock]
         sock.close()
 
     def end(self):
@@ -111,15 +111,15 @@
         host, port = self.config["listen"].split(":")
         self.crowd = Crowd((host, int(port)), self.process.pid)
         self.addCleanup(self.crowd.end)
-        self.assertTrue(self.crowd.turned_over.wait(WAIT_TIMEOUT))
+        self.assertTrue(self.crowd.table_filled.wait(WAIT_TIMEOUT))
 
     def admitted(self, requests):
         """Return a client that was accepted and has sent these requests; retry while no descriptor is free.
 
         The requests are sent together with the PING, since a client without a request can be evicted.
         """
-        until = time.monotonic() + WAIT_TIMEOUT
-        while time.monotonic() < until:
+        deadline = time.monotonic() + WAIT_TIMEOUT
+        while time.monotonic() < deadline:
             client = self.client()
             with contextlib.suppress(OSError):
                 client.send(PING + requests)
@@ -131,7 +131,7 @@
         """Return a request with a customer of its own."""
         return encode_command(*self.words(b"look", d=4000, rid=rid, customer=rid + 10))
 
-    def figures(self):
+    def metrics(self):
         host, port = self.ops.split(":")
         conn = http.client.HTTPConnection(host, int(port), timeout=WAIT_TIMEOUT)
         self.addCleanup(conn.close)
@@ -157,26 +157,26 @@
         self.world.add("old")
         known = {"revision": 1, "complete": True, "members": [self.world.backends["old"].entry]}
         self.start_full(config={"discovery": discovery}, known=known)
-        back = FakeServices(int(discovery.rpartition(":")[2]))
-        self.addCleanup(back.close)
-        back.revision = 2
-        seen, rid, until = set(), 0, time.monotonic() + WAIT_TIMEOUT
-        self.answer_all(back, seen)
+        new_services = FakeServices(int(discovery.rpartition(":")[2]))
+        self.addCleanup(new_services.close)
+        new_services.revision = 2
+        seen, rid, deadline = set(), 0, time.monotonic() + WAIT_TIMEOUT
+        self.answer_all(new_services, seen)
         self.answer_all(self.world, set())
-        with back.changed:
+        with new_services.changed:
             for number in range(BACKENDS):
-                back.add(f"new{number}")
-        while len(seen) < BACKENDS and time.monotonic() < until:
+                new_services.add(f"new{number}")
+        while len(seen) < BACKENDS and time.monotonic() < deadline:
             rids = range(rid, rid + 30)
             rid += 30
-            client = self.admitted(b"".join(self.request(each) for each in rids))
+            client = self.admitted(b"".join(self.request(request_id) for request_id in rids))
             for _ in rids:
                 self.assertIsNotNone(client.read())
         self.assertEqual(len(seen), BACKENDS)
-        self.assertEqual(self.figures()["app_hosts_listed"], BACKENDS)
+        self.assertEqual(self.metrics()["app_hosts_listed"], BACKENDS)
         self.assertLess(self.crowd.most_descriptors, SOCKETS)
 
-    def test_a_burst_of_new_connections_in_one_turn(self):
+    def test_a_burst_of_new_connections_in_one_reactor_iteration(self):
         self.start_full(a={})
         self.crowd.end()
         self.crowd = None
@@ -194,11 +194,11 @@
         for client in burst:
             answer = client.read()
             self.assertIsNotNone(answer)  # None: closed without a reply, for lack of a descriptor
-        self.assertEqual(self.figures()["app_hosts_listed"], 1)
+        self.assertEqual(self.metrics()["app_hosts_listed"], 1)
 
-    def test_the_operators_and_the_peers_are_heard(self):
+    def test_operators_and_peers_are_served(self):
         self.start_full(a={})
-        self.assertEqual(self.figures()["app_hosts_listed"], 1)
+        self.assertEqual(self.metrics()["app_hosts_listed"], 1)
         self.admitted(self.request(1).replace(b"spread=1", b"spread=2"))  # a customer at both gateways
         self.assertTrue(self.peer.recv(2048))  # the peer is notified of its demand
         self.assertLess(self.crowd.most_descriptors, SOCKETS)
@@ -209,8 +209,8 @@
         asked = [self.world.next() for _ in range(4)]
         self.process.send_signal(signal.SIGTERM)
         self.line("draining")
-        for each in asked:
-            each.conn.send(served())
+        for request in asked:
+            request.conn.send(served())
         for _ in range(4):
             self.assertEqual(client.read(), [b"v"])
         self.assertIsNone(client.read())
