--- a/corkdeal/net/endpoint_list.py
+++ b/corkdeal/net/endpoint_list.py
@@ -58,22 +58,22 @@
                 entry.backend, entry.state is EndpointState.READY, result.addresses[entry.backend]
             )
         if kind is UpdateKind.COMPLETE:
-            for server in self.pool.addresses.keys() - result.addresses.keys():
-                self.pool.update_endpoint(server, False, self.pool.addresses[server])
+            for backend in self.pool.addresses.keys() - result.addresses.keys():
+                self.pool.update_endpoint(backend, False, self.pool.addresses[backend])
         self.process_events()
 
-    def update_override(self, server: str) -> None:
+    def update_override(self, backend: str) -> None:
         """Report one listed backend again after its override changed."""
-        if server not in self.listed or self.overrides is None:
+        if backend not in self.listed or self.overrides is None:
             return
-        entry = self.overrides.apply(self.listed[server])
+        entry = self.overrides.apply(self.listed[backend])
         self.queue_event(EndpointUpdate(UpdateKind.DELTA, (entry,), self.revision))
-        self.pool.update_endpoint(server, entry.state is EndpointState.READY, self.addresses[server])
+        self.pool.update_endpoint(backend, entry.state is EndpointState.READY, self.addresses[backend])
         self.process_events()
 
-    def is_known(self, server: str) -> bool:
+    def is_known(self, backend: str) -> bool:
         """Whether the id is known: it is in the endpoint list, or held out."""
-        return server in self.listed or (self.overrides is not None and server in self.overrides.held_out)
+        return backend in self.listed or (self.overrides is not None and backend in self.overrides.held_out)
 
     def count_listed(self) -> tuple[int, int]:
         """How many backends are listed, and how many of those are not ready or held out by an operator."""
--- a/corkdeal/net/operators.py
+++ b/corkdeal/net/operators.py
@@ -73,34 +73,34 @@
 
     def sync_overrides(self) -> None:
         """Apply overrides made at the predecessor or successor, while both processes are running."""
-        for server in sorted(self.overrides.reload_if_replaced()) if self.overrides is not None else ():
-            logs.event("held_elsewhere", server=server, out=server in self.overrides.held_out)
-            self.endpoint_list.update_override(server)
+        for backend in sorted(self.overrides.reload_if_replaced()) if self.overrides is not None else ():
+            logs.event("held_elsewhere", server=backend, out=backend in self.overrides.held_out)
+            self.endpoint_list.update_override(backend)
 
-    def hold_out(self, server: str) -> bool | None:
+    def hold_out(self, backend: str) -> bool | None:
         """Hold a backend out, whatever its state in the endpoint list.
 
         Returns whether it is a change; None for an unknown id.
         """
         assert self.overrides is not None
-        if not self.endpoint_list.is_known(server):
+        if not self.endpoint_list.is_known(backend):
             return None
         self.sync_overrides()  # first, so that the file written next keeps overrides made at another process
-        is_change = self.overrides.hold_out(server)
-        logs.event("held_out", server=server, new=is_change)
-        self.endpoint_list.update_override(server)
+        is_change = self.overrides.hold_out(backend)
+        logs.event("held_out", server=backend, new=is_change)
+        self.endpoint_list.update_override(backend)
         return is_change
 
-    def return_to_service(self, server: str) -> bool | None:
+    def return_to_service(self, backend: str) -> bool | None:
         """Return a backend to service as one that has just started.
 
         Returns whether it was held out; None for an unknown id.
         """
         assert self.overrides is not None
-        if not self.endpoint_list.is_known(server):
+        if not self.endpoint_list.is_known(backend):
             return None
         self.sync_overrides()
-        was_held_out = self.overrides.let_back(server, self.gateway.now())
-        logs.event("let_back", server=server, new=was_held_out)
-        self.endpoint_list.update_override(server)
+        was_held_out = self.overrides.let_back(backend, self.gateway.now())
+        logs.event("let_back", server=backend, new=was_held_out)
+        self.endpoint_list.update_override(backend)
         return was_held_out
