--- a/corkdeal/net/config.py
+++ b/corkdeal/net/config.py
@@ -54,9 +54,9 @@
     return host, int(port)
 
 
-def format_address(at: Address) -> str:
+def format_address(address: Address) -> str:
     """Format an address as host:port."""
-    return f"{at[0]}:{at[1]}"
+    return f"{address[0]}:{address[1]}"
 
 
 def flatten(value: Any, path: str, flat: dict[str, str]) -> None:
--- a/corkdeal/net/loop_lateness.py
+++ b/corkdeal/net/loop_lateness.py
@@ -20,10 +20,10 @@
 
     def record_firing(self, due: float, now: float, cpu_time: float) -> None:
         """Record that the timer due at `due` fired at `now`; `cpu_time` is the process's CPU time so far."""
-        late = max(0.0, now - due)
+        lateness = max(0.0, now - due)
         is_cpu_bound = cpu_time - self.last_cpu_time >= MIN_CPU_FRACTION * (now - self.last_fired_at)
         self.consecutive_late_firings = (
-            self.consecutive_late_firings + 1 if late >= OVERLOAD_LATENESS and is_cpu_bound else 0
+            self.consecutive_late_firings + 1 if lateness >= OVERLOAD_LATENESS and is_cpu_bound else 0
         )
         self.last_fired_at, self.last_cpu_time = now, cpu_time
         if now - self.period_start >= MIN_RETENTION:
@@ -33,7 +33,7 @@
                 0.0,
             )
             self.period_start = now
-        self.period_maximum = max(self.period_maximum, late)
+        self.period_maximum = max(self.period_maximum, lateness)
 
     @property
     def max_lateness(self) -> float:
