--- a/benchmarks/readiness.py
+++ b/benchmarks/readiness.py
@@ -236,7 +236,7 @@
 
 def backends() -> list[dict[str, Any]]:
     """Returns an endpoint list; nothing listens at its addresses."""
-    common = {"locality": fleet.HALLS[0], "flavor": "standard", "phase": "Ready", "size": 1.0}
+    common = {"locality": fleet.ZONES[0], "flavor": "standard", "phase": "Ready", "size": 1.0}
     return [
         {"id": f"s{i}", "host_port": f"127.0.0.1:{i + 1}", "cell": i, "up_since_ms": 0, **common}
         for i in range(BACKENDS)
--- a/corkdeal/experiment/kills.py
+++ b/corkdeal/experiment/kills.py
@@ -85,7 +85,7 @@
     """Kill `kills` times in all, spread evenly over a tier of `together` gateways."""
     folder, rng = pathlib.Path(tempfile.mkdtemp(prefix="kills-")), random.Random(seed)
     servers = [
-        FakeBackend(BackendModel(f"s-{i}", fleet.HALLS[i % 3]), gamma_work(rng, 0.02, 0.5), lambda a: None)
+        FakeBackend(BackendModel(f"s-{i}", fleet.ZONES[i % 3]), gamma_work(rng, 0.02, 0.5), lambda a: None)
         for i in range(6)
     ]
     for server in servers:
--- a/corkdeal/experiment/restarts.py
+++ b/corkdeal/experiment/restarts.py
@@ -54,7 +54,7 @@
         speed = rng.uniform(0.85, 1.1) if rng.random() < 0.7 else rng.uniform(0.64, 0.86)
         model = BackendModel(
             f"s-{rng.getrandbits(32):08x}",
-            fleet.HALLS[i % 3],
+            fleet.ZONES[i % 3],
             cell=i // 6,
             speed=speed,
             queue=rng.randint(45, 110),
--- a/corkdeal/experiment/tier.py
+++ b/corkdeal/experiment/tier.py
@@ -104,7 +104,7 @@
         for i in range(tier.servers):
             model = BackendModel(
                 f"s-{i:02d}-{rng.getrandbits(16):04x}",
-                fleet.HALLS[i % 3],
+                fleet.ZONES[i % 3],
                 cell=i // 6,
                 cores=CORES,
                 speed=rng.uniform(0.9, 1.1),
--- a/corkdeal/standin/fleet.py
+++ b/corkdeal/standin/fleet.py
@@ -25,7 +25,7 @@
 runpy.run_module("corkdeal.net", run_name="__main__", alter_sys=True)
 """  # the program with its wall clock shifted by some seconds: all processes share the system clock
 
-HALLS = ("north-hall", "east-hall", "south-hall")
+ZONES = ("north-hall", "east-hall", "south-hall")
 CLASSES = [
     {"name": "board-load", "aim_us": 1_500_000, "deadline_us": 4_000_000, "semantics": "pure", "points": 1},
     {
@@ -48,9 +48,9 @@
     return {
         "balancers": gateways,
         "me": me,
-        "failure_domains": list(HALLS),
+        "failure_domains": list(ZONES),
         "host_types": ["standard", "slower"],
-        "zone": me % len(HALLS),
+        "zone": me % len(ZONES),
         "membership_mode": "pushed",
         "granularity_us": 4000,
         "classes": CLASSES,
