--- a/corkdeal/standin/fleet.py
+++ b/corkdeal/standin/fleet.py
@@ -79,7 +79,7 @@
     }
 
 
-def free_ones(count: int, socket_type: int, host: str) -> list[str]:
+def find_free_addresses(count: int, socket_type: int, host: str) -> list[str]:
     """Find distinct free addresses of a host: all sockets stay bound until the last one is."""
     with contextlib.ExitStack() as stack:
         sockets = [stack.enter_context(socket.socket(socket.AF_INET, socket_type)) for _ in range(count)]
@@ -88,7 +88,7 @@
         return [f"{host}:{s.getsockname()[1]}" for s in sockets]
 
 
-def own_host() -> str:
+def process_loopback_host() -> str:
     """A loopback address that only this process uses.
 
     On a shared address, an outgoing connection could take the port of a gateway that is down as its own.
@@ -212,9 +212,9 @@
     program: pathlib.Path | None = None,
 ) -> list[Gateway]:
     """Create all gateways of a tier without starting them."""
-    host = own_host()
-    peers = free_ones(count, socket.SOCK_DGRAM, host)
-    listen = free_ones(count, socket.SOCK_STREAM, host)
+    host = process_loopback_host()
+    peers = find_free_addresses(count, socket.SOCK_DGRAM, host)
+    listen = find_free_addresses(count, socket.SOCK_STREAM, host)
     return [
         Gateway(
             i,
