--- a/benchmarks/readiness.py
+++ b/benchmarks/readiness.py
@@ -144,7 +144,9 @@
         steps: dict[str, dict[str, Any]] = {}
         while "listening" not in steps:
             if not (line := await reader.readline()):
-                raise fleet.Ended(f"gateway exited while starting: {self.gateway.log.read_text()[-2000:]}")
+                raise fleet.GatewayExitedError(
+                    f"gateway exited while starting: {self.gateway.log.read_text()[-2000:]}"
+                )
             step = json.loads(line)
             steps[step["step"]] = step
         return steps
--- a/corkdeal/experiment/tier.py
+++ b/corkdeal/experiment/tier.py
@@ -215,7 +215,7 @@
         endpoint_document = self.discovery.document(i)
         if previous_list is None:
             self.record_endpoint_list(i, endpoint_document["members"])
-        with contextlib.suppress(fleet.Ended):
+        with contextlib.suppress(fleet.GatewayExitedError):
             startup_time = await self.gateways[i].start(endpoint_document)
             self.mark_available(i)
             self.ready.append((i, self.clock(), startup_time))
--- a/corkdeal/standin/fleet.py
+++ b/corkdeal/standin/fleet.py
@@ -97,7 +97,7 @@
     return f"127.{100 + (pid >> 16) % 100}.{pid >> 8 & 255}.{pid & 255}"
 
 
-class Ended(RuntimeError):
+class GatewayExitedError(RuntimeError):
     """A gateway process ended before it answered its first PING."""
 
 
@@ -173,7 +173,9 @@
         process = self.process
         while not await self.answers():
             if process.returncode is not None:
-                raise Ended(f"{self.config['name']} ended before it answered PING; see {self.log}")
+                raise GatewayExitedError(
+                    f"{self.config['name']} ended before it answered PING; see {self.log}"
+                )
             if time.monotonic() - began > READY_TIMEOUT:
                 raise RuntimeError(f"{self.config['name']} did not answer PING in time; see {self.log}")
             await asyncio.sleep(READY_POLL_INTERVAL)
