--- a/benchmarks/readiness.py
+++ b/benchmarks/readiness.py
@@ -126,7 +126,7 @@
         """Runs in the child process before the program is executed."""
         fleet.die_with_parent()
         if self.disk_full:
-            fleet.limit_files(0, True)
+            fleet.set_disk_full(0, True)
 
     async def ready(self) -> Start:
         """Waits until the port is open and then for the first reply; nothing connects to it before."""
--- a/corkdeal/experiment/tier.py
+++ b/corkdeal/experiment/tier.py
@@ -314,9 +314,9 @@
                     state_folder.parent.mkdir(exist_ok=True)
                     state_folder.write_text("")
             elif step.what == "full":
-                self.gateways[i].fill_disk(True)
+                self.gateways[i].set_disk_full(True)
             elif step.what == "freed":
-                self.gateways[i].fill_disk(False)
+                self.gateways[i].set_disk_full(False)
                 if state_folder.is_file():
                     state_folder.unlink()
             elif step.what == "swap":
--- a/corkdeal/standin/fleet.py
+++ b/corkdeal/standin/fleet.py
@@ -106,7 +106,7 @@
     ctypes.CDLL(None).prctl(PR_SET_PDEATHSIG, signal.SIGKILL)
 
 
-def limit_files(pid: int, full: bool) -> None:
+def set_disk_full(pid: int, full: bool) -> None:
     """Make a process's writes to files fail as on a full disk, by RLIMIT_FSIZE, or succeed again."""
     _, hard_limit = resource.prlimit(pid, resource.RLIMIT_FSIZE)
     resource.prlimit(pid, resource.RLIMIT_FSIZE, (0 if full else hard_limit, hard_limit))
@@ -139,17 +139,17 @@
         self.clock_by = 0.0  # s by which the wall clock of its next incarnation is shifted
         self.disk_full = False
 
-    def fill_disk(self, full: bool) -> None:
+    def set_disk_full(self, full: bool) -> None:
         """Make all its writes to files fail, those to its log included, or let them succeed again."""
         self.disk_full = full
         if self.process is not None and self.process.returncode is None:
-            limit_files(self.process.pid, full)
+            set_disk_full(self.process.pid, full)
 
     def prepare_child(self) -> None:
         """Runs in the child process before the program is executed."""
         die_with_parent()
         if self.disk_full:
-            limit_files(0, True)
+            set_disk_full(0, True)
 
     async def start(self, known: dict[str, Any] | None = None) -> float:
         """Start the process; returns the seconds until it answered PING."""
--- a/tests/test_start.py
+++ b/tests/test_start.py
@@ -8,7 +8,7 @@
 import sys
 import tomllib
 
-from corkdeal.standin.fleet import limit_files
+from corkdeal.standin.fleet import set_disk_full
 from tests.net_world import ROOT, WAIT_TIMEOUT, Program
 from tests.ports import reserve_address
 
@@ -83,7 +83,7 @@
             stdout=subprocess.PIPE,
             stderr=subprocess.STDOUT,
             text=True,
-            preexec_fn=lambda: limit_files(0, True) if self.disk_full else None,
+            preexec_fn=lambda: set_disk_full(0, True) if self.disk_full else None,
         )
 
     def start_and_report(self):
