--- a/benchmarks/crowd.py
+++ b/benchmarks/crowd.py
@@ -106,7 +106,7 @@
             finally:
                 for task in list(self.tasks):
                     task.cancel()
-                await gateway.end()
+                await gateway.stop()
                 discovery.close()
                 for each in backends:
                     each.crash()
--- a/benchmarks/departures.py
+++ b/benchmarks/departures.py
@@ -179,7 +179,7 @@
             finally:
                 for task in tasks:
                     task.cancel()
-                await asyncio.gather(*(g.end() for g in gateways))
+                await asyncio.gather(*(g.stop() for g in gateways))
                 discovery.close()
                 for each in backends:
                     each.crash()
--- a/benchmarks/readiness.py
+++ b/benchmarks/readiness.py
@@ -132,7 +132,7 @@
         """Waits until the port is open and then for the first reply; nothing connects to it before."""
         async with asyncio.timeout(READY_TIMEOUT):
             steps = await self.read_steps()
-            while not await self.gateway.answers():
+            while not await self.gateway.answers_ping():
                 await asyncio.sleep(PING_EVERY)
             return self.combine_measurements(steps, time.monotonic())
 
--- a/corkdeal/experiment/kills.py
+++ b/corkdeal/experiment/kills.py
@@ -62,7 +62,7 @@
     for _ in range(kill_count):
         await gateway.start(discovery.document())
         await asyncio.sleep(rng.uniform(*UPTIME_RANGE))
-        await gateway.end()
+        await gateway.stop()
         new_generation, account_count = check_state(state_folder, generation)
         generation_count, generation, max_accounts = (
             generation_count + new_generation - generation,
@@ -115,7 +115,7 @@
     finally:
         load_task.cancel()
         for gateway in gateways:
-            await gateway.end()
+            await gateway.stop()
         for server in servers:
             server.crash()
         shutil.rmtree(folder, ignore_errors=True)
--- a/corkdeal/experiment/restarts.py
+++ b/corkdeal/experiment/restarts.py
@@ -95,7 +95,7 @@
             ):
                 await wait_until(restart_at)
                 if variant != "calm":
-                    await gateways[gateway_index].end()
+                    await gateways[gateway_index].stop()
                     load_generator.down_since[gateway_index] = time.monotonic()
                     await wait_until(restart_at + downtime)
                     restart_durations.append(await gateways[gateway_index].start(discovery.document()))
@@ -103,7 +103,7 @@
         await asyncio.gather(restart_gateways(), load_generator.run(started_at))
     finally:
         for gateway in gateways:
-            await gateway.end()
+            await gateway.stop()
         for backend in backends:
             backend.crash()
     slow_names = {backend.model.name for backend in slowdowns}
--- a/corkdeal/experiment/tier.py
+++ b/corkdeal/experiment/tier.py
@@ -358,7 +358,7 @@
             self.change_folders(what)
         elif step.kind == "clock":
             for i in self.select_gateways(what.gateways):
-                self.gateways[i].clock_by = what.by
+                self.gateways[i].clock_offset = what.by
         else:
             await self.process(step.kind, self.select_gateways(what.gateways))
 
@@ -412,7 +412,7 @@
         for task in list(self.background_tasks):
             task.cancel()
         for g in self.gateways:
-            await g.end()
+            await g.stop()
         for s in self.servers:
             s.crash()
         if hasattr(self, "discovery"):
--- a/corkdeal/standin/fleet.py
+++ b/corkdeal/standin/fleet.py
@@ -136,7 +136,7 @@
         self.process: asyncio.subprocess.Process | None = None
         self.ready_at = 0.0  # monotonic time of its first reply to PING
         self.up = False
-        self.clock_by = 0.0  # s by which the wall clock of its next incarnation is shifted
+        self.clock_offset = 0.0  # s by which the wall clock of its next incarnation is shifted
         self.disk_full = False
 
     def set_disk_full(self, full: bool) -> None:
@@ -160,8 +160,8 @@
                 sys.executable,
                 "-O",
                 *(
-                    ("-c", SHIFTED_CLOCK_PROGRAM.format(by=self.clock_by))
-                    if self.clock_by
+                    ("-c", SHIFTED_CLOCK_PROGRAM.format(by=self.clock_offset))
+                    if self.clock_offset
                     else ("-m", "corkdeal.net")
                 ),
                 env=self.env,
@@ -171,7 +171,7 @@
                 preexec_fn=self.prepare_child,
             )
         process = self.process
-        while not await self.answers():
+        while not await self.answers_ping():
             if process.returncode is not None:
                 raise GatewayExitedError(
                     f"{self.config['name']} ended before it answered PING; see {self.log}"
@@ -182,7 +182,7 @@
         self.ready_at, self.up = time.monotonic(), True
         return self.ready_at - began
 
-    async def answers(self) -> bool:
+    async def answers_ping(self) -> bool:
         """Whether it answers PING."""
         host, port = self.listen.split(":")
         try:
@@ -197,7 +197,7 @@
         finally:
             writer.close()
 
-    async def end(self, signal_number: signal.Signals = signal.SIGKILL) -> None:
+    async def stop(self, signal_number: signal.Signals = signal.SIGKILL) -> None:
         """End the process by a signal, and wait for it."""
         self.up = False
         if self.process is not None and self.process.returncode is None:
