--- a/benchmarks/crowd.py
+++ b/benchmarks/crowd.py
@@ -32,7 +32,7 @@
 
 from corkdeal.standin.backends import BackendModel, FakeBackend, gamma_work
 from corkdeal.standin.discovery import Discovery
-from corkdeal.standin.fleet import tier
+from corkdeal.standin.fleet import create_gateways
 
 BACKENDS = 4
 PROBES, PROBE_EVERY = 4, 0.1  # persistent connections; s between two requests of one
@@ -97,7 +97,9 @@
         discovery = Discovery(lambda: [backend.entry() for backend in backends])
         await discovery.start()
         with tempfile.TemporaryDirectory() as folder:
-            (gateway,) = tier(1, discovery.port, pathlib.Path(folder), PLANS, "recovery\n", self.program)
+            (gateway,) = create_gateways(
+                1, discovery.port, pathlib.Path(folder), PLANS, "recovery\n", self.program
+            )
             gateway.config["settings"]["me"] = 0
             gateway.config["limits"] = {**gateway.config.get("limits", {}), "sockets": self.args.sockets}
             try:
--- a/benchmarks/departures.py
+++ b/benchmarks/departures.py
@@ -32,7 +32,7 @@
 
 from corkdeal.standin.backends import Arrival, BackendModel, FakeBackend, gamma_work
 from corkdeal.standin.discovery import Discovery
-from corkdeal.standin.fleet import tier
+from corkdeal.standin.fleet import create_gateways
 
 LATE_AFTER = 0.1  # s after a disconnect, from which on an attempt of that client counts as late
 GATEWAYS, BACKENDS = 3, 6
@@ -164,7 +164,7 @@
         discovery = Discovery(lambda: [] if self.is_list_empty else [s.entry() for s in backends])
         await discovery.start()
         with tempfile.TemporaryDirectory() as folder:
-            gateways = tier(
+            gateways = create_gateways(
                 self.gateways, discovery.port, pathlib.Path(folder), PLANS, "recovery\n", self.program
             )
             for number, each in enumerate(gateways):
--- a/benchmarks/readiness.py
+++ b/benchmarks/readiness.py
@@ -250,7 +250,7 @@
     discovery = Discovery(backends)
     await discovery.start()
     with tempfile.TemporaryDirectory() as folder:
-        gateways = fleet.tier(count, discovery.port, pathlib.Path(folder), PLANS)
+        gateways = fleet.create_gateways(count, discovery.port, pathlib.Path(folder), PLANS)
         addresses = fleet.find_free_addresses(count, socket.SOCK_STREAM, fleet.process_loopback_host())
         for gateway, address in zip(gateways, addresses, strict=True):  # distinct, and no client's port
             gateway.listen = gateway.config["listen"] = address
--- a/corkdeal/experiment/kills.py
+++ b/corkdeal/experiment/kills.py
@@ -93,7 +93,7 @@
     discovery = Discovery(lambda: [server.entry() for server in servers])
     await discovery.start()
     options = f'knowledge path="{folder}/state" every={SNAPSHOT_INTERVAL} read-wait=10\n'
-    gateways = fleet.tier(gateway_count, discovery.port, folder, clients.PLANS, options)
+    gateways = fleet.create_gateways(gateway_count, discovery.port, folder, clients.PLANS, options)
     customers = clients.customers(rng, 60.0, gateway_count)
     started_at = time.monotonic()
     requests = clients.arrivals(rng, customers, 2.5 * kill_count / gateway_count + 10, gateway_count)
--- a/corkdeal/experiment/restarts.py
+++ b/corkdeal/experiment/restarts.py
@@ -75,7 +75,7 @@
     discovery = Discovery(lambda: [backend.entry() for backend in backends])
     await discovery.start()
     options = f'knowledge path="{folder}/state" every={write_interval}\n' if variant == "knows" else ""
-    gateways = fleet.tier(GATEWAYS, discovery.port, folder, clients.PLANS, options, program)
+    gateways = fleet.create_gateways(GATEWAYS, discovery.port, folder, clients.PLANS, options, program)
     load_generator = clients.Clients(gateways, requests, rng)
     start_durations, restart_durations = [], []
     try:
--- a/corkdeal/standin/fleet.py
+++ b/corkdeal/standin/fleet.py
@@ -205,7 +205,7 @@
             await self.process.wait()
 
 
-def tier(
+def create_gateways(
     count: int,
     discovery_port: int,
     folder: pathlib.Path,
