--- a/tests/test_net_edges.py
+++ b/tests/test_net_edges.py
@@ -154,9 +154,9 @@
         many = 700
         client.send(b"".join(encode_command(b"ECHO", b"%d" % i) + PING for i in range(many)))
         client.sock.shutdown(socket.SHUT_WR)
-        answers = [client.read() for _ in range(2 * many)]
-        self.assertEqual(answers[::2], [[b"%d" % i] for i in range(many)])
-        self.assertEqual(answers[1::2], [[b"PONG"]] * many)
+        replies = [client.read() for _ in range(2 * many)]
+        self.assertEqual(replies[::2], [[b"%d" % i] for i in range(many)])
+        self.assertEqual(replies[1::2], [[b"PONG"]] * many)
         self.assertIsNone(client.read())
 
 
@@ -204,9 +204,9 @@
                 self.ask(client, d=80000, rid=rid)
                 asked = self.world.next()
                 self.send_truncated(asked, part)
-                again = self.world.next()
-                self.assertIsNot(again.backend, asked.backend)
-                again.conn.send(served(b"whole"))
+                retry = self.world.next()
+                self.assertIsNot(retry.backend, asked.backend)
+                retry.conn.send(served(b"whole"))
                 self.assertEqual(client.read(), [b"whole"])
         self.assertTrue(self.world.asked.empty())
 
@@ -220,10 +220,10 @@
         time.sleep(1.5)
         for asked in (first, second):
             reset(asked.conn.sock)
-        again = self.world.next()
-        self.assertEqual(again.words[2], first.words[2])
-        self.assertIsNot(again.backend, first.backend)
-        again.conn.send(served())
+        retry = self.world.next()
+        self.assertEqual(retry.words[2], first.words[2])
+        self.assertIsNot(retry.backend, first.backend)
+        retry.conn.send(served())
         self.assertEqual(safe.read(), [b"v"])
         self.assertEqual(unsafe.read(), [FAILED])
         self.assertTrue(self.world.asked.empty())
@@ -234,9 +234,9 @@
         self.ask(client, d=80000)
         first = self.world.next()
         first.conn.send(b"*3\r\n$5\r\nab")
-        again = self.world.next()
+        retry = self.world.next()
         self.assertTrue(first.ended.wait(WAIT_TIMEOUT))  # before the other attempt started
-        again.conn.send(served())
+        retry.conn.send(served())
         self.assertEqual(client.read(), [b"v"])
 
 
@@ -249,11 +249,11 @@
         client.sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
         commands = [encode_command(*self.words(b"pay", d=80000, rid=rid, body=b"slow")) for rid in (1, 2)]
         raw, size = commands[0] + commands[1], len(commands[0])
-        began, step = time.monotonic(), 1.7 / size  # each command is in time; both together are not
+        started_at, step = time.monotonic(), 1.7 / size  # each command is in time; both together are not
         for i in range(len(raw)):
             if i != size:
                 client.send(raw[i : i + 1] if i != size - 1 else raw[i : i + 2])  # one ends, the next starts
-            time.sleep(max(0.0, began + (i + 1) * step - time.monotonic()))
+            time.sleep(max(0.0, started_at + (i + 1) * step - time.monotonic()))
             if i == size:
                 asked = self.world.next()
                 self.assertGreater(int(asked.params[b"d"]), 79_000)  # its timeout counts from its last byte
@@ -264,7 +264,7 @@
     def test_a_backend_whose_connections_come_up_late(self):
         late = self.crowded("a")
         self.start(b={})
-        client, seen = self.client(), 0
+        client, received_bytes = self.client(), 0
         for rid in range(8):  # attempts at the late one are retried, as they can't have run
             self.assertEqual(self.serve(client, rid, b"pay", body=b"x").backend.name, "b")
         late.settimeout(2.5)
@@ -273,9 +273,9 @@
                 conn = late.accept()[0]
                 conn.setblocking(False)
                 with contextlib.suppress(BlockingIOError, ConnectionError):
-                    seen += len(conn.recv(65536))
+                    received_bytes += len(conn.recv(65536))
                 conn.close()
-        self.assertEqual(seen, 0)
+        self.assertEqual(received_bytes, 0)
 
 
 class CompleteLists(EdgeCases):
@@ -288,30 +288,30 @@
         while len(used) < 2:  # an idle connection to each is kept
             used.add(self.serve(client, next(rids), d=80000).backend.name)
         self.ask(client, d=80000, rid=30)
-        out = self.world.next()
-        gone = self.world.backends.pop(out.backend.name)
-        self.addCleanup(gone.listener.close)
+        pending = self.world.next()
+        removed = self.world.backends.pop(pending.backend.name)
+        self.addCleanup(removed.listener.close)
         self.world.tell()
         other = self.client()
         for rid in range(40, 52):
-            self.assertIsNot(self.serve(other, rid, d=80000).backend, gone)
-        out.conn.send(served(b"finished"))  # its current request may finish
+            self.assertIsNot(self.serve(other, rid, d=80000).backend, removed)
+        pending.conn.send(served(b"finished"))  # its current request may finish
         self.assertEqual(client.read(), [b"finished"])
         for rid in range(60, 72):
-            self.assertIsNot(self.serve(client, rid, d=80000).backend, gone)
+            self.assertIsNot(self.serve(client, rid, d=80000).backend, removed)
 
     def test_what_a_backend_that_is_left_out_fails_goes_elsewhere(self):
         self.patient(a={}, b={})
         client = self.client()
         self.ask(client, d=80000)
-        out = self.world.next()
-        gone = self.world.backends.pop(out.backend.name)
-        self.addCleanup(gone.listener.close)
+        pending = self.world.next()
+        removed = self.world.backends.pop(pending.backend.name)
+        self.addCleanup(removed.listener.close)
         self.world.tell()
-        out.conn.end()
-        again = self.world.next()
-        self.assertIsNot(again.backend, gone)
-        again.conn.send(served())
+        pending.conn.end()
+        retry = self.world.next()
+        self.assertIsNot(retry.backend, removed)
+        retry.conn.send(served())
         self.assertEqual(client.read(), [b"v"])
 
     def test_a_connection_that_still_comes_up_to_one_that_is_left_out(self):
@@ -358,24 +358,24 @@
         """Start a retry within the window, on a connection that is established a second later."""
         settings = copy.deepcopy(SETTINGS)
         settings["policy_limits"]["connect_timeout_us"] = 60_000_000
-        for each in settings["classes"]:
-            each.update(aim_us=16_000_000, deadline_us=40_000_000)
+        for request_class in settings["classes"]:
+            request_class.update(aim_us=16_000_000, deadline_us=40_000_000)
         settings["classes"][1]["window_us"] = int(1e6 * self.WINDOW)
         self.late, first = self.crowded("b"), self.world.add("a")
         self.world.backends["b"].entry["phase"] = "Terminating"
         self.start(config={"settings": settings})
         client = self.client()
         self.ask(client, b"note", d=6000, more=b",k=ab", body=b"the one repeat")
-        began = time.monotonic()
+        started_at = time.monotonic()
         asked = self.world.next()
         self.assertIs(asked.backend, first)
         self.world.tell(b="Ready")
         before = self.connecting()
-        time.sleep(max(0.0, began + 0.8 * self.WINDOW - time.monotonic()))
+        time.sleep(max(0.0, started_at + 0.8 * self.WINDOW - time.monotonic()))
         asked.conn.send(b"-ERR failed\r\n")
         self.wait_for(lambda: self.connecting() > before)
         threading.Thread(target=self.accept, daemon=True).start()  # the SYN is retransmitted a second later
-        return client, began
+        return client, started_at
 
     def connecting(self):
         """Return the number of connections to the late backend in state SYN_SENT."""
@@ -390,7 +390,7 @@
             while True:
                 self.accepted.append(self.late.accept()[0])
 
-    def assert_nothing_came(self):
+    def assert_nothing_received(self):
         """Kill the gateway, so that all that it wrote has arrived; check that it wrote nothing."""
         self.process.kill()
         self.process.wait()
@@ -401,15 +401,16 @@
             conn.close()
 
     def test_the_connection_comes_up_after_the_window(self):
-        client, began = self.start_connecting_retry()
+        client, started_at = self.start_connecting_retry()
         self.assertEqual(client.read(), [FAILED])
-        time.sleep(max(0.0, began + 2.3 * self.WINDOW - time.monotonic()))  # it would be established by then
-        self.assert_nothing_came()
+        # it would be established by then
+        time.sleep(max(0.0, started_at + 2.3 * self.WINDOW - time.monotonic()))
+        self.assert_nothing_received()
 
     def test_the_gateway_learns_only_after_the_window_that_the_connection_is_up(self):
-        client, began = self.start_connecting_retry()
+        client, started_at = self.start_connecting_retry()
         self.freeze()
         self.wait_for(lambda: not self.connecting())
-        self.thaw(after=1.2 * self.WINDOW, since=began)
+        self.thaw(after=1.2 * self.WINDOW, since=started_at)
         self.assertEqual(client.read(), [FAILED])
-        self.assert_nothing_came()
+        self.assert_nothing_received()
