--- a/tests/test_net_parsers.py
+++ b/tests/test_net_parsers.py
@@ -289,21 +289,21 @@
     def test_a_request_not_read_yet_and_one_likely_under_way_keep_a_client_connection_from_closing(self):
         self.use_reactor_clock()
         new, asked, idle = [self.client_connection() for _ in range(3)]
-        for each in (asked, idle):
-            each.dataReceived(b"*1\r\n$4\r\nPING\r\n")
-            ours, theirs = socket.socketpair()
-            self.addCleanup(ours.close)
-            self.addCleanup(theirs.close)
-            each.transport.getHandle = lambda ours=ours: ours
-            if each is asked:
-                theirs.sendall(b"*1\r\n$4\r\nPING\r\n")
-        for each in (new, asked, idle):
-            each.close_when_idle()
+        for connection in (asked, idle):
+            connection.dataReceived(b"*1\r\n$4\r\nPING\r\n")
+            near_end, far_end = socket.socketpair()
+            self.addCleanup(near_end.close)
+            self.addCleanup(far_end.close)
+            connection.transport.getHandle = lambda near_end=near_end: near_end
+            if connection is asked:
+                far_end.sendall(b"*1\r\n$4\r\nPING\r\n")
+        for connection in (new, asked, idle):
+            connection.close_when_idle()
         self.assertEqual([c.transport.disconnecting for c in (new, asked, idle)], [False, False, True])
         # they are read, served and then closed
-        for each in (new, asked):
-            each.transport.getHandle = lambda each=each: each.transport
-            each.dataReceived(b"*1\r\n$4\r\nPING\r\n")
+        for connection in (new, asked):
+            connection.transport.getHandle = lambda connection=connection: connection.transport
+            connection.dataReceived(b"*1\r\n$4\r\nPING\r\n")
         self.assertEqual([c.transport.disconnecting for c in (new, asked)], [True, True])
         silent = self.client_connection()
         silent.close_when_idle()
@@ -323,8 +323,8 @@
         self.add_request(busy)
         self.reactor.advance(descriptors_module.COMMAND_TIMEOUT + 0.1)
         descriptors.sweep()
-        for each in (silent, half):
-            self.assertIn(b"-ERR timeout", each.transport.value())
+        for connection in (silent, half):
+            self.assertIn(b"-ERR timeout", connection.transport.value())
         self.reactor.advance(client_connection_module.LINGER)
         self.assertEqual(self.gateway.client_connections - {silent}, {idle, busy})
         self.assertTrue(silent.transport.disconnecting)
@@ -338,8 +338,8 @@
         self.serve_request(idle)
         pinged.dataReceived(b"*1\r\n$4\r\nPING\r\n")
         crowd = [self.client_connection() for _ in range(descriptors.limit // 8)]
-        for each in crowd:
-            self.add_request(each)
+        for connection in crowd:
+            self.add_request(connection)
         self.reactor.advance(descriptors_module.MIN_SILENT_TIME + 0.01)
         descriptors.sweep()
         ended = [c.transport.disconnecting for c in (idle, pinged, silent)]
@@ -356,15 +356,15 @@
         self.serve_request(idle)
         self.reactor.advance(descriptors_module.MIN_IDLE_TIME)
         silent = [self.client_connection() for _ in range(most - 2)]
-        for each in silent[::2]:  # a PING does not protect a connection from eviction
-            each.dataReceived(b"*1\r\n$4\r\nPING\r\n")
+        for connection in silent[::2]:  # a PING does not protect a connection from eviction
+            connection.dataReceived(b"*1\r\n$4\r\nPING\r\n")
         self.reactor.advance(descriptors_module.MIN_SILENT_TIME)
-        for left in (most - 3, most - 4):  # first those without a request so far
+        for expected_count in (most - 3, most - 4):  # first those without a request so far
             new = self.client_connection()
             self.assertEqual(new.transport.value(), b"")
-            self.assertEqual(len(self.gateway.client_connections & set(silent)), left)
-        for each in self.gateway.client_connections - {idle}:
-            self.add_request(each)
+            self.assertEqual(len(self.gateway.client_connections & set(silent)), expected_count)
+        for connection in self.gateway.client_connections - {idle}:
+            self.add_request(connection)
         self.client_connection()
         self.assertFalse(idle in self.gateway.client_connections)  # then the connection idle for longest
         refused = self.client_connection()  # but none that has work
@@ -372,14 +372,14 @@
         self.assertEqual(len(self.gateway.client_connections), most)  # it is closed within the same iteration
 
     def test_answers_to_a_flood_go_out_together_and_end_it(self):
-        made, sent = self.client_connection(), []
-        made.transport.sendmsg = lambda parts: sent.append(parts) or sum(map(len, parts))
-        made.dataReceived(b"*1\r\n$8\r\nAPI.READ\r\n" * 500)  # must not cause a write for each
+        connection, sent = self.client_connection(), []
+        connection.transport.sendmsg = lambda parts: sent.append(parts) or sum(map(len, parts))
+        connection.dataReceived(b"*1\r\n$8\r\nAPI.READ\r\n" * 500)  # must not cause a write for each
         self.assertEqual((len(sent), len(sent[0])), (1, client_connection_module.MAX_BAD_REQUESTS))
-        made.dataReceived(b"*1\r\n$4\r\nPING\r\n" * 500)
+        connection.dataReceived(b"*1\r\n$4\r\nPING\r\n" * 500)
         self.assertEqual(len(sent), 1)
         pings = self.client_connection()  # sendmsg accepts at most 1024 parts
-        pings.transport.sendmsg = made.transport.sendmsg
+        pings.transport.sendmsg = connection.transport.sendmsg
         pings.dataReceived(b"*1\r\n$4\r\nPING\r\n" * 1500)
         self.assertEqual((len(sent[1]), len(sent[1][0])), (1, 1500 * 7))
 
@@ -401,7 +401,7 @@
     def test_an_exception_in_the_module_costs_its_request_only(self):
         self.gateway.decisions.handle = lambda now, events: 1 / 0
         self.gateway.decisions.actions = []
-        answers = []
+        replies = []
         rpc = type(
             "R",
             (),
@@ -412,12 +412,12 @@
                 "release": lambda _: None,
                 "done": False,
                 "client_connection": type(
-                    "C", (), {"set_reply": lambda _, rpc, reply: answers.append(reply)}
+                    "C", (), {"set_reply": lambda _, rpc, reply: replies.append(reply)}
                 )(),
             },
         )()
         self.gateway.accept_rpc(rpc)
-        self.assertEqual((answers, self.gateway.rpcs), ([[b"-ERR failed\r\n"]], {}))
+        self.assertEqual((replies, self.gateway.rpcs), ([[b"-ERR failed\r\n"]], {}))
         self.assertEqual(invariants.counts["module_failed"], 1)
 
     def connecting_attempt(self):
@@ -468,10 +468,10 @@
         self.assertEqual((self.ended, pool.open), ([Status.ABANDONED], set()))
 
     def test_outcomes_by_where_the_connection_broke(self):
-        for left, status in ((b"", Status.RESET), (b"rest", Status.CONNECT_FAILED)):
+        for unsent, status in ((b"", Status.RESET), (b"rest", Status.CONNECT_FAILED)):
             self.connecting_attempt()
             connection, transport = self.establish()
-            transport.dataBuffer = left
+            transport.dataBuffer = unsent
             connection.connectionLost()
             self.assertEqual(self.ended, [status])
 
