--- a/tests/test_net_rules.py
+++ b/tests/test_net_rules.py
@@ -35,9 +35,9 @@
         self.start(a={})
         client, body = self.client(), bytes(range(256)) * 256
         words = self.words(b"note", rid=2**63 + 5, more=b",k=5c0f6e1a2b3d4c59", body=body)
-        whole = encode_command(*words)
-        client.send(whole[:90])  # in two pieces, so that the head arrives incomplete
-        client.send(whole[90:])
+        encoded = encode_command(*words)
+        client.send(encoded[:90])  # in two pieces, so that the head arrives incomplete
+        client.send(encoded[90:])
         asked = self.world.next()
         self.assertEqual(asked.words[:3] + asked.words[4:], words[:3] + words[4:])
         sent = words[3].replace(b"d=3000", b"d=%b" % asked.params[b"d"])
@@ -47,22 +47,26 @@
 
     def test_resends_as_the_class_permits(self):
         self.start(a={"cell": 1}, b={"cell": 2}, c={"cell": 1})
-        for cls, more, stays in ((b"look", b"", None), (b"note", b",k=ab", 1), (b"pay", b"", 0)):
-            with self.subTest(cls):
+        for class_name, more, stays_in_cell in (
+            (b"look", b"", None),
+            (b"note", b",k=ab", 1),
+            (b"pay", b"", 0),
+        ):
+            with self.subTest(class_name):
                 client = self.client()
-                self.ask(client, cls, more=more, body=b"x" if stays is not None else None)
+                self.ask(client, class_name, more=more, body=b"x" if stays_in_cell is not None else None)
                 first = self.world.next()
                 first.conn.end()
-                if cls == b"pay":
+                if class_name == b"pay":
                     self.assertEqual(client.read(), [b"ERR failed"])
                     continue
-                if stays and first.backend.name == "b":  # the only backend of its cell
+                if stays_in_cell and first.backend.name == "b":  # the only backend of its cell
                     again = self.world.next()
                     self.assertEqual(again.backend.name, "b")
                 else:
                     again = self.world.next()
                     self.assertIsNot(again.backend, first.backend)
-                    if stays:
+                    if stays_in_cell:
                         self.assertEqual(again.backend.entry["cell"], first.backend.entry["cell"])
                 self.assertEqual(again.words[:3], first.words[:3])
                 again.conn.send(served())
@@ -144,8 +148,8 @@
             encode_command(*self.words(b"look")[:3], b"c=look,t=large,d=900,units=1,spread=2,first=0")
         )
         host, port = self.udp.split(":")
-        for junk in (b"junk", b"", b"x" * 257):
-            self.peer.sendto(junk, (host, int(port)))
+        for payload in (b"junk", b"", b"x" * 257):
+            self.peer.sendto(payload, (host, int(port)))
         datagram, sender = self.peer.recvfrom(2048)
         self.assertEqual(f"{sender[0]}:{sender[1]}", self.udp)
         self.assertLessEqual(len(datagram), 256)
@@ -164,8 +168,8 @@
         )
         client.sock.shutdown(1)
         asked = sorted((self.world.next() for _ in range(3)), key=lambda a: a.words[2], reverse=True)
-        for each in asked:
-            each.conn.send(served(each.words[4]))
+        for attempt in asked:
+            attempt.conn.send(served(attempt.words[4]))
         self.assertEqual(
             [client.read() for _ in range(5)], [[b"0"], [b"1"], [b"2"], [b"PONG"], [b"ERR unknown command"]]
         )
