--- a/corkdeal/cli/experiment.py
+++ b/corkdeal/cli/experiment.py
@@ -30,7 +30,7 @@
     from ..experiment import restarts as experiment
     from ..experiment import summary
 
-    runs = experiment.play_all(list(range(1, seeds + 1)), list(experiment.ARMS), every, load, together)
+    runs = experiment.run_all(list(range(1, seeds + 1)), list(experiment.VARIANTS), every, load, together)
     os.makedirs(out, exist_ok=True)
     with open(os.path.join(out, f"restarts-{load}.json"), "w", encoding="utf-8") as file:
         json.dump(runs, file, separators=(",", ":"))
@@ -97,11 +97,11 @@
     report: str | None,
 ) -> None:
     """Run a schedule of faults against real gateways; exit code 1 if a rule was broken. See docs/tier.md."""
-    from ..experiment import arms
+    from ..experiment import variants
     from ..options import OptionsError
 
     try:
-        runs = arms.play_all(schedule, list(seeds), ["", *program], out, together)
+        runs = variants.run_all(schedule, list(seeds), ["", *program], out, together)
     except OptionsError as error:
         for fault in error.faults:
             click.echo(f"{schedule}: {fault}", err=True)
@@ -109,9 +109,9 @@
     if report:
         os.makedirs(report, exist_ok=True)
         name = os.path.splitext(os.path.basename(schedule))[0]
-        arms.report(os.path.join(report, f"{name}.json"), runs)
-        arms.chart(os.path.join(report, f"{name}.svg"), runs, name)
-    click.echo(arms.table(runs))
+        variants.report(os.path.join(report, f"{name}.json"), runs)
+        variants.chart(os.path.join(report, f"{name}.svg"), runs, name)
+    click.echo(variants.table(runs))
     broken = [b for run in runs if not run["arm"] for b in run["broken"]]
     for violation in broken[:10]:
         click.echo(f"broken: {violation['rule']}\n  " + "\n  ".join(violation["lines"]))
--- a/corkdeal/experiment/restarts.py
+++ b/corkdeal/experiment/restarts.py
@@ -23,7 +23,7 @@
 from ..standin.backends import Arrival, BackendModel, FakeBackend, gamma_work
 from ..standin.discovery import Discovery
 
-ARMS = ("calm", "forgets", "knows")
+VARIANTS = ("calm", "forgets", "knows")
 GATEWAYS, SERVERS = 3, 12
 LOADS = {"usual": 92.0, "high": 110.0}  # units per second within quotas
 SLOW_AT, SLOW_FRACTION, SLOWDOWN_RANGE = 3.0, 0.25, (3.5, 9.0)  # s, part of the backends, factor of slowdown
@@ -181,7 +181,7 @@
         shutil.rmtree(folder, ignore_errors=True)
 
 
-def play_all(
+def run_all(
     seeds: list[int], variants: list[str], write_interval: float, load: str, max_processes: int
 ) -> list[dict[str, Any]]:
     """Run every combination of seed and variant, each in a process, at most `max_processes` at a time."""
--- a/corkdeal/experiment/arms.py
+++ b/corkdeal/experiment/variants.py
@@ -16,7 +16,7 @@
 from .summary import mean_and_half_width
 
 
-def play_all(
+def run_all(
     path: str, seeds: list[int], programs: list[str], out: str, together: int
 ) -> list[dict[str, Any]]:
     """Run every combination of seed and program, at most `together` at a time, each in its own process.
