--- a/corkdeal/options/__init__.py
+++ b/corkdeal/options/__init__.py
@@ -4,9 +4,9 @@
 returns frozen records, one per subsystem (`records`).
 """
 
-from .records import KnowledgeOptions, LogOptions, Options
+from .records import LogOptions, Options, PersistenceOptions
 
-__all__ = ["KnowledgeOptions", "LogOptions", "Options", "OptionsError", "load", "parse"]
+__all__ = ["LogOptions", "Options", "OptionsError", "PersistenceOptions", "load", "parse"]
 
 
 def __getattr__(name: str) -> object:
--- a/corkdeal/options/records.py
+++ b/corkdeal/options/records.py
@@ -53,7 +53,7 @@
 
 
 @dataclass(frozen=True, kw_only=True)
-class KnowledgeOptions:
+class PersistenceOptions:
     """`knowledge`: state that is persisted across restarts. Times are in seconds."""
 
     path: str = setting(absolute=True)  # parent of one folder per gateway name
@@ -126,7 +126,7 @@
     """The whole options file; None means that the subsystem is off."""
 
     log: LogOptions | None = None
-    knowledge: KnowledgeOptions | None = None
+    knowledge: PersistenceOptions | None = None
     halls: ZonesOptions | None = None
     recovery: RecoveryOptions | None = None
     membership: MembershipOptions | None = None
--- a/corkdeal/persistence/snapshot_writer.py
+++ b/corkdeal/persistence/snapshot_writer.py
@@ -14,7 +14,7 @@
 from typing import NamedTuple
 
 from .. import __version__
-from ..options import KnowledgeOptions
+from ..options import PersistenceOptions
 from . import clock, snapshot_loader
 from .capture import StateCapture
 from .codec import SnapshotHead, encode_snapshot
@@ -41,7 +41,7 @@
         self,
         reactor: Reactor,
         gateway: GatewayHost,
-        options: KnowledgeOptions,
+        options: PersistenceOptions,
         counts: Counter[str],
         store_factory: Callable[..., SnapshotStore] = SnapshotStore,
     ) -> None:
@@ -82,7 +82,7 @@
         """Start to write at intervals."""
         self._schedule(self.options.every)
 
-    def reload(self, options: KnowledgeOptions) -> None:
+    def reload(self, options: PersistenceOptions) -> None:
         """Apply changed options; with another path the next write goes to a new store."""
         old_path = self.options.path
         self.options = options
--- a/tests/persistence/test_snapshot_writer.py
+++ b/tests/persistence/test_snapshot_writer.py
@@ -10,7 +10,7 @@
 
 from corkdeal import logs
 from corkdeal.decisions.gateway import Gateway
-from corkdeal.options import KnowledgeOptions
+from corkdeal.options import PersistenceOptions
 from corkdeal.persistence.files import StateFolder
 from corkdeal.persistence.snapshot_writer import SnapshotWriter
 from corkdeal.persistence.store import SnapshotStore
@@ -77,7 +77,7 @@
     counts = Counter()
 
     def writer(**more):
-        options = KnowledgeOptions(path=str(tmp_path), **more)
+        options = PersistenceOptions(path=str(tmp_path), **more)
         return SnapshotWriter(
             reactor, gateway, options, counts, lambda *a: SnapshotStore(*a, folder_factory=FaultyFolder)
         )
@@ -175,12 +175,12 @@
     writer = world.writer(every=5.0)
     writer.load()
     writer.start()
-    writer.reload(KnowledgeOptions(path=str(tmp_path), every=1.0, generations=3))
+    writer.reload(PersistenceOptions(path=str(tmp_path), every=1.0, generations=3))
     for _ in range(4):
         world.reactor.advance_and_run(1.0)
         world.reactor.run_thread_call()
     assert files(world) == ["2", "3", "4"]
-    writer.reload(KnowledgeOptions(path=str(tmp_path / "other"), every=1.0))
+    writer.reload(PersistenceOptions(path=str(tmp_path / "other"), every=1.0))
     world.reactor.advance_and_run(1.0)
     world.reactor.run_thread_call()
     assert [p.name for p in (tmp_path / "other" / "n0").glob("*.know")] == ["0000000000000001.know"]
