--- a/corkdeal/cli/experiment.py
+++ b/corkdeal/cli/experiment.py
@@ -51,9 +51,9 @@
     """Kill gateways at random moments under load and check the files after each; stop at the first fault."""
     import asyncio
 
-    from ..experiment import kills as experiment
+    from ..experiment import crash_test as experiment
 
-    click.echo(json.dumps(asyncio.run(experiment.play(kills, together, seed))))
+    click.echo(json.dumps(asyncio.run(experiment.run(kills, together, seed))))
 
 
 @command.command("cuts")
--- a/corkdeal/experiment/kills.py
+++ b/corkdeal/experiment/crash_test.py
@@ -81,7 +81,7 @@
     }
 
 
-async def play(kill_count: int, gateway_count: int, seed: int) -> dict[str, Any]:
+async def run(kill_count: int, gateway_count: int, seed: int) -> dict[str, Any]:
     """Kill `kills` times in all, spread evenly over a tier of `together` gateways."""
     folder, rng = pathlib.Path(tempfile.mkdtemp(prefix="kills-")), random.Random(seed)
     servers = [
