--- a/benchmarks/members.py
+++ b/benchmarks/members.py
@@ -16,34 +16,36 @@
 
 from corkdeal.decisions.actions import StartAttempt
 from corkdeal.decisions.events import AttemptEnded, Request, Status
-from corkdeal.experiment.members import World
+from corkdeal.experiment.members import Simulation
 
 PAIRS, REQUESTS = 30, 3000
 
 
-def measure_cpu(world: World) -> float:
+def measure_cpu(simulation: Simulation) -> float:
     """Returns one gateway's CPU seconds for REQUESTS requests, right after its leases are renewed."""
-    world.run(1.0)
-    gateway = world.up[0]
+    simulation.run(1.0)
+    gateway = simulation.up[0]
     cpu_before = time.process_time()
     for _ in range(REQUESTS):
-        world.number += 1
-        actions = gateway.handle(world.now, [Request(world.number, 7, 0, 0, 0.001, 0, 3, 3.0)])
+        simulation.number += 1
+        actions = gateway.handle(simulation.now, [Request(simulation.number, 7, 0, 0, 0.001, 0, 3, 3.0)])
         for action in actions:
             if isinstance(action, StartAttempt):
-                gateway.handle(world.now, [AttemptEnded(action.id, 0, action.backend, Status.OK, 0.1, True)])
+                gateway.handle(
+                    simulation.now, [AttemptEnded(action.id, 0, action.backend, Status.OK, 0.1, True)]
+                )
     return time.process_time() - cpu_before
 
 
-def make_world(is_membership_on: bool) -> World:
+def make_simulation(is_membership_on: bool) -> Simulation:
     """Returns three gateways that share one ring, with membership on or off."""
-    world = World(3, 3, 1)
-    for g in world.up.values():
+    simulation = Simulation(3, 3, 1)
+    for g in simulation.up.values():
         g.membership = g.membership if is_membership_on else None
-    for me in world.up:
-        world.ask(me, 0)
-    world.run(5.0)
-    return world
+    for me in simulation.up:
+        simulation.ask(me, 0)
+    simulation.run(5.0)
+    return simulation
 
 
 def main() -> None:
@@ -51,7 +53,7 @@
     parser = argparse.ArgumentParser(description=__doc__)
     parser.add_argument("--out")
     args = parser.parse_args()
-    with_membership, without_membership = make_world(True), make_world(False)
+    with_membership, without_membership = make_simulation(True), make_simulation(False)
     ratios = []
     for pair in range(PAIRS):
         first, second = (
--- a/corkdeal/experiment/members.py
+++ b/corkdeal/experiment/members.py
@@ -48,7 +48,7 @@
 Link = tuple[int, int]
 
 
-class World:
+class Simulation:
     """A simulated tier whose links and processes can be made to fail."""
 
     def __init__(self, gateways: int, spread: int, seed: int, loss: float = 0.0) -> None:
@@ -172,19 +172,21 @@
 
 def deaths(gateways: int, spread: int, seed: int, loss: float, death_count: int) -> dict[str, Any]:
     """Kill `death_count` members one after the other; seconds until 99% of the others detected each death."""
-    world = World(gateways, spread, seed, loss)
-    world.introduce_neighbours()
-    world.run(SETTLE)
+    simulation = Simulation(gateways, spread, seed, loss)
+    simulation.introduce_neighbours()
+    simulation.run(SETTLE)
     detection_times = []
     for _ in range(death_count):
-        member = world.rng.randrange(gateways)
-        del world.up[member]
-        at = world.now
-        while world.count_detections(member) < 0.99 * (len(world.up)) and world.now < at + 60.0:
-            world.step()
-        detection_times.append(world.now - at)
-        world.start(member)
-        world.run(SETTLE)
+        member = simulation.rng.randrange(gateways)
+        del simulation.up[member]
+        at = simulation.now
+        while (
+            simulation.count_detections(member) < 0.99 * (len(simulation.up)) and simulation.now < at + 60.0
+        ):
+            simulation.step()
+        detection_times.append(simulation.now - at)
+        simulation.start(member)
+        simulation.run(SETTLE)
     detection_times = [round(s, 2) for s in sorted(detection_times)]
     return {
         "gateways": gateways,
@@ -200,28 +202,30 @@
     gateways: int, spread: int, seed: int, loss: float, pauses: bool, seconds: float
 ) -> dict[str, Any]:
     """False alarms while no member dies, and the cost of membership in messages and CPU time."""
-    world = World(gateways, spread, seed, loss)
-    world.introduce_neighbours()
-    world.run(SETTLE)
+    simulation = Simulation(gateways, spread, seed, loss)
+    simulation.introduce_neighbours()
+    simulation.run(SETTLE)
     sent_before, bytes_before, lease_losses_before = (
-        world.sent,
-        world.bytes_sent,
-        sum(g.membership.shares.lease_losses for g in world.up.values()),
+        simulation.sent,
+        simulation.bytes_sent,
+        sum(g.membership.shares.lease_losses for g in simulation.up.values()),
     )
     false_alarms: Counter[int] = Counter()
     before = {(i, j): False for i in range(gateways) for j in range(gateways)}
-    started_at, cpu = world.now, time.process_time()
-    next_pauses = [world.now + world.rng.expovariate(1 / PAUSE_INTERVAL) for _ in range(gateways)]
+    started_at, cpu = simulation.now, time.process_time()
+    next_pauses = [simulation.now + simulation.rng.expovariate(1 / PAUSE_INTERVAL) for _ in range(gateways)]
     step_count = 0
-    while world.now < started_at + seconds:
+    while simulation.now < started_at + seconds:
         for index in range(gateways) if pauses else ():
-            if world.now >= next_pauses[index] and index not in world.paused:
-                world.pause(index, world.rng.uniform(MIN_PAUSE, MAX_PAUSE))
-                next_pauses[index] = world.now + MAX_PAUSE + world.rng.expovariate(1 / PAUSE_INTERVAL)
-        world.step()
+            if simulation.now >= next_pauses[index] and index not in simulation.paused:
+                simulation.pause(index, simulation.rng.uniform(MIN_PAUSE, MAX_PAUSE))
+                next_pauses[index] = (
+                    simulation.now + MAX_PAUSE + simulation.rng.expovariate(1 / PAUSE_INTERVAL)
+                )
+        simulation.step()
         step_count += 1
         if step_count % 5 == 0:
-            for i, g in world.up.items():
+            for i, g in simulation.up.items():
                 for j, m in g.membership.detector.members.items():
                     if (m.state == MemberState.DEAD) and not before[i, j]:
                         false_alarms[j] += 1
@@ -235,10 +239,10 @@
         "member_hours": round(hours, 2),
         "gone_wrongly": false_alarms.total(),
         "members_gone_wrongly": len(false_alarms),
-        "slices_unsure": sum(g.membership.shares.lease_losses for g in world.up.values())
+        "slices_unsure": sum(g.membership.shares.lease_losses for g in simulation.up.values())
         - lease_losses_before,
-        "messages_per_gateway_s": round((world.sent - sent_before) / gateways / seconds, 1),
-        "bytes_per_gateway_s": round((world.bytes_sent - bytes_before) / gateways / seconds),
+        "messages_per_gateway_s": round((simulation.sent - sent_before) / gateways / seconds, 1),
+        "bytes_per_gateway_s": round((simulation.bytes_sent - bytes_before) / gateways / seconds),
         "cpu_part_of_a_core": round(cpu_time / gateways / seconds, 4),
     }
 
@@ -269,28 +273,30 @@
     return steps
 
 
-def follow(world: World, step: Way) -> list[str]:
+def follow(simulation: Simulation, step: Way) -> list[str]:
     """Apply one step; returns the quota shares that could be spent twice during it."""
-    world.cut_links, violations = step.cut_links, []
+    simulation.cut_links, violations = step.cut_links, []
     for index in step.paused:
-        world.pause(index, STEP_DURATION)
+        simulation.pause(index, STEP_DURATION)
     for tick in range(round(STEP_DURATION / STEP)):
-        world.step()
+        simulation.step()
         if tick % 10 == 0:
-            for index in world.up:
-                if index not in world.paused:
-                    world.ask(index, 0)
-        violations += world.shares_spendable_twice()
+            for index in simulation.up:
+                if index not in simulation.paused:
+                    simulation.ask(index, 0)
+        violations += simulation.shares_spendable_twice()
     return violations
 
 
-def walk(world: World, depth: int, path: tuple[str, ...] = ()) -> Iterator[tuple[tuple[str, ...], list[str]]]:
+def walk(
+    simulation: Simulation, depth: int, path: tuple[str, ...] = ()
+) -> Iterator[tuple[tuple[str, ...], list[str]]]:
     """Yield every sequence of up to `depth` steps, with the violations in its last step.
 
     For sequences of full length they include those after the faults have ended.
     """
-    for step in ways(world.gateway_count):
-        branch = copy.deepcopy(world)
+    for step in ways(simulation.gateway_count):
+        branch = copy.deepcopy(simulation)
         violations = follow(branch, step)
         sequence = (*path, step.name)
         if depth > 1:
@@ -319,13 +325,13 @@
 
     Each process of the pool takes one first step.
     """
-    world = World(gateways, 3, 1)
-    for index in world.up:
-        world.ask(index, 0)
-    world.run(SETTLE)
+    simulation = Simulation(gateways, 3, 1)
+    for index in simulation.up:
+        simulation.ask(index, 0)
+    simulation.run(SETTLE)
     step, count, violations = ways(gateways)[first], 0, []
-    violations += follow(world, step)
-    for path, step_violations in walk(world, depth - 1, (step.name,)):
+    violations += follow(simulation, step)
+    for path, step_violations in walk(simulation, depth - 1, (step.name,)):
         count += 1
         violations += [f"{violation}, after {', '.join(path)}" for violation in step_violations]
     return count, violations
--- a/tests/membership/test_explore.py
+++ b/tests/membership/test_explore.py
@@ -7,16 +7,16 @@
 from corkdeal.membership.failure_detector import MemberState
 
 
-def settled_world(seed=1):
-    world = members.World(3, 3, seed)
-    for index in world.up:
-        world.ask(index, 0)
-    world.run(members.SETTLE)
-    return world
+def settled_simulation(seed=1):
+    simulation = members.Simulation(3, 3, seed)
+    for index in simulation.up:
+        simulation.ask(index, 0)
+    simulation.run(members.SETTLE)
+    return simulation
 
 
 def test_no_quota_share_is_spent_twice_in_any_partition_or_stall_and_all_recover():
-    names, faults = zip(*members.walk(settled_world(), 1), strict=True)
+    names, faults = zip(*members.walk(settled_simulation(), 1), strict=True)
     assert len(names) == 22 and not [f for each in faults for f in each]
 
 
@@ -29,16 +29,16 @@
 )
 def test_exploration_finds_leases_that_are_held_wrongly(monkeypatch, target, attribute, value):
     monkeypatch.setattr(target, attribute, value)
-    initial = settled_world()
+    initial = settled_simulation()
     faults = []
     for condition in members.ways(3):
         if condition.name in ("1 apart", "1 still", "clear"):
-            world = members.copy.deepcopy(initial)
+            simulation = members.copy.deepcopy(initial)
             for step in (condition, condition, condition, members.Way("clear", frozenset())):
-                faults += members.follow(world, step)
+                faults += members.follow(simulation, step)
             faults += [
                 str(index)
-                for index, gateway in world.up.items()
+                for index, gateway in simulation.up.items()
                 if not gateway.membership.is_share_exclusive(gateway.accounts[7])
             ]
     assert faults
@@ -49,9 +49,9 @@
     assert death_report["most_s"] < 6.0 and len(death_report["known_s"]) == 2
     alarm_report = members.alarms(5, 3, 1, 0.12, True, 60.0)
     assert alarm_report["gone_wrongly"] == 0 and alarm_report["messages_per_gateway_s"] < 30
-    world = settled_world()
-    world.pause(1, 8.0)
-    world.run(6.0)
+    simulation = settled_simulation()
+    simulation.pause(1, 8.0)
+    simulation.run(6.0)
     assert {
-        gateway.membership.detector.members[1].state for index, gateway in world.up.items() if index != 1
+        gateway.membership.detector.members[1].state for index, gateway in simulation.up.items() if index != 1
     } == {MemberState.DEAD}
