--- a/benchmarks/members.py
+++ b/benchmarks/members.py
@@ -24,11 +24,11 @@
 def measure_cpu(simulation: Simulation) -> float:
     """Returns one gateway's CPU seconds for REQUESTS requests, right after its leases are renewed."""
     simulation.run(1.0)
-    gateway = simulation.up[0]
+    gateway = simulation.running[0]
     cpu_before = time.process_time()
     for _ in range(REQUESTS):
-        simulation.number += 1
-        actions = gateway.handle(simulation.now, [Request(simulation.number, 7, 0, 0, 0.001, 0, 3, 3.0)])
+        simulation.last_id += 1
+        actions = gateway.handle(simulation.now, [Request(simulation.last_id, 7, 0, 0, 0.001, 0, 3, 3.0)])
         for action in actions:
             if isinstance(action, StartAttempt):
                 gateway.handle(
@@ -40,10 +40,10 @@
 def make_simulation(is_membership_on: bool) -> Simulation:
     """Returns three gateways that share one ring, with membership on or off."""
     simulation = Simulation(3, 3, 1)
-    for g in simulation.up.values():
+    for g in simulation.running.values():
         g.membership = g.membership if is_membership_on else None
-    for me in simulation.up:
-        simulation.ask(me, 0)
+    for me in simulation.running:
+        simulation.send_request(me, 0)
     simulation.run(5.0)
     return simulation
 
--- a/corkdeal/experiment/members.py
+++ b/corkdeal/experiment/members.py
@@ -43,7 +43,7 @@
 CUSTOMER = 7
 ENDPOINT_LIST = EndpointUpdate(UpdateKind.COMPLETE, (Endpoint("a", EndpointState.READY),))
 PAUSE_INTERVAL, MIN_PAUSE, MAX_PAUSE = 10.0, 0.2, 1.9  # s, interval and length of a member's pauses
-SETTLE = 5.0  # s before the first fault or observation
+SETTLE_TIME = 5.0  # s before the first fault or observation
 STEP_DURATION, RECOVERY_DURATION = 1.5, 8.0  # s, of a step, and of the time without faults after the last
 Link = tuple[int, int]
 
@@ -53,8 +53,8 @@
 
     def __init__(self, gateways: int, spread: int, seed: int, loss: float = 0.0) -> None:
         self.gateway_count, self.spread, self.loss = gateways, min(spread, gateways), loss
-        self.rng, self.now, self.number = random.Random(seed), 1000.0, 0
-        self.up: dict[int, Gateway] = {}
+        self.rng, self.now, self.last_id = random.Random(seed), 1000.0, 0
+        self.running: dict[int, Gateway] = {}
         self.in_flight: list[tuple[float, int, int, int, bytes]] = []
         self.cut_links: frozenset[Link] = frozenset()
         self.paused: dict[int, tuple[float, float]] = {}  # paused gateways: since when, until when
@@ -66,19 +66,19 @@
         """Start a gateway without persisted state."""
         gateway = new_gateway(index, self.gateway_count)
         gateway.membership = MembershipProtocol(gateway, is_later)
-        self.up[index] = gateway
+        self.running[index] = gateway
         self.perform(index, gateway.handle(self.now, [ENDPOINT_LIST]))
 
-    def ask(self, index: int, first: int) -> None:
+    def send_request(self, index: int, first: int) -> None:
         """Send one request to gateway `index`, for the customer whose ring begins at gateway `first`."""
-        self.number += 1
-        request = Request(self.number, CUSTOMER + first, 0, 0, 0.1, first, self.spread, 3.0)
-        actions = self.up[index].handle(self.now, [request])
+        self.last_id += 1
+        request = Request(self.last_id, CUSTOMER + first, 0, 0, 0.1, first, self.spread, 3.0)
+        actions = self.running[index].handle(self.now, [request])
         self.perform(index, actions)
         for a in actions:
             if isinstance(a, StartAttempt):
                 served = AttemptEnded(a.id, 0, a.backend, Status.OK, 0.1, True)
-                self.perform(index, self.up[index].handle(self.now, [served]))
+                self.perform(index, self.running[index].handle(self.now, [served]))
 
     def perform(self, index: int, actions: Iterable[Action]) -> None:
         """Put a gateway's messages in flight, unless they are lost."""
@@ -88,9 +88,9 @@
                 if (index, a.peer) in self.cut_links or self.rng.random() < self.loss:
                     self.lost += 1
                     continue
-                self.number += 1
+                self.last_id += 1
                 due = self.now + self.rng.uniform(0.001, 0.03)
-                heapq.heappush(self.in_flight, (due, self.number, index, a.peer, a.payload))
+                heapq.heappush(self.in_flight, (due, self.last_id, index, a.peer, a.payload))
 
     def pause(self, index: int, seconds: float) -> None:
         """Pause a gateway from now on."""
@@ -102,21 +102,23 @@
         for index, (since, until) in list(self.paused.items()):
             if self.now >= until:
                 del self.paused[index]
-                if (stall_time := self.now - since) >= MIN_STALL and index in self.up:
+                if (stall_time := self.now - since) >= MIN_STALL and index in self.running:
                     self.in_flight = [m for m in self.in_flight if m[3] != index or m[0] > self.now]
                     heapq.heapify(self.in_flight)
-                    resume_after_stall(self.up[index], self.now, stall_time)
+                    resume_after_stall(self.running[index], self.now, stall_time)
         delayed = []
         while self.in_flight and self.in_flight[0][0] <= self.now:
             message = heapq.heappop(self.in_flight)
             _, _, sender, receiver, payload = message
             if receiver in self.paused:
                 delayed.append(message)
-            elif receiver in self.up:
-                self.perform(receiver, self.up[receiver].handle(self.now, [PeerMessage(sender, payload)]))
+            elif receiver in self.running:
+                self.perform(
+                    receiver, self.running[receiver].handle(self.now, [PeerMessage(sender, payload)])
+                )
         for message in delayed:
             heapq.heappush(self.in_flight, message)
-        for index, g in self.up.items():
+        for index, g in self.running.items():
             if index not in self.paused:
                 self.perform(index, g.handle(self.now, [TimerExpired(0)]))
 
@@ -127,15 +129,15 @@
 
     def introduce_neighbours(self) -> None:
         """Send each gateway a request for every ring that it is in, so that it knows its neighbours."""
-        for index in self.up:
+        for index in self.running:
             for offset in range(self.spread):
-                self.ask(index, (index - offset) % self.gateway_count)
+                self.send_request(index, (index - offset) % self.gateway_count)
 
     def count_detections(self, member: int) -> int:
         """The number of running gateways that consider a member dead."""
         reports = [
             g.membership.detector.members.get(member)
-            for index, g in self.up.items()
+            for index, g in self.running.items()
             if index != member and index not in self.paused
         ]
         return sum(m is not None and m.state == MemberState.DEAD for m in reports)
@@ -143,14 +145,14 @@
     def shares_spendable_twice(self) -> list[str]:
         """Quota shares that their owner and a borrower may spend at the same time, beyond the whole share."""
         violations = []
-        for index, g in self.up.items():
+        for index, g in self.running.items():
             g.now = self.now
             for key, a in g.accounts.items():
                 if index in self.paused or not a.ledgers:
                     continue
                 borrowers = [
                     (borrower, borrower_gateway)
-                    for borrower, borrower_gateway in self.up.items()
+                    for borrower, borrower_gateway in self.running.items()
                     if borrower not in self.paused
                     and key in borrower_gateway.accounts
                     and borrower_gateway.accounts[key].predecessor == index
@@ -170,23 +172,24 @@
         return violations
 
 
-def deaths(gateways: int, spread: int, seed: int, loss: float, death_count: int) -> dict[str, Any]:
+def measure_detection(gateways: int, spread: int, seed: int, loss: float, death_count: int) -> dict[str, Any]:
     """Kill `death_count` members one after the other; seconds until 99% of the others detected each death."""
     simulation = Simulation(gateways, spread, seed, loss)
     simulation.introduce_neighbours()
-    simulation.run(SETTLE)
+    simulation.run(SETTLE_TIME)
     detection_times = []
     for _ in range(death_count):
         member = simulation.rng.randrange(gateways)
-        del simulation.up[member]
+        del simulation.running[member]
         at = simulation.now
         while (
-            simulation.count_detections(member) < 0.99 * (len(simulation.up)) and simulation.now < at + 60.0
+            simulation.count_detections(member) < 0.99 * (len(simulation.running))
+            and simulation.now < at + 60.0
         ):
             simulation.step()
         detection_times.append(simulation.now - at)
         simulation.start(member)
-        simulation.run(SETTLE)
+        simulation.run(SETTLE_TIME)
     detection_times = [round(s, 2) for s in sorted(detection_times)]
     return {
         "gateways": gateways,
@@ -198,17 +201,17 @@
     }
 
 
-def alarms(
+def measure_false_alarms(
     gateways: int, spread: int, seed: int, loss: float, pauses: bool, seconds: float
 ) -> dict[str, Any]:
     """False alarms while no member dies, and the cost of membership in messages and CPU time."""
     simulation = Simulation(gateways, spread, seed, loss)
     simulation.introduce_neighbours()
-    simulation.run(SETTLE)
+    simulation.run(SETTLE_TIME)
     sent_before, bytes_before, lease_losses_before = (
         simulation.sent,
         simulation.bytes_sent,
-        sum(g.membership.shares.lease_losses for g in simulation.up.values()),
+        sum(g.membership.shares.lease_losses for g in simulation.running.values()),
     )
     false_alarms: Counter[int] = Counter()
     before = {(i, j): False for i in range(gateways) for j in range(gateways)}
@@ -225,7 +228,7 @@
         simulation.step()
         step_count += 1
         if step_count % 5 == 0:
-            for i, g in simulation.up.items():
+            for i, g in simulation.running.items():
                 for j, m in g.membership.detector.members.items():
                     if (m.state == MemberState.DEAD) and not before[i, j]:
                         false_alarms[j] += 1
@@ -239,7 +242,7 @@
         "member_hours": round(hours, 2),
         "gone_wrongly": false_alarms.total(),
         "members_gone_wrongly": len(false_alarms),
-        "slices_unsure": sum(g.membership.shares.lease_losses for g in simulation.up.values())
+        "slices_unsure": sum(g.membership.shares.lease_losses for g in simulation.running.values())
         - lease_losses_before,
         "messages_per_gateway_s": round((simulation.sent - sent_before) / gateways / seconds, 1),
         "bytes_per_gateway_s": round((simulation.bytes_sent - bytes_before) / gateways / seconds),
@@ -281,9 +284,9 @@
     for tick in range(round(STEP_DURATION / STEP)):
         simulation.step()
         if tick % 10 == 0:
-            for index in simulation.up:
+            for index in simulation.running:
                 if index not in simulation.paused:
-                    simulation.ask(index, 0)
+                    simulation.send_request(index, 0)
         violations += simulation.shares_spendable_twice()
     return violations
 
@@ -305,7 +308,7 @@
             continue
         for _ in range(round(RECOVERY_DURATION / STEP_DURATION)):
             violations += follow(branch, Way("clear", frozenset()))
-        for index, g in branch.up.items():
+        for index, g in branch.running.items():
             g.now = branch.now
             a = g.accounts[CUSTOMER]
             if (
@@ -326,9 +329,9 @@
     Each process of the pool takes one first step.
     """
     simulation = Simulation(gateways, 3, 1)
-    for index in simulation.up:
-        simulation.ask(index, 0)
-    simulation.run(SETTLE)
+    for index in simulation.running:
+        simulation.send_request(index, 0)
+    simulation.run(SETTLE_TIME)
     step, count, violations = ways(gateways)[first], 0, []
     violations += follow(simulation, step)
     for path, step_violations in walk(simulation, depth - 1, (step.name,)):
@@ -365,10 +368,12 @@
 
     with concurrent.futures.ProcessPoolExecutor(processes) as pool:
         death_runs = [
-            pool.submit(deaths, n, 6, 1, loss, 3 if n > 100 else 10) for n in sizes for loss in (0.0, 0.12)
+            pool.submit(measure_detection, n, 6, 1, loss, 3 if n > 100 else 10)
+            for n in sizes
+            for loss in (0.0, 0.12)
         ]
         alarm_runs = [
-            pool.submit(alarms, n, 6, seed, loss, pauses, 3600 * hours / n / 4)
+            pool.submit(measure_false_alarms, n, 6, seed, loss, pauses, 3600 * hours / n / 4)
             for n in sizes
             for loss in (0.0, 0.05, 0.12, 0.3)
             for pauses in (False, True)
--- a/tests/membership/test_explore.py
+++ b/tests/membership/test_explore.py
@@ -9,9 +9,9 @@
 
 def settled_simulation(seed=1):
     simulation = members.Simulation(3, 3, seed)
-    for index in simulation.up:
-        simulation.ask(index, 0)
-    simulation.run(members.SETTLE)
+    for index in simulation.running:
+        simulation.send_request(index, 0)
+    simulation.run(members.SETTLE_TIME)
     return simulation
 
 
@@ -38,20 +38,22 @@
                 faults += members.follow(simulation, step)
             faults += [
                 str(index)
-                for index, gateway in simulation.up.items()
+                for index, gateway in simulation.running.items()
                 if not gateway.membership.is_share_exclusive(gateway.accounts[7])
             ]
     assert faults
 
 
 def test_all_members_detect_a_death_and_a_short_stall_is_no_death():
-    death_report = members.deaths(5, 3, 1, 0.12, 2)
+    death_report = members.measure_detection(5, 3, 1, 0.12, 2)
     assert death_report["most_s"] < 6.0 and len(death_report["known_s"]) == 2
-    alarm_report = members.alarms(5, 3, 1, 0.12, True, 60.0)
+    alarm_report = members.measure_false_alarms(5, 3, 1, 0.12, True, 60.0)
     assert alarm_report["gone_wrongly"] == 0 and alarm_report["messages_per_gateway_s"] < 30
     simulation = settled_simulation()
     simulation.pause(1, 8.0)
     simulation.run(6.0)
     assert {
-        gateway.membership.detector.members[1].state for index, gateway in simulation.up.items() if index != 1
+        gateway.membership.detector.members[1].state
+        for index, gateway in simulation.running.items()
+        if index != 1
     } == {MemberState.DEAD}
