--- a/benchmarks/members.py
+++ b/benchmarks/members.py
@@ -16,7 +16,7 @@
 
 from corkdeal.decisions.actions import StartAttempt
 from corkdeal.decisions.events import AttemptEnded, Request, Status
-from corkdeal.experiment.members import Simulation
+from corkdeal.experiment.membership import Simulation
 
 PAIRS, REQUESTS = 30, 3000
 
--- a/corkdeal/cli/experiment.py
+++ b/corkdeal/cli/experiment.py
@@ -172,7 +172,7 @@
 )
 def members(sizes: tuple[int, ...], hours: float, depth: int, together: int) -> None:
     """Measure failure detection in virtual time, or check that no quota share is ever spent twice."""
-    from ..experiment import members as experiment
+    from ..experiment import membership as experiment
 
     if not depth:
         return click.echo(json.dumps(experiment.measure(list(sizes), hours, together), indent=1))
