--- a/tests/test_net_departures.py
+++ b/tests/test_net_departures.py
@@ -193,9 +193,9 @@
         for rid, client in enumerate(clients):
             self.ask(client, d=80000, rid=1000 + rid)
         asked = [self.world.next() for _ in clients]
-        self.assertEqual({each.backend.name for each in asked}, {"a", "b"})
-        for each in asked:
-            each.conn.send(served())
+        self.assertEqual({request.backend.name for request in asked}, {"a", "b"})
+        for request in asked:
+            request.conn.send(served())
         for client in clients:
             self.assertEqual(client.read(), [b"v"])
 
@@ -251,7 +251,7 @@
         client.send(encode_command(b"PING"))
         self.freeze()
         listener.settimeout(WAIT_TIMEOUT)
-        fillers = {each.getsockname() for each in self.filling}
+        fillers = {connection.getsockname() for connection in self.filling}
         while (accepted := listener.accept())[1] in fillers:
             self.addCleanup(accepted[0].close)
         self.addCleanup(accepted[0].close)
@@ -333,12 +333,12 @@
         self.gateway = gateway.Gateway(self.reactor, config.parse_config(raw, {}))
         self.gateway.now = self.gateway.pool.now = self.gateway.descriptors.now = self.reactor.seconds
         self.gateway.timers.now = self.reactor.seconds
-        self.ours, self.theirs = socket.socketpair()
-        self.addCleanup(self.ours.close)
-        self.addCleanup(self.theirs.close)
+        self.near_end, self.far_end = socket.socketpair()
+        self.addCleanup(self.near_end.close)
+        self.addCleanup(self.far_end.close)
         self.connection = client_connection.ClientConnection(self.gateway)
         self.wire = FakeTransport()
-        self.wire.fileno, self.wire.getsockopt = self.ours.fileno, self.ours.getsockopt
+        self.wire.fileno, self.wire.getsockopt = self.near_end.fileno, self.near_end.getsockopt
         self.connection.makeConnection(self.wire)
         invariants.counts.clear()
 
@@ -359,7 +359,7 @@
 
     def test_a_request_that_comes_with_the_end_of_sending_still_gets_its_attempt(self):
         self.add_backend()
-        self.theirs.shutdown(socket.SHUT_WR)
+        self.far_end.shutdown(socket.SHUT_WR)
         self.ask()
         self.connection.readConnectionLost()
         self.reactor.advance(client_connection.HALF_CLOSE_GRACE / 2)
@@ -370,7 +370,7 @@
     def test_a_connection_to_a_backend_that_comes_up_after_the_grace_gets_nothing(self):
         self.add_backend()
         self.ask()
-        self.theirs.shutdown(socket.SHUT_WR)
+        self.far_end.shutdown(socket.SHUT_WR)
         self.connection.check_paused()
         self.reactor.rightNow += client_connection.HALF_CLOSE_GRACE  # without running timers
         self.assertEqual(self.establish(), b"")
@@ -379,7 +379,7 @@
     def test_a_reset_ends_an_attempt_that_still_connects_at_once(self):
         self.add_backend()
         self.ask()
-        self.theirs.close()  # closes both directions, which the kernel reports as a closed connection
+        self.far_end.close()  # closes both directions, which the kernel reports as a closed connection
         self.assertEqual(self.establish(), b"")
         self.assertTrue(self.wire.aborted)
         self.assertFalse(self.gateway.rpcs)
@@ -387,7 +387,7 @@
     def test_a_late_turn_counts_an_end_as_having_come_before_it(self):
         self.ask()  # held, as there is no backend
         self.add_backend()
-        self.theirs.shutdown(socket.SHUT_WR)
+        self.far_end.shutdown(socket.SHUT_WR)
         self.reactor.advance(STOPPED)  # the timer of the held request is late
         self.assertFalse(self.reactor.tcpClients)
         self.assertEqual(bytes(self.wire.taken), b"-BUSY\r\n")
@@ -396,7 +396,7 @@
         self.ask()
         self.reactor.advance(STOPPED)  # an earlier late iteration has no effect
         self.add_backend()
-        self.theirs.shutdown(socket.SHUT_WR)
+        self.far_end.shutdown(socket.SHUT_WR)
         self.reactor.pump([timers.MIN_REPORTED_LATENESS / 2] * 100)
         self.assertEqual(len(self.reactor.tcpClients), 1)
 
@@ -405,7 +405,7 @@
             self.ask(rid)
         self.assertTrue(self.connection.paused)
         self.add_backend()
-        self.theirs.shutdown(socket.SHUT_WR)
+        self.far_end.shutdown(socket.SHUT_WR)
         self.reactor.pump([timers.MIN_REPORTED_LATENESS / 2] * 100)
         self.assertFalse(self.reactor.tcpClients)
         self.assertEqual(self.wire.taken.count(b"-BUSY"), client_connection.MAX_PENDING_REPLIES)
@@ -416,46 +416,46 @@
 
     def setUp(self):
         with socket.create_server(("127.0.0.1", 0)) as listener:
-            self.theirs = socket.create_connection(listener.getsockname())
-            self.ours = listener.accept()[0]
-        self.addCleanup(self.ours.close)
-        self.addCleanup(self.theirs.close)
+            self.far_end = socket.create_connection(listener.getsockname())
+            self.near_end = listener.accept()[0]
+        self.addCleanup(self.near_end.close)
+        self.addCleanup(self.far_end.close)
 
     def wait_for(self, state):
-        until = time.monotonic() + WAIT_TIMEOUT
-        while tcp_state.peer_state(self.ours) is not state:
-            self.assertLess(time.monotonic(), until)
+        deadline = time.monotonic() + WAIT_TIMEOUT
+        while tcp_state.peer_state(self.near_end) is not state:
+            self.assertLess(time.monotonic(), deadline)
 
     def test_a_fin_behind_unread_bytes_and_then_a_reset(self):
-        self.theirs.sendall(b"unread")
-        self.assertIs(tcp_state.peer_state(self.ours), tcp_state.PeerState.OPEN)
-        self.assertIsNone(tcp_state.seconds_since_fin(self.ours))
-        self.theirs.shutdown(socket.SHUT_WR)
+        self.far_end.sendall(b"unread")
+        self.assertIs(tcp_state.peer_state(self.near_end), tcp_state.PeerState.OPEN)
+        self.assertIsNone(tcp_state.seconds_since_fin(self.near_end))
+        self.far_end.shutdown(socket.SHUT_WR)
         self.wait_for(tcp_state.PeerState.HALF_CLOSED)
-        self.theirs.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, b"\1\0\0\0\0\0\0\0")
-        self.theirs.close()
+        self.far_end.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, b"\1\0\0\0\0\0\0\0")
+        self.far_end.close()
         self.wait_for(tcp_state.PeerState.CLOSED)
 
     def test_a_fin_is_dated_by_its_own_arrival(self):
-        self.theirs.sendall(b"long before")
+        self.far_end.sendall(b"long before")
         time.sleep(2 * STOPPED)
         ended = time.monotonic()
-        self.theirs.shutdown(socket.SHUT_WR)
+        self.far_end.shutdown(socket.SHUT_WR)
         self.wait_for(tcp_state.PeerState.HALF_CLOSED)
         time.sleep(STOPPED)
-        age = tcp_state.seconds_since_fin(self.ours)
+        age = tcp_state.seconds_since_fin(self.near_end)
         self.assertLessEqual(age, time.monotonic() - ended + client_connection.KERNEL_TICK)
         self.assertGreaterEqual(age, STOPPED - client_connection.KERNEL_TICK)
-        self.assertGreaterEqual(tcp_state.seconds_since_last_data(self.ours) - age, STOPPED)
+        self.assertGreaterEqual(tcp_state.seconds_since_last_data(self.near_end) - age, STOPPED)
 
     def test_a_socket_whose_kernel_dates_nothing(self):
-        ours, theirs = socket.socketpair()
-        self.addCleanup(ours.close)
-        theirs.close()
-        self.assertIsNone(tcp_state.seconds_since_fin(ours))
-        self.assertIsNone(tcp_state.seconds_since_last_data(ours))
-        ours.close()
-        self.assertIs(tcp_state.peer_state(ours), tcp_state.PeerState.OPEN)
+        near_end, far_end = socket.socketpair()
+        self.addCleanup(near_end.close)
+        far_end.close()
+        self.assertIsNone(tcp_state.seconds_since_fin(near_end))
+        self.assertIsNone(tcp_state.seconds_since_last_data(near_end))
+        near_end.close()
+        self.assertIs(tcp_state.peer_state(near_end), tcp_state.PeerState.OPEN)
 
 
 class ReleaseDepartures(Departures):
