--- a/corkdeal/experiment/tier.py
+++ b/corkdeal/experiment/tier.py
@@ -31,7 +31,7 @@
     check,
     max_over_quota,
 )
-from ..standin.links import OPEN, DoorFault, Links
+from ..standin.links import NO_DOOR_FAULT, DoorFault, Links
 from ..standin.links import Fault as LinkFault
 from . import measure
 from .schedule import Schedule, Step, Tier, steps
@@ -279,7 +279,9 @@
                     self.run_in_background(
                         self.undo_after(
                             step.seconds,
-                            lambda doors_of_service=doors_of_service, i=i: doors_of_service.put(i, OPEN),
+                            lambda doors_of_service=doors_of_service, i=i: doors_of_service.put(
+                                i, NO_DOOR_FAULT
+                            ),
                         )
                     )
 
--- a/corkdeal/standin/links.py
+++ b/corkdeal/standin/links.py
@@ -181,7 +181,7 @@
     delay: float = 0.0  # s of delay per command
 
 
-OPEN = DoorFault()
+NO_DOOR_FAULT = DoorFault()
 ConnectionHandler = Callable[[asyncio.StreamReader, asyncio.StreamWriter, int], Awaitable[None]]
 
 
@@ -216,7 +216,7 @@
             self.listeners.append(None)
             self.reserved_ports.append(reserve_port())
             self.ports.append(self.reserved_ports[i].getsockname()[1])
-            self.faults.append(OPEN)
+            self.faults.append(NO_DOOR_FAULT)
             self.unblocked.append(asyncio.Event())
             self.unblocked[i].set()
             self.connections.append(set())
@@ -252,7 +252,7 @@
         await self.unblocked[gateway].wait()
 
     async def put(self, gateway: int, fault: DoorFault) -> None:
-        """Start a fault at a gateway's door; `OPEN` ends it."""
+        """Start a fault at a gateway's door; `NO_DOOR_FAULT` ends it."""
         previous, self.faults[gateway] = self.faults[gateway], fault
         for writer in list(self.connections[gateway]):
             with contextlib.suppress(RuntimeError):
--- a/tests/tier/test_links.py
+++ b/tests/tier/test_links.py
@@ -7,7 +7,7 @@
 
 import pytest
 
-from corkdeal.standin.links import OPEN, DoorFault, Doors, Fault, Links
+from corkdeal.standin.links import NO_DOOR_FAULT, DoorFault, Doors, Fault, Links
 
 
 @contextlib.asynccontextmanager
@@ -116,7 +116,7 @@
         await doors.put(0, DoorFault(silent=True))
         waits = asyncio.ensure_future(ask(0))
         assert await ask(1) == b"1 x\n" and not waits.done()
-        await doors.put(0, OPEN)
+        await doors.put(0, NO_DOOR_FAULT)
         assert await waits == b"0 x\n"
         doors.close()
 
@@ -130,7 +130,7 @@
         await doors.put(0, DoorFault(refuse=True))
         with socket.socket() as other, pytest.raises(OSError, match="in use"):
             other.bind(("127.0.0.1", doors.ports[0]))
-        await doors.put(0, OPEN)
+        await doors.put(0, NO_DOOR_FAULT)
         doors.close()
 
     asyncio.run(play())
