--- a/corkdeal/experiment/tier.py
+++ b/corkdeal/experiment/tier.py
@@ -252,10 +252,10 @@
         }
         if step.both:
             pairs |= {(j, i) for i, j in pairs}
-        number = self.links.put(
+        number = self.links.start_fault(
             pairs, LinkFault(step.loss, step.delay, step.jitter, step.reorder, step.double, step.cut)
         )
-        self.run_in_background(self.undo_after(step.seconds, lambda: self.links.lift(number)))
+        self.run_in_background(self.undo_after(step.seconds, lambda: self.links.end_fault(number)))
         self.record_event(f"links {len(pairs)} of {count * (count - 1)}")
 
     async def apply_door_fault(self, step: Any) -> None:
@@ -275,11 +275,11 @@
                         self.undo_after(step.seconds, lambda i=i: self.discovery.late.pop(i, None))
                     )
                 else:
-                    await doors_of_service.put(i, fault)  # type: ignore[union-attr]
+                    await doors_of_service.set_fault(i, fault)  # type: ignore[union-attr]
                     self.run_in_background(
                         self.undo_after(
                             step.seconds,
-                            lambda doors_of_service=doors_of_service, i=i: doors_of_service.put(
+                            lambda doors_of_service=doors_of_service, i=i: doors_of_service.set_fault(
                                 i, NO_DOOR_FAULT
                             ),
                         )
--- a/corkdeal/standin/links.py
+++ b/corkdeal/standin/links.py
@@ -97,14 +97,14 @@
             for j, address in enumerate(self.addresses)
         ]
 
-    def put(self, pairs: Iterable[tuple[int, int]], fault: Fault) -> int:
-        """Start a fault in those directions; returns its number for `lift`."""
+    def start_fault(self, pairs: Iterable[tuple[int, int]], fault: Fault) -> int:
+        """Start a fault in those directions; returns its number for `end_fault`."""
         self.last_fault_id += 1
         self.active_faults[self.last_fault_id] = frozenset(pairs), fault
         self.update_faults()
         return self.last_fault_id
 
-    def lift(self, fault_id: int) -> None:
+    def end_fault(self, fault_id: int) -> None:
         """End a fault; others on the same links stay active."""
         self.active_faults.pop(fault_id, None)
         self.update_faults()
@@ -251,7 +251,7 @@
             raise ConnectionResetError
         await self.unblocked[gateway].wait()
 
-    async def put(self, gateway: int, fault: DoorFault) -> None:
+    async def set_fault(self, gateway: int, fault: DoorFault) -> None:
         """Start a fault at a gateway's door; `NO_DOOR_FAULT` ends it."""
         previous, self.faults[gateway] = self.faults[gateway], fault
         for writer in list(self.connections[gateway]):
--- a/tests/tier/test_links.py
+++ b/tests/tier/test_links.py
@@ -67,11 +67,11 @@
 def test_a_fault_is_one_way_and_ends(fault, through):
     async def play():
         async with linked_sockets() as (links, sockets, link_address):
-            number = links.put({(0, 1)}, fault)
+            number = links.start_fault({(0, 1)}, fault)
             passed = await send_datagrams(links, sockets, link_address, 0, 1, 20, 2 if fault.duplicate else 1)
             assert 0 < passed < 20 if through is None else passed == through
             assert await send_datagrams(links, sockets, link_address, 1, 0, 20) == 20
-            links.lift(number)
+            links.end_fault(number)
             assert await send_datagrams(links, sockets, link_address, 0, 1, 20) == 20
 
     asyncio.run(play())
@@ -79,10 +79,10 @@
 
 def test_two_faults_at_once_add_up_and_end_each_for_itself():
     links = Links(["127.0.0.1:1", "127.0.0.1:2"], random.Random(1))
-    first = links.put({(0, 1)}, Fault(loss=0.5, delay=0.1))
-    links.put({(0, 1), (1, 0)}, Fault(loss=0.5, cut=True))
+    first = links.start_fault({(0, 1)}, Fault(loss=0.5, delay=0.1))
+    links.start_fault({(0, 1), (1, 0)}, Fault(loss=0.5, cut=True))
     assert links.combined_faults[0, 1] == Fault(loss=0.75, delay=0.1, cut=True)
-    links.lift(first)
+    links.end_fault(first)
     assert links.combined_faults == {(0, 1): Fault(loss=0.5, cut=True), (1, 0): Fault(loss=0.5, cut=True)}
 
 
@@ -108,15 +108,15 @@
         doors = Doors(echo, random.Random(1))
         await doors.start(2)
         assert await ask(0) == b"0 x\n"
-        await doors.put(0, DoorFault(refuse=True))
+        await doors.set_fault(0, DoorFault(refuse=True))
         with pytest.raises(ConnectionRefusedError):
             await ask(0)
-        await doors.put(0, DoorFault(reset=1.0))
+        await doors.set_fault(0, DoorFault(reset=1.0))
         assert await ask(0) == b"" and await ask(1) == b"1 x\n"
-        await doors.put(0, DoorFault(silent=True))
+        await doors.set_fault(0, DoorFault(silent=True))
         waits = asyncio.ensure_future(ask(0))
         assert await ask(1) == b"1 x\n" and not waits.done()
-        await doors.put(0, NO_DOOR_FAULT)
+        await doors.set_fault(0, NO_DOOR_FAULT)
         assert await waits == b"0 x\n"
         doors.close()
 
@@ -127,10 +127,10 @@
     async def play():
         doors = Doors(lambda reader, writer, gateway: None, random.Random(1))
         await doors.start(1)
-        await doors.put(0, DoorFault(refuse=True))
+        await doors.set_fault(0, DoorFault(refuse=True))
         with socket.socket() as other, pytest.raises(OSError, match="in use"):
             other.bind(("127.0.0.1", doors.ports[0]))
-        await doors.put(0, NO_DOOR_FAULT)
+        await doors.set_fault(0, NO_DOOR_FAULT)
         doors.close()
 
     asyncio.run(play())
