--- a/corkdeal/experiment/tier.py
+++ b/corkdeal/experiment/tier.py
@@ -116,7 +116,7 @@
             )
             await server.start(gateways=tier.gateways)
             assert server.doors is not None
-            server.doors.connected = lambda gateway, name=model.name: self.connections.append(
+            server.doors.on_connection = lambda gateway, name=model.name: self.connections.append(
                 (self.clock(), name)
             )
             self.servers.append(server)
@@ -126,7 +126,7 @@
         peers = fleet.find_free_addresses(tier.gateways, socket.SOCK_DGRAM, host)
         listen = fleet.find_free_addresses(tier.gateways, socket.SOCK_STREAM, host)
         self.links = Links(peers, random.Random(rng.random()))
-        self.links.heard = lambda i, j, lost: self.datagrams.append(self.clock())
+        self.links.on_datagram = lambda i, j, lost: self.datagrams.append(self.clock())
         await self.links.start()
         options = f'knowledge path="{self.folder}/state" every=1.0\n' if tier.knowledge else ""
         package_path = (self.program or pathlib.Path(__file__).parents[2]) / "corkdeal"
--- a/corkdeal/standin/links.py
+++ b/corkdeal/standin/links.py
@@ -73,7 +73,7 @@
         self.carried: Counter[str] = Counter()
         self.sent: Counter[int] = Counter()  # datagrams by sender
         self.delays: list[float] = []  # s from arrival to forwarding, of datagrams that no fault delays
-        self.heard: Callable[[int, int, bool], None] = lambda sender, to, lost: None
+        self.on_datagram: Callable[[int, int, bool], None] = lambda sender, to, lost: None
 
     async def start(self) -> None:
         """Open the sockets of all links."""
@@ -141,7 +141,7 @@
             return self.forward(i, j, data, arrived)
         if fault.cut or self.rng.random() < fault.loss:
             self.carried["cut" if fault.cut else "lost"] += 1
-            return self.heard(i, j, True)
+            return self.on_datagram(i, j, True)
         for _ in range(1 + (self.rng.random() < fault.duplicate)):
             delay = fault.delay + fault.jitter * self.rng.random()
             if self.rng.random() < fault.reorder:
@@ -161,7 +161,7 @@
         self.carried["carried"] += 1
         if arrived is not None and len(self.delays) < MAX_DELAY_SAMPLES:
             self.delays.append(max(0.0, time.time() - arrived))
-        self.heard(i, j, False)
+        self.on_datagram(i, j, False)
 
     def close(self) -> None:
         """Close all links."""
@@ -208,7 +208,7 @@
         self.faults: list[DoorFault] = []
         self.unblocked: list[asyncio.Event] = []  # cleared while a fault silences the gateway
         self.connections: list[set[asyncio.StreamWriter]] = []
-        self.connected: Callable[[int], None] = lambda gateway: None
+        self.on_connection: Callable[[int], None] = lambda gateway: None
 
     async def start(self, count: int) -> None:
         """Open one door per gateway."""
@@ -233,7 +233,7 @@
     ) -> None:
         """Track one connection while the service serves it."""
         self.connections[gateway].add(writer)
-        self.connected(gateway)
+        self.on_connection(gateway)
         try:
             if self.faults[gateway].silent:
                 writer.transport.pause_reading()  # type: ignore[attr-defined]
--- a/tests/tier/test_links.py
+++ b/tests/tier/test_links.py
@@ -42,7 +42,7 @@
         if len(handled) == times * copies:
             done.set()
 
-    links.heard = on_datagram
+    links.on_datagram = on_datagram
     for n in range(times):
         sockets[i].sendto(b"%d" % n, link_address(i, j))
     await asyncio.wait_for(done.wait(), 10)
