--- a/corkdeal/experiment/tier.py
+++ b/corkdeal/experiment/tier.py
@@ -406,7 +406,7 @@
         self.history.sent_lists = {
             i: [SentList(-START_DELAY, lists[-1].ready)] for i, lists in self.history.sent_lists.items()
         }
-        for kept in (self.connections, self.datagrams, self.ready, self.links.delays):
+        for kept in (self.connections, self.datagrams, self.ready, self.links.forwarding_delays):
             kept.clear()  # type: ignore[attr-defined]
 
     async def stop_all(self) -> None:
@@ -476,8 +476,8 @@
             "over_bound": round(max((q.bound for q in quotas.values()), default=0.0), 2),
             "broken": [{"rule": b.rule, "lines": b.lines} for b in broken],
             "fallen": sum(s.has_crashed for s in self.servers),
-            "links": dict(self.links.carried),
-            "link_delay_ms": measure.latency_summary(self.links.delays),
+            "links": dict(self.links.counters),
+            "link_delay_ms": measure.latency_summary(self.links.forwarding_delays),
             "ready_s": [round(startup_time, 2) for _, _, startup_time in self.ready],
             "events": [(round(at, 2), text) for at, text in self.history.events],
             "full_said": measure.full_service_times(self.folder, self.tier.gateways),
--- a/corkdeal/standin/links.py
+++ b/corkdeal/standin/links.py
@@ -70,9 +70,11 @@
         self.active_faults: dict[int, tuple[frozenset[tuple[int, int]], Fault]] = {}
         self.combined_faults: dict[tuple[int, int], Fault] = {}  # the combined faults of each direction
         self.last_fault_id = 0
-        self.carried: Counter[str] = Counter()
+        self.counters: Counter[str] = Counter()
         self.sent: Counter[int] = Counter()  # datagrams by sender
-        self.delays: list[float] = []  # s from arrival to forwarding, of datagrams that no fault delays
+        self.forwarding_delays: list[
+            float
+        ] = []  # s from arrival to forwarding, of datagrams that no fault delays
         self.on_datagram: Callable[[int, int, bool], None] = lambda sender, to, lost: None
 
     async def start(self) -> None:
@@ -124,7 +126,7 @@
             except (BlockingIOError, ConnectionError):
                 return
             if sender != self.addresses[i]:  # spoofed: only gateway i may send here
-                self.carried["from a stranger"] += 1
+                self.counters["from a stranger"] += 1
                 continue
             self.sent[i] += 1
             arrived = time.time()
@@ -140,13 +142,13 @@
         if fault is None:
             return self.forward(i, j, data, arrived)
         if fault.cut or self.rng.random() < fault.loss:
-            self.carried["cut" if fault.cut else "lost"] += 1
+            self.counters["cut" if fault.cut else "lost"] += 1
             return self.on_datagram(i, j, True)
         for _ in range(1 + (self.rng.random() < fault.duplicate)):
             delay = fault.delay + fault.jitter * self.rng.random()
             if self.rng.random() < fault.reorder:
                 delay += REORDER_DELAY
-                self.carried["reordered"] += 1
+                self.counters["reordered"] += 1
             if delay:
                 asyncio.get_running_loop().call_later(delay, self.forward, i, j, data, None)
             else:
@@ -158,9 +160,9 @@
             return  # the links have been closed
         with contextlib.suppress(OSError):  # dropped when the send buffer is full, as a network may
             source.sendto(data, self.addresses[j])
-        self.carried["carried"] += 1
-        if arrived is not None and len(self.delays) < MAX_DELAY_SAMPLES:
-            self.delays.append(max(0.0, time.time() - arrived))
+        self.counters["carried"] += 1
+        if arrived is not None and len(self.forwarding_delays) < MAX_DELAY_SAMPLES:
+            self.forwarding_delays.append(max(0.0, time.time() - arrived))
         self.on_datagram(i, j, False)
 
     def close(self) -> None:
--- a/tests/tier/test_links.py
+++ b/tests/tier/test_links.py
@@ -56,7 +56,7 @@
             assert sockets[2].recvfrom(100) == (b"0", link_address(2, 0))
             sockets[1].sendto(b"in another's name", link_address(0, 2))
             await send_datagrams(links, sockets, link_address, 0, 2, 1)
-            assert sockets[2].recvfrom(100)[0] == b"0" and links.carried["from a stranger"] == 1
+            assert sockets[2].recvfrom(100)[0] == b"0" and links.counters["from a stranger"] == 1
 
     asyncio.run(play())
 
