--- a/corkdeal/experiment/tier.py
+++ b/corkdeal/experiment/tier.py
@@ -270,9 +270,9 @@
         for doors_of_service in services:
             for i in selected:
                 if step.late:
-                    self.discovery.late[i] = step.late
+                    self.discovery.response_delays[i] = step.late
                     self.run_in_background(
-                        self.undo_after(step.seconds, lambda i=i: self.discovery.late.pop(i, None))
+                        self.undo_after(step.seconds, lambda i=i: self.discovery.response_delays.pop(i, None))
                     )
                 else:
                     await doors_of_service.set_fault(i, fault)  # type: ignore[union-attr]
--- a/corkdeal/standin/discovery.py
+++ b/corkdeal/standin/discovery.py
@@ -26,7 +26,7 @@
         """
         self.on_list_sent = on_list_sent
         self.doors: Doors | None = None
-        self.late: dict[int, float] = {}  # s by which responses are delayed, by gateway
+        self.response_delays: dict[int, float] = {}  # s by which responses are delayed, by gateway
         self.members, self.revision = members, 1
         self.changed = asyncio.Condition()
         self.silent = False  # requests are accepted and not answered
@@ -78,7 +78,7 @@
                         pass
                 if self.silent:
                     await asyncio.sleep(3600)
-                if late := self.late.get(gateway):
+                if late := self.response_delays.get(gateway):
                     await asyncio.sleep(late)
                 if self.doors is not None:
                     await self.doors.unblocked[gateway].wait()
