--- a/corkdeal/experiment/membership.py
+++ b/corkdeal/experiment/membership.py
@@ -250,7 +250,7 @@
     }
 
 
-class Way(NamedTuple):
+class ExplorationStep(NamedTuple):
     """One step of an exploration: links cut and gateways paused for STEP_DURATION seconds."""
 
     name: str
@@ -258,25 +258,28 @@
     paused: tuple[int, ...] = ()
 
 
-def ways(gateways: int) -> list[Way]:
+def exploration_steps(gateways: int) -> list[ExplorationStep]:
     """All steps: no fault; a link cut in one or both directions; a gateway cut off likewise, or paused."""
     members = range(gateways)
-    steps = [Way("clear", frozenset())]
-    steps += [Way(f"{i}>{j}", frozenset({(i, j)})) for i, j in itertools.permutations(members, 2)]
-    steps += [Way(f"{i}|{j}", frozenset({(i, j), (j, i)})) for i, j in itertools.combinations(members, 2)]
+    steps = [ExplorationStep("clear", frozenset())]
+    steps += [ExplorationStep(f"{i}>{j}", frozenset({(i, j)})) for i, j in itertools.permutations(members, 2)]
+    steps += [
+        ExplorationStep(f"{i}|{j}", frozenset({(i, j), (j, i)}))
+        for i, j in itertools.combinations(members, 2)
+    ]
     for i in members:
         outgoing = frozenset((i, j) for j in members if j != i)
         incoming = frozenset((j, i) for j in members if j != i)
         steps += [
-            Way(f"{i} unheard", outgoing),
-            Way(f"{i} deaf", incoming),
-            Way(f"{i} apart", outgoing | incoming),
-            Way(f"{i} still", frozenset(), (i,)),
+            ExplorationStep(f"{i} unheard", outgoing),
+            ExplorationStep(f"{i} deaf", incoming),
+            ExplorationStep(f"{i} apart", outgoing | incoming),
+            ExplorationStep(f"{i} still", frozenset(), (i,)),
         ]
     return steps
 
 
-def follow(simulation: Simulation, step: Way) -> list[str]:
+def apply_step(simulation: Simulation, step: ExplorationStep) -> list[str]:
     """Apply one step; returns the quota shares that could be spent twice during it."""
     simulation.cut_links, violations = step.cut_links, []
     for index in step.paused:
@@ -298,16 +301,16 @@
 
     For sequences of full length they include those after the faults have ended.
     """
-    for step in ways(simulation.gateway_count):
+    for step in exploration_steps(simulation.gateway_count):
         branch = copy.deepcopy(simulation)
-        violations = follow(branch, step)
+        violations = apply_step(branch, step)
         sequence = (*path, step.name)
         if depth > 1:
             yield sequence, violations
             yield from walk(branch, depth - 1, sequence)
             continue
         for _ in range(round(RECOVERY_DURATION / STEP_DURATION)):
-            violations += follow(branch, Way("clear", frozenset()))
+            violations += apply_step(branch, ExplorationStep("clear", frozenset()))
         for index, g in branch.running.items():
             g.now = branch.now
             a = g.accounts[CUSTOMER]
@@ -332,8 +335,8 @@
     for index in simulation.running:
         simulation.send_request(index, 0)
     simulation.run(SETTLE_TIME)
-    step, count, violations = ways(gateways)[first], 0, []
-    violations += follow(simulation, step)
+    step, count, violations = exploration_steps(gateways)[first], 0, []
+    violations += apply_step(simulation, step)
     for path, step_violations in walk(simulation, depth - 1, (step.name,)):
         count += 1
         violations += [f"{violation}, after {', '.join(path)}" for violation in step_violations]
@@ -344,7 +347,7 @@
     """Check all sequences of `depth` steps; returns counts and the first violations."""
     import concurrent.futures
 
-    count = len(ways(gateways))
+    count = len(exploration_steps(gateways))
     with concurrent.futures.ProcessPoolExecutor(processes) as pool:
         results = list(pool.map(check_sequences_from, [gateways] * count, [depth] * count, range(count)))
     violations = [violation for _, texts in results for violation in texts]
--- a/tests/membership/test_explore.py
+++ b/tests/membership/test_explore.py
@@ -31,11 +31,11 @@
     monkeypatch.setattr(target, attribute, value)
     initial = settled_simulation()
     faults = []
-    for condition in membership.ways(3):
+    for condition in membership.exploration_steps(3):
         if condition.name in ("1 apart", "1 still", "clear"):
             simulation = membership.copy.deepcopy(initial)
-            for step in (condition, condition, condition, membership.Way("clear", frozenset())):
-                faults += membership.follow(simulation, step)
+            for step in (condition, condition, condition, membership.ExplorationStep("clear", frozenset())):
+                faults += membership.apply_step(simulation, step)
             faults += [
                 str(index)
                 for index, gateway in simulation.running.items()
