--- a/benchmarks/quotas.py
+++ b/benchmarks/quotas.py
@@ -53,24 +53,24 @@
     spec = importlib.util.spec_from_file_location("corkdeal.experiment.quotas", SIMULATOR)
     simulator = sys.modules["corkdeal.experiment.quotas"] = importlib.util.module_from_spec(spec)
     spec.loader.exec_module(simulator)
-    world = simulator.World(fleets(size, simulator)[mix], seed)
+    simulation = simulator.Simulation(fleets(size, simulator)[mix], seed)
     if fault != "none":
-        world.run(KILL_AT)
+        simulation.run(KILL_AT)
         killed = (
-            world.chance.sample(range(size), round(0.3 * size))
+            simulation.rng.sample(range(size), round(0.3 * size))
             if fault == "third"
             else [
                 me
-                for me, g in world.gateways.items()
+                for me, g in simulation.gateways.items()
                 if any(a.is_aggregated and a.tree_edges and a.parent is None for a in g.accounts.values())
             ]
         )
         for me in killed[: round(0.3 * size)]:
-            world.kill(me)
-        world.run(RESTART_AT)
+            simulation.kill(me)
+        simulation.run(RESTART_AT)
         for me in killed[: round(0.3 * size)]:
-            world.start(me)
-    return world.run()
+            simulation.start(me)
+    return simulation.run()
 
 
 def main() -> None:
--- a/corkdeal/experiment/quotas.py
+++ b/corkdeal/experiment/quotas.py
@@ -129,18 +129,18 @@
         }
 
 
-class World:
+class Simulation:
     """A simulated fleet in virtual time."""
 
     def __init__(
         self, fleet: Fleet, seed: int, make_gateway: Callable[[Settings, int], Gateway] = Gateway
     ) -> None:
-        self.fleet, self.chance, self.seed, self.make_gateway = fleet, random.Random(seed), seed, make_gateway
+        self.fleet, self.rng, self.seed, self.make_gateway = fleet, random.Random(seed), seed, make_gateway
         self.now = self.started_at = 1000.0
         self.ids, self.judge = itertools.count(1), Judge(fleet.plans)
         self.scheduled_calls: list[tuple[float, int, Callable[[], None]]] = []
-        self.sent = self.lost = self.bytes = self.first_tries = 0
-        self.got: Counter[int] = Counter()  # messages that arrived, by receiver
+        self.sent = self.lost = self.bytes = self.first_attempts = 0
+        self.received: Counter[int] = Counter()  # messages that arrived, by receiver
         # By receiver: the number of messages that it may accept, and the time of that number.
         self.intake_levels: dict[int, tuple[float, float]] = {}
         self.requests: dict[int, tuple[Customer, int, int]] = {}
@@ -154,7 +154,7 @@
         )
         self.gateways: dict[int, Gateway] = {}
         for index in range(fleet.gateways):
-            self.schedule(self.chance.uniform(0.0, 0.2), lambda index=index: self.start(index))
+            self.schedule(self.rng.uniform(0.0, 0.2), lambda index=index: self.start(index))
         for c in self.customers:
             self.schedule_request(c)
 
@@ -188,7 +188,7 @@
 
     def draw_customer(self, plan_number: int) -> Customer:
         """Draw a customer of a plan."""
-        rng, plan, gateway_count = self.chance, self.fleet.plans[plan_number], self.fleet.gateways
+        rng, plan, gateway_count = self.rng, self.fleet.plans[plan_number], self.fleet.gateways
         draw, kind = rng.random(), CALM
         for name, share in DEMAND_KINDS:
             if 0 <= draw < share:
@@ -215,7 +215,7 @@
 
     def schedule_request(self, c: Customer) -> None:
         """Draw and schedule a customer's next request."""
-        rng, units = self.chance, sum(self.fleet.units) / len(self.fleet.units)
+        rng, units = self.rng, sum(self.fleet.units) / len(self.fleet.units)
         if c.kind == SPIKY and self.now >= max(c.spike_at, c.spike_until):
             c.spike_multiple, c.spike_until = (
                 rng.uniform(*SPIKE_MULTIPLES),
@@ -230,21 +230,21 @@
 
     def send_request(self, c: Customer) -> None:
         """Send a customer's request, and schedule its next one."""
-        request_class = self.chance.randrange(len(self.fleet.units))
+        request_class = self.rng.randrange(len(self.fleet.units))
         self.judge.offer(c, self.now, self.fleet.units[request_class])
-        self.first_tries += 1
+        self.first_attempts += 1
         self.send_to_gateway(
-            c, request_class, MAX_RETRIES if self.chance.random() < RETRY_FRACTION else 0, False
+            c, request_class, MAX_RETRIES if self.rng.random() < RETRY_FRACTION else 0, False
         )
         self.schedule_request(c)
 
     def gateway_for(self, c: Customer) -> int:
         """One of the customer's gateways, drawn by changing weights; if it is down, the next that is up."""
         if self.now >= c.weights_change_at:
-            c.weights_change_at = self.now + self.chance.uniform(*WEIGHT_INTERVALS)
-            factors = [math.exp(self.chance.gauss(0.0, WEIGHT_SIGMA)) for _ in range(c.spread)]
+            c.weights_change_at = self.now + self.rng.uniform(*WEIGHT_INTERVALS)
+            factors = [math.exp(self.rng.gauss(0.0, WEIGHT_SIGMA)) for _ in range(c.spread)]
             c.weights = list(itertools.accumulate(factors))
-        position = self.chance.choices(range(c.spread), cum_weights=c.weights)[0]
+        position = self.rng.choices(range(c.spread), cum_weights=c.weights)[0]
         ring = [(c.first + position + i) % self.fleet.gateways for i in range(c.spread)]
         return next((index for index in ring if index in self.gateways), -1)
 
@@ -293,7 +293,7 @@
             elif isinstance(a, Reject):
                 c, request_class, retries_left = self.requests.pop(a.id)
                 if retries_left:
-                    backoff = self.chance.uniform(0.5, 1.5) * BACKOFF * 2 ** (MAX_RETRIES - retries_left)
+                    backoff = self.rng.uniform(0.5, 1.5) * BACKOFF * 2 ** (MAX_RETRIES - retries_left)
                     self.schedule(
                         max(a.retry_after, backoff),
                         lambda c=c, request_class=request_class, n=retries_left - 1: self.send_to_gateway(
@@ -304,16 +304,16 @@
     def send_message(self, index: int, a: SendToPeer) -> None:
         """Put a message in flight, unless it is lost."""
         self.sent += 1
-        if self.chance.random() < self.fleet.loss:
+        if self.rng.random() < self.fleet.loss:
             self.lost += 1
             return
         self.schedule(
-            self.chance.uniform(*MESSAGE_DELAYS), lambda: self.deliver_message(index, a.peer, a.payload)
+            self.rng.uniform(*MESSAGE_DELAYS), lambda: self.deliver_message(index, a.peer, a.payload)
         )
 
     def deliver_message(self, sender: int, to: int, payload: bytes) -> None:
         """Deliver a message if the receiver's token bucket of `intake` messages per second permits it."""
-        self.got[to] += 1
+        self.received[to] += 1
         level, at = self.intake_levels.get(to, (self.fleet.intake, self.now))
         level = min(self.fleet.intake, level + self.fleet.intake * (self.now - at))
         self.intake_levels[to] = (level - 1 if level >= 1 else level), self.now
@@ -328,7 +328,7 @@
         c, request_class, _ = self.requests.pop(a.id)
         units = self.fleet.units[request_class]
         self.judge.sent(c, self.now, units)
-        response_time = self.chance.uniform(0.5, 1.5) * RESPONSE_TIME * units
+        response_time = self.rng.uniform(0.5, 1.5) * RESPONSE_TIME * units
         self.schedule(response_time, lambda: self.end_attempt(index, a, c, response_time))
 
     def end_attempt(self, index: int, a: StartAttempt, c: Customer, response_time: float) -> None:
@@ -346,7 +346,7 @@
         return {
             **self.judge.table(),
             "messages": round(self.sent / gateway_seconds, 1),  # per second and gateway
-            "most_got": round(max(self.got.values(), default=0) / (end - self.started_at), 1),
+            "most_got": round(max(self.received.values(), default=0) / (end - self.started_at), 1),
             "not_taken": round(self.lost / max(1, self.sent), 3),
-            "peer": round(self.bytes / 256 / max(1, self.first_tries), 2),
+            "peer": round(self.bytes / 256 / max(1, self.first_attempts), 2),
         }  # `peer` is in blocks of 256 bytes per request, the unit in which messages are priced
--- a/tests/decisions/test_aggregation_tree.py
+++ b/tests/decisions/test_aggregation_tree.py
@@ -154,7 +154,7 @@
     Exchanging totals over doubling distances instead of the tree gave an over-quota cost of 0.29.
     """
     plans = (Plan(rate=1.3, burst=6.0, over_quota_cost=1.0), Plan(rate=20.0, burst=40.0, over_quota_cost=1.0))
-    result = quotas.World(quotas.Fleet(plans, (100, 16), gateways=120, seconds=10.0), seed=1).run()
+    result = quotas.Simulation(quotas.Fleet(plans, (100, 16), gateways=120, seconds=10.0), seed=1).run()
     assert result["over_quota"] < 0.12
     assert result["inside"] > 0.95
     assert result["most_got"] < 50
--- a/tests/test_quotas.py
+++ b/tests/test_quotas.py
@@ -69,29 +69,29 @@
 def test_wrong_decisions_are_detected():
     gateway_classes = (quotas.Gateway, AdmitsAll, RejectsAll)
     normal, all_admitted, none_admitted = (
-        quotas.World(fleet(), 1, gateway_class).run() for gateway_class in gateway_classes
+        quotas.Simulation(fleet(), 1, gateway_class).run() for gateway_class in gateway_classes
     )
     assert all_admitted["over_quota"] > 3 * normal["over_quota"]
     assert none_admitted["inside"] == none_admitted["over_quota"] == 0.0 < normal["inside"]
 
 
 def test_a_run_is_determined_by_its_seed():
-    first, again, other = (quotas.World(fleet(), seed).run() for seed in (1, 1, 2))
+    first, again, other = (quotas.Simulation(fleet(), seed).run() for seed in (1, 1, 2))
     assert first == again != other
 
 
 def test_messages_beyond_the_intake_limit_are_dropped():
-    free, full = (quotas.World(fleet(loss=0.0, intake=intake), 1) for intake in (1000.0, 2.0))
+    free, full = (quotas.Simulation(fleet(loss=0.0, intake=intake), 1) for intake in (1000.0, 2.0))
     assert free.run()["not_taken"] == 0.0 < full.run()["not_taken"]
-    assert max(full.got.values()) > 2.0 * (6 + 1)  # one received more than its intake limit
+    assert max(full.received.values()) > 2.0 * (6 + 1)  # one received more than its intake limit
 
 
 def test_a_killed_gateway_gets_no_requests_until_it_restarts():
-    world = quotas.World(fleet(), 1)
-    world.run(2.0)
-    world.kill(3)
-    before = world.got[3]
-    world.run(4.0)
-    assert 3 not in world.gateways and world.first_tries > 0
-    world.start(3)
-    assert world.run()["inside"] > 0.5 and world.got[3] >= before and 3 in world.gateways
+    simulation = quotas.Simulation(fleet(), 1)
+    simulation.run(2.0)
+    simulation.kill(3)
+    before = simulation.received[3]
+    simulation.run(4.0)
+    assert 3 not in simulation.gateways and simulation.first_attempts > 0
+    simulation.start(3)
+    assert simulation.run()["inside"] > 0.5 and simulation.received[3] >= before and 3 in simulation.gateways
