--- a/corkdeal/experiment/quotas.py
+++ b/corkdeal/experiment/quotas.py
@@ -1,9 +1,9 @@
 """Simulates the quotas of a fleet, on the decisions alone: units admitted beyond and rejected within quotas.
 
 The decisions of all gateways run in one process in virtual time. Messages are delayed, some are lost, and a
-gateway accepts only a limited number per second. Backends answer every attempt. `Judge` observes each attempt
-when it is sent and keeps one exact token bucket and count of open attempts per customer; it uses no state of
-the decisions. Deterministic by seed; no sockets, no clock.
+gateway accepts only a limited number per second. Backends answer every attempt. `QuotaMeter` observes each
+attempt when it is sent and keeps one exact token bucket and count of open attempts per customer; it uses no
+state of the decisions. Deterministic by seed; no sockets, no clock.
 """
 
 from __future__ import annotations
@@ -76,15 +76,15 @@
     weights_change_at: float = 0.0
     spike_at: float = 0.0
     spike_until: float = 0.0
-    store: float = 0.0
+    level: float = 0.0
     level_at: float = 0.0
-    out: int = 0
-    ideal: float = 0.0  # token bucket of a single gateway that receives all first attempts of requests
+    open_attempts: int = 0
+    ideal_level: float = 0.0  # token bucket of a single gateway that receives all first attempts of requests
     ideal_level_at: float = 0.0
     ideal_ends: list[float] = field(default_factory=list)
 
 
-class Judge:
+class QuotaMeter:
     """Counts units by plan, independently of the decisions: offered, sent within quotas, sent beyond them."""
 
     def __init__(self, plans: tuple[Plan, ...]) -> None:
@@ -96,25 +96,28 @@
     def offer(self, c: Customer, now: float, units: float) -> None:
         """Count a first attempt as offered if a single gateway that receives all of them would admit it."""
         plan = self.plans[c.plan]
-        c.ideal, c.ideal_level_at = min(plan.burst, c.ideal + plan.rate * (now - c.ideal_level_at)), now
+        c.ideal_level, c.ideal_level_at = (
+            min(plan.burst, c.ideal_level + plan.rate * (now - c.ideal_level_at)),
+            now,
+        )
         c.ideal_ends = [x for x in c.ideal_ends if x > now]
-        if (plan.rate and c.ideal < units) or (
+        if (plan.rate and c.ideal_level < units) or (
             plan.max_in_flight and len(c.ideal_ends) >= plan.max_in_flight
         ):
             return
-        c.ideal -= units if plan.rate else 0.0
+        c.ideal_level -= units if plan.rate else 0.0
         c.ideal_ends.append(now + RESPONSE_TIME * units)
         self.offered[c.plan] += units
 
     def sent(self, c: Customer, now: float, units: float) -> None:
         """Count an attempt that reaches a backend."""
         plan = self.plans[c.plan]
-        c.store, c.level_at = min(plan.burst, c.store + plan.rate * (now - c.level_at)), now
-        is_within_quota = (not plan.rate or c.store >= units) and (
-            not plan.max_in_flight or c.out < plan.max_in_flight
+        c.level, c.level_at = min(plan.burst, c.level + plan.rate * (now - c.level_at)), now
+        is_within_quota = (not plan.rate or c.level >= units) and (
+            not plan.max_in_flight or c.open_attempts < plan.max_in_flight
         )
-        c.out += 1
-        c.store -= units if is_within_quota and plan.rate else 0.0
+        c.open_attempts += 1
+        c.level -= units if is_within_quota and plan.rate else 0.0
         (self.inside if is_within_quota else self.beyond)[c.plan] += units
 
     def table(self) -> dict[str, Any]:
@@ -137,7 +140,7 @@
     ) -> None:
         self.fleet, self.rng, self.seed, self.make_gateway = fleet, random.Random(seed), seed, make_gateway
         self.now = self.started_at = 1000.0
-        self.ids, self.judge = itertools.count(1), Judge(fleet.plans)
+        self.ids, self.meter = itertools.count(1), QuotaMeter(fleet.plans)
         self.scheduled_calls: list[tuple[float, int, Callable[[], None]]] = []
         self.sent = self.lost = self.bytes = self.first_attempts = 0
         self.received: Counter[int] = Counter()  # messages that arrived, by receiver
@@ -204,7 +207,7 @@
             kind,
             usual_rate * rng.uniform(*DEMAND_RANGES[kind]),
         )
-        c.store = c.ideal = plan.burst
+        c.level = c.ideal_level = plan.burst
         c.level_at = c.ideal_level_at = self.now
         c.spike_at = self.now + rng.uniform(0, SPIKE_INTERVALS[1])
         return c
@@ -231,7 +234,7 @@
     def send_request(self, c: Customer) -> None:
         """Send a customer's request, and schedule its next one."""
         request_class = self.rng.randrange(len(self.fleet.units))
-        self.judge.offer(c, self.now, self.fleet.units[request_class])
+        self.meter.offer(c, self.now, self.fleet.units[request_class])
         self.first_attempts += 1
         self.send_to_gateway(
             c, request_class, MAX_RETRIES if self.rng.random() < RETRY_FRACTION else 0, False
@@ -327,24 +330,24 @@
         """Count an attempt at its backend, and schedule its reply."""
         c, request_class, _ = self.requests.pop(a.id)
         units = self.fleet.units[request_class]
-        self.judge.sent(c, self.now, units)
+        self.meter.sent(c, self.now, units)
         response_time = self.rng.uniform(0.5, 1.5) * RESPONSE_TIME * units
         self.schedule(response_time, lambda: self.end_attempt(index, a, c, response_time))
 
     def end_attempt(self, index: int, a: StartAttempt, c: Customer, response_time: float) -> None:
         """Pass the reply to an attempt to its gateway."""
-        c.out -= 1
+        c.open_attempts -= 1
         self.handle_event(index, AttemptEnded(a.id, 0, a.backend, Status.OK, response_time, True))
 
     def run(self, seconds: float | None = None) -> dict[str, Any]:
-        """Run until that second; returns the counts of `judge` and those of messages."""
+        """Run until that second; returns the counts of `meter` and those of messages."""
         end = self.started_at + (self.fleet.seconds if seconds is None else seconds)
         while self.scheduled_calls and self.scheduled_calls[0][0] <= end:
             self.now, _, call = heapq.heappop(self.scheduled_calls)
             call()
         gateway_seconds = (end - self.started_at) * self.fleet.gateways
         return {
-            **self.judge.table(),
+            **self.meter.table(),
             "messages": round(self.sent / gateway_seconds, 1),  # per second and gateway
             "most_got": round(max(self.received.values(), default=0) / (end - self.started_at), 1),
             "not_taken": round(self.lost / max(1, self.sent), 3),
--- a/tests/test_quotas.py
+++ b/tests/test_quotas.py
@@ -1,4 +1,4 @@
-"""The quota judge of the experiments: it must detect wrong decisions, independently of the implementation."""
+"""The quota meter of the experiments: it must detect wrong decisions, independently of the implementation."""
 
 import pytest
 
@@ -24,26 +24,26 @@
     ],
 )
 def test_what_is_inside_and_beyond_a_quota(plan, sent, inside, beyond):
-    judge, customer = quotas.Judge((plan,)), make_customer(store=plan.burst)
+    meter, customer = quotas.QuotaMeter((plan,)), make_customer(level=plan.burst)
     for at, units in sent:
-        judge.sent(customer, at, units)
-    assert (judge.inside[0], judge.beyond[0]) == (inside, beyond)
+        meter.sent(customer, at, units)
+    assert (meter.inside[0], meter.beyond[0]) == (inside, beyond)
 
 
 def test_an_ended_attempt_frees_its_slot():
-    judge, customer = quotas.Judge((OPEN,)), make_customer()
+    meter, customer = quotas.QuotaMeter((OPEN,)), make_customer()
     for _ in range(3):
-        judge.sent(customer, 0.0, 1)
-        customer.out -= 1
-    assert (judge.inside[0], judge.beyond[0]) == (3, 0)
+        meter.sent(customer, 0.0, 1)
+        customer.open_attempts -= 1
+    assert (meter.inside[0], meter.beyond[0]) == (3, 0)
 
 
 def test_the_over_quota_cost_is_relative_to_the_value_offered():
-    judge, customer = quotas.Judge((RATE,)), make_customer(store=6.0, ideal=6.0)
+    meter, customer = quotas.QuotaMeter((RATE,)), make_customer(level=6.0, ideal_level=6.0)
     for _ in range(4):  # an ideal gateway admits three of these
-        judge.offer(customer, 0.0, 2)
-        judge.sent(customer, 0.0, 2)
-    assert judge.table() == {"inside": 1.0, "over_quota": round(2 * 0.5 / 6, 4), "beyond": [round(2 / 6, 3)]}
+        meter.offer(customer, 0.0, 2)
+        meter.sent(customer, 0.0, 2)
+    assert meter.table() == {"inside": 1.0, "over_quota": round(2 * 0.5 / 6, 4), "beyond": [round(2 / 6, 3)]}
 
 
 class AdmitsAll(quotas.Gateway):
