--- a/benchmarks/halls.py
+++ b/benchmarks/halls.py
@@ -14,38 +14,38 @@
 
 import netaddr
 
-from corkdeal.zones.nets import Net, Nets
+from corkdeal.zones.nets import ZoneLookup, ZoneNetwork
 
 NETS, LOOK_UPS, LINEAR_SAMPLE = 100_000, 50_000, 200  # a 20th of the sample is searched linearly
 
 
-def random_networks(chance: random.Random) -> list[Net]:
+def random_networks(chance: random.Random) -> list[ZoneNetwork]:
     """Returns distinct networks of /12 to /28 with random zones."""
-    made: dict[str, Net] = {}
+    made: dict[str, ZoneNetwork] = {}
     while len(made) < NETS:
         size = chance.randint(12, 28)
         text = str(netaddr.IPNetwork((chance.getrandbits(32) >> (32 - size) << (32 - size), size)))
         if "." in text:
-            made[text] = Net(text, f"hall-{chance.randrange(1000)}")
+            made[text] = ZoneNetwork(text, f"hall-{chance.randrange(1000)}")
     return list(made.values())
 
 
 class ByLength:
     """A dictionary per prefix length, searched from the longest: the simple approach without a trie."""
 
-    def __init__(self, nets: list[Net]) -> None:
+    def __init__(self, nets: list[ZoneNetwork]) -> None:
         self.tables: dict[int, dict[int, str]] = {}
         for net in nets:
-            made = netaddr.IPNetwork(net.text)
-            self.tables.setdefault(made.prefixlen, {})[int(made.network)] = net.hall
+            made = netaddr.IPNetwork(net.cidr)
+            self.tables.setdefault(made.prefixlen, {})[int(made.network)] = net.zone
         self.order = sorted(self.tables.items(), reverse=True)
 
-    def hall_of(self, address: str) -> str | None:
+    def zone_of(self, address: str) -> str | None:
         """Returns the zone of an IPv4 address."""
         number = int.from_bytes(socket.inet_aton(address), "big")
         for size, table in self.order:
-            if (hall := table.get(number >> (32 - size) << (32 - size))) is not None:
-                return hall
+            if (zone := table.get(number >> (32 - size) << (32 - size))) is not None:
+                return zone
         return None
 
 
@@ -55,12 +55,12 @@
     nets = random_networks(chance)
     addresses = [str(netaddr.IPAddress(chance.randrange(1 << 24, 1 << 32))) for _ in range(LOOK_UPS)]
     started_at = time.perf_counter()
-    tree = Nets(nets)
+    tree = ZoneLookup(nets)
     build_time = time.perf_counter() - started_at
     by_length = ByLength(nets)
-    walked = [(netaddr.IPNetwork(n.text), n.hall) for n in nets]
+    walked = [(netaddr.IPNetwork(n.cidr), n.zone) for n in nets]
     results = {}
-    for name, look in (("py-radix", tree.hall_of), ("table a length", by_length.hall_of)):
+    for name, look in (("py-radix", tree.zone_of), ("table a length", by_length.zone_of)):
         started_at = time.perf_counter()
         found = [look(a) for a in addresses]
         results[name] = (time.perf_counter() - started_at) / LOOK_UPS * 1e6, found
@@ -68,7 +68,7 @@
     linear_results = []
     for a in addresses[: LINEAR_SAMPLE // 20]:
         address = netaddr.IPAddress(a)
-        holding = [(net, hall) for net, hall in walked if address in net]
+        holding = [(net, zone) for net, zone in walked if address in net]
         linear_results.append(max(holding, key=lambda x: x[0].prefixlen)[1] if holding else None)
     results["netaddr, walking"] = (
         (time.perf_counter() - started_at) / len(linear_results) * 1e6,
--- a/corkdeal/cli/zones.py
+++ b/corkdeal/cli/zones.py
@@ -47,7 +47,7 @@
     from ..options.zones import build_networks
 
     networks = build_networks(load_zones_options(options))
-    zones = {address: networks.hall_of(address) for address in addresses}
+    zones = {address: networks.zone_of(address) for address in addresses}
     print_result(
         zones, as_json, "\n".join(f"{address} {zone or 'in no zone'}" for address, zone in zones.items())
     )
--- a/corkdeal/options/zones.py
+++ b/corkdeal/options/zones.py
@@ -5,14 +5,16 @@
 from collections.abc import Iterator
 from typing import Any
 
-from ..zones.nets import Net, Nets
+from ..zones.nets import ZoneLookup, ZoneNetwork
 from ..zones.tiers import Zone, ZoneDistances
 from .records import ZonesOptions
 
 
-def build_networks(options: ZonesOptions) -> Nets:
+def build_networks(options: ZonesOptions) -> ZoneLookup:
     """Return the networks of all zones."""
-    return Nets(Net(net.cidr, zone.name, net.place) for zone in options.halls for net in zone.nets)
+    return ZoneLookup(
+        ZoneNetwork(net.cidr, zone.name, net.place) for zone in options.halls for net in zone.nets
+    )
 
 
 def build_distances(options: ZonesOptions) -> ZoneDistances:
--- a/corkdeal/zones/nets.py
+++ b/corkdeal/zones/nets.py
@@ -15,25 +15,25 @@
 MAX_NETWORKS = 200_000
 
 
-class Net(NamedTuple):
+class ZoneNetwork(NamedTuple):
     """One network of a zone; `place.at()` returns line and column of its definition, if these are known."""
 
-    text: str
-    hall: str
+    cidr: str
+    zone: str
     place: Any = None
 
 
 class InvalidNetwork(NamedTuple):
     """A network that cannot be used, and why."""
 
-    net: Net
+    net: ZoneNetwork
     reason: str
 
 
-class Nets:
+class ZoneLookup:
     """Networks and their zones."""
 
-    def __init__(self, nets: Iterable[Net]) -> None:
+    def __init__(self, nets: Iterable[ZoneNetwork]) -> None:
         """Add networks; invalid ones end up in `invalid`, and unless it is empty the object is unusable."""
         self.tree, self.invalid, self.count = radix.Radix(), [], 0
         for net in nets:
@@ -41,21 +41,21 @@
                 self.invalid.append(InvalidNetwork(net, reason))
         self.invalid += self.find_redundant()
 
-    def add(self, net: Net) -> str:
+    def add(self, net: ZoneNetwork) -> str:
         """Add one network; return why it cannot be added, or an empty string."""
         try:
-            network = netaddr.IPNetwork(net.text) if "/" in net.text else None
+            network = netaddr.IPNetwork(net.cidr) if "/" in net.cidr else None
         except (netaddr.AddrFormatError, ValueError):
             network = None
         if network is None:
-            return f"not a network in CIDR notation: {net.text!r:.60}"
+            return f"not a network in CIDR notation: {net.cidr!r:.60}"
         if network.ip != network.network:
             return f"has host bits set; {network.cidr} is the network with this prefix length"
         if self.count >= MAX_NETWORKS:
             return f"exceeds the limit of {MAX_NETWORKS} networks"
         if (existing := self.tree.search_exact(str(network.cidr))) is not None:
-            first: Net = existing.data["net"]
-            return f"is given twice; first for zone {first.hall}{format_position(first)}"
+            first: ZoneNetwork = existing.data["net"]
+            return f"is given twice; first for zone {first.zone}{format_position(first)}"
         self.tree.add(str(network.cidr)).data["net"] = net
         self.count += 1
         return ""
@@ -67,25 +67,25 @@
             parent = node.parent
             while parent is not None and "net" not in parent.data:
                 parent = parent.parent
-            if parent is not None and parent.data["net"].hall == node.data["net"].hall:
-                outer: Net = parent.data["net"]
+            if parent is not None and parent.data["net"].zone == node.data["net"].zone:
+                outer: ZoneNetwork = parent.data["net"]
                 redundant.append(
                     InvalidNetwork(
-                        node.data["net"], f"overlaps {outer.text} of the same zone{format_position(outer)}"
+                        node.data["net"], f"overlaps {outer.cidr} of the same zone{format_position(outer)}"
                     )
                 )
         return redundant
 
-    def hall_of(self, address: str) -> str | None:
+    def zone_of(self, address: str) -> str | None:
         """Return the zone of an address; None if no network contains it, or if it is not a valid address."""
         try:
             node = self.tree.search_best(address)
         except ValueError:
             return None
-        return node.data["net"].hall if node is not None else None
+        return node.data["net"].zone if node is not None else None
 
 
-def format_position(net: Net) -> str:
+def format_position(net: ZoneNetwork) -> str:
     """Format the position of a network's definition; empty if unknown."""
     if net.place is None:
         return ""
--- a/tests/zones/test_zones.py
+++ b/tests/zones/test_zones.py
@@ -8,7 +8,7 @@
 
 from corkdeal.experiment.cuts import HALLS, TROUBLES, Day
 from corkdeal.zones import tiers
-from corkdeal.zones.nets import Net, Nets
+from corkdeal.zones.nets import ZoneLookup, ZoneNetwork
 from corkdeal.zones.tiers import Zone, ZoneDistances
 
 
@@ -26,15 +26,15 @@
     ],
 )
 def test_the_longest_prefix_counts(address, zone):
-    nets = Nets(
+    nets = ZoneLookup(
         [
-            Net("10.1.0.0/16", "north"),
-            Net("10.1.9.0/24", "east"),
-            Net("2001:db8::/32", "south"),
-            Net("2001:db8:1::/48", "north"),
+            ZoneNetwork("10.1.0.0/16", "north"),
+            ZoneNetwork("10.1.9.0/24", "east"),
+            ZoneNetwork("2001:db8::/32", "south"),
+            ZoneNetwork("2001:db8:1::/48", "north"),
         ]
     )
-    assert nets.invalid == [] and nets.hall_of(address) == zone
+    assert nets.invalid == [] and nets.zone_of(address) == zone
 
 
 class Position:
@@ -59,13 +59,15 @@
     ],
 )
 def test_an_invalid_network_is_reported_with_its_position(nets, reason):
-    made = Nets([Net(text, "north", Position(i + 1)) for i, text in enumerate(nets)])
+    made = ZoneLookup([ZoneNetwork(text, "north", Position(i + 1)) for i, text in enumerate(nets)])
     assert reason in made.invalid[0].reason and made.invalid[0].net.place.at() == (len(nets), 2)
 
 
 def test_a_network_of_another_zone_between_gives_the_inner_one_an_effect():
-    made = Nets([Net("10.0.0.0/8", "a"), Net("10.1.0.0/16", "b"), Net("10.1.1.0/24", "a")])
-    assert made.invalid == [] and made.hall_of("10.1.1.1") == "a" and made.hall_of("10.1.2.1") == "b"
+    made = ZoneLookup(
+        [ZoneNetwork("10.0.0.0/8", "a"), ZoneNetwork("10.1.0.0/16", "b"), ZoneNetwork("10.1.1.0/24", "a")]
+    )
+    assert made.invalid == [] and made.zone_of("10.1.1.1") == "a" and made.zone_of("10.1.2.1") == "b"
 
 
 NETS = st.dictionaries(
@@ -81,12 +83,12 @@
 
 @given(NETS, st.lists(st.integers(0, 2**32 - 1), max_size=20))
 def test_look_ups_agree_with_a_walk_over_all_nets(nets, addresses):
-    made = Nets([Net(str(net), hall) for net, hall in nets.items()])
+    made = ZoneLookup([ZoneNetwork(str(net), hall) for net, hall in nets.items()])
     for number in [*addresses, *(int(n.network_address) for n in nets)]:
         address = ipaddress.ip_address(number)
         holding = [n for n in nets if address in n]
         best = nets[max(holding, key=lambda n: n.prefixlen)] if holding else None
-        assert made.hall_of(str(address)) == best
+        assert made.zone_of(str(address)) == best
 
 
 def test_tiers_are_ordered_by_distance_over_two_levels():
