--- a/benchmarks/halls.py
+++ b/benchmarks/zones.py
@@ -2,7 +2,7 @@
 
 Times depend on the machine: compare ratios within one run.
 
-PYTHONPATH=. python benchmarks/halls.py
+PYTHONPATH=. python benchmarks/zones.py
 """
 
 from __future__ import annotations
--- a/corkdeal/zones/nets.py
+++ b/corkdeal/zones/nets.py
@@ -1,7 +1,7 @@
 """Finds the zone of an IPv4 or IPv6 address: that of the longest CIDR prefix that contains it.
 
 netaddr parses and checks the networks; py-radix, a Patricia trie in C, looks addresses up, since netaddr
-alone would scan a list (`benchmarks/halls.py` compares them at 100,000 networks).
+alone would scan a list (`benchmarks/zones.py` compares them at 100,000 networks).
 """
 
 from __future__ import annotations
