--- a/tests/discovery_world.py
+++ b/tests/discovery_world.py
@@ -266,7 +266,7 @@
         self.clock = Clock()
         self.discovery = Discovery(self.clock, **script)
         self.settings = settings(is_endpoint_list_pushed=pushed, gateways=gateways, drain_grace=0.25)
-        self.rng, self.told_at, self.told = rng or Longest(), None, []
+        self.rng, self.notified_at, self.snapshots = rng or Longest(), None, []
         self.watch = self.start_watch(HELD_SNAPSHOT)
 
     def start_watch(self, held):
@@ -282,13 +282,13 @@
         self.watch = self.start_watch(None)
 
     def on_snapshot(self, snapshot):
-        self.told.append(snapshot)
-        if self.told_at is None and any(e.state is EndpointState.DRAINING for e in snapshot.entries):
-            self.told_at = self.clock.seconds()
+        self.snapshots.append(snapshot)
+        if self.notified_at is None and any(e.state is EndpointState.DRAINING for e in snapshot.entries):
+            self.notified_at = self.clock.seconds()
 
-    def run_until(self, end, told=False):
-        """Advance from event to event until `end`; with `told`, stop once the watch reported the drain."""
-        while not (told and self.told_at is not None):
+    def run_until(self, end, until_notified=False):
+        """Advance from event to event until `end`; or until the watch has reported the drain."""
+        while not (until_notified and self.notified_at is not None):
             upcoming = min((c.getTime() for c in self.clock.getDelayedCalls()), default=end)
             self.clock.advance(max(0.0, min(upcoming, end) - self.clock.seconds()))
             if self.clock.seconds() >= end:
--- a/tests/test_discovery_outages.py
+++ b/tests/test_discovery_outages.py
@@ -53,9 +53,9 @@
         world.clock.callLater(reloads_at, world.reload)
     if since is None:
         since = max(script["ends"], script["drains_at"])
-    world.run_until(since + 400.0, told=True)
-    assert world.told_at is not None
-    return world.told_at - since
+    world.run_until(since + 400.0, until_notified=True)
+    assert world.notified_at is not None
+    return world.notified_at - since
 
 
 def worst_after_outage(fault, pushed, gateways, reload=False, **more):
@@ -132,8 +132,8 @@
 @pytest.mark.parametrize("gateways", SIZES)
 def test_a_gateway_that_starts_asks_before_it_counts_as_told_without(gateways):
     world = World(False, gateways, fault=None, begins=None, ends=0.0, drains_at=0.5)
-    world.run_until(200.0, told=True)
-    assert world.told_at <= world.settings.poll_interval - CALL_ALLOWANCE + SLACK
+    world.run_until(200.0, until_notified=True)
+    assert world.notified_at <= world.settings.poll_interval - CALL_ALLOWANCE + SLACK
 
 
 def test_a_list_without_length_that_ends_with_its_connection_is_told():
@@ -142,15 +142,15 @@
         world.discovery.answer(connection, world.discovery.body(True), length=False),
         connection.loseConnection(),
     )
-    world.run_until(3.0, told=True)
-    assert world.told_at is not None and world.told_at < 3.0
+    world.run_until(3.0, until_notified=True)
+    assert world.notified_at is not None and world.notified_at < 3.0
 
 
 @pytest.mark.parametrize("fault", LONGEST_CALL)
 def test_an_outage_leaves_no_connections_behind(fault):
     world = World(True, 3, fault=fault, begins=1.0, ends=61.0, drains_at=2.0)
     world.run_until(66.0)
-    assert world.told_at is not None
+    assert world.notified_at is not None
     assert sum(not connection.ended for connection in world.discovery.connections) <= 1
 
 
@@ -160,8 +160,8 @@
         connection.send(b"HTTP/1.1 200 OK\r\n\r\n"),
         connection.send(b" " * (discovery_watch.MAX_BODY + 1)),
     )
-    world.run_until(4.0, told=True)
-    assert world.told_at is not None
+    world.run_until(4.0, until_notified=True)
+    assert world.notified_at is not None
     assert sum(not connection.ended for connection in world.discovery.connections) <= 1
 
 
@@ -171,14 +171,14 @@
     world = World(True, 3, fault=None, begins=None, ends=0.0, drains_at=1.0)
     hear, faults = world.watch.on_snapshot, [ValueError("a fault in the gateway")] * 3
 
-    def told(snapshot):
+    def record(snapshot):
         if snapshot.entries and faults:
             raise faults.pop()
         hear(snapshot)
 
-    world.watch.on_snapshot = told
-    world.run_until(10.0, told=True)
-    assert world.told_at is not None and not faults
+    world.watch.on_snapshot = record
+    world.run_until(10.0, until_notified=True)
+    assert world.notified_at is not None and not faults
     assert sum("a fault in the gateway" in pairs.get("trace", "") for _, pairs in written) == 3
     assert len(world.discovery.calls) < 10
 
