--- a/tests/test_bodies.py
+++ b/tests/test_bodies.py
@@ -286,7 +286,7 @@
     assert bytes(harness.client.taken) == VALUE[:90000] and harness.client.closed
 
 
-def test_what_was_begun_is_neither_timed_out_nor_sent_again_and_loads_no_server():
+def test_a_reply_that_has_begun_is_neither_timed_out_nor_retried_and_loads_no_backend():
     harness = GatewayWithClient()
     conn, wire = harness.ask(1)
     harness.reactor.advance(0.25)
@@ -319,7 +319,7 @@
         assert conn.ended and harness.outcomes() == [Status.CANCELLED]
 
 
-def test_a_probe_has_no_long_answer():
+def test_a_health_check_may_not_have_a_large_reply():
     harness = GatewayWithClient()
     pool = harness.gateway.pool
     pool.send(backend_connection.Attempt(None, 0, "a", 0.0, 9.0, [b"x"]))
--- a/tests/test_net_parsers.py
+++ b/tests/test_net_parsers.py
@@ -398,7 +398,7 @@
         pool.send(backend_connection.Attempt(None, 0, "a", 0.0, 9.0, [b"x"]))
         self.assertEqual(self.ended, [Status.ABANDONED])
 
-    def test_an_exception_in_the_module_costs_its_request_only(self):
+    def test_an_exception_in_the_decisions_costs_its_request_only(self):
         self.gateway.decisions.handle = lambda now, events: 1 / 0
         self.gateway.decisions.actions = []
         replies = []
@@ -493,7 +493,7 @@
         pool.send(backend_connection.Attempt(None, 0, "a", 0.0, 9.0, [b"y"]))
         self.assertEqual(len(self.reactor.tcpClients), 2)
 
-    def test_one_that_goes_for_another_frees_its_descriptor_in_the_same_turn(self):
+    def test_an_evicted_connection_frees_its_descriptor_in_the_same_reactor_iteration(self):
         pool, _ = self.connecting_attempt()
         connection, transport = self.establish()
         transport.abortConnection = lambda: None  # Twisted's acts in the next reactor iteration only
