--- a/corkdeal/experiment/cuts.py
+++ b/corkdeal/experiment/cuts.py
@@ -9,7 +9,7 @@
 import random
 from typing import Any
 
-from ..zones.loss import Losses
+from ..zones.loss import LostZoneDetector
 
 CONNECT_TIMEOUT = 0.25  # s until a connection attempt to an unreachable backend fails
 UNANSWERED_MULTIPLE = 4.0  # multiple of the mean response time after which an attempt counts as unanswered
@@ -25,10 +25,10 @@
     ) -> None:
         """`rate` is the attempts per second of one gateway, `usual` the mean response time in seconds."""
         self.rng, self.rate, self.mean_response_time = random.Random(seed), rate, mean_response_time
-        self.losses, self.now = Losses(), 0.0
+        self.detector, self.now = LostZoneDetector(), 0.0
         self.pending: list[tuple[float, str, str, str, float]] = []
         self.backends = [(zone, f"{zone}-{i}") for zone in HALLS for i in range(backends_per_zone)]
-        self.losses.listed(dict.fromkeys(HALLS, backends_per_zone))
+        self.detector.set_backend_counts(dict.fromkeys(HALLS, backends_per_zone))
         self.cut: set[str] = set()
         self.slow: dict[str, float] = {}
         self.dead: set[str] = set()
@@ -65,10 +65,10 @@
             self.pending = [report for report in self.pending if report[0] > self.now]
             for reported_at, outcome, its_zone, its_backend, sent in due:
                 if outcome != "answered":
-                    self.losses.failed(its_zone, its_backend, reported_at, outcome == "silent")
+                    self.detector.record_failure(its_zone, its_backend, reported_at, outcome == "silent")
                 elif its_zone not in self.cut:  # a reply in flight when the outage begins is lost
-                    self.losses.answered(its_zone, its_backend, sent, reported_at)
-                self.declared += [(reported_at, h) for h in self.losses.look(reported_at)]
+                    self.detector.record_reply(its_zone, its_backend, sent, reported_at)
+                self.declared += [(reported_at, h) for h in self.detector.declare_lost(reported_at)]
 
 
 def false_alarms(days: int, seconds: float, rate: float) -> list[dict[str, Any]]:
--- a/corkdeal/zones/loss.py
+++ b/corkdeal/zones/loss.py
@@ -63,20 +63,20 @@
     lost_at: float | None = None
 
 
-class Losses:
+class LostZoneDetector:
     """Observations of all zones, and which of these are declared lost."""
 
     def __init__(self) -> None:
         self.zones: dict[str, ZoneEvidence] = {}
         self.recent_replies: deque[tuple[float, str]] = deque(maxlen=MAX_RECENT_REPLIES)
 
-    def listed(self, backend_counts: dict[str, int]) -> None:
+    def set_backend_counts(self, backend_counts: dict[str, int]) -> None:
         """Set the number of backends in each zone; a zone without any is removed."""
         self.zones = {name: self.zones.get(name) or ZoneEvidence() for name, n in backend_counts.items() if n}
         for name, evidence in self.zones.items():
             evidence.backend_count = backend_counts[name]
 
-    def answered(self, zone: str, backend: Hashable, sent_at: float, now: float) -> None:
+    def record_reply(self, zone: str, backend: Hashable, sent_at: float, now: float) -> None:
         """Record a reply of any kind, also a rejection: the attempt sent at `sent_at` reached its backend."""
         if (evidence := self.zones.get(zone)) is None:
             return
@@ -90,7 +90,7 @@
         if evidence.lost_at is None or sent_at >= previous_reply_at:
             evidence.last_failures.clear()
 
-    def failed(self, zone: str, backend: Hashable, now: float, silent: bool = False) -> None:
+    def record_failure(self, zone: str, backend: Hashable, now: float, silent: bool = False) -> None:
         """Record that a backend was unreachable or, if `silent`, has not answered an attempt for too long."""
         if (evidence := self.zones.get(zone)) is not None:
             evidence.last_failures[backend] = now, silent
@@ -119,7 +119,7 @@
             )
         evidence.rate_decayed_at = now
 
-    def look(self, now: float) -> list[str]:
+    def declare_lost(self, now: float) -> list[str]:
         """Declare zones lost by their evidence; return the newly lost ones, sorted by name."""
         newly_lost = []
         for name, evidence in sorted(self.zones.items()):
--- a/tests/zones/test_zones.py
+++ b/tests/zones/test_zones.py
@@ -117,9 +117,9 @@
     assert day.declared == []
     day.cut = {EAST}
     day.run(15)
-    assert [h for _, h in day.declared] == [EAST] == day.losses.lost_zones() and day.declared[0][0] < 11.5
+    assert [h for _, h in day.declared] == [EAST] == day.detector.lost_zones() and day.declared[0][0] < 11.5
     day.cut = set()
-    day.losses.mark_reachable(EAST)
+    day.detector.mark_reachable(EAST)
     day.run(25)
     assert len(day.declared) == 1
 
@@ -139,9 +139,9 @@
     day.run(10)
     day.cut = {NORTH, EAST}
     day.run(14)
-    assert day.losses.lost_zones() == [EAST, NORTH]
+    assert day.detector.lost_zones() == [EAST, NORTH]
     isolated = Day(2)
     isolated.run(10)
     isolated.cut = set(HALLS)  # the gateway itself is cut off
     isolated.run(20)
-    assert isolated.losses.lost_zones() == []
+    assert isolated.detector.lost_zones() == []
