--- a/corkdeal/cli/experiment.py
+++ b/corkdeal/cli/experiment.py
@@ -67,10 +67,10 @@
 )
 def cuts(days: int, rate: float) -> None:
     """Measure false alarms and detection times of lost zones, in virtual time."""
-    from ..experiment import cuts as experiment
+    from ..experiment import zone_outage as experiment
 
     alarms = experiment.false_alarms(days, 60.0, rate)
-    delays = [experiment.delays(days, rate, kind) for kind in experiment.TROUBLES]
+    delays = [experiment.detection_delays(days, rate, kind) for kind in experiment.CONDITIONS]
     click.echo(json.dumps({"false_alarms": alarms, "delays": delays}, indent=1))
 
 
--- a/corkdeal/experiment/cuts.py
+++ b/corkdeal/experiment/zone_outage.py
@@ -1,4 +1,4 @@
-"""Simulates zone outages to measure the detector in `halls/loss.py`: false alarms and detection delay.
+"""Simulates zone outages to measure the detector in `zones/loss.py`: false alarms and detection delay.
 
 A simple model in virtual time of what the decisions observe: attempts at backends in three zones that are
 answered after some time, get no reply, or fail to connect. It runs no gateway and opens no sockets.
@@ -13,11 +13,11 @@
 
 CONNECT_TIMEOUT = 0.25  # s until a connection attempt to an unreachable backend fails
 UNANSWERED_MULTIPLE = 4.0  # multiple of the mean response time after which an attempt counts as unanswered
-HALLS = ("north-hall", "east-hall", "south-hall")
-TROUBLES = ("calm", "slow quarter", "all slow", "dead server", "two dead in two halls")
+ZONES = ("north-hall", "east-hall", "south-hall")
+CONDITIONS = ("calm", "slow quarter", "all slow", "dead server", "two dead in two halls")
 
 
-class Day:
+class OutageSimulation:
     """One simulated period: attempts at random backends at a constant mean rate, and their outcomes."""
 
     def __init__(
@@ -27,15 +27,15 @@
         self.rng, self.rate, self.mean_response_time = random.Random(seed), rate, mean_response_time
         self.detector, self.now = LostZoneDetector(), 0.0
         self.pending: list[tuple[float, str, str, str, float]] = []
-        self.backends = [(zone, f"{zone}-{i}") for zone in HALLS for i in range(backends_per_zone)]
-        self.detector.set_backend_counts(dict.fromkeys(HALLS, backends_per_zone))
-        self.cut: set[str] = set()
+        self.backends = [(zone, f"{zone}-{i}") for zone in ZONES for i in range(backends_per_zone)]
+        self.detector.set_backend_counts(dict.fromkeys(ZONES, backends_per_zone))
+        self.zones_down: set[str] = set()
         self.slow: dict[str, float] = {}
         self.dead: set[str] = set()
-        self.declared: list[tuple[float, str]] = []
+        self.declared_outages: list[tuple[float, str]] = []
 
-    def trouble(self, kind: str) -> None:
-        """Start one of the conditions in `TROUBLES`."""
+    def start_condition(self, kind: str) -> None:
+        """Start one of the conditions in `CONDITIONS`."""
         names = [backend for _, backend in self.backends]
         if kind == "slow quarter":
             self.slow = {s: self.rng.uniform(3.5, 9) for s in self.rng.sample(names, len(names) // 4)}
@@ -55,7 +55,7 @@
                 backend, 1.0
             )
             unanswered_after = UNANSWERED_MULTIPLE * self.mean_response_time
-            if zone in self.cut or backend in self.dead:
+            if zone in self.zones_down or backend in self.dead:
                 self.pending.append((self.now + CONNECT_TIMEOUT, "failed", zone, backend, self.now))
             else:
                 if response_time > unanswered_after:
@@ -66,51 +66,55 @@
             for reported_at, outcome, its_zone, its_backend, sent in due:
                 if outcome != "answered":
                     self.detector.record_failure(its_zone, its_backend, reported_at, outcome == "silent")
-                elif its_zone not in self.cut:  # a reply in flight when the outage begins is lost
+                elif its_zone not in self.zones_down:  # a reply in flight when the outage begins is lost
                     self.detector.record_reply(its_zone, its_backend, sent, reported_at)
-                self.declared += [(reported_at, h) for h in self.detector.declare_lost(reported_at)]
+                self.declared_outages += [(reported_at, h) for h in self.detector.declare_lost(reported_at)]
 
 
 def false_alarms(days: int, seconds: float, rate: float) -> list[dict[str, Any]]:
     """Count the outages declared on days without one, by condition."""
     rows = []
-    for kind in TROUBLES:
+    for kind in CONDITIONS:
         alarm_count = 0
         for seed in range(days):
-            day = Day(seed, rate)
-            day.run(10)
-            day.trouble(kind)
-            day.run(10 + seconds)
-            alarm_count += len(day.declared)
+            simulation = OutageSimulation(seed, rate)
+            simulation.run(10)
+            simulation.start_condition(kind)
+            simulation.run(10 + seconds)
+            alarm_count += len(simulation.declared_outages)
         rows.append(
             {"trouble": kind, "days": days, "hours": round(days * seconds / 3600, 2), "false": alarm_count}
         )
     return rows
 
 
-def delays(days: int, rate: float, trouble: str = "calm") -> dict[str, Any]:
+def detection_delays(days: int, rate: float, trouble: str = "calm") -> dict[str, Any]:
     """Seconds from the start of an outage until it is declared, over many days."""
-    detection_delays, missed, other_zones = [], 0, 0
+    measured_delays, missed, other_zones = [], 0, 0
     for seed in range(days):
-        day = Day(seed, rate)
-        day.run(10)
-        day.trouble(trouble)
-        day.run(20)
-        before = len(day.declared)
-        day.cut = {HALLS[seed % 3]}
-        day.run(26)
-        detection_times = [reported_at for reported_at, zone in day.declared[before:] if zone in day.cut]
-        other_zones += sum(zone not in day.cut for _, zone in day.declared)
+        simulation = OutageSimulation(seed, rate)
+        simulation.run(10)
+        simulation.start_condition(trouble)
+        simulation.run(20)
+        before = len(simulation.declared_outages)
+        simulation.zones_down = {ZONES[seed % 3]}
+        simulation.run(26)
+        detection_times = [
+            reported_at
+            for reported_at, zone in simulation.declared_outages[before:]
+            if zone in simulation.zones_down
+        ]
+        other_zones += sum(zone not in simulation.zones_down for _, zone in simulation.declared_outages)
         missed += not detection_times
-        detection_delays += [detection_times[0] - 20] if detection_times else []
-    detection_delays.sort()
+        measured_delays += [detection_times[0] - 20] if detection_times else []
+    measured_delays.sort()
     return {
         "trouble": trouble,
         "rate": rate,
         "days": days,
         "missed": missed,
         "other_halls": other_zones,
-        "median_s": round(detection_delays[len(detection_delays) // 2], 2),
-        "p95_s": round(detection_delays[int(len(detection_delays) * 0.95)], 2),
-        "most_s": round(detection_delays[-1], 2),
+        "median_s": round(measured_delays[len(measured_delays) // 2], 2),
+        "p95_s": round(measured_delays[int(len(measured_delays) * 0.95)], 2),
+        "most_s": round(measured_delays[-1], 2),
     }
--- a/tests/zones/test_zones.py
+++ b/tests/zones/test_zones.py
@@ -6,7 +6,7 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from corkdeal.experiment.cuts import HALLS, TROUBLES, Day
+from corkdeal.experiment.zone_outage import CONDITIONS, ZONES, OutageSimulation
 from corkdeal.zones import tiers
 from corkdeal.zones.nets import ZoneLookup, ZoneNetwork
 from corkdeal.zones.tiers import Zone, ZoneDistances
@@ -107,41 +107,43 @@
             ZoneDistances.build(zones, invalid)
 
 
-NORTH, EAST, SOUTH = HALLS
+NORTH, EAST, SOUTH = ZONES
 
 
 @pytest.mark.parametrize("seed", range(5))
 def test_a_cut_is_declared_once_and_soon(seed):
-    day = Day(seed)
-    day.run(10)
-    assert day.declared == []
-    day.cut = {EAST}
-    day.run(15)
-    assert [h for _, h in day.declared] == [EAST] == day.detector.lost_zones() and day.declared[0][0] < 11.5
-    day.cut = set()
-    day.detector.mark_reachable(EAST)
-    day.run(25)
-    assert len(day.declared) == 1
+    simulation = OutageSimulation(seed)
+    simulation.run(10)
+    assert simulation.declared_outages == []
+    simulation.zones_down = {EAST}
+    simulation.run(15)
+    assert [h for _, h in simulation.declared_outages] == [
+        EAST
+    ] == simulation.detector.lost_zones() and simulation.declared_outages[0][0] < 11.5
+    simulation.zones_down = set()
+    simulation.detector.mark_reachable(EAST)
+    simulation.run(25)
+    assert len(simulation.declared_outages) == 1
 
 
 @pytest.mark.parametrize("seed", range(5))
-@pytest.mark.parametrize("kind", TROUBLES)
+@pytest.mark.parametrize("kind", CONDITIONS)
 def test_other_faults_are_not_declared_a_cut(seed, kind):
-    day = Day(seed)
-    day.run(10)
-    day.trouble(kind)
-    day.run(40)
-    assert day.declared == []
+    simulation = OutageSimulation(seed)
+    simulation.run(10)
+    simulation.start_condition(kind)
+    simulation.run(40)
+    assert simulation.declared_outages == []
 
 
 def test_two_of_three_zones_can_be_lost_but_none_is_without_any_reply():
-    day = Day(1)
-    day.run(10)
-    day.cut = {NORTH, EAST}
-    day.run(14)
-    assert day.detector.lost_zones() == [EAST, NORTH]
-    isolated = Day(2)
+    simulation = OutageSimulation(1)
+    simulation.run(10)
+    simulation.zones_down = {NORTH, EAST}
+    simulation.run(14)
+    assert simulation.detector.lost_zones() == [EAST, NORTH]
+    isolated = OutageSimulation(2)
     isolated.run(10)
-    isolated.cut = set(HALLS)  # the gateway itself is cut off
+    isolated.zones_down = set(ZONES)  # the gateway itself is cut off
     isolated.run(20)
     assert isolated.detector.lost_zones() == []
