--- a/corkdeal/cli/experiment.py
+++ b/corkdeal/cli/experiment.py
@@ -191,9 +191,9 @@
     """Add up the `figures` lines of all logs in a folder, per second and cause."""
     import pathlib
 
-    from ..experiment import fleet as experiment
+    from ..experiment import fleet_metrics as experiment
 
-    result = experiment.add_up(pathlib.Path(folder))
+    result = experiment.sum_logs(pathlib.Path(folder))
     if not result["rows"]:
         raise click.ClickException(f"{folder}: contains no log with `figures` lines")
     if out:
--- a/corkdeal/experiment/fleet.py
+++ b/corkdeal/experiment/fleet_metrics.py
@@ -43,7 +43,7 @@
     return None
 
 
-def add_up(folder: pathlib.Path) -> dict[str, Any]:
+def sum_logs(folder: pathlib.Path) -> dict[str, Any]:
     """Sum the logs in a folder by second.
 
     A row holds the increase of all counters, the mean of each gauge over the gateways that reported it in
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -6,7 +6,7 @@
 import pytest
 
 from corkdeal import logs
-from corkdeal.experiment import fleet
+from corkdeal.experiment import fleet_metrics
 from corkdeal.logs import structured
 
 
@@ -21,7 +21,7 @@
     ],
 )
 def test_only_lines_of_the_figures_event_are_parsed(text, expected):
-    parsed = fleet.parse_metrics_line(text)
+    parsed = fleet_metrics.parse_metrics_line(text)
     assert (parsed and (parsed[0], parsed[1]["asked"])) == expected
 
 
@@ -30,7 +30,7 @@
     logs.configure(structured.make_sink("json", "n0", out))
     logs.event("figures", asked=7, now_slow=1.5)
     logs.configure(None)
-    assert fleet.parse_metrics_line(out.getvalue().decode())[1] == {"asked": 7.0, "now_slow": 1.5}
+    assert fleet_metrics.parse_metrics_line(out.getvalue().decode())[1] == {"asked": 7.0, "now_slow": 1.5}
 
 
 def test_counters_are_summed_by_second_over_gateways_and_restarts(tmp_path):
@@ -42,9 +42,9 @@
 
     write("n0.log", [(1.0, 0, 0, 1.0), (2.0, 10, 1, 1.0), (3.2, 2, 0, 2.0), (4.0, 5, 5, 2.0)])
     write("n1.log", [(1.5, 0, 0, 1.0), (2.5, 7, 0, 3.0)])
-    totals = fleet.add_up(tmp_path)
+    totals = fleet_metrics.sum_logs(tmp_path)
     rows = {row["second"]: row for row in totals["rows"]}
     assert rows[2] == {"second": 2, "gateways": 2, "asked": 17, "busy": 1, "now_slow": 2.0}
     assert rows[3] == {"second": 3, "gateways": 1, "asked": 2, "starts": 1, "now_slow": 2.0}
     assert totals["total"] == {"asked": 22, "busy": 6, "starts": 3} and totals["logs"] == 2
-    assert fleet.table(totals).splitlines()[2] == "| 1 | 2 | 2 | 0 | 0 | 1 |"
+    assert fleet_metrics.table(totals).splitlines()[2] == "| 1 | 2 | 2 | 0 | 0 | 1 |"
