--- a/corkdeal/experiment/schedule.py
+++ b/corkdeal/experiment/schedule.py
@@ -48,14 +48,14 @@
 
     sender: str = setting("all")
     to: str = setting("all")
-    loss: float = setting(0.0, least=0.0, most=1.0)
-    delay: float = setting(0.0, least=0.0, most=10.0)
-    jitter: float = setting(0.0, least=0.0, most=10.0)
-    reorder: float = setting(0.0, least=0.0, most=1.0)
-    double: float = setting(0.0, least=0.0, most=1.0)
+    loss: float = setting(0.0, minimum=0.0, maximum=1.0)
+    delay: float = setting(0.0, minimum=0.0, maximum=10.0)
+    jitter: float = setting(0.0, minimum=0.0, maximum=10.0)
+    reorder: float = setting(0.0, minimum=0.0, maximum=1.0)
+    double: float = setting(0.0, minimum=0.0, maximum=1.0)
     cut: bool = setting(False)
     both: bool = setting(False)  # also in the opposite direction
-    seconds: float = setting(MAX_SECONDS, least=0.0, most=MAX_SECONDS)
+    seconds: float = setting(MAX_SECONDS, minimum=0.0, maximum=MAX_SECONDS)
     place: Any = placed()
 
 
@@ -73,7 +73,7 @@
     """`clock`: an offset of the wall clock of gateways, from their next start on."""
 
     gateways: str = who()
-    by: float = setting(least=-86_400.0, most=86_400.0)  # s
+    by: float = setting(minimum=-86_400.0, maximum=86_400.0)  # s
     place: Any = placed()
 
 
@@ -85,10 +85,10 @@
     servers: str = setting("all")  # a selection of backends, or `discovery`
     refuse: bool = setting(False)
     silent: bool = setting(False)
-    reset: float = setting(0.0, least=0.0, most=1.0)
-    slow: float = setting(0.0, least=0.0, most=10.0)
-    late: float = setting(0.0, least=0.0, most=60.0)  # s by which discovery delays its updates
-    seconds: float = setting(MAX_SECONDS, least=0.0, most=MAX_SECONDS)
+    reset: float = setting(0.0, minimum=0.0, maximum=1.0)
+    slow: float = setting(0.0, minimum=0.0, maximum=10.0)
+    late: float = setting(0.0, minimum=0.0, maximum=60.0)  # s by which discovery delays its updates
+    seconds: float = setting(MAX_SECONDS, minimum=0.0, maximum=MAX_SECONDS)
     place: Any = placed()
 
 
@@ -98,7 +98,7 @@
 
     servers: str = who()
     what: str = setting(choices=SERVER_CHANGES)
-    times: float = setting(4.0, least=1.0, most=100.0)  # factor for `slow`
+    times: float = setting(4.0, minimum=1.0, maximum=100.0)  # factor for `slow`
     place: Any = placed()
 
 
@@ -120,7 +120,7 @@
 class At:
     """`at 15.0`: the steps at that second, performed in the order of the file."""
 
-    second: float = setting(least=0.0, most=MAX_SECONDS, argument=0)
+    second: float = setting(minimum=0.0, maximum=MAX_SECONDS, argument=0)
     kill: tuple[Process, ...] = many(Process, "kill")
     term: tuple[Process, ...] = many(Process, "term")
     start: tuple[Process, ...] = many(Process, "start")
@@ -149,9 +149,9 @@
     """`timeline "name"`: steps at seconds after `begin`, run `repeat` times, `every` seconds apart."""
 
     name: str = setting(argument=0)
-    begin: float = setting(0.0, least=0.0, most=MAX_SECONDS)
-    every: float = setting(0.0, least=0.0, most=MAX_SECONDS)
-    repeat: int = setting(1, least=1, most=1000)
+    begin: float = setting(0.0, minimum=0.0, maximum=MAX_SECONDS)
+    every: float = setting(0.0, minimum=0.0, maximum=MAX_SECONDS)
+    repeat: int = setting(1, minimum=1, maximum=1000)
     at: tuple[At, ...] = many(At, "at")
     place: Any = placed()
 
@@ -160,16 +160,16 @@
 class Tier:
     """`tier`: the size of the tier, its load and its options."""
 
-    gateways: int = setting(5, least=2, most=MAX_GATEWAYS)
-    servers: int = setting(12, least=1, most=MAX_SERVERS)
-    load: float = setting(0.7, least=0.01, most=3.0)  # requests within quotas / backends' capacity
-    greedy: float = setting(0.1, least=0.0, most=1.0)  # part of customers far beyond their quotas
-    seconds: float = setting(20.0, least=1.0, most=MAX_SECONDS)
+    gateways: int = setting(5, minimum=2, maximum=MAX_GATEWAYS)
+    servers: int = setting(12, minimum=1, maximum=MAX_SERVERS)
+    load: float = setting(0.7, minimum=0.01, maximum=3.0)  # requests within quotas / backends' capacity
+    greedy: float = setting(0.1, minimum=0.0, maximum=1.0)  # part of customers far beyond their quotas
+    seconds: float = setting(20.0, minimum=1.0, maximum=MAX_SECONDS)
     knowledge: bool = setting(False)  # whether gateways persist their state
     recovery: bool = setting(True)  # whether the options have `recovery`, in programs that support it
     membership: bool = setting(False)  # likewise for `membership`
-    cold: float = setting(16.0, least=0.1, most=60.0)  # s in which a started backend warms up
-    settled: float = setting(5.0, least=0.5, most=MAX_SECONDS)  # s after which service counts as steady
+    cold: float = setting(16.0, minimum=0.1, maximum=60.0)  # s in which a started backend warms up
+    settled: float = setting(5.0, minimum=0.5, maximum=MAX_SECONDS)  # s after which service counts as steady
     place: Any = placed()
 
 
--- a/corkdeal/options/reader.py
+++ b/corkdeal/options/reader.py
@@ -174,7 +174,7 @@
     types, values = get_type_hints(record_type), {}
     children = {f.metadata["child"]: f for f in fields.values() if "many" in f.metadata}
     named_settings = {
-        name for name, f in fields.items() if "least" in f.metadata and f.metadata["argument"] is None
+        name for name, f in fields.items() if "minimum" in f.metadata and f.metadata["argument"] is None
     }
     arguments = sorted(
         (f.metadata["argument"], f) for f in fields.values() if f.metadata.get("argument") is not None
@@ -229,9 +229,9 @@
         return None, f"must be {TYPE_NAMES[value_type]}, not {shown}"
     if constraints["choices"] and value not in constraints["choices"]:
         return None, f"must be one of {', '.join(constraints['choices'])}, not {shown}"
-    least, most = constraints["least"], constraints["most"]
-    if (least is not None and value < least) or (most is not None and value > most):
-        return None, f"must lie between {least} and {most}, not {shown}"
+    minimum, maximum = constraints["minimum"], constraints["maximum"]
+    if (minimum is not None and value < minimum) or (maximum is not None and value > maximum):
+        return None, f"must lie between {minimum} and {maximum}, not {shown}"
     if constraints["absolute"] and (not value.startswith("/") or "\0" in value):
         return None, f"must be an absolute path, not {shown}"
     return value, ""
--- a/corkdeal/options/records.py
+++ b/corkdeal/options/records.py
@@ -1,8 +1,8 @@
 """The records that the options file is read into, one per subsystem.
 
-A field's metadata holds its constraints: `least` and `most` (inclusive bounds), `choices`, and `absolute` for
-an absolute path; see `setting`, `many` and `placed`. The reader relies on this metadata alone, so to add
-options a subsystem only needs to add a record here.
+A field's metadata holds its constraints: `minimum` and `maximum` (inclusive bounds), `choices`, and
+`absolute` for an absolute path; see `setting`, `many` and `placed`. The reader relies on this metadata alone,
+so to add options a subsystem only needs to add a record here.
 """
 
 from __future__ import annotations
@@ -14,8 +14,8 @@
 def setting(
     default: Any = ...,
     *,
-    least: float | None = None,
-    most: float | None = None,
+    minimum: float | None = None,
+    maximum: float | None = None,
     choices: tuple[str, ...] = (),
     absolute: bool = False,
     argument: int | None = None,
@@ -25,8 +25,8 @@
     With `argument` the value is the node's positional argument with that index, instead of a named setting.
     """
     constraints = {
-        "least": least,
-        "most": most,
+        "minimum": minimum,
+        "maximum": maximum,
         "choices": choices,
         "absolute": absolute,
         "argument": argument,
@@ -57,11 +57,12 @@
     """`knowledge`: state that is persisted across restarts. Times are in seconds."""
 
     path: str = setting(absolute=True)  # parent of one folder per gateway name
-    every: float = setting(1.0, least=0.1, most=60.0)  # between snapshots
-    generations: int = setting(2, least=2, most=16)  # complete snapshot files kept
+    every: float = setting(1.0, minimum=0.1, maximum=60.0)  # between snapshots
+    generations: int = setting(2, minimum=2, maximum=16)  # complete snapshot files kept
     # timeout of the read at the start; after it the gateway serves without persisted state
-    read_wait: float = setting(0.5, least=0.01, most=10.0)
-    stop_wait: float = setting(0.5, least=0.0, most=10.0)  # timeout of the last write before a planned exit
+    read_wait: float = setting(0.5, minimum=0.01, maximum=10.0)
+    # timeout of the last write before a planned exit
+    stop_wait: float = setting(0.5, minimum=0.0, maximum=10.0)
 
 
 @dataclass(frozen=True, kw_only=True)
@@ -78,7 +79,7 @@
 class MetricsOptions:
     """`figures`: a periodic log line with running totals."""
 
-    every: float = setting(10.0, least=0.25, most=3600.0)  # seconds between lines
+    every: float = setting(10.0, minimum=0.25, maximum=3600.0)  # seconds between lines
 
 
 @dataclass(frozen=True, kw_only=True)
@@ -95,7 +96,7 @@
 
     name: str = setting(argument=0)
     region: str = setting("")
-    weight: float = setting(1.0, least=0.01, most=100.0)
+    weight: float = setting(1.0, minimum=0.01, maximum=100.0)
     nets: tuple[NetworkOptions, ...] = many(NetworkOptions, "net")
     place: Any = placed()
 
@@ -109,7 +110,7 @@
 
     one: str = setting(argument=0)
     other: str = setting(argument=1)
-    value: float = setting(least=0.001, most=1000.0, argument=2)
+    value: float = setting(minimum=0.001, maximum=1000.0, argument=2)
     place: Any = placed()
 
 
