--- a/corkdeal/experiment/schedule.py
+++ b/corkdeal/experiment/schedule.py
@@ -19,7 +19,7 @@
 from typing import Any, NamedTuple
 
 from ..options.reader import Fault, OptionsError, parse_as, text_of
-from ..options.records import many, placed, setting
+from ..options.records import position_field, repeated, setting
 
 MAX_GATEWAYS, MAX_SERVERS, MAX_SECONDS = 20, 60, 600.0
 FOLDER_CHANGES = ("empty", "save", "older", "swap", "cut-short", "blocked", "freed", "hour-old", "full")
@@ -39,7 +39,7 @@
     """`kill`, `term`, `start`, `stop`, `continue`: sends a signal to gateways or starts them."""
 
     gateways: str = who()
-    place: Any = placed()
+    place: Any = position_field()
 
 
 @dataclass(frozen=True, kw_only=True)
@@ -56,7 +56,7 @@
     cut: bool = setting(False)
     both: bool = setting(False)  # also in the opposite direction
     seconds: float = setting(MAX_SECONDS, minimum=0.0, maximum=MAX_SECONDS)
-    place: Any = placed()
+    place: Any = position_field()
 
 
 @dataclass(frozen=True, kw_only=True)
@@ -65,7 +65,7 @@
 
     gateways: str = who()
     what: str = setting(choices=FOLDER_CHANGES)
-    place: Any = placed()
+    place: Any = position_field()
 
 
 @dataclass(frozen=True, kw_only=True)
@@ -74,7 +74,7 @@
 
     gateways: str = who()
     by: float = setting(minimum=-86_400.0, maximum=86_400.0)  # s
-    place: Any = placed()
+    place: Any = position_field()
 
 
 @dataclass(frozen=True, kw_only=True)
@@ -89,7 +89,7 @@
     slow: float = setting(0.0, minimum=0.0, maximum=10.0)
     late: float = setting(0.0, minimum=0.0, maximum=60.0)  # s by which discovery delays its updates
     seconds: float = setting(MAX_SECONDS, minimum=0.0, maximum=MAX_SECONDS)
-    place: Any = placed()
+    place: Any = position_field()
 
 
 @dataclass(frozen=True, kw_only=True)
@@ -99,7 +99,7 @@
     servers: str = who()
     what: str = setting(choices=SERVER_CHANGES)
     times: float = setting(4.0, minimum=1.0, maximum=100.0)  # factor for `slow`
-    place: Any = placed()
+    place: Any = position_field()
 
 
 STEP_TYPES = {
@@ -121,24 +121,24 @@
     """`at 15.0`: the steps at that second, performed in the order of the file."""
 
     second: float = setting(minimum=0.0, maximum=MAX_SECONDS, argument=0)
-    kill: tuple[Process, ...] = many(Process, "kill")
-    term: tuple[Process, ...] = many(Process, "term")
-    start: tuple[Process, ...] = many(Process, "start")
-    stop: tuple[Process, ...] = many(Process, "stop")
-    go_on: tuple[Process, ...] = many(Process, "continue")
-    link: tuple[Link, ...] = many(Link, "link")
-    folders: tuple[Folders, ...] = many(Folders, "folders")
-    clock: tuple[Clock, ...] = many(Clock, "clock")
-    door: tuple[Door, ...] = many(Door, "door")
-    servers: tuple[Servers, ...] = many(Servers, "servers")
-    place: Any = placed()
+    kill: tuple[Process, ...] = repeated(Process, "kill")
+    term: tuple[Process, ...] = repeated(Process, "term")
+    start: tuple[Process, ...] = repeated(Process, "start")
+    stop: tuple[Process, ...] = repeated(Process, "stop")
+    go_on: tuple[Process, ...] = repeated(Process, "continue")
+    link: tuple[Link, ...] = repeated(Link, "link")
+    folders: tuple[Folders, ...] = repeated(Folders, "folders")
+    clock: tuple[Clock, ...] = repeated(Clock, "clock")
+    door: tuple[Door, ...] = repeated(Door, "door")
+    servers: tuple[Servers, ...] = repeated(Servers, "servers")
+    place: Any = position_field()
 
     def steps(self) -> Iterator[tuple[str, Any]]:
         """Each step with the name of its node, in the order of the file."""
         positioned = [
             (step.place.at(), f.metadata["child"], step)
             for f in fields(self)
-            if "many" in f.metadata
+            if "repeated" in f.metadata
             for step in getattr(self, f.name)
         ]
         yield from ((kind, step) for _, kind, step in sorted(positioned, key=lambda row: row[:2]))
@@ -152,8 +152,8 @@
     begin: float = setting(0.0, minimum=0.0, maximum=MAX_SECONDS)
     every: float = setting(0.0, minimum=0.0, maximum=MAX_SECONDS)
     repeat: int = setting(1, minimum=1, maximum=1000)
-    at: tuple[At, ...] = many(At, "at")
-    place: Any = placed()
+    at: tuple[At, ...] = repeated(At, "at")
+    place: Any = position_field()
 
 
 @dataclass(frozen=True, kw_only=True)
@@ -170,7 +170,7 @@
     membership: bool = setting(False)  # likewise for `membership`
     cold: float = setting(16.0, minimum=0.1, maximum=60.0)  # s in which a started backend warms up
     settled: float = setting(5.0, minimum=0.5, maximum=MAX_SECONDS)  # s after which service counts as steady
-    place: Any = placed()
+    place: Any = position_field()
 
 
 @dataclass(frozen=True, kw_only=True)
@@ -178,8 +178,8 @@
     """The whole file."""
 
     tier: Tier | None = None
-    timelines: tuple[Timeline, ...] = many(Timeline, "timeline")
-    at: tuple[At, ...] = many(At, "at")
+    timelines: tuple[Timeline, ...] = repeated(Timeline, "timeline")
+    at: tuple[At, ...] = repeated(At, "at")
 
 
 class Step(NamedTuple):
--- a/corkdeal/options/reader.py
+++ b/corkdeal/options/reader.py
@@ -104,7 +104,7 @@
 def parse_as(document_type: type[Document], text: str, path: str) -> Document:
     """Parse and check a KDL document, and return it as an instance of the dataclass `document_type`.
 
-    Its fields are the allowed top-level nodes: one record or None, or a tuple of records (`many`).
+    Its fields are the allowed top-level nodes: one record or None, or a tuple of records (`repeated`).
     """
     config = kdl.ParseConfig(
         nodeConverters={None: Located},
@@ -129,10 +129,10 @@
             faults.append(
                 Fault(*node.at(), node.value.name, f"unknown node; known are {format_names(fields)}")
             )
-        elif "many" in field.metadata:
+        elif "repeated" in field.metadata:
             values[field.name] = (
                 *values.get(field.name, ()),
-                read_record(node, field.metadata["many"], faults),
+                read_record(node, field.metadata["repeated"], faults),
             )
         elif name in values:
             faults.append(Fault(*node.at(), node.value.name, "is given a second time"))
@@ -172,7 +172,7 @@
     initial_fault_count, node_path = len(faults), f"{parent_path}{node.value.name}"
     fields = {f.name: f for f in dataclasses.fields(record_type)}
     types, values = get_type_hints(record_type), {}
-    children = {f.metadata["child"]: f for f in fields.values() if "many" in f.metadata}
+    children = {f.metadata["child"]: f for f in fields.values() if "repeated" in f.metadata}
     named_settings = {
         name for name, f in fields.items() if "minimum" in f.metadata and f.metadata["argument"] is None
     }
@@ -194,7 +194,7 @@
         key, path = field_name(name), f"{node_path}.{name}"
         if name in children and source is not value:
             field = children[name]
-            item = read_record(source, field.metadata["many"], faults, f"{node_path}.")
+            item = read_record(source, field.metadata["repeated"], faults, f"{node_path}.")
             values.setdefault(field.name, []).append(item)
         elif key not in named_settings:
             known_names = [*named_settings, *children]
@@ -211,7 +211,7 @@
     for name, field in fields.items():
         if name not in values and field.default is dataclasses.MISSING:
             faults.append(Fault(*node.at(), f"{node_path}.{name.replace('_', '-')}", "must be given"))
-        if "placed" in field.metadata:
+        if "position_field" in field.metadata:
             values[name] = node
     if len(faults) > initial_fault_count:
         return None
--- a/corkdeal/options/records.py
+++ b/corkdeal/options/records.py
@@ -1,8 +1,8 @@
 """The records that the options file is read into, one per subsystem.
 
 A field's metadata holds its constraints: `minimum` and `maximum` (inclusive bounds), `choices`, and
-`absolute` for an absolute path; see `setting`, `many` and `placed`. The reader relies on this metadata alone,
-so to add options a subsystem only needs to add a record here.
+`absolute` for an absolute path; see `setting`, `repeated` and `position_field`. The reader relies on this
+metadata alone, so to add options a subsystem only needs to add a record here.
 """
 
 from __future__ import annotations
@@ -34,14 +34,14 @@
     return field(metadata=constraints) if default is ... else field(default=default, metadata=constraints)
 
 
-def many(kind: type, child: str) -> Any:
+def repeated(kind: type, child: str) -> Any:
     """Declare a field that holds a tuple of records, one for each child node of that name."""
-    return field(default=(), metadata={"many": kind, "child": child})
+    return field(default=(), metadata={"repeated": kind, "child": child})
 
 
-def placed() -> Any:
+def position_field() -> Any:
     """Declare a field that holds the record's position, for faults that span several records."""
-    return field(default=None, compare=False, repr=False, metadata={"placed": True})
+    return field(default=None, compare=False, repr=False, metadata={"position_field": True})
 
 
 @dataclass(frozen=True, kw_only=True)
@@ -87,7 +87,7 @@
     """`net "10.1.0.0/16"`: a network of a zone."""
 
     cidr: str = setting(argument=0)
-    place: Any = placed()
+    place: Any = position_field()
 
 
 @dataclass(frozen=True, kw_only=True)
@@ -97,8 +97,8 @@
     name: str = setting(argument=0)
     region: str = setting("")
     weight: float = setting(1.0, minimum=0.01, maximum=100.0)
-    nets: tuple[NetworkOptions, ...] = many(NetworkOptions, "net")
-    place: Any = placed()
+    nets: tuple[NetworkOptions, ...] = repeated(NetworkOptions, "net")
+    place: Any = position_field()
 
 
 @dataclass(frozen=True, kw_only=True)
@@ -111,15 +111,15 @@
     one: str = setting(argument=0)
     other: str = setting(argument=1)
     value: float = setting(minimum=0.001, maximum=1000.0, argument=2)
-    place: Any = placed()
+    place: Any = position_field()
 
 
 @dataclass(frozen=True, kw_only=True)
 class ZonesOptions:
     """`halls`: the zones, their networks, and the distances between zones."""
 
-    halls: tuple[ZoneOptions, ...] = many(ZoneOptions, "hall")
-    distances: tuple[DistanceOptions, ...] = many(DistanceOptions, "distance")
+    halls: tuple[ZoneOptions, ...] = repeated(ZoneOptions, "hall")
+    distances: tuple[DistanceOptions, ...] = repeated(DistanceOptions, "distance")
 
 
 @dataclass(frozen=True, kw_only=True)
