--- a/corkdeal/experiment/schedule.py
+++ b/corkdeal/experiment/schedule.py
@@ -18,7 +18,7 @@
 from dataclasses import dataclass, fields
 from typing import Any, NamedTuple
 
-from ..options.reader import Fault, OptionsError, parse_as, text_of
+from ..options.reader import Fault, OptionsError, parse_document, read_text
 from ..options.records import position_field, repeated, setting
 
 MAX_GATEWAYS, MAX_SERVERS, MAX_SECONDS = 20, 60, 600.0
@@ -193,12 +193,12 @@
 
 def load(path: str) -> Schedule:
     """Read a schedule from a file; raises `OptionsError` with all errors and their positions."""
-    return parse(text_of(path), path)
+    return parse(read_text(path), path)
 
 
 def parse(text: str, path: str = "schedule") -> Schedule:
     """Parse and validate a schedule; its steps may only select existing gateways and backends."""
-    schedule, faults = parse_as(Schedule, text, path), []
+    schedule, faults = parse_document(Schedule, text, path), []
     tier = schedule.tier or Tier()
 
     def fault(place: Any, node: str, message: str) -> None:
--- a/corkdeal/options/reader.py
+++ b/corkdeal/options/reader.py
@@ -67,10 +67,10 @@
 
 def load(path: str) -> Options:
     """Read and check an options file; raise `OptionsError` with all its faults."""
-    return parse(text_of(path), path)
+    return parse(read_text(path), path)
 
 
-def text_of(path: str) -> str:
+def read_text(path: str) -> str:
     """Return the text of a regular file of at most `MAX_FILE_SIZE`."""
     try:
         if not stat.S_ISREG(os.stat(path).st_mode):  # opening a FIFO could block for ever
@@ -91,7 +91,7 @@
 
 def parse(text: str, path: str = "options") -> Options:
     """Parse and check the text of an options file."""
-    options = parse_as(Options, text, path)
+    options = parse_document(Options, text, path)
     if options.halls:
         from . import zones
 
@@ -101,7 +101,7 @@
     return options
 
 
-def parse_as(document_type: type[Document], text: str, path: str) -> Document:
+def parse_document(document_type: type[Document], text: str, path: str) -> Document:
     """Parse and check a KDL document, and return it as an instance of the dataclass `document_type`.
 
     Its fields are the allowed top-level nodes: one record or None, or a tuple of records (`repeated`).
