--- a/tests/discovery_world.py
+++ b/tests/discovery_world.py
@@ -25,7 +25,7 @@
 QUEUE_TIME = 2.0  # s in the queue of an overloaded discovery before a call is rejected
 
 
-class Longest(random.Random):
+class LongestPause(random.Random):
     """Always draws the longest possible pause."""
 
     def random(self):
@@ -117,9 +117,9 @@
 class Discovery:
     """Responds according to the protocol, except for a fault from `begins` to `ends`."""
 
-    def __init__(self, clock, fault, begins, ends, drains_at, began_anew=False):
+    def __init__(self, clock, fault, begins, ends, drains_at, restarted=False):
         self.clock, self.fault, self.begins, self.ends = clock, fault, begins, ends
-        self.drains_at, self.began_anew = drains_at, began_anew
+        self.drains_at, self.restarted = drains_at, restarted
         self.connections, self.calls = [], []
         clock.connectTCP = self.connect
         if begins is not None:
@@ -146,7 +146,7 @@
 
     def revision(self):
         now = self.clock.seconds()
-        first = 2 if self.began_anew and now >= self.ends else HELD_SNAPSHOT.revision
+        first = 2 if self.restarted and now >= self.ends else HELD_SNAPSHOT.revision
         return first + (now >= self.drains_at)
 
     def body(self, complete):
@@ -157,7 +157,7 @@
     def request(self, connection, path):
         """Handle one call: a fault applies immediately, else the response waits for a change or a timeout."""
         if self.active_fault():
-            return self.spoil(connection)
+            return self.respond_with_fault(connection)
         query = dict(pair.split("=") for pair in path.partition("?")[2].split("&") if pair)
         wait = int(query.get("wait_ms", 0)) / 1000
         self.respond_when_due(connection, int(query.get("after", -1)), self.clock.seconds() + wait)
@@ -167,7 +167,7 @@
             return
         now = self.clock.seconds()
         if self.active_fault():
-            self.spoil(connection)
+            self.respond_with_fault(connection)
         elif after < 0 or self.revision() != after:
             self.answer(connection, self.body(after < 0 or self.revision() < after))
         elif now >= until:
@@ -181,7 +181,7 @@
         length_line = b"Content-Length: %d\r\n" % len(body) if length else b""
         connection.send(b"HTTP/1.1 %d Text\r\n%b\r\n%b" % (code, length_line, body))
 
-    def spoil(self, connection):
+    def respond_with_fault(self, connection):
         """Respond to one call in the way of the fault."""
         FAULTS[self.fault](self, connection)
 
@@ -259,14 +259,14 @@
 }
 
 
-class World:
+class WatchHarness:
     """The watch of one gateway, and its discovery."""
 
     def __init__(self, pushed, gateways, rng=None, **script):
         self.clock = Clock()
         self.discovery = Discovery(self.clock, **script)
         self.settings = settings(is_endpoint_list_pushed=pushed, gateways=gateways, drain_grace=0.25)
-        self.rng, self.notified_at, self.snapshots = rng or Longest(), None, []
+        self.rng, self.notified_at, self.snapshots = rng or LongestPause(), None, []
         self.watch = self.start_watch(HELD_SNAPSHOT)
 
     def start_watch(self, held):
--- a/tests/test_discovery_outages.py
+++ b/tests/test_discovery_outages.py
@@ -14,7 +14,7 @@
 from corkdeal.net import discovery_watch
 from corkdeal.net.discovery_retry import RetryPauses
 
-from .discovery_world import ONE_WAY, Longest, World
+from .discovery_world import ONE_WAY, LongestPause, WatchHarness
 from .helpers import settings
 
 NOTIFIED_AFTER = 6.0  # s; the rule, on purpose not read from discovery_retry
@@ -48,7 +48,7 @@
 
     They count from `since`, or from when discovery had the drain and was reachable.
     """
-    world = World(pushed, gateways, **script)
+    world = WatchHarness(pushed, gateways, **script)
     if reloads_at is not None:
         world.clock.callLater(reloads_at, world.reload)
     if since is None:
@@ -92,7 +92,7 @@
 @pytest.mark.parametrize("gateways", SIZES)
 @pytest.mark.parametrize("pushed", [True, False], ids=["pushed", "asked"])
 def test_a_discovery_that_begins_anew_tells_in_time(pushed, gateways):
-    assert worst_after_outage("refused", pushed, gateways, began_anew=True) <= longest(pushed, 0.0)
+    assert worst_after_outage("refused", pushed, gateways, restarted=True) <= longest(pushed, 0.0)
 
 
 def worst_after_silence(pushed, gateways, fault="watch falls silent", outage=0.0):
@@ -131,14 +131,14 @@
 
 @pytest.mark.parametrize("gateways", SIZES)
 def test_a_gateway_that_starts_asks_before_it_counts_as_told_without(gateways):
-    world = World(False, gateways, fault=None, begins=None, ends=0.0, drains_at=0.5)
+    world = WatchHarness(False, gateways, fault=None, begins=None, ends=0.0, drains_at=0.5)
     world.run_until(200.0, until_notified=True)
     assert world.notified_at <= world.settings.poll_interval - CALL_ALLOWANCE + SLACK
 
 
 def test_a_list_without_length_that_ends_with_its_connection_is_told():
-    world = World(True, 3, fault="list without length cut off", begins=1.0, ends=3.0, drains_at=2.0)
-    world.discovery.spoil = lambda connection: (
+    world = WatchHarness(True, 3, fault="list without length cut off", begins=1.0, ends=3.0, drains_at=2.0)
+    world.discovery.respond_with_fault = lambda connection: (
         world.discovery.answer(connection, world.discovery.body(True), length=False),
         connection.loseConnection(),
     )
@@ -148,15 +148,15 @@
 
 @pytest.mark.parametrize("fault", LONGEST_CALL)
 def test_an_outage_leaves_no_connections_behind(fault):
-    world = World(True, 3, fault=fault, begins=1.0, ends=61.0, drains_at=2.0)
+    world = WatchHarness(True, 3, fault=fault, begins=1.0, ends=61.0, drains_at=2.0)
     world.run_until(66.0)
     assert world.notified_at is not None
     assert sum(not connection.ended for connection in world.discovery.connections) <= 1
 
 
 def test_a_list_without_end_is_given_up_and_not_kept():
-    world = World(True, 3, fault="head without body", begins=1.0, ends=2.0, drains_at=1.5)
-    world.discovery.spoil = lambda connection: (
+    world = WatchHarness(True, 3, fault="head without body", begins=1.0, ends=2.0, drains_at=1.5)
+    world.discovery.respond_with_fault = lambda connection: (
         connection.send(b"HTTP/1.1 200 OK\r\n\r\n"),
         connection.send(b" " * (discovery_watch.MAX_BODY + 1)),
     )
@@ -168,7 +168,7 @@
 def test_a_fault_in_who_is_told_does_not_end_the_watch(monkeypatch):
     written = []
     monkeypatch.setattr(logs, "event", lambda name, **pairs: written.append((EVENTS[name], pairs)))
-    world = World(True, 3, fault=None, begins=None, ends=0.0, drains_at=1.0)
+    world = WatchHarness(True, 3, fault=None, begins=None, ends=0.0, drains_at=1.0)
     hear, faults = world.watch.on_snapshot, [ValueError("a fault in the gateway")] * 3
 
     def record(snapshot):
@@ -189,7 +189,7 @@
 def test_a_long_outage_costs_few_calls(fault, pushed, gateways):
     outage = 200.0
     ends = OUTAGE_BEGINS + outage
-    world = World(pushed, gateways, fault=fault, begins=OUTAGE_BEGINS, ends=ends, drains_at=ends)
+    world = WatchHarness(pushed, gateways, fault=fault, begins=OUTAGE_BEGINS, ends=ends, drains_at=ends)
     world.run_until(ends)
     calls = [at for at in world.discovery.calls if at >= OUTAGE_BEGINS]
     if pushed:
@@ -203,7 +203,7 @@
 
 @pytest.mark.parametrize("gateways", SIZES)
 def test_only_calls_turned_away_after_a_line_are_spread_by_the_size_of_the_tier(gateways):
-    pauses = RetryPauses(settings(gateways=gateways, is_endpoint_list_pushed=False), Longest())
+    pauses = RetryPauses(settings(gateways=gateways, is_endpoint_list_pushed=False), LongestPause())
     drawn = [pauses.after_failure(2.0, overloaded=True) for _ in range(5)]
     assert drawn == pytest.approx([gateways * s for s in (0.1, 0.2, 0.4, 0.4, 0.4)], rel=0.01)
     assert pauses.after_failure(2.0) <= NOTIFIED_AFTER - CALL_ALLOWANCE - 2.0
@@ -212,7 +212,7 @@
 def test_a_call_turned_away_after_a_line_leaves_the_service_time():
     ends = OUTAGE_BEGINS + 200.0
     script = {"begins": OUTAGE_BEGINS, "ends": ends, "drains_at": ends}
-    world = World(False, 200, fault="HTTP 503 after a line", **script)
+    world = WatchHarness(False, 200, fault="HTTP 503 after a line", **script)
     connects = world.discovery.calls
     world.run_until(ends)
     gaps = [b - a for a, b in itertools.pairwise(connects)]
