--- a/benchmarks/slow_start.py
+++ b/benchmarks/slow_start.py
@@ -16,7 +16,7 @@
 import time
 from typing import Any
 
-from corkdeal.experiment.slow_start import Play, Verdict, draw
+from corkdeal.experiment.slow_start import SlowStartSimulation, Verdict, draw_cold_start
 
 
 def summarize(verdicts: list[Verdict]) -> dict[str, Any]:
@@ -49,7 +49,10 @@
     rows, numbers = [], range(args.first, args.first + args.starts)
     for size in map(int, args.sizes.split(",")):
         cpu_before = time.process_time()
-        verdicts = [Play(draw(size, random.Random(f"{size} {number}")), number).run() for number in numbers]
+        verdicts = [
+            SlowStartSimulation(draw_cold_start(size, random.Random(f"{size} {number}")), number).run()
+            for number in numbers
+        ]
         row = {"revision": args.name, "gateways": size, **summarize(verdicts)}
         row["cpu_s"] = round(time.process_time() - cpu_before)
         rows.append(row)
--- a/corkdeal/experiment/slow_start.py
+++ b/corkdeal/experiment/slow_start.py
@@ -154,7 +154,7 @@
         return has_credit and self.budget.spend_credit(self.backend, work)
 
 
-class Play:
+class SlowStartSimulation:
     """Simulates one slow start with all gateways that prefer the started backend."""
 
     def __init__(self, start: ColdStart, seed: int) -> None:
@@ -246,7 +246,7 @@
         return self.start.assumed_warm and self.rng.random() * self.start.preferred < 1
 
 
-def draw(gateways: int, rng: random.Random) -> ColdStart:
+def draw_cold_start(gateways: int, rng: random.Random) -> ColdStart:
     """Draw the input of a simulation for a tier of that size: backends, load, lull and burst, restarts."""
     max_backends = max(12, 2 * gateways if gateways <= 200 else gateways // 2)
     rate = math.exp(rng.uniform(math.log(4), math.log(40)))  # requests per second of a warm backend
--- a/tests/decisions/test_slow_start.py
+++ b/tests/decisions/test_slow_start.py
@@ -11,7 +11,7 @@
 from corkdeal.decisions.gateway import Gateway
 from corkdeal.decisions.settings import Plan, RequestClass
 from corkdeal.decisions.slow_start import DecayingRate, SlowStartBudget
-from corkdeal.experiment.slow_start import Play, draw
+from corkdeal.experiment.slow_start import SlowStartSimulation, draw_cold_start
 from tests.helpers import outcome, pick, request, servers, settings
 
 WORK, RATE, CAPACITY = 0.2, 8.0, 11.0  # s per request; requests/s that a warm backend gets and can serve
@@ -93,7 +93,10 @@
 @pytest.mark.parametrize("gateways", [5, 30, 200, 1100])
 def test_no_random_cold_start_is_overloaded_and_the_backend_is_used(gateways):
     """The short version of benchmarks/slow_start.py."""
-    results = [Play(draw(gateways, random.Random(f"{gateways} {n}")), n).run() for n in range(60)]
+    results = [
+        SlowStartSimulation(draw_cold_start(gateways, random.Random(f"{gateways} {n}")), n).run()
+        for n in range(60)
+    ]
     assert not [n for n, v in enumerate(results) if v.broken]
     served_shares = [v.done / v.able for v in results if not v.fell]
     assert sum(served_shares) / len(served_shares) > (0.8 if gateways < 100 else 0.45)
--- a/tests/test_slow_start_judge.py
+++ b/tests/test_slow_start_judge.py
@@ -6,7 +6,13 @@
 import pytest
 
 from corkdeal.decisions.settings import Settings
-from corkdeal.experiment.slow_start import Burst, ColdStart, OverloadDetector, Play, draw
+from corkdeal.experiment.slow_start import (
+    Burst,
+    ColdStart,
+    OverloadDetector,
+    SlowStartSimulation,
+    draw_cold_start,
+)
 
 
 def cold_start(gateways=40, backends=40, **more):
@@ -60,10 +66,10 @@
 
 
 def with_budget(kind, **more):
-    play = Play(cold_start(**more), seed=1)
-    for gateway in play.gateways:
+    simulation = SlowStartSimulation(cold_start(**more), seed=1)
+    for gateway in simulation.gateways:
         gateway.try_send = kind().try_send
-    return play.run()
+    return simulation.run()
 
 
 def test_a_budget_without_bounds_breaks_the_rule_and_an_empty_one_does_nothing():
@@ -79,21 +85,21 @@
 
 def test_lulls_bursts_and_restarts_are_simulated():
     bursts = (Burst(2.0, 1.0, 0.0), Burst(3.0, 1.0, 3.0))
-    play = Play(cold_start(bursts=bursts, restarts=((6.0, 1.0),)), seed=1)
-    first = list(play.gateways)
-    ages = [age for age, _, _ in play.arrivals()]
+    simulation = SlowStartSimulation(cold_start(bursts=bursts, restarts=((6.0, 1.0),)), seed=1)
+    first = list(simulation.gateways)
+    ages = [age for age, _, _ in simulation.arrivals()]
     usual = 0.8 * 16 * 10
     assert not [a for a in ages if 2.0 < a < 3.0]
     assert sum(3.0 < a < 4.0 for a in ages) == pytest.approx(3 * usual, rel=0.25)
     assert sum(8.0 < a < 12.0 for a in ages) == pytest.approx(4 * usual, rel=0.25)
-    play.run()
-    assert not set(map(id, first)) & set(map(id, play.gateways))
+    simulation.run()
+    assert not set(map(id, first)) & set(map(id, simulation.gateways))
 
 
 @pytest.mark.parametrize("gateways", [5, 30, 200, 1100])
 def test_drawn_starts_have_the_tier_size_and_are_reproducible(gateways):
-    starts = [draw(gateways, random.Random(n)) for n in range(20)]
-    assert starts == [draw(gateways, random.Random(n)) for n in range(20)]
+    starts = [draw_cold_start(gateways, random.Random(n)) for n in range(20)]
+    assert starts == [draw_cold_start(gateways, random.Random(n)) for n in range(20)]
     assert {s.settings.gateway_count for s in starts} == {gateways} and len({s.backends for s in starts}) > 2
     short = replace(starts[0], work_choices=(starts[0].mean_work,))
-    assert Play(short, 3).run() == Play(short, 3).run()
+    assert SlowStartSimulation(short, 3).run() == SlowStartSimulation(short, 3).run()
