--- a/benchmarks/slow_start.py
+++ b/benchmarks/slow_start.py
@@ -25,15 +25,15 @@
     def mean(shares: list[float]) -> float:
         return round(sum(shares) / max(1, len(shares)), 3)
 
-    survived = [v for v in verdicts if not v.fell]
+    survived = [v for v in verdicts if not v.overloaded]
     return {
         "starts": len(verdicts),
         "broken": sum(v.broken for v in verdicts),
-        "fell_by_untold": sum(v.fell and not v.broken for v in verdicts),
+        "fell_by_untold": sum(v.overloaded and not v.broken for v in verdicts),
         "sent_of_allowed": mean([v.sent / v.allowed for v in survived]),
-        "done_of_due": mean([min(1.0, v.done / v.due) for v in survived]),
-        "done_of_able": mean([v.done / v.able for v in survived]),
-        "worst": round(max((v.worst for v in verdicts), default=0.0), 2),
+        "done_of_due": mean([min(1.0, v.done / v.expected_work) for v in survived]),
+        "done_of_able": mean([v.done / v.capacity_work for v in survived]),
+        "worst": round(max((v.peak_ratio for v in verdicts), default=0.0), 2),
     }
 
 
--- a/corkdeal/experiment/slow_start.py
+++ b/corkdeal/experiment/slow_start.py
@@ -103,14 +103,14 @@
 class Verdict:
     """The result of one simulation; work in s."""
 
-    fell: bool = False
+    overloaded: bool = False
     broken: bool = False  # overloaded, mostly by gateways that had been notified
     sent: float = 0.0
     allowed: float = 0.0  # by the settings, until it was warm or overloaded
     done: float = 0.0  # work that the started backend completed
-    able: float = 0.0  # work that its capacity allowed
-    due: float = 0.0  # work that it would have done at the utilization of the warm backends
-    worst: float = 0.0  # most work within a window, relative to the limit of the rule
+    capacity_work: float = 0.0  # work that its capacity allowed
+    expected_work: float = 0.0  # work that it would have done at the utilization of the warm backends
+    peak_ratio: float = 0.0  # most work within a window, relative to the limit of the rule
 
 
 class OverloadDetector:
@@ -132,9 +132,12 @@
             self.notified_work -= expired_work * was_notified
         allowed = self.start.allowed(age)
         got = self.work / self.start.mean_work / (allowed + 2 * math.sqrt(allowed) + 2)
-        self.verdict.worst = max(self.verdict.worst, got)
+        self.verdict.peak_ratio = max(self.verdict.peak_ratio, got)
         if got > 1:
-            self.verdict.fell, self.verdict.broken = True, self.notified_work > NOTIFIED_FRACTION * self.work
+            self.verdict.overloaded, self.verdict.broken = (
+                True,
+                self.notified_work > NOTIFIED_FRACTION * self.work,
+            )
 
 
 class SharingGateway:
@@ -196,8 +199,8 @@
         done = min(self.backlog, able)
         self.backlog -= done
         detector.verdict.done += done
-        detector.verdict.able += able
-        detector.verdict.due += able * min(1.0, start.load * load_multiple)
+        detector.verdict.capacity_work += able
+        detector.verdict.expected_work += able * min(1.0, start.load * load_multiple)
         detector.verdict.allowed += (
             start.allowed(age) * start.mean_work * elapsed / start.settings.overload_window
         )
@@ -230,7 +233,7 @@
                 is_notified = age >= gateway.notified_at
                 if gateway.try_send(age, work) if is_notified else self.sends_unnotified():
                     answered = self.send(age, work, is_notified)
-                    if verdict.fell:
+                    if verdict.overloaded:
                         return verdict
             if answered:
                 gateway.budget.served.add(age, work / able)
--- a/tests/decisions/test_slow_start.py
+++ b/tests/decisions/test_slow_start.py
@@ -98,7 +98,7 @@
         for n in range(60)
     ]
     assert not [n for n, v in enumerate(results) if v.broken]
-    served_shares = [v.done / v.able for v in results if not v.fell]
+    served_shares = [v.done / v.capacity_work for v in results if not v.overloaded]
     assert sum(served_shares) / len(served_shares) > (0.8 if gateways < 100 else 0.45)
 
 
--- a/tests/test_slow_start_judge.py
+++ b/tests/test_slow_start_judge.py
@@ -46,9 +46,9 @@
     detector = OverloadDetector(cold_start())
     for age, requests, is_notified in sent:
         for _ in range(requests):
-            if not detector.verdict.fell:
+            if not detector.verdict.overloaded:
                 detector.count_request(age, 0.25, is_notified)
-    assert (detector.verdict.fell, detector.verdict.broken) == (fell, broken)
+    assert (detector.verdict.overloaded, detector.verdict.broken) == (fell, broken)
 
 
 class UnlimitedBudget:
@@ -75,12 +75,12 @@
 def test_a_budget_without_bounds_breaks_the_rule_and_an_empty_one_does_nothing():
     assert with_budget(UnlimitedBudget).broken
     verdict = with_budget(EmptyBudget)
-    assert not verdict.fell and verdict.done == verdict.sent == 0 and verdict.able > 0
+    assert not verdict.overloaded and verdict.done == verdict.sent == 0 and verdict.capacity_work > 0
 
 
 def test_an_overload_by_gateways_not_notified_is_no_violation():
     verdict = with_budget(EmptyBudget, notified_within=1e6, assumed_warm=True, load=3.0)
-    assert verdict.fell and not verdict.broken
+    assert verdict.overloaded and not verdict.broken
 
 
 def test_lulls_bursts_and_restarts_are_simulated():
