--- a/tests/decisions/test_quota_exchange.py
+++ b/tests/decisions/test_quota_exchange.py
@@ -15,7 +15,7 @@
     SILENCE_TIMEOUT,
     QuotaExchange,
 )
-from tests.helpers import PLAN, Ring, pick, request, settings
+from tests.helpers import PLAN, FakeTier, pick, request, settings
 
 
 def busy_at(busy_gateway):
@@ -23,11 +23,11 @@
 
 
 def total(ring):
-    return sum(ring.slices().values())
+    return sum(ring.quota_shares().values())
 
 
 def test_shares_are_even_at_the_start():
-    ring = Ring()
+    ring = FakeTier()
     for gateway in ring.gateways.values():
         account = gateway.account(7, 0, 2, 2)
         assert account.base_share() == pytest.approx(1 / 2)
@@ -38,11 +38,11 @@
 
 @pytest.mark.parametrize("gateways", [2, 3, 4])
 def test_shares_follow_demand_and_their_sum_is_conserved(gateways):
-    ring = Ring(gateways)
+    ring = FakeTier(gateways)
     for gateway in ring.gateways.values():
         gateway.account(7, 0, 0, gateways)
     ring.run(6, busy_at(1))
-    shares = ring.slices()
+    shares = ring.quota_shares()
     assert shares[1] == max(shares.values()) and shares[1] > 0.5
     ring.run(3)
     assert total(ring) == pytest.approx(1, abs=0.02)
@@ -51,7 +51,7 @@
 
 @pytest.mark.parametrize("fault", ["loss", "repeats", "delay"])
 def test_shares_recover_from_lost_repeated_and_late_messages(fault):
-    ring = Ring()
+    ring = FakeTier()
     if fault == "loss":
         ring.lost = lambda sender, to, number: number % 3 == 0
     elif fault == "repeats":
@@ -60,23 +60,23 @@
         ring.delay = 0.2
     ring.run(5, busy_at(0))
     ring.run(5, busy_at(2))
-    assert ring.slices()[2] > 0.5
+    assert ring.quota_shares()[2] > 0.5
     ring.lost, ring.repeat, ring.delay = (lambda *args: False), 1, 0.02
     ring.run(5)
     assert total(ring) == pytest.approx(1, abs=0.02)
 
 
 def test_a_restart_resets_the_ledgers_at_both_ends():
-    ring = Ring()
+    ring = FakeTier()
     ring.run(5, busy_at(0))
-    assert ring.slices()[0] > 0.5
+    assert ring.quota_shares()[0] > 0.5
     ring.start(0)
     ring.run(4, lambda me: 0.2)
     assert total(ring) == pytest.approx(1, abs=0.02)
 
 
 def test_a_restart_is_recognized_when_incarnations_wrap_around():
-    ring = Ring()
+    ring = FakeTier()
     ring.now = (1 << 32) / 1000 - 3
     for me in range(3):
         ring.start(me)
@@ -92,7 +92,7 @@
 
 
 def test_restarted_gateway_takes_the_fill_of_its_neighbours():
-    ring = Ring()
+    ring = FakeTier()
     ring.run(8, lambda me: 3.0)
     ring.start(0)
     ring.run(1, lambda me: 3.0)
@@ -100,7 +100,7 @@
 
 
 def test_a_silent_neighbours_share_is_borrowed_and_returned():
-    ring = Ring()
+    ring = FakeTier()
     ring.run(2, lambda me: 1.0)
     stopped = ring.gateways.pop(1)
     ring.run(2, lambda me: 1.0)
@@ -116,7 +116,7 @@
 
 
 def test_a_gateway_that_is_cut_off_borrows_nothing():
-    ring = Ring()
+    ring = FakeTier()
     ring.run(2, lambda me: 1.0)
     ring.lost = lambda *args: True
     ring.run(3, lambda me: 1.0)
@@ -126,21 +126,21 @@
 
 @pytest.mark.parametrize("payload", [b"", b"\x01abc", b"\x09" + bytes(60), bytes(13)])
 def test_malformed_messages_are_dropped(payload):
-    ring = Ring()
+    ring = FakeTier()
     ring.run(2, busy_at(0))
-    before = ring.slices()
+    before = ring.quota_shares()
     for gateway in ring.gateways.values():
         for peer in (0, 1, 2, 9):
             assert pick(gateway.handle(ring.now, [PeerMessage(peer, payload)]), Reject) == []
-    assert ring.slices() == before
+    assert ring.quota_shares() == before
 
 
 def test_stale_incarnation_is_dropped():
-    ring = Ring()
+    ring = FakeTier()
     ring.run(2, busy_at(0))
     gateway = ring.gateways[1]
     update = peer_messages.AccountUpdate(7, 0, 0, 3, 0.9, 9.0, 0.0, 9000, 50.0)
-    before = ring.slices()
+    before = ring.quota_shares()
     gateway.handle(
         ring.now,
         [
@@ -163,11 +163,11 @@
             )
         ],
     )
-    assert ring.slices() == before
+    assert ring.quota_shares() == before
 
 
 def test_messages_fit_and_idle_customers_are_forgotten():
-    ring = Ring()
+    ring = FakeTier()
     gateway = ring.gateways[0]
     actions = gateway.handle(ring.now, [request(1000 + i, customer=i, units=1.0) for i in range(60)])
     for account in gateway.accounts.values():
@@ -185,7 +185,7 @@
 
 
 def test_inactive_customers_cause_no_updates_and_are_forgotten_at_both_ends():
-    ring, requesters = Ring(), []
+    ring, requesters = FakeTier(), []
     ring.run(3)
     ring.run(1, lambda me: 0.0 if requesters else requesters.append(me) or 1.0)
     ring.run(9)
@@ -193,7 +193,7 @@
     ring.delay = 100.0  # holds messages in flight; updates of each end used to keep the other's account alive
     ring.run(0.5)
     # all messages are empty
-    assert {len(payload) for *_, payload in ring.flight} == {peer_messages.EXCHANGE_HEADER.size}
+    assert {len(payload) for *_, payload in ring.in_flight} == {peer_messages.EXCHANGE_HEADER.size}
     ring.delay = 0.02
     ring.run(15)
     assert not any(gateway.accounts or gateway.active_accounts for gateway in ring.gateways.values())
@@ -204,7 +204,7 @@
     "restarted, requester", [(restarted, requester) for restarted in range(3) for requester in range(3)]
 )
 def test_an_account_recreated_at_one_end_keeps_the_sum_and_its_units(busy, restarted, requester):
-    ring = Ring()
+    ring = FakeTier()
     ring.run(8, busy_at(busy))  # shares and many units have moved
     ring.run(7)
     ring.gateways[restarted].accounts.clear()
@@ -221,7 +221,7 @@
 
 
 def test_totals_of_a_forgotten_account_are_taken_over_from_the_other_end():
-    ring = Ring()
+    ring = FakeTier()
     ring.run(2)
     gateway = ring.gateways[1]
     # the bucket of the other end is full with 12 units received from this gateway
@@ -234,7 +234,7 @@
 
 
 def test_a_reordered_message_changes_nothing():
-    ring = Ring()
+    ring = FakeTier()
     ring.run(1, busy_at(0))
     gateway = ring.gateways[0]
     peer_incarnation, ledger = gateway.peer_incarnations[1], gateway.accounts[7].ledgers[1]
@@ -252,7 +252,7 @@
 
 
 def test_a_new_incarnation_resets_the_ledger_at_once():
-    ring = Ring()
+    ring = FakeTier()
     ring.run(5, busy_at(0))
     gateway = ring.gateways[0]
     assert gateway.accounts[7].ledgers[1].received_share > 0
--- a/tests/helpers.py
+++ b/tests/helpers.py
@@ -54,7 +54,7 @@
     return [a for a in actions if isinstance(a, kind)]
 
 
-class Ring:
+class FakeTier:
     """A tier of gateways that exchange peer messages; tests can drop, duplicate or delay them."""
 
     spread = 3
@@ -63,31 +63,31 @@
         self.plan, self.now = plan, 100.0
         self.gateways = {}
         self.lost = lambda sender, to, number: False
-        self.repeat, self.delay, self.flight, self.number = 1, 0.02, [], 0
+        self.repeat, self.delay, self.in_flight, self.number = 1, 0.02, [], 0
         for me in range(gateways):
             self.start(me, gateways)
 
     def start(self, me, gateways=3):
         g = self.gateways[me] = Gateway(settings(me, gateways, plans=(self.plan,)), seed=me)
-        self.take(me, g.handle(self.now, [servers("a", "b", "c")]))
+        self.process_actions(me, g.handle(self.now, [servers("a", "b", "c")]))
 
-    def take(self, me, actions):
+    def process_actions(self, me, actions):
         for send in pick(actions, SendToPeer):
             self.number += 1
             if not self.lost(me, send.peer, self.number):
                 for copy in range(self.repeat):
-                    self.flight.append((self.now + self.delay * (1 + copy), me, send.peer, send.payload))
+                    self.in_flight.append((self.now + self.delay * (1 + copy), me, send.peer, send.payload))
 
     def run(self, seconds, ask=None):
         """Advance time in steps of 50 ms; `ask(gateway)` returns the units requested there in each step."""
         for _ in range(round(seconds / 0.05)):
             self.now += 0.05
-            arrived = [m for m in self.flight if m[0] <= self.now]
-            self.flight = [m for m in self.flight if m[0] > self.now]
+            arrived = [m for m in self.in_flight if m[0] <= self.now]
+            self.in_flight = [m for m in self.in_flight if m[0] > self.now]
             for _, sender, to, payload in arrived:
                 if to in self.gateways:
                     replies = self.gateways[to].handle(self.now, [PeerMessage(sender, payload)])
-                    self.take(to, replies)
+                    self.process_actions(to, replies)
             for me, g in list(self.gateways.items()):
                 events = [TimerExpired(0)]
                 if ask and ask(me):
@@ -96,7 +96,7 @@
                 actions = g.handle(self.now, events)
                 for send in pick(actions, StartAttempt):
                     g.handle(self.now, [outcome(send.id, 0, send.backend, elapsed=0.01)])
-                self.take(me, actions)
+                self.process_actions(me, actions)
 
-    def slices(self):
+    def quota_shares(self):
         return {me: g.accounts[7].base_share() for me, g in self.gateways.items() if 7 in g.accounts}
--- a/tests/membership/test_members.py
+++ b/tests/membership/test_members.py
@@ -19,10 +19,10 @@
 from corkdeal.net.membership import MembershipService
 from corkdeal.recovery.quota_restore import QuotaRestore
 from corkdeal.recovery.resume import resume_after_stall
-from tests.helpers import PLAN, Ring, pick, servers, settings
+from tests.helpers import PLAN, FakeTier, pick, servers, settings
 
 
-class Tier(Ring):
+class Tier(FakeTier):
     """Gateways with membership, all in the ring of one customer."""
 
     def __init__(self, gateways=3):
@@ -36,7 +36,7 @@
             MembershipProtocol(gateway, is_later),
         )
         self.gateways[index] = gateway
-        self.take(index, gateway.handle(self.now, [servers("a", "b", "c")]))
+        self.process_actions(index, gateway.handle(self.now, [servers("a", "b", "c")]))
 
     def offered_units(self, index):
         return 0.2
@@ -118,7 +118,7 @@
     leaving = tier.gateways.pop(2)
     leaving.actions = []
     leaving.membership.leave()
-    tier.take(2, leaving.actions)
+    tier.process_actions(2, leaving.actions)
     tier.run(2 * MAX_ROUND_INTERVAL + 0.1, tier.offered_units)
     assert all(tier.member_state(observer, 2) == MemberState.LEFT for observer in tier.gateways)
     assert sum(tier.quota_shares().values()) == pytest.approx(1 - KEPT_FRACTION / 5, abs=0.02)
@@ -152,7 +152,7 @@
     tier.run(4.0, tier.offered_units)
     stalled = tier.gateways.pop(0)
     max_total = tier.run_and_track(stall_time)
-    tier.flight = [message for message in tier.flight if message[2]]
+    tier.in_flight = [message for message in tier.in_flight if message[2]]
     resume_after_stall(stalled, tier.now, stall_time)
     share = stalled.quota_share(stalled.accounts[7])
     assert stall_time < LEASE_TIME or share == pytest.approx(KEPT_FRACTION / 5, abs=0.01)
@@ -195,7 +195,7 @@
                 HeartbeatFlag(0),
                 entries,
             )
-            tier.flight.append((tier.now, 4, receiver, messages.pack(false_heartbeat)))
+            tier.in_flight.append((tier.now, 4, receiver, messages.pack(false_heartbeat)))
         max_total = max(max_total, tier.run_and_track(0.5))
     assert max_total <= 1.02 and not any(
         gateway.membership.takeover.members for gateway in tier.gateways.values()
--- a/tests/persistence/test_quota_handover.py
+++ b/tests/persistence/test_quota_handover.py
@@ -31,7 +31,7 @@
 from corkdeal.persistence.capture import StateCapture
 from corkdeal.persistence.handover_files import HandoverFiles, HandoverPart
 from corkdeal.persistence.restore import RestoredState
-from tests.helpers import Ring, pick, request
+from tests.helpers import FakeTier, pick, request
 from tests.net_world import WAIT_TIMEOUT, Program, served
 
 PLAN = Plan(rate=2.0, burst=6.0, name="p")
@@ -158,7 +158,7 @@
 
 
 def test_an_old_process_of_two_gateways_rejects_what_comes_after_it_gave_all():
-    ring = Ring(2)
+    ring = FakeTier(2)
     ring.spread = 2
     ring.run(3.0, lambda me: 0.2)
     quota_handover.release_all(ring.gateways[0])
--- a/tests/persistence/test_restore.py
+++ b/tests/persistence/test_restore.py
@@ -331,9 +331,9 @@
     def asked(me):  # never zero: without a request the account would not be decoded
         return 0.5 if me == 0 else 0.02
 
-    ring = helpers.Ring(plan=Plan(rate=6.0, burst=30.0, name="small"))
+    ring = helpers.FakeTier(plan=Plan(rate=6.0, burst=30.0, name="small"))
     ring.run(6, ask=asked)
-    snapshots, before = {}, ring.slices()
+    snapshots, before = {}, ring.quota_shares()
     assert max(before.values()) > 0.45  # supply has moved to the demand
     for me in (0, 1, 2, 0):
         snapshots[me] = captured(ring.gateways[me], ring.now)
@@ -344,7 +344,7 @@
         restored = RestoredState(snapshots[me], 1.5, ring.now, gateway_settings, lambda name: "", Counter())
         gateway = ring.gateways[me] = Gateway(gateway_settings, seed=9)
         gateway.restore(restored)
-        ring.take(me, gateway.handle(ring.now, [helpers.servers("a", "b", "c")]))
+        ring.process_actions(me, gateway.handle(ring.now, [helpers.servers("a", "b", "c")]))
         ring.run(3, ask=asked)
-        assert sum(ring.slices().values()) == pytest.approx(1.0, abs=0.02)
-    assert max(ring.slices().values()) > 0.45
+        assert sum(ring.quota_shares().values()) == pytest.approx(1.0, abs=0.02)
+    assert max(ring.quota_shares().values()) > 0.45
--- a/tests/recovery/test_recovery.py
+++ b/tests/recovery/test_recovery.py
@@ -22,7 +22,7 @@
 )
 from corkdeal.recovery.resume import resume_after_stall
 from corkdeal.recovery.stall_detector import MIN_STALL, StallDetector
-from tests.helpers import PLAN, Ring, outcome, pick, request, servers, settings
+from tests.helpers import PLAN, FakeTier, outcome, pick, request, servers, settings
 
 
 def test_a_stall_is_reported_once_and_a_busy_iteration_not_at_all():
@@ -37,11 +37,11 @@
 
 def stalled_ring(seconds):
     """Return a ring of three and its gateway 1, which was stalled and resumes before it receives anything."""
-    ring = Ring()
+    ring = FakeTier()
     ring.run(6.0, ask=lambda index: 0.2)
     stalled = ring.gateways.pop(1)
     ring.run(seconds, ask=lambda index: 0.2)
-    ring.flight.clear()
+    ring.in_flight.clear()
     return ring, stalled
 
 
@@ -69,7 +69,7 @@
 
 
 def test_backends_do_not_count_as_hung_for_the_time_of_a_stall():
-    ring = Ring(1)
+    ring = FakeTier(1)
     gateway = ring.gateways[0]
     sent = pick(gateway.handle(101.0, [request(1, spread=1)]), StartAttempt)
     resume_after_stall(gateway, 161.0, 60.0)
@@ -81,7 +81,7 @@
 
 
 def test_nothing_is_sent_while_the_endpoint_list_is_stale_and_waiting_requests_go_out_afterwards():
-    gateway = Ring(1).gateways[0]
+    gateway = FakeTier(1).gateways[0]
     gateway.is_endpoint_list_stale = True
     assert not pick(gateway.handle(101.0, [request(1, spread=1)]), StartAttempt)
     gateway.is_endpoint_list_stale = False
@@ -89,7 +89,7 @@
 
 
 def test_a_request_unread_past_its_latency_objective_is_rejected_and_a_recent_one_is_not():
-    gateway = Ring(1).gateways[0]
+    gateway = FakeTier(1).gateways[0]
     # so that no backend is untried or due for a trial
     gateway.handle(101.0, [request(n, spread=1) for n in (1, 2, 3)])
     old_actions = gateway.handle(101.1, [request(8, spread=1, unread_time=0.95)])
@@ -157,14 +157,14 @@
     assert run_readiness(readiness, 5.0, began_at=9.0)[-1][0] == "full"
 
 
-class RestoringRing(Ring):
+class RestoringTier(FakeTier):
     """A ring whose gateways restore their quota shares after a start."""
 
     def start(self, index, gateways=3):
         gateway = Gateway(settings(index, gateways, plans=(self.plan,)), seed=index)
         gateway.quota_restore = QuotaRestore(gateway)
         self.gateways[index] = gateway
-        self.take(index, gateway.handle(self.now, [servers("a", "b", "c")]))
+        self.process_actions(index, gateway.handle(self.now, [servers("a", "b", "c")]))
 
     def restart(self, *indices):
         """Kill these gateways, lose the messages sent to them meanwhile, and start them again."""
@@ -181,38 +181,38 @@
 
 @pytest.mark.parametrize("restarted", [0, 1, 2])
 def test_a_restarted_gateway_restores_its_quota_share_from_its_neighbours(restarted):
-    ring = RestoringRing()
+    ring = RestoringTier()
     ring.run(10.0, uneven_load)
-    shares_before = ring.slices()
+    shares_before = ring.quota_shares()
     assert shares_before[0] > 0.6
     ring.restart(restarted)
     ring.run(0.6, uneven_load)
-    assert ring.slices()[restarted] == pytest.approx(shares_before[restarted], abs=0.1)
+    assert ring.quota_shares()[restarted] == pytest.approx(shares_before[restarted], abs=0.1)
     ring.run(1.0, uneven_load)
-    assert sum(ring.slices().values()) == pytest.approx(1.0, abs=1e-9)
+    assert sum(ring.quota_shares().values()) == pytest.approx(1.0, abs=1e-9)
 
 
 @pytest.mark.parametrize("restarted", [(0, 1), (1, 2), (0, 1, 2)])
 @pytest.mark.parametrize("loss", [0.0, 0.12, 0.4])
 def test_quota_shares_are_conserved_whoever_restarts_and_whatever_is_lost(restarted, loss):
-    ring, rng = RestoringRing(), random.Random(loss)
+    ring, rng = RestoringTier(), random.Random(loss)
     ring.run(10.0, uneven_load)
     ring.lost = lambda sender, to, number: rng.random() < loss
     ring.restart(*restarted)
     ring.run(3.0, uneven_load)
     ring.lost = lambda *a: False
     ring.run(1.0, lambda index: 0.3)
-    assert sum(ring.slices().values()) == pytest.approx(1.0, abs=1e-9)
+    assert sum(ring.quota_shares().values()) == pytest.approx(1.0, abs=1e-9)
 
 
 def test_a_neighbour_without_quota_restore_is_supported():
-    ring = RestoringRing()
+    ring = RestoringTier()
     ring.run(10.0, uneven_load)
     for gateway in ring.gateways.values():
         gateway.quota_restore = None
     ring.restart(0)
     ring.run(2.0, uneven_load)
-    assert sum(ring.slices().values()) == pytest.approx(1.0, abs=1e-9)
+    assert sum(ring.quota_shares().values()) == pytest.approx(1.0, abs=1e-9)
 
 
 def test_an_aggregated_ring_starts_without_a_burst_that_others_may_have_spent():
@@ -235,7 +235,7 @@
         in_window = [at for at in sent_at if 130 + begin / 4 <= at < 130.25 + begin / 4]
         assert len(in_window) <= 2 * RATE_FACTOR * estimator.rate / 4 + 1
     assert len(sent_at) == pytest.approx(RATE_FACTOR * estimator.rate * 2.25, abs=2)
-    gateway = Ring(1).gateways[0]
+    gateway = FakeTier(1).gateways[0]
     gateway.admission_ramp = StallRamp(101.0, 0.0)
     actions_by_request = [gateway.handle(101.0, [request(n, spread=1)]) for n in range(1, 4)]
     assert [len(pick(actions, StartAttempt)) for actions in actions_by_request] == [1, 0, 0] and pick(
@@ -282,42 +282,43 @@
 
 @pytest.mark.parametrize("restarted", [0, 1, 2])
 def test_totals_of_neighbours_override_outdated_stored_state(restarted):
-    ring = RestoringRing()
+    ring = RestoringTier()
     ring.run(2.0, uneven_load)
     older = stored_state(ring, restarted)
     ring.run(10.0, uneven_load)
-    shares_before, neighbour_account = ring.slices(), ring.gateways[(restarted + 1) % 3].accounts[7]
+    shares_before, neighbour_account = ring.quota_shares(), ring.gateways[(restarted + 1) % 3].accounts[7]
     del ring.gateways[restarted]
     ring.run(0.6, uneven_load)
     gateway = Gateway(settings(restarted, 3), seed=9)
     gateway.quota_restore = QuotaRestore(gateway)
     gateway.restore(older)
     ring.gateways[restarted] = gateway
-    ring.take(restarted, gateway.handle(ring.now, [servers("a", "b", "c")]))
+    ring.process_actions(restarted, gateway.handle(ring.now, [servers("a", "b", "c")]))
     assert gateway.incarnation > older.incarnation
     ring.run(0.6, uneven_load)
-    assert ring.slices()[restarted] == pytest.approx(shares_before[restarted], abs=0.1)
+    assert ring.quota_shares()[restarted] == pytest.approx(shares_before[restarted], abs=0.1)
     ring.run(1.0, uneven_load)
     assert (
-        sum(ring.slices().values()) == pytest.approx(1.0, abs=1e-9) and neighbour_account.level <= PLAN.burst
+        sum(ring.quota_shares().values()) == pytest.approx(1.0, abs=1e-9)
+        and neighbour_account.level <= PLAN.burst
     )
 
 
 def test_stored_state_is_used_where_all_gateways_restarted():
-    ring = RestoringRing()
+    ring = RestoringTier()
     ring.run(10.0, uneven_load)
-    shares_before, stored = ring.slices(), [stored_state(ring, index) for index in range(3)]
+    shares_before, stored = ring.quota_shares(), [stored_state(ring, index) for index in range(3)]
     ring.now += 1.0
-    ring.flight.clear()
+    ring.in_flight.clear()
     for index in range(3):
         gateway = ring.gateways[index] = Gateway(settings(index, 3), seed=9)
         gateway.quota_restore = QuotaRestore(gateway)
         gateway.restore(stored[index])
-        ring.take(index, gateway.handle(ring.now, [servers("a", "b", "c")]))
+        ring.process_actions(index, gateway.handle(ring.now, [servers("a", "b", "c")]))
     ring.run(0.5, uneven_load)
-    assert ring.slices()[0] == pytest.approx(shares_before[0], abs=0.1)
+    assert ring.quota_shares()[0] == pytest.approx(shares_before[0], abs=0.1)
     ring.run(2.0, uneven_load)
-    assert sum(ring.slices().values()) == pytest.approx(1.0, abs=1e-9)
+    assert sum(ring.quota_shares().values()) == pytest.approx(1.0, abs=1e-9)
 
 
 def test_a_start_is_limited_to_what_backends_surely_handle_and_successes_raise_the_limit():
@@ -331,7 +332,7 @@
         ramp.record_outcome(False)  # backends are overloaded
     ramp.record_outcome(True)
     assert not ramp.try_admit(0.0, 5)
-    gateway = Ring(1).gateways[0]
+    gateway = FakeTier(1).gateways[0]
     gateway.admission_ramp = StartRamp(1, 1)
     actions_by_request = [gateway.handle(101.0, [request(n, spread=1)]) for n in range(1, 6)]
     assert [len(pick(actions, StartAttempt)) for actions in actions_by_request] == [1, 1, 1, 1, 0] and pick(
@@ -355,17 +356,17 @@
 @pytest.mark.parametrize("restore", [QuotaRestore, lambda host: None])
 @pytest.mark.parametrize("restarted", [0, 1, 2])
 def test_a_gateway_whose_clock_was_set_back_is_accepted_again_and_its_share_not_lent(restarted, restore):
-    ring = RestoringRing()
+    ring = RestoringTier()
     ring.run(6.0, uneven_load)
     gateway = Gateway(settings(restarted, 3, plans=(PLAN,)), seed=9)
     gateway.quota_restore = restore(gateway)
     ring.gateways[restarted] = ClockBehind(gateway)
-    ring.take(restarted, ring.gateways[restarted].handle(ring.now, [servers("a", "b", "c")]))
+    ring.process_actions(restarted, ring.gateways[restarted].handle(ring.now, [servers("a", "b", "c")]))
     ring.run(2.0, uneven_load)
     others = [other for index, other in ring.gateways.items() if index != restarted]
     assert not any(other.is_silent(restarted) for other in others) and gateway.incarnation > 100_000
     assert all(other.quota_share(other.accounts[7]) == other.accounts[7].base_share() for other in others)
-    assert sum(ring.slices().values()) == pytest.approx(1.0, abs=1e-9)
+    assert sum(ring.quota_shares().values()) == pytest.approx(1.0, abs=1e-9)
 
 
 def test_an_aggregated_ring_notifies_a_gateway_whose_clock_was_set_back_at_a_limited_rate():
