--- a/corkdeal/decisions/gateway.py
+++ b/corkdeal/decisions/gateway.py
@@ -43,7 +43,7 @@
     from .persisted_state import PersistedState
 
 SCAN_TOKEN = 0  # timer token of the scan
-SCAN_INTERVAL = 0.05  # s, with ring neighbours
+SCAN_INTERVAL = 0.05  # s, if the gateway has ring neighbours
 LONG_SCAN_INTERVAL = 0.2  # s, without ring neighbours
 
 
--- a/corkdeal/decisions/persisted_state.py
+++ b/corkdeal/decisions/persisted_state.py
@@ -83,8 +83,8 @@
     hard_limit_level: float  # units
     demand: float  # units/s
     in_flight: int  # attempts
-    total_requested: float = 0.0  # running totals of an aggregated account
-    total_spent: float = 0.0
+    total_requested: float = 0.0  # units; running total of an aggregated account
+    total_spent: float = 0.0  # units; running total of an aggregated account
     ledgers: tuple[StoredLedger, ...] = ()
     tree_edges: tuple[StoredTreeEdge, ...] = ()
 
--- a/corkdeal/decisions/quota_exchange.py
+++ b/corkdeal/decisions/quota_exchange.py
@@ -104,7 +104,11 @@
         )
 
     def due(self, now: float, may_update: Callable[[int], bool]) -> dict[int, list[AccountUpdate]]:
-        """Return the updates due, by ring neighbour (possibly none); drops idle accounts."""
+        """Return the updates to send now, a list for each ring neighbour, which may be empty.
+
+        Drops idle accounts, and removes from the active ones those with no recent request that no ring
+        neighbour needs an update of.
+        """
         self.last_exchange_at = now
         due: dict[int, list[AccountUpdate]] = {peer: [] for peer in sorted(self.accounts.ring_neighbours)}
         self.accounts.forget_idle(now)
--- a/corkdeal/experiment/explore.py
+++ b/corkdeal/experiment/explore.py
@@ -54,7 +54,7 @@
 
 
 def new_gateway(index: int, gateways: int) -> Gateway:
-    """The decisions of a gateway without persisted state that restores quota shares from ring neighbours."""
+    """Return a gateway without persisted state, which restores its quota shares from its ring neighbours."""
     settings = Settings(
         gateway_index=index,
         gateway_count=gateways,
--- a/corkdeal/membership/quota_shares.py
+++ b/corkdeal/membership/quota_shares.py
@@ -97,11 +97,14 @@
             neighbours = tuple(account.ledgers)
             if neighbours and neighbours not in current:
                 current[neighbours] = self.is_exclusive(account)
-                self._report(neighbours, current[neighbours])
+                self._report_change(neighbours, current[neighbours])
         self.was_exclusive.update(current)
 
-    def _report(self, neighbours: tuple[int, ...], is_exclusive: bool) -> None:
-        """Report a change of whether the shares of accounts with these neighbours are exclusive."""
+    def _report_change(self, neighbours: tuple[int, ...], is_exclusive: bool) -> None:
+        """Report that the shares of accounts with these neighbours became exclusive or ceased to be.
+
+        Nothing is reported if that did not change, or on the first check of these neighbours.
+        """
         if is_exclusive == self.was_exclusive.get(neighbours, is_exclusive):
             return
         if is_exclusive:
--- a/corkdeal/net/client_connection.py
+++ b/corkdeal/net/client_connection.py
@@ -78,7 +78,7 @@
         self.transport.setTcpNoDelay(True)
         self.transport.registerProducer(self, True)  # backpressure: a client that does not read is not read
         self.gateway.client_connections.add(self)
-        self.closing = self.gateway.operators.standby  # on standby, serve and then close it
+        self.closing = self.gateway.operators.standby  # on standby: close it once its requests are answered
         self.idle.update(self)
         if self.gateway.lateness.is_overloaded and not self.gateway.draining:
             count("client_connection_shed")
--- a/corkdeal/net/discovery_watch.py
+++ b/corkdeal/net/discovery_watch.py
@@ -160,7 +160,8 @@
         is_first, self.has_received = not self.has_received, True
         if self.running and (is_first or result.complete or result.entries):
             self.notify(result)
-        self.revision = result.revision  # last: a list that was not applied is asked for again
+        # not reached if `notify` raised, so the next call asks for this list again
+        self.revision = result.revision
 
     def notify(self, result: DiscoverySnapshot) -> None:
         """Pass a list to `on_snapshot`; an exception there fails the call and must not end the watch."""
@@ -176,8 +177,9 @@
         """Make one call, for the whole list or for changes since the current one."""
         url, limit, wait = self.url, CALL_TIMEOUT, 0
         if self.revision is not None:
-            # No long poll before the first list, after which clients are accepted; nor after a failure, when
-            # discovery may queue the call, which leaves no time to wait for a change as well.
+            # No long poll before the first list, since clients are accepted only after it. None after a
+            # failure either: discovery may then queue the call, and the time in its queue and the wait for a
+            # change together could exceed the call's time limit.
             wait = LONG_POLL_MS if self.has_received and not self.pauses.failing else 0
             url = b"%b?after=%d&wait_ms=%d" % (url, self.revision, wait)
             limit = LONG_POLL_MS / 1000 + RESPONSE_GRACE
--- a/corkdeal/net/response_stream.py
+++ b/corkdeal/net/response_stream.py
@@ -88,7 +88,12 @@
             self.conn.finish_reply(self.attempt, reply)
 
     def read(self, parts: list[Any]) -> Reply | None:
-        """Append the received parts of the value to `parts`; return the reply once it is complete."""
+        """Append the received parts of the value to `parts`; return the reply once it is complete.
+
+        A value may contain several large values. The parser returns the bytes of each in pieces, and what
+        lies between them in frames. The items of the last frame that follow the value are the load report,
+        which is not forwarded.
+        """
         parser = self.conn.parser
         while True:
             while (piece := parser.piece()) is not None:
--- a/corkdeal/net/upgrade.py
+++ b/corkdeal/net/upgrade.py
@@ -109,7 +109,9 @@
         self.decisions.quota_exchange.peer_last_received_at = dict.fromkeys(
             self.decisions.ring_neighbours, self.gateway.now()
         )
-        has_ended = not self.files.is_running(predecessor)  # before the read: it may write, then end
+        # Checked before the read: if checked after it, a predecessor that writes its final part and ends in
+        # between would be taken for one that ended without writing it.
+        has_ended = not self.files.is_running(predecessor)
         snapshot = self._read(predecessor, HandoverPart.FINAL)
         now = self.gateway.now()
         if snapshot is not None:
@@ -176,7 +178,7 @@
     def _check_processes(self) -> None:
         """Take over from the predecessor; hand over to the successor, or take back from one that ended."""
         if self.remainder_takeover is not None:
-            return  # only a complete state may be handed over
+            return  # the state is incomplete until the takeover ends, so it can't be handed over yet
         if self.predecessor is not None and self.partial_state is not None and self.gateway.has_started:
             self._follow_predecessor(self.predecessor, self.partial_state)
         if self.successor is not None and not self.files.is_running(self.successor):
--- a/corkdeal/persistence/capture.py
+++ b/corkdeal/persistence/capture.py
@@ -40,7 +40,7 @@
         self.encoded_entries: dict[int, bytes] = {}  # encoded page entries by customer
         self._in_flight: set[int] = set()  # customers whose entry counts attempts in flight
         self._unclaimed: dict[int, bytes] | None = None  # filled by the first snapshot, then only shrinks
-        self._unclaimed_entries: list[bytes] = []  # as of the beginning of the snapshot in progress
+        self._unclaimed_entries: list[bytes] = []  # `_unclaimed` as it was when the current snapshot began
         decisions.changed_customers = None  # None: the first snapshot encodes all accounts
 
     def steps(
--- a/corkdeal/persistence/migrate.py
+++ b/corkdeal/persistence/migrate.py
@@ -17,7 +17,8 @@
 from .errors import MigrationError
 
 UNCOMPRESSED_FORMAT = 1
-# More than the greatest retry budget of the decisions: an unknown budget is reduced to that one.
+# Stands for a retry budget that the older format does not store. It exceeds the greatest budget that the
+# decisions allow, to which the restore limits it.
 UNKNOWN_RETRY_BUDGET = 1e6
 
 Document = dict[str, Any]
