--- a/corkdeal/standin/clients.py
+++ b/corkdeal/standin/clients.py
@@ -240,7 +240,9 @@
             await asyncio.wait(tasks, timeout=6)
 
 
-def classify_by_quota(seen: list[Any], customers_by_id: dict[int, Customer]) -> list[tuple[float, bool, int]]:
+def classify_by_quota(
+    observed_arrivals: list[Any], customers_by_id: dict[int, Customer]
+) -> list[tuple[float, bool, int]]:
     """Per request that reached a backend: its wall-clock time, whether it was over its quota, and its plan.
 
     A customer's quota over all gateways is a token bucket that starts full: a request within the quota takes
@@ -248,7 +250,7 @@
     """
     buckets: dict[int, tuple[float, float]] = {}
     counted, result = set(), []
-    for a in sorted(seen, key=lambda a: a.at):
+    for a in sorted(observed_arrivals, key=lambda a: a.at):
         if a.request in counted or a.customer not in customers_by_id:
             continue
         counted.add(a.request)
