--- a/tests/tier/test_links.py
+++ b/tests/tier/test_links.py
@@ -1,4 +1,4 @@
-"""Links between processes: each fault takes effect, in one direction only, until it is lifted."""
+"""Links between processes: each fault takes effect, in one direction only, until it ends."""
 
 import asyncio
 import contextlib
