--- a/corkdeal/experiment/schedule.py
+++ b/corkdeal/experiment/schedule.py
@@ -136,7 +136,7 @@
     def steps(self) -> Iterator[tuple[str, Any]]:
         """Each step with the name of its node, in the order of the file."""
         positioned = [
-            (step.place.at(), f.metadata["child"], step)
+            (step.place.position(), f.metadata["child"], step)
             for f in fields(self)
             if "repeated" in f.metadata
             for step in getattr(self, f.name)
@@ -202,7 +202,7 @@
     tier = schedule.tier or Tier()
 
     def fault(place: Any, node: str, message: str) -> None:
-        faults.append(Fault(*place.at(), node, message))
+        faults.append(Fault(*place.position(), node, message))
 
     for timeline in schedule.timelines:
         if timeline.repeat > 1 and not timeline.every:
--- a/corkdeal/options/reader.py
+++ b/corkdeal/options/reader.py
@@ -49,7 +49,7 @@
     value: Any
     place: Any  # kdl.ParseFragment
 
-    def at(self) -> tuple[int, int]:
+    def position(self) -> tuple[int, int]:
         """Return line and column; called for faults only, since it scans the text from its start."""
         error = self.place.error("")
         return error.line, error.col
@@ -58,7 +58,7 @@
 class LocatedValue(Located):
     """A value; kdl-py reports the position of its end."""
 
-    def at(self) -> tuple[int, int]:
+    def position(self) -> tuple[int, int]:
         """Return line and column of the value's first character."""
         error = self.place.error("")
         text = self.place.fragment
@@ -95,7 +95,9 @@
     if options.halls:
         from . import zones
 
-        faults = [Fault(*place.at(), node, text) for place, node, text in zones.find_faults(options.halls)]
+        faults = [
+            Fault(*place.position(), node, text) for place, node, text in zones.find_faults(options.halls)
+        ]
         if faults:
             raise OptionsError(path, faults)
     return options
@@ -127,7 +129,7 @@
         name = node.value.name if node.value.name in fields else field_name(node.value.name)
         if (field := fields.get(name)) is None:
             faults.append(
-                Fault(*node.at(), node.value.name, f"unknown node; known are {format_names(fields)}")
+                Fault(*node.position(), node.value.name, f"unknown node; known are {format_names(fields)}")
             )
         elif "repeated" in field.metadata:
             values[field.name] = (
@@ -135,7 +137,7 @@
                 read_record(node, field.metadata["repeated"], faults),
             )
         elif name in values:
-            faults.append(Fault(*node.at(), node.value.name, "is given a second time"))
+            faults.append(Fault(*node.position(), node.value.name, "is given a second time"))
         else:
             record_type = next(k for k in hints[name].__args__ if dataclasses.is_dataclass(k))
             values[name] = read_record(node, record_type, faults)
@@ -183,13 +185,13 @@
     def convert_setting(name: str, value: Located, path: str) -> None:
         values[name], fault = convert(value.value, types[name], fields[name].metadata)
         if fault:
-            faults.append(Fault(*value.at(), path, fault))
+            faults.append(Fault(*value.position(), path, fault))
 
     for (_, field), value in zip(arguments, node.value.args, strict=False):
         convert_setting(field.name, value, node_path)
     if len(node.value.args) > len(arguments):
         text = "takes settings by name only" if not arguments else f"takes {len(arguments)} values"
-        faults.append(Fault(*node.value.args[len(arguments)].at(), node_path, text))
+        faults.append(Fault(*node.value.args[len(arguments)].position(), node_path, text))
     for name, value, source in settings_of(node):
         key, path = field_name(name), f"{node_path}.{name}"
         if name in children and source is not value:
@@ -199,18 +201,18 @@
         elif key not in named_settings:
             known_names = [*named_settings, *children]
             faults.append(
-                Fault(*source.at(), path, f"unknown setting; known are {format_names(known_names)}")
+                Fault(*source.position(), path, f"unknown setting; known are {format_names(known_names)}")
             )
         elif key in values:
-            faults.append(Fault(*source.at(), path, "is given a second time"))
+            faults.append(Fault(*source.position(), path, "is given a second time"))
         elif value is None:
-            faults.append(Fault(*source.at(), path, "takes exactly one value"))
+            faults.append(Fault(*source.position(), path, "takes exactly one value"))
             values[key] = None
         else:
             convert_setting(key, value, path)
     for name, field in fields.items():
         if name not in values and field.default is dataclasses.MISSING:
-            faults.append(Fault(*node.at(), f"{node_path}.{name.replace('_', '-')}", "must be given"))
+            faults.append(Fault(*node.position(), f"{node_path}.{name.replace('_', '-')}", "must be given"))
         if "position_field" in field.metadata:
             values[name] = node
     if len(faults) > initial_fault_count:
--- a/corkdeal/zones/nets.py
+++ b/corkdeal/zones/nets.py
@@ -16,7 +16,7 @@
 
 
 class ZoneNetwork(NamedTuple):
-    """One network of a zone; `place.at()` returns line and column of its definition, if these are known."""
+    """One network of a zone; `place.position()` returns line and column of its definition, if known."""
 
     cidr: str
     zone: str
@@ -89,5 +89,5 @@
     """Format the position of a network's definition; empty if unknown."""
     if net.place is None:
         return ""
-    line, column = net.place.at()
+    line, column = net.place.position()
     return f" at line {line}, column {column}"
--- a/tests/zones/test_zones.py
+++ b/tests/zones/test_zones.py
@@ -41,7 +41,7 @@
     def __init__(self, line):
         self.line = line
 
-    def at(self):
+    def position(self):
         return self.line, 2
 
 
@@ -60,7 +60,7 @@
 )
 def test_an_invalid_network_is_reported_with_its_position(nets, reason):
     made = ZoneLookup([ZoneNetwork(text, "north", Position(i + 1)) for i, text in enumerate(nets)])
-    assert reason in made.invalid[0].reason and made.invalid[0].net.place.at() == (len(nets), 2)
+    assert reason in made.invalid[0].reason and made.invalid[0].net.place.position() == (len(nets), 2)
 
 
 def test_a_network_of_another_zone_between_gives_the_inner_one_an_effect():
