--- a/corkdeal/experiment/schedule.py
+++ b/corkdeal/experiment/schedule.py
@@ -26,7 +26,7 @@
 SERVER_CHANGES = ("slow", "well", "bad", "cold", "drain", "gone")
 
 
-def who(argument: int = 0) -> Any:
+def selection_field(argument: int = 0) -> Any:
     """A field that selects by `all`, numbers as in `0,2`, or a random percentage as in `70%`.
 
     Gateways can also be selected by `up`, `down`, or `rest`: those that the last percentage did not select.
@@ -38,7 +38,7 @@
 class Process:
     """`kill`, `term`, `start`, `stop`, `continue`: sends a signal to gateways or starts them."""
 
-    gateways: str = who()
+    gateways: str = selection_field()
     place: Any = position_field()
 
 
@@ -63,7 +63,7 @@
 class Folders:
     """`folders`: changes to the persisted state of gateways."""
 
-    gateways: str = who()
+    gateways: str = selection_field()
     what: str = setting(choices=FOLDER_CHANGES)
     place: Any = position_field()
 
@@ -72,7 +72,7 @@
 class Clock:
     """`clock`: an offset of the wall clock of gateways, from their next start on."""
 
-    gateways: str = who()
+    gateways: str = selection_field()
     by: float = setting(minimum=-86_400.0, maximum=86_400.0)  # s
     place: Any = position_field()
 
@@ -81,7 +81,7 @@
 class Door:
     """`door`: faults on the TCP connections of gateways to backends or to discovery."""
 
-    gateways: str = who()
+    gateways: str = selection_field()
     servers: str = setting("all")  # a selection of backends, or `discovery`
     refuse: bool = setting(False)
     silent: bool = setting(False)
@@ -96,7 +96,7 @@
 class Servers:
     """`servers`: changes to backends."""
 
-    servers: str = who()
+    servers: str = selection_field()
     what: str = setting(choices=SERVER_CHANGES)
     times: float = setting(4.0, minimum=1.0, maximum=100.0)  # factor for `slow`
     place: Any = position_field()
