--- a/tests/discovery_world.py
+++ b/tests/discovery_world.py
@@ -287,7 +287,7 @@
             self.notified_at = self.clock.seconds()
 
     def run_until(self, end, until_notified=False):
-        """Advance from event to event until `end`; or until the watch has reported the drain."""
+        """Advance from event to event until `end`, or until the drain is reported if `until_notified`."""
         while not (until_notified and self.notified_at is not None):
             upcoming = min((c.getTime() for c in self.clock.getDelayedCalls()), default=end)
             self.clock.advance(max(0.0, min(upcoming, end) - self.clock.seconds()))
--- a/tests/test_discovery_outages.py
+++ b/tests/test_discovery_outages.py
@@ -130,13 +130,13 @@
 
 
 @pytest.mark.parametrize("gateways", SIZES)
-def test_a_gateway_that_starts_asks_before_it_counts_as_told_without(gateways):
+def test_a_starting_gateway_calls_before_it_counts_as_notified(gateways):
     world = WatchHarness(False, gateways, fault=None, begins=None, ends=0.0, drains_at=0.5)
     world.run_until(200.0, until_notified=True)
     assert world.notified_at <= world.settings.poll_interval - CALL_ALLOWANCE + SLACK
 
 
-def test_a_list_without_length_that_ends_with_its_connection_is_told():
+def test_a_list_without_length_that_ends_with_its_connection_is_passed_on():
     world = WatchHarness(True, 3, fault="list without length cut off", begins=1.0, ends=3.0, drains_at=2.0)
     world.discovery.respond_with_fault = lambda connection: (
         world.discovery.answer(connection, world.discovery.body(True), length=False),
@@ -154,7 +154,7 @@
     assert sum(not connection.ended for connection in world.discovery.connections) <= 1
 
 
-def test_a_list_without_end_is_given_up_and_not_kept():
+def test_a_list_without_end_is_abandoned_and_not_buffered():
     world = WatchHarness(True, 3, fault="head without body", begins=1.0, ends=2.0, drains_at=1.5)
     world.discovery.respond_with_fault = lambda connection: (
         connection.send(b"HTTP/1.1 200 OK\r\n\r\n"),
@@ -165,16 +165,16 @@
     assert sum(not connection.ended for connection in world.discovery.connections) <= 1
 
 
-def test_a_fault_in_who_is_told_does_not_end_the_watch(monkeypatch):
+def test_an_exception_in_on_snapshot_does_not_end_the_watch(monkeypatch):
     written = []
     monkeypatch.setattr(logs, "event", lambda name, **pairs: written.append((EVENTS[name], pairs)))
     world = WatchHarness(True, 3, fault=None, begins=None, ends=0.0, drains_at=1.0)
-    hear, faults = world.watch.on_snapshot, [ValueError("a fault in the gateway")] * 3
+    pass_on, faults = world.watch.on_snapshot, [ValueError("a fault in the gateway")] * 3
 
     def record(snapshot):
         if snapshot.entries and faults:
             raise faults.pop()
-        hear(snapshot)
+        pass_on(snapshot)
 
     world.watch.on_snapshot = record
     world.run_until(10.0, until_notified=True)
