--- a/corkdeal/experiment/tier.py
+++ b/corkdeal/experiment/tier.py
@@ -67,7 +67,7 @@
             self.history.client_attempts[request_id].cut_at = self.clock()
 
 
-class Play:
+class TierRun:
     """One run of a schedule."""
 
     def __init__(
@@ -506,4 +506,4 @@
     schedule: Schedule, seed: int, folder: pathlib.Path, program: pathlib.Path | None = None
 ) -> dict[str, Any]:
     """Run a schedule once; `folder` receives the logs and persisted state."""
-    return await Play(schedule, seed, folder, program).run()
+    return await TierRun(schedule, seed, folder, program).run()
--- a/tests/tier/test_tier.py
+++ b/tests/tier/test_tier.py
@@ -8,7 +8,7 @@
 import pytest
 
 from corkdeal.experiment import schedule
-from corkdeal.experiment.tier import Play
+from corkdeal.experiment.tier import TierRun
 
 from ..net_world import WAIT_TIMEOUT
 
@@ -16,8 +16,8 @@
 
 
 def run_schedule(text, folder, seed=1):
-    play = Play(schedule.parse(text), seed, pathlib.Path(folder))
-    return play, asyncio.run(play.run())
+    tier_run = TierRun(schedule.parse(text), seed, pathlib.Path(folder))
+    return tier_run, asyncio.run(tier_run.run())
 
 
 def without_delay_violations(seen):
@@ -48,18 +48,18 @@
 
 
 def test_gateways_killed_and_cut_off_under_load_keep_the_rules(tmp_path):
-    play, seen = run_schedule(
+    tier_run, seen = run_schedule(
         SMALL_TIER + 'seconds=5.0\nat 1.0 { link loss=0.4 seconds=2.0; link sender="0" to="1" cut=true; }\n'
         'at 1.5 { kill "0,1"; }\nat 1.8 { start "down"; }',
         tmp_path,
     )
     assert not without_delay_violations(seen)
     assert len(seen["ready_s"]) == 2 and seen["links"]["cut"] and seen["links"]["lost"]
-    assert seen["outcomes"]["served"] > 0 and not any(is_alive(g) for g in play.gateways)
+    assert seen["outcomes"]["served"] > 0 and not any(is_alive(g) for g in tier_run.gateways)
 
 
 def test_all_processes_end_with_a_run_that_fails_even_stopped_ones(tmp_path):
-    play = Play(
+    tier_run = TierRun(
         schedule.parse(SMALL_TIER + 'seconds=9.0\nat 0.1 { stop "0"; }\nat 0.2 { start "1"; }'), 1, tmp_path
     )
 
@@ -68,15 +68,15 @@
             raise RuntimeError("as the test wants")
         await process(kind, numbers)
 
-    process, play.process = play.process, fail
+    process, tier_run.process = tier_run.process, fail
     with pytest.raises(RuntimeError, match="as the test wants"):
-        asyncio.run(play.run())
-    assert play.gateways and not any(is_alive(g) for g in play.gateways)
-    assert play.gateways[0].process.returncode == -signal.SIGKILL
+        asyncio.run(tier_run.run())
+    assert tier_run.gateways and not any(is_alive(g) for g in tier_run.gateways)
+    assert tier_run.gateways[0].process.returncode == -signal.SIGKILL
 
 
 def test_gateways_that_stood_still_send_nothing_old_and_nothing_to_a_server_gone_meanwhile(tmp_path):
-    play, seen = run_schedule(
+    tier_run, seen = run_schedule(
         SMALL_TIER.replace("servers=3", "servers=4")
         + 'seconds=9.0\nat 1.0 { stop "0,1"; }\nat 2.0 { servers "0,1" what="gone"; }\n'
         'at 6.5 { continue "all"; }',
@@ -85,11 +85,11 @@
     assert not [b for b in seen["broken"] if "answer" not in b["rule"]]
     logs = [(tmp_path / f"n{i}.log").read_text() for i in range(3)]
     assert ["stood still" in log for log in logs] == [True, True, False]
-    assert play.history.attempts[-1].at > 6.5 and seen["outcomes"]["failed"] > 0
+    assert tier_run.history.attempts[-1].at > 6.5 and seen["outcomes"]["failed"] > 0
 
 
 def test_a_gateway_whose_wall_clock_went_back_says_so_and_one_whose_disk_is_full_serves_on(tmp_path):
-    play = Play(
+    tier_run = TierRun(
         schedule.parse(
             SMALL_TIER + 'seconds=8.0 knowledge=true\nat 1.0 { kill "0,1"; clock "0" by=-60.0; }\n'
             'at 1.2 { folders "0" what="empty"; folders "1" what="full"; }\n'
@@ -98,18 +98,18 @@
         1,
         tmp_path,
     )
-    step = play.step
+    step = tier_run.step
 
     async def free_after_a_failed_write(each):
         is_freed = each.kind == "folders" and each.what.what == "freed"
         if is_freed:
-            await wait_for_failed_write(play.gateways[1], tmp_path / "state" / "n1")
+            await wait_for_failed_write(tier_run.gateways[1], tmp_path / "state" / "n1")
         await step(each)
         if is_freed:
             await wait_until(lambda: "knowledge_healed" in (tmp_path / "n1.log").read_text())
 
-    play.step = free_after_a_failed_write
-    seen = asyncio.run(play.run())
+    tier_run.step = free_after_a_failed_write
+    seen = asyncio.run(tier_run.run())
     assert not without_delay_violations(seen) and seen["outcomes"]["served"] > 0
     logs = [(tmp_path / f"n{i}.log").read_text() for i in range(2)]
     assert "peers know a later start" in logs[0] and "peers know a later start" not in logs[1]
@@ -117,7 +117,7 @@
 
 
 def test_a_gateway_that_no_other_hears_loses_its_slices_and_one_that_ends_has_left(tmp_path):
-    play, seen = run_schedule(
+    tier_run, seen = run_schedule(
         SMALL_TIER.replace("gateways=3", "gateways=4") + "membership=true seconds=12.0\n"
         'at 1.0 { link sender="0" to="all" cut=true both=true seconds=8.0; }\nat 10.0 { term "2"; }',
         tmp_path,
