--- a/corkdeal/experiment/zone_outage.py
+++ b/corkdeal/experiment/zone_outage.py
@@ -23,7 +23,7 @@
     def __init__(
         self, seed: int, rate: float = 30.0, backends_per_zone: int = 4, mean_response_time: float = 0.2
     ) -> None:
-        """`rate` is the attempts per second of one gateway, `usual` the mean response time in seconds."""
+        """`rate` is the attempts per second of one gateway; `mean_response_time` is in seconds."""
         self.rng, self.rate, self.mean_response_time = random.Random(seed), rate, mean_response_time
         self.detector, self.now = LostZoneDetector(), 0.0
         self.pending: list[tuple[float, str, str, str, float]] = []
