--- a/benchmarks/zones.py
+++ b/benchmarks/zones.py
@@ -21,13 +21,13 @@
 
 def random_networks(chance: random.Random) -> list[ZoneNetwork]:
     """Returns distinct networks of /12 to /28 with random zones."""
-    made: dict[str, ZoneNetwork] = {}
-    while len(made) < NETS:
+    networks: dict[str, ZoneNetwork] = {}
+    while len(networks) < NETS:
         size = chance.randint(12, 28)
         text = str(netaddr.IPNetwork((chance.getrandbits(32) >> (32 - size) << (32 - size), size)))
         if "." in text:
-            made[text] = ZoneNetwork(text, f"hall-{chance.randrange(1000)}")
-    return list(made.values())
+            networks[text] = ZoneNetwork(text, f"hall-{chance.randrange(1000)}")
+    return list(networks.values())
 
 
 class ByLength:
@@ -36,8 +36,8 @@
     def __init__(self, nets: list[ZoneNetwork]) -> None:
         self.tables: dict[int, dict[int, str]] = {}
         for net in nets:
-            made = netaddr.IPNetwork(net.cidr)
-            self.tables.setdefault(made.prefixlen, {})[int(made.network)] = net.zone
+            network = netaddr.IPNetwork(net.cidr)
+            self.tables.setdefault(network.prefixlen, {})[int(network.network)] = net.zone
         self.order = sorted(self.tables.items(), reverse=True)
 
     def zone_of(self, address: str) -> str | None:
--- a/tests/zones/test_zones.py
+++ b/tests/zones/test_zones.py
@@ -59,15 +59,15 @@
     ],
 )
 def test_an_invalid_network_is_reported_with_its_position(nets, reason):
-    made = ZoneLookup([ZoneNetwork(text, "north", Position(i + 1)) for i, text in enumerate(nets)])
-    assert reason in made.invalid[0].reason and made.invalid[0].net.place.position() == (len(nets), 2)
+    lookup = ZoneLookup([ZoneNetwork(text, "north", Position(i + 1)) for i, text in enumerate(nets)])
+    assert reason in lookup.invalid[0].reason and lookup.invalid[0].net.place.position() == (len(nets), 2)
 
 
 def test_a_network_of_another_zone_between_gives_the_inner_one_an_effect():
-    made = ZoneLookup(
+    lookup = ZoneLookup(
         [ZoneNetwork("10.0.0.0/8", "a"), ZoneNetwork("10.1.0.0/16", "b"), ZoneNetwork("10.1.1.0/24", "a")]
     )
-    assert made.invalid == [] and made.zone_of("10.1.1.1") == "a" and made.zone_of("10.1.2.1") == "b"
+    assert lookup.invalid == [] and lookup.zone_of("10.1.1.1") == "a" and lookup.zone_of("10.1.2.1") == "b"
 
 
 NETS = st.dictionaries(
@@ -83,12 +83,12 @@
 
 @given(NETS, st.lists(st.integers(0, 2**32 - 1), max_size=20))
 def test_look_ups_agree_with_a_walk_over_all_nets(nets, addresses):
-    made = ZoneLookup([ZoneNetwork(str(net), hall) for net, hall in nets.items()])
+    lookup = ZoneLookup([ZoneNetwork(str(net), hall) for net, hall in nets.items()])
     for number in [*addresses, *(int(n.network_address) for n in nets)]:
         address = ipaddress.ip_address(number)
         holding = [n for n in nets if address in n]
         best = nets[max(holding, key=lambda n: n.prefixlen)] if holding else None
-        assert made.zone_of(str(address)) == best
+        assert lookup.zone_of(str(address)) == best
 
 
 def test_tiers_are_ordered_by_distance_over_two_levels():
