--- a/corkdeal/recovery/quota_restore.py
+++ b/corkdeal/recovery/quota_restore.py
@@ -35,8 +35,8 @@
 
 PEER_TIMEOUT = 1.0  # s that neighbours have to send a message; three exchanges and a delayed one
 AGGREGATION_DELAY = 4.0  # s from a start until the totals of an aggregated ring have arrived
-AGGREGATED_INITIAL_FILL = 0.4  # of the burst; at this level an aggregated ring admits its rate
-MAX_REPORTED_ACCOUNTS = 56  # fill eight of the sixty datagrams per second that a peer accepts
+AGGREGATED_INITIAL_FILL = 0.4  # of the burst; at this level an aggregated ring admits the quota's rate
+MAX_REPORTED_ACCOUNTS = 56  # they fill eight of the sixty datagrams per second that a peer accepts
 
 
 class QuotaRestore:
@@ -47,7 +47,7 @@
         self.started_at: float | None = None  # s, when the first account was created
         # neighbours that were sent a message so that they reply with their totals
         self.queried: set[int] = set()
-        self.replied: set[int] = set()  # neighbours that have sent a message to this incarnation
+        self.responded_peers: set[int] = set()  # neighbours that have sent a message to this incarnation
 
     def apply_stored(self, account: Account, stored: StoredAccount, has_current_ledgers: bool) -> None:
         """Use the ledgers of a stored account until a neighbour sends its totals.
@@ -64,7 +64,7 @@
                     record.received_share, record.received_units, has_peer_totals=True
                 )
 
-    def account_created(self, account: Account) -> None:
+    def query_totals(self, account: Account) -> None:
         """Ask the neighbours of a new account for their totals.
 
         In an aggregated ring, soon after a start, also lower the level, which others may have spent.
@@ -79,18 +79,18 @@
             self.queried.add(peer)
             self.host.send_updates(peer, [])
 
-    def record_reply(self, peer: int) -> None:
+    def record_peer_message(self, peer: int) -> None:
         """Record that a neighbour sent a message to this incarnation."""
-        self.replied.add(peer)
+        self.responded_peers.add(peer)
 
     def may_send_updates(self, peer: int) -> bool:
         """Return whether updates may be sent to a neighbour: it has sent its totals, or has none to send."""
-        if peer in self.replied or self.host.has_resumed():
+        if peer in self.responded_peers or self.host.has_resumed():
             return True
         if self.started_at is None or self.host.now - self.started_at > PEER_TIMEOUT:
             return True
         incarnation = self.host.peer_incarnations.get(peer)
-        return incarnation is not None and not self.host.is_older(incarnation)
+        return incarnation is not None and not self.host.predates_start(incarnation)
 
     def apply_update(self, peer: int, update: AccountUpdate) -> None:
         """Set the initial demand of an account from an update by a neighbour that kept running.
@@ -103,7 +103,7 @@
         ledger = account.ledgers.get(peer)
         if ledger is None or ledger.last_round or account.has_peer_level or update.share <= 0:
             return
-        if not self.host.is_older(self.host.peer_incarnations[peer]):
+        if not self.host.predates_start(self.host.peer_incarnations[peer]):
             return
         restored = account.base_share() - (ledger.received_share + update.received_share) / SHARE_STEPS
         share = max(0.0, min(1.0, restored))
--- a/corkdeal/standin/fleet.py
+++ b/corkdeal/standin/fleet.py
@@ -25,7 +25,7 @@
 runpy.run_module("corkdeal.net", run_name="__main__", alter_sys=True)
 """  # the program with its wall clock shifted by some seconds: all processes share the system clock
 
-HALLS = ("north-hall", "east-hall", "south-hall")
+ZONES = ("north-hall", "east-hall", "south-hall")
 CLASSES = [
     {"name": "board-load", "aim_us": 1_500_000, "deadline_us": 4_000_000, "semantics": "pure", "points": 1},
     {
@@ -48,9 +48,9 @@
     return {
         "balancers": gateways,
         "me": me,
-        "failure_domains": list(HALLS),
+        "failure_domains": list(ZONES),
         "host_types": ["standard", "slower"],
-        "zone": me % len(HALLS),
+        "zone": me % len(ZONES),
         "membership_mode": "pushed",
         "granularity_us": 4000,
         "classes": CLASSES,
@@ -79,7 +79,7 @@
     }
 
 
-def free_ones(count: int, socket_type: int, host: str) -> list[str]:
+def find_free_addresses(count: int, socket_type: int, host: str) -> list[str]:
     """Find distinct free addresses of a host: all sockets stay bound until the last one is."""
     with contextlib.ExitStack() as stack:
         sockets = [stack.enter_context(socket.socket(socket.AF_INET, socket_type)) for _ in range(count)]
@@ -88,7 +88,7 @@
         return [f"{host}:{s.getsockname()[1]}" for s in sockets]
 
 
-def own_host() -> str:
+def process_loopback_host() -> str:
     """A loopback address that only this process uses.
 
     On a shared address, an outgoing connection could take the port of a gateway that is down as its own.
@@ -97,7 +97,7 @@
     return f"127.{100 + (pid >> 16) % 100}.{pid >> 8 & 255}.{pid & 255}"
 
 
-class Ended(RuntimeError):
+class GatewayExitedError(RuntimeError):
     """A gateway process ended before it answered its first PING."""
 
 
@@ -106,7 +106,7 @@
     ctypes.CDLL(None).prctl(PR_SET_PDEATHSIG, signal.SIGKILL)
 
 
-def limit_files(pid: int, full: bool) -> None:
+def set_disk_full(pid: int, full: bool) -> None:
     """Make a process's writes to files fail as on a full disk, by RLIMIT_FSIZE, or succeed again."""
     _, hard_limit = resource.prlimit(pid, resource.RLIMIT_FSIZE)
     resource.prlimit(pid, resource.RLIMIT_FSIZE, (0 if full else hard_limit, hard_limit))
@@ -136,20 +136,20 @@
         self.process: asyncio.subprocess.Process | None = None
         self.ready_at = 0.0  # monotonic time of its first reply to PING
         self.up = False
-        self.clock_by = 0.0  # s by which the wall clock of its next incarnation is shifted
+        self.clock_offset = 0.0  # s by which the wall clock of its next incarnation is shifted
         self.disk_full = False
 
-    def fill_disk(self, full: bool) -> None:
+    def set_disk_full(self, full: bool) -> None:
         """Make all its writes to files fail, those to its log included, or let them succeed again."""
         self.disk_full = full
         if self.process is not None and self.process.returncode is None:
-            limit_files(self.process.pid, full)
+            set_disk_full(self.process.pid, full)
 
     def prepare_child(self) -> None:
         """Runs in the child process before the program is executed."""
         die_with_parent()
         if self.disk_full:
-            limit_files(0, True)
+            set_disk_full(0, True)
 
     async def start(self, known: dict[str, Any] | None = None) -> float:
         """Start the process; returns the seconds until it answered PING."""
@@ -160,8 +160,8 @@
                 sys.executable,
                 "-O",
                 *(
-                    ("-c", SHIFTED_CLOCK_PROGRAM.format(by=self.clock_by))
-                    if self.clock_by
+                    ("-c", SHIFTED_CLOCK_PROGRAM.format(by=self.clock_offset))
+                    if self.clock_offset
                     else ("-m", "corkdeal.net")
                 ),
                 env=self.env,
@@ -171,16 +171,18 @@
                 preexec_fn=self.prepare_child,
             )
         process = self.process
-        while not await self.answers():
+        while not await self.answers_ping():
             if process.returncode is not None:
-                raise Ended(f"{self.config['name']} ended before it answered PING; see {self.log}")
+                raise GatewayExitedError(
+                    f"{self.config['name']} ended before it answered PING; see {self.log}"
+                )
             if time.monotonic() - began > READY_TIMEOUT:
                 raise RuntimeError(f"{self.config['name']} did not answer PING in time; see {self.log}")
             await asyncio.sleep(READY_POLL_INTERVAL)
         self.ready_at, self.up = time.monotonic(), True
         return self.ready_at - began
 
-    async def answers(self) -> bool:
+    async def answers_ping(self) -> bool:
         """Whether it answers PING."""
         host, port = self.listen.split(":")
         try:
@@ -195,7 +197,7 @@
         finally:
             writer.close()
 
-    async def end(self, signal_number: signal.Signals = signal.SIGKILL) -> None:
+    async def stop(self, signal_number: signal.Signals = signal.SIGKILL) -> None:
         """End the process by a signal, and wait for it."""
         self.up = False
         if self.process is not None and self.process.returncode is None:
@@ -203,7 +205,7 @@
             await self.process.wait()
 
 
-def tier(
+def create_gateways(
     count: int,
     discovery_port: int,
     folder: pathlib.Path,
@@ -212,9 +214,9 @@
     program: pathlib.Path | None = None,
 ) -> list[Gateway]:
     """Create all gateways of a tier without starting them."""
-    host = own_host()
-    peers = free_ones(count, socket.SOCK_DGRAM, host)
-    listen = free_ones(count, socket.SOCK_STREAM, host)
+    host = process_loopback_host()
+    peers = find_free_addresses(count, socket.SOCK_DGRAM, host)
+    listen = find_free_addresses(count, socket.SOCK_STREAM, host)
     return [
         Gateway(
             i,
--- a/corkdeal/standin/history.py
+++ b/corkdeal/standin/history.py
@@ -18,7 +18,7 @@
 
 
 @dataclass(slots=True)
-class Try:
+class ClientAttempt:
     """One attempt of a client: a request with an ID of its own."""
 
     id: int
@@ -39,7 +39,7 @@
         )
 
 
-class Attempt(NamedTuple):
+class BackendAttempt(NamedTuple):
     """One attempt of a gateway, as it arrived at its backend."""
 
     at: float
@@ -57,14 +57,14 @@
         )
 
 
-class Told(NamedTuple):
+class SentList(NamedTuple):
     """An endpoint list that a gateway was sent: the backends in state ready."""
 
     at: float
     ready: frozenset[str]
 
 
-class Away(NamedTuple):
+class Downtime(NamedTuple):
     """A period in which a gateway was down or stopped (SIGSTOP)."""
 
     gateway: int
@@ -91,13 +91,13 @@
     """All observations of a run; each list is in the order of the events."""
 
     def __init__(self) -> None:
-        self.tries: dict[int, Try] = {}
-        self.attempts: list[Attempt] = []
-        self.told: dict[int, list[Told]] = defaultdict(list)
-        self.away: list[Away] = []
+        self.client_attempts: dict[int, ClientAttempt] = {}
+        self.attempts: list[BackendAttempt] = []
+        self.sent_lists: dict[int, list[SentList]] = defaultdict(list)
+        self.downtimes: list[Downtime] = []
         self.events: list[tuple[float, str]] = []
 
-    def firsts(self) -> dict[int, list[float]]:
+    def first_arrivals(self) -> dict[int, list[float]]:
         """The arrival times of the first attempts of all requests, by customer."""
         seen: set[int] = set()
         first_arrivals: dict[int, list[float]] = defaultdict(list)
@@ -109,7 +109,7 @@
 
     def was_up(self, gateway: int, begin: float, end: float) -> bool:
         """Whether a gateway was up and running throughout a period."""
-        return not any(a.gateway == gateway and a.begin < end and a.end > begin for a in self.away)
+        return not any(a.gateway == gateway and a.begin < end and a.end > begin for a in self.downtimes)
 
 
 def check(history: History, quotas: dict[int, Quota], end: float, slack: float) -> list[Violation]:
@@ -129,7 +129,7 @@
 def check_replies(history: History, end: float) -> list[Violation]:
     """Each client attempt gets exactly one reply in time, if its gateway was up and running throughout."""
     violations = []
-    for t in history.tries.values():
+    for t in history.client_attempts.values():
         until = t.deadline + ANSWER_SLACK
         if len(t.answers) > 1:
             violations.append(Violation("one final answer", (str(t),)))
@@ -143,7 +143,7 @@
     return [
         Violation("nothing sent on after its time", (str(t), str(a)))
         for a in history.attempts
-        if (t := history.tries.get(a.request)) is not None and a.at > t.deadline + slack
+        if (t := history.client_attempts.get(a.request)) is not None and a.at > t.deadline + slack
     ]
 
 
@@ -158,10 +158,10 @@
     """Attempts go to backends that were ready in the list REMOVAL_GRACE s before, or in a later one."""
     violations = []
     for a in history.attempts:
-        lists = history.told.get(a.gateway, [])
-        newest = bisect.bisect_right(lists, a.at - REMOVAL_GRACE - slack, key=lambda told: told.at) - 1
+        lists = history.sent_lists.get(a.gateway, [])
+        newest = bisect.bisect_right(lists, a.at - REMOVAL_GRACE - slack, key=lambda sent: sent.at) - 1
         since = lists[max(0, newest) :]
-        if newest >= 0 and not any(a.server in told.ready for told in since if told.at <= a.at):
+        if newest >= 0 and not any(a.server in sent.ready for sent in since if sent.at <= a.at):
             violations.append(
                 Violation(
                     "nothing new to a server told away",
@@ -171,7 +171,7 @@
     return violations
 
 
-def most_over(times: list[float], quota: Quota, window: float) -> tuple[float, float]:
+def max_over_quota(times: list[float], quota: Quota, window: float) -> tuple[float, float]:
     """The most units beyond the quota in any window of that length, and the start of that window."""
     best, when, low = 0.0, 0.0, 0
     for high, at in enumerate(times):
@@ -187,11 +187,11 @@
 def check_quotas(history: History, quotas: dict[int, Quota]) -> list[Violation]:
     """The units admitted in any window stay within the quota plus its bound."""
     violations = []
-    for customer, times in sorted(history.firsts().items()):
+    for customer, times in sorted(history.first_arrivals().items()):
         if (quota := quotas.get(customer)) is None:
             continue
         for window in WINDOWS:
-            over, when = most_over(times, quota, window)
+            over, when = max_over_quota(times, quota, window)
             if over > quota.bound + 1e-6:
                 mine = [
                     a
--- a/corkdeal/standin/links.py
+++ b/corkdeal/standin/links.py
@@ -70,10 +70,12 @@
         self.active_faults: dict[int, tuple[frozenset[tuple[int, int]], Fault]] = {}
         self.combined_faults: dict[tuple[int, int], Fault] = {}  # the combined faults of each direction
         self.last_fault_id = 0
-        self.carried: Counter[str] = Counter()
+        self.counters: Counter[str] = Counter()
         self.sent: Counter[int] = Counter()  # datagrams by sender
-        self.delays: list[float] = []  # s from arrival to forwarding, of datagrams that no fault delays
-        self.heard: Callable[[int, int, bool], None] = lambda sender, to, lost: None
+        self.forwarding_delays: list[
+            float
+        ] = []  # s from arrival to forwarding, of datagrams that no fault delays
+        self.on_datagram: Callable[[int, int, bool], None] = lambda sender, to, lost: None
 
     async def start(self) -> None:
         """Open the sockets of all links."""
@@ -97,14 +99,14 @@
             for j, address in enumerate(self.addresses)
         ]
 
-    def put(self, pairs: Iterable[tuple[int, int]], fault: Fault) -> int:
-        """Start a fault in those directions; returns its number for `lift`."""
+    def start_fault(self, pairs: Iterable[tuple[int, int]], fault: Fault) -> int:
+        """Start a fault in those directions; returns its number for `end_fault`."""
         self.last_fault_id += 1
         self.active_faults[self.last_fault_id] = frozenset(pairs), fault
         self.update_faults()
         return self.last_fault_id
 
-    def lift(self, fault_id: int) -> None:
+    def end_fault(self, fault_id: int) -> None:
         """End a fault; others on the same links stay active."""
         self.active_faults.pop(fault_id, None)
         self.update_faults()
@@ -124,7 +126,7 @@
             except (BlockingIOError, ConnectionError):
                 return
             if sender != self.addresses[i]:  # spoofed: only gateway i may send here
-                self.carried["from a stranger"] += 1
+                self.counters["from a stranger"] += 1
                 continue
             self.sent[i] += 1
             arrived = time.time()
@@ -140,13 +142,13 @@
         if fault is None:
             return self.forward(i, j, data, arrived)
         if fault.cut or self.rng.random() < fault.loss:
-            self.carried["cut" if fault.cut else "lost"] += 1
-            return self.heard(i, j, True)
+            self.counters["cut" if fault.cut else "lost"] += 1
+            return self.on_datagram(i, j, True)
         for _ in range(1 + (self.rng.random() < fault.duplicate)):
             delay = fault.delay + fault.jitter * self.rng.random()
             if self.rng.random() < fault.reorder:
                 delay += REORDER_DELAY
-                self.carried["reordered"] += 1
+                self.counters["reordered"] += 1
             if delay:
                 asyncio.get_running_loop().call_later(delay, self.forward, i, j, data, None)
             else:
@@ -158,10 +160,10 @@
             return  # the links have been closed
         with contextlib.suppress(OSError):  # dropped when the send buffer is full, as a network may
             source.sendto(data, self.addresses[j])
-        self.carried["carried"] += 1
-        if arrived is not None and len(self.delays) < MAX_DELAY_SAMPLES:
-            self.delays.append(max(0.0, time.time() - arrived))
-        self.heard(i, j, False)
+        self.counters["carried"] += 1
+        if arrived is not None and len(self.forwarding_delays) < MAX_DELAY_SAMPLES:
+            self.forwarding_delays.append(max(0.0, time.time() - arrived))
+        self.on_datagram(i, j, False)
 
     def close(self) -> None:
         """Close all links."""
@@ -181,7 +183,7 @@
     delay: float = 0.0  # s of delay per command
 
 
-OPEN = DoorFault()
+NO_DOOR_FAULT = DoorFault()
 ConnectionHandler = Callable[[asyncio.StreamReader, asyncio.StreamWriter, int], Awaitable[None]]
 
 
@@ -208,7 +210,7 @@
         self.faults: list[DoorFault] = []
         self.unblocked: list[asyncio.Event] = []  # cleared while a fault silences the gateway
         self.connections: list[set[asyncio.StreamWriter]] = []
-        self.connected: Callable[[int], None] = lambda gateway: None
+        self.on_connection: Callable[[int], None] = lambda gateway: None
 
     async def start(self, count: int) -> None:
         """Open one door per gateway."""
@@ -216,7 +218,7 @@
             self.listeners.append(None)
             self.reserved_ports.append(reserve_port())
             self.ports.append(self.reserved_ports[i].getsockname()[1])
-            self.faults.append(OPEN)
+            self.faults.append(NO_DOOR_FAULT)
             self.unblocked.append(asyncio.Event())
             self.unblocked[i].set()
             self.connections.append(set())
@@ -233,7 +235,7 @@
     ) -> None:
         """Track one connection while the service serves it."""
         self.connections[gateway].add(writer)
-        self.connected(gateway)
+        self.on_connection(gateway)
         try:
             if self.faults[gateway].silent:
                 writer.transport.pause_reading()  # type: ignore[attr-defined]
@@ -251,8 +253,8 @@
             raise ConnectionResetError
         await self.unblocked[gateway].wait()
 
-    async def put(self, gateway: int, fault: DoorFault) -> None:
-        """Start a fault at a gateway's door; `OPEN` ends it."""
+    async def set_fault(self, gateway: int, fault: DoorFault) -> None:
+        """Start a fault at a gateway's door; `NO_DOOR_FAULT` ends it."""
         previous, self.faults[gateway] = self.faults[gateway], fault
         for writer in list(self.connections[gateway]):
             with contextlib.suppress(RuntimeError):
--- a/tests/decisions/test_peer_protocol.py
+++ b/tests/decisions/test_peer_protocol.py
@@ -7,7 +7,7 @@
 from corkdeal.decisions.actions import Log, SendToPeer
 from corkdeal.decisions.aggregation_tree import AggregationScheduler
 from corkdeal.decisions.events import PeerMessage
-from corkdeal.decisions.incarnations import OLDER_MARGIN
+from corkdeal.decisions.incarnations import START_MARGIN
 from corkdeal.decisions.peer_messages import SHARE_STEPS, AccountUpdate, TreeTotals
 from corkdeal.decisions.peer_protocol import PeerProtocol
 from corkdeal.decisions.quota_exchange import QuotaExchange
@@ -83,9 +83,8 @@
     peers, host = make()
     peers.receive(exchange_message([update()], own_incarnation=OWN_INCARNATION - 1))
     assert CUSTOMER not in host.table.by_customer
-    assert (
-        peers.quota_exchange.peer_last_received_at[PEER] == host.now
-    )  # but the peer does not count as silent
+    # but the peer does not count as silent
+    assert peers.quota_exchange.peer_last_received_at[PEER] == host.now
 
 
 def test_a_peer_gets_one_message_for_each_of_its_incarnations():
@@ -119,7 +118,7 @@
 def test_a_gateway_whose_clock_was_set_back_advances_past_what_its_peers_know():
     peers, host = make()
     peers.receive(exchange_message([], own_incarnation=OWN_INCARNATION + 5000))
-    assert peers.incarnations.own == OWN_INCARNATION + 5000 + OLDER_MARGIN + 1
+    assert peers.incarnations.own == OWN_INCARNATION + 5000 + START_MARGIN + 1
     assert any(isinstance(action, Log) for action in host.actions)
 
 
@@ -137,7 +136,7 @@
     totals = TreeTotals(CUSTOMER, 0, 0, 20, 3.0, 2.0)
     (payload,) = peer_messages.encode_totals(OWN_INCARNATION + 1, [totals])
     peers.receive(PeerMessage(neighbour, payload))
-    assert (account.total_asked, account.total_spent) == (3.0, 2.0)
+    assert (account.total_requested, account.total_spent) == (3.0, 2.0)
     assert account.level == PLAN.burst - 2.0 and peers.aggregation_scheduler.pending == {CUSTOMER: account}
 
 
--- a/tests/discovery_world.py
+++ b/tests/discovery_world.py
@@ -25,7 +25,7 @@
 QUEUE_TIME = 2.0  # s in the queue of an overloaded discovery before a call is rejected
 
 
-class Longest(random.Random):
+class LongestPause(random.Random):
     """Always draws the longest possible pause."""
 
     def random(self):
@@ -117,9 +117,9 @@
 class Discovery:
     """Responds according to the protocol, except for a fault from `begins` to `ends`."""
 
-    def __init__(self, clock, fault, begins, ends, drains_at, began_anew=False):
+    def __init__(self, clock, fault, begins, ends, drains_at, restarted=False):
         self.clock, self.fault, self.begins, self.ends = clock, fault, begins, ends
-        self.drains_at, self.began_anew = drains_at, began_anew
+        self.drains_at, self.restarted = drains_at, restarted
         self.connections, self.calls = [], []
         clock.connectTCP = self.connect
         if begins is not None:
@@ -146,7 +146,7 @@
 
     def revision(self):
         now = self.clock.seconds()
-        first = 2 if self.began_anew and now >= self.ends else HELD_SNAPSHOT.revision
+        first = 2 if self.restarted and now >= self.ends else HELD_SNAPSHOT.revision
         return first + (now >= self.drains_at)
 
     def body(self, complete):
@@ -157,7 +157,7 @@
     def request(self, connection, path):
         """Handle one call: a fault applies immediately, else the response waits for a change or a timeout."""
         if self.active_fault():
-            return self.spoil(connection)
+            return self.respond_with_fault(connection)
         query = dict(pair.split("=") for pair in path.partition("?")[2].split("&") if pair)
         wait = int(query.get("wait_ms", 0)) / 1000
         self.respond_when_due(connection, int(query.get("after", -1)), self.clock.seconds() + wait)
@@ -167,7 +167,7 @@
             return
         now = self.clock.seconds()
         if self.active_fault():
-            self.spoil(connection)
+            self.respond_with_fault(connection)
         elif after < 0 or self.revision() != after:
             self.answer(connection, self.body(after < 0 or self.revision() < after))
         elif now >= until:
@@ -181,7 +181,7 @@
         length_line = b"Content-Length: %d\r\n" % len(body) if length else b""
         connection.send(b"HTTP/1.1 %d Text\r\n%b\r\n%b" % (code, length_line, body))
 
-    def spoil(self, connection):
+    def respond_with_fault(self, connection):
         """Respond to one call in the way of the fault."""
         FAULTS[self.fault](self, connection)
 
@@ -259,18 +259,20 @@
 }
 
 
-class World:
+class WatchHarness:
     """The watch of one gateway, and its discovery."""
 
     def __init__(self, pushed, gateways, rng=None, **script):
         self.clock = Clock()
         self.discovery = Discovery(self.clock, **script)
         self.settings = settings(is_endpoint_list_pushed=pushed, gateways=gateways, drain_grace=0.25)
-        self.rng, self.told_at, self.told = rng or Longest(), None, []
+        self.rng, self.notified_at, self.snapshots = rng or LongestPause(), None, []
         self.watch = self.start_watch(HELD_SNAPSHOT)
 
     def start_watch(self, held):
-        watch = discovery_watch.Watch(self.clock, ADDRESS, self.settings, self.on_snapshot, held, self.rng)
+        watch = discovery_watch.DiscoveryWatch(
+            self.clock, ADDRESS, self.settings, self.on_snapshot, held, self.rng
+        )
         watch.run()
         return watch
 
@@ -280,13 +282,13 @@
         self.watch = self.start_watch(None)
 
     def on_snapshot(self, snapshot):
-        self.told.append(snapshot)
-        if self.told_at is None and any(e.state is EndpointState.DRAINING for e in snapshot.entries):
-            self.told_at = self.clock.seconds()
+        self.snapshots.append(snapshot)
+        if self.notified_at is None and any(e.state is EndpointState.DRAINING for e in snapshot.entries):
+            self.notified_at = self.clock.seconds()
 
-    def run_until(self, end, told=False):
-        """Advance from event to event until `end`; with `told`, stop once the watch reported the drain."""
-        while not (told and self.told_at is not None):
+    def run_until(self, end, until_notified=False):
+        """Advance from event to event until `end`, or until the drain is reported if `until_notified`."""
+        while not (until_notified and self.notified_at is not None):
             upcoming = min((c.getTime() for c in self.clock.getDelayedCalls()), default=end)
             self.clock.advance(max(0.0, min(upcoming, end) - self.clock.seconds()))
             if self.clock.seconds() >= end:
--- a/tests/persistence/test_quota_handover.py
+++ b/tests/persistence/test_quota_handover.py
@@ -31,8 +31,8 @@
 from corkdeal.persistence.capture import StateCapture
 from corkdeal.persistence.handover_files import HandoverFiles, HandoverPart
 from corkdeal.persistence.restore import RestoredState
-from tests.helpers import Ring, pick, request
-from tests.net_world import PATIENCE, Program, served
+from tests.helpers import FakeTier, pick, request
+from tests.net_world import WAIT_TIMEOUT, Program, served
 
 PLAN = Plan(rate=2.0, burst=6.0, name="p")
 ONE = Settings(
@@ -106,7 +106,7 @@
 def hand_over_remainder(old, new, partial, now, between=lambda: None):
     snapshot = old.snapshot(now)
     quota_handover.release_all(old.decisions)
-    steps = quota_handover.take_rest(
+    steps = quota_handover.take_over_remainder(
         new.decisions, lambda: now, partial, new.restored(snapshot, now), snapshot.head.fleet.quota_fraction
     )
     for _ in steps:
@@ -158,7 +158,7 @@
 
 
 def test_an_old_process_of_two_gateways_rejects_what_comes_after_it_gave_all():
-    ring = Ring(2)
+    ring = FakeTier(2)
     ring.spread = 2
     ring.run(3.0, lambda me: 0.2)
     quota_handover.release_all(ring.gateways[0])
@@ -195,16 +195,16 @@
             now += 0.05
             process = processes[-1]
             process.ask(now, 7, spread=2, units=0.2)
-            for one, other in ((process, peer), (peer, process)):
-                out = one.decisions.handle(now, [TimerExpired(0)])
+            for sender, receiver in ((process, peer), (peer, process)):
+                out = sender.decisions.handle(now, [TimerExpired(0)])
                 for _ in range(4):  # in both directions until no message is left
                     messages = [
-                        PeerMessage(one.decisions.settings.gateway_index, a.payload)
+                        PeerMessage(sender.decisions.settings.gateway_index, a.payload)
                         for a in out
                         if isinstance(a, SendToPeer)
                     ]
-                    one, other = other, one
-                    out = one.decisions.handle(now, messages) if messages else []
+                    sender, receiver = receiver, sender
+                    out = sender.decisions.handle(now, messages) if messages else []
 
     def total():
         return sum(process.decisions.accounts[7].base_share() for process in (processes[-1], peer))
@@ -283,11 +283,11 @@
         """Whether a request of customer 1 is admitted."""
         self.rid += 1
         self.ask(client, customer=1, rid=self.rid)
-        served_ = threading.Thread(target=self.serve, daemon=True)
-        served_.start()
+        serving_thread = threading.Thread(target=self.serve, daemon=True)
+        serving_thread.start()
         answer = client.read()
         self.world.asked.put(None)  # ends `serve` if the request was rejected and never reached a backend
-        served_.join(PATIENCE)
+        serving_thread.join(WAIT_TIMEOUT)
         while not self.world.asked.empty():
             self.world.asked.get()
         return answer == [b"v"]
@@ -311,7 +311,7 @@
         old.send_signal(signal.SIGTERM)
         self.wait_for_line(old, "handover_rest")
         self.assertIn("part=1.0", self.line("handover_done"))
-        self.assertEqual(old.wait(PATIENCE), 0)
+        self.assertEqual(old.wait(WAIT_TIMEOUT), 0)
         self.assertEqual(self.admitted(self.client()), 0)
 
     def test_an_old_process_killed_before_it_gave_the_rest_leaves_its_rate_and_a_dead_new_one_gives_it_back(
@@ -333,9 +333,9 @@
         self.assertTrue(re.search("rest=False part=1.0", self.line("handover_done")))
         self.assertEqual(self.admitted(self.client()), 0)
         client, began = self.client(), time.monotonic()
-        while not self.admitted(client, 1) and time.monotonic() - began < 2 * PATIENCE:
+        while not self.admitted(client, 1) and time.monotonic() - began < 2 * WAIT_TIMEOUT:
             time.sleep(0.1)  # it refills at the whole rate, 0.1 per second
-        self.assertLess(time.monotonic() - began, 2 * PATIENCE)
+        self.assertLess(time.monotonic() - began, 2 * WAIT_TIMEOUT)
 
     def test_a_folder_that_goes_away_while_it_serves_harms_nothing(self):
         self.begin()
@@ -343,7 +343,7 @@
         next_old = self.next_process()  # it finds no predecessor, so both have the whole quota
         self.line("serving ")
         next_old.send_signal(signal.SIGTERM)
-        self.assertEqual(next_old.wait(PATIENCE), 0)
+        self.assertEqual(next_old.wait(WAIT_TIMEOUT), 0)
         self.assertEqual(self.admitted(self.client()), 2)
 
     def test_a_shared_folder_that_cannot_be_used_costs_the_handover_only(self):
--- a/tests/persistence/test_restore.py
+++ b/tests/persistence/test_restore.py
@@ -42,19 +42,19 @@
     return codec.decode_snapshot(b"".join(codec.encode_snapshot(1, head, pages)))[2]
 
 
-def restored_state(snapshot, age, now, s=None, addresses=None):
+def restored_state(snapshot, age, now, gateway_settings=None, addresses=None):
     counts = Counter()
     return (
-        RestoredState(snapshot, age, now, s or settings(), (addresses or {}).get, counts)
+        RestoredState(snapshot, age, now, gateway_settings or settings(), (addresses or {}).get, counts)
         if addresses
-        else RestoredState(snapshot, age, now, s or settings(), lambda name: "", counts)
+        else RestoredState(snapshot, age, now, gateway_settings or settings(), lambda name: "", counts)
     )
 
 
-def restarted(snapshot, age, now, s=None):
-    gateway = Gateway(s or settings(), seed=2)
+def restarted(snapshot, age, now, gateway_settings=None):
+    gateway = Gateway(gateway_settings or settings(), seed=2)
     gateway.now = 0.0
-    gateway.restore(restored_state(snapshot, age, now, s))
+    gateway.restore(restored_state(snapshot, age, now, gateway_settings))
     return gateway
 
 
@@ -68,11 +68,11 @@
     (
         old.latency_model.usual_latencies[0, 1],
         old.latency_model.queueing_factor,
-        old.latency_model.fleet_slowness,
+        old.latency_model.fleet_latency_ratio,
         old.retries.budget,
     ) = 0.4, 0.7, 2.0, 3.0
     bad = old.backends.records["a"]
-    bad.slowness, bad.failures, bad.is_ejected, bad.ejection_time, bad.rejecting_classes = (
+    bad.latency_ratio, bad.failures, bad.is_ejected, bad.ejection_time, bad.rejecting_classes = (
         5.0,
         4,
         True,
@@ -88,11 +88,11 @@
     assert new.latency_model.usual_latencies[0, 1] == pytest.approx(
         0.4, rel=0.01
     ) and new.latency_model.queueing_factor == pytest.approx(0.7, rel=0.01)
-    assert 1.6 < new.latency_model.fleet_slowness < 2.0 and 3.0 < new.retries.budget < 5.0
-    a = new.backends.records["a"]
-    assert 4.6 < a.slowness < 5.0 and a.failures == 4 and a.ejection_time < 2.0
-    assert a.is_ejected and a.ejected_until == 8003.0  # ejected, but due for a trial at once
-    assert a.rejecting_classes[1][1] == pytest.approx(8009.0)
+    assert 1.6 < new.latency_model.fleet_latency_ratio < 2.0 and 3.0 < new.retries.budget < 5.0
+    backend = new.backends.records["a"]
+    assert 4.6 < backend.latency_ratio < 5.0 and backend.failures == 4 and backend.ejection_time < 2.0
+    assert backend.is_ejected and backend.ejected_until == 8003.0  # ejected, but due for a trial at once
+    assert backend.rejecting_classes[1][1] == pytest.approx(8009.0)
     new.handle(8003.0, [helpers.request(99, units=2.0)])
     account = new.accounts[7]
     filled = min(10.0, level + 2.0 * (8003.0 - 8000.8))
@@ -147,10 +147,10 @@
 def test_a_record_is_only_for_the_process_it_was_made_of(entry, at, found, counted):
     snapshot = samples.snapshot_of(msgspec.structs.replace(samples.HEAD, servers=(BACKEND,)), {})
     restored = restored_state(snapshot, 1.0, 9000.0, addresses={entry.backend: at})
-    made = restored.server(entry, 9000.0)
-    assert (made is not None) is found and (not counted or restored.counts[counted] == 1)
+    record = restored.backend(entry, 9000.0)
+    assert (record is not None) is found and (not counted or restored.counts[counted] == 1)
     if found:
-        assert restored.server(entry, 9000.0) is None and made.rejections == ()
+        assert restored.backend(entry, 9000.0) is None and record.rejections == ()
         assert restored.counts["knowledge_class_unknown"] == 1
 
 
@@ -158,11 +158,11 @@
     snapshot = samples.snapshot_of(msgspec.structs.replace(samples.HEAD, servers=(BACKEND,)), {})
     gateway = restarted(snapshot, 1.0, 9000.0)
     gateway.handle(9000.0, [listed_update("a", started=500.0, kind=UpdateKind.CACHED)])
-    assert gateway.backends.records["a"].slowness == 1.0
+    assert gateway.backends.records["a"].latency_ratio == 1.0
     gateway.handle(9000.5, [listed_update("a", started=1000.0)])
-    assert gateway.backends.records["a"].slowness > 4.0
+    assert gateway.backends.records["a"].latency_ratio > 4.0
     gateway.handle(9001.0, [listed_update("a", started=9000.9)])  # started again since the record was made
-    assert gateway.backends.records["a"].slowness == 1.0 and not gateway.backends.records["a"].is_ejected
+    assert gateway.backends.records["a"].latency_ratio == 1.0 and not gateway.backends.records["a"].is_ejected
 
 
 @pytest.mark.parametrize(
@@ -177,8 +177,8 @@
 )
 def test_an_account_is_only_taken_for_the_same_plan_and_set(plan, first, spread, age, counted):
     restored = restored_state(samples.snapshot_of(), age, 9000.0, settings(plan=plan))
-    made = restored.account(7, plan, first, spread, 9000.0)
-    assert (made is not None) is (counted == "knowledge_account_used") and restored.counts == {counted: 1}
+    record = restored.account(7, plan, first, spread, 9000.0)
+    assert (record is not None) is (counted == "knowledge_account_used") and restored.counts == {counted: 1}
     assert restored.account(7, plan, first, spread, 9000.0) is None
 
 
@@ -187,8 +187,8 @@
     [(5.0, 0, 2, True), (31.0, 0, 2, False), (math.inf, 0, 2, False), (5.0, 1, 2, False), (5.0, 0, 3, False)],
 )
 def test_ledgers_are_resumed_only_soon_and_in_the_same_place(age, me, gateways, resumes):
-    s = settings(me, gateways)
-    gateway = restarted(samples.snapshot_of(), age, 9000.0, s)
+    gateway_settings = settings(me, gateways)
+    gateway = restarted(samples.snapshot_of(), age, 9000.0, gateway_settings)
     gateway.handle(9000.0, [listed_update("a"), helpers.request(1, spread=2)])
     if resumes:
         assert (gateway.incarnation, gateway.peer_incarnations) == (
@@ -203,15 +203,14 @@
 def test_a_ledger_with_a_peer_that_started_again_begins_anew():
     """The peer's rounds start at 1 again; a ledger with a higher last round would ignore its messages."""
     gateway = restarted(samples.snapshot_of(), 5.0, 9000.0, settings(0, 2))
-    again = peer_messages.encode_exchange(9000_500, gateway.incarnation, 1, [])[
-        0
-    ]  # the peer started after the record was made
-    gateway.handle(9000.0, [listed_update("a"), PeerMessage(1, again)])
+    # the peer started after the record was made
+    first_message = peer_messages.encode_exchange(9000_500, gateway.incarnation, 1, [])[0]
+    gateway.handle(9000.0, [listed_update("a"), PeerMessage(1, first_message)])
     gateway.handle(9000.1, [helpers.request(1, spread=2)])  # the account is created only now
     assert gateway.accounts[7].ledgers[1].last_round == 0 == gateway.accounts[7].ledgers[1].received_share
-    note = peer_messages.AccountUpdate(7, 0, 0, 2, 0.5, 1.0, 1.0, 0, 0.0)
+    update = peer_messages.AccountUpdate(7, 0, 0, 2, 0.5, 1.0, 1.0, 0, 0.0)
     gateway.handle(
-        9000.2, [PeerMessage(1, peer_messages.encode_exchange(9000_500, gateway.incarnation, 2, [note])[0])]
+        9000.2, [PeerMessage(1, peer_messages.encode_exchange(9000_500, gateway.incarnation, 2, [update])[0])]
     )
     assert gateway.accounts[7].ledgers[1].last_round == 2
 
@@ -236,11 +235,16 @@
     restored = restored_state(samples.snapshot_of(), math.inf, 9000.0)
     assert (
         restored.has_expired
-        and restored.server(listed_update("s-1", started=1000.0).entries[0], 9000.0) is None
+        and restored.backend(listed_update("s-1", started=1000.0).entries[0], 9000.0) is None
     )
     assert restored.account(7, PLAN, 0, 2, 9000.0) is None
     fleet = restored.fleet(9000.0, {"look": 0.15})
-    assert (fleet.usual_latencies, fleet.pace, fleet.slowness, fleet.retry_budget) == ((), 0.5, 1.0, 10.0)
+    assert (fleet.usual_latencies, fleet.pace, fleet.latency_ratio, fleet.retry_budget) == (
+        (),
+        0.5,
+        1.0,
+        10.0,
+    )
 
 
 def test_accounts_that_nobody_asked_for_survive_a_second_restart_also_after_a_reboot():
@@ -271,7 +275,10 @@
     gateway.handle(9000.0, [listed_update("other")])
     again = captured(gateway, 9010.0, restored=restored).head
     (found,) = (s for s in again.servers if s.backend == "a")
-    assert again.clock.boot - found.recorded_at == pytest.approx(12.0) and found.slowness == BACKEND.slowness
+    assert (
+        again.clock.boot - found.recorded_at == pytest.approx(12.0)
+        and found.latency_ratio == BACKEND.latency_ratio
+    )
     assert [s.backend for s in captured(gateway, 9200.0, restored=restored).head.servers] == ["other"]
     assert restored.counts["knowledge_server_gone"] == 1
 
@@ -296,8 +303,8 @@
         assert age == pytest.approx(expected_age) and anomalies == (
             ("clock_stepped",) if snapshot is snapshots[0] else ()
         )
-        made = restored_state(snapshot, age, 8002.1).account(7, PLAN, 0, 3, 8002.1)
-        assert made.refilled_at == pytest.approx(8000.0)
+        record = restored_state(snapshot, age, 8002.1).account(7, PLAN, 0, 3, 8002.1)
+        assert record.refilled_at == pytest.approx(8000.0)
 
 
 def test_only_changed_accounts_are_encoded_again_and_forgotten_ones_are_dropped():
@@ -309,10 +316,10 @@
     captured(gateway, 8000.1, capture=capture)
     gateway.handle(8000.2, [helpers.outcome(1, 0, "a"), helpers.outcome(2, 0, "a")])
     captured(gateway, 8000.3, capture=capture)
-    before = dict(capture.packed)
+    before = dict(capture.encoded_entries)
     gateway.handle(8000.4, [helpers.request(3, customer=8)])
     snapshot = captured(gateway, 8000.5, capture=capture)
-    assert capture.packed[7] is before[7] and capture.packed[8] is not before[8]
+    assert capture.encoded_entries[7] is before[7] and capture.encoded_entries[8] is not before[8]
     assert codec.decode_account(snapshot.encoded_accounts()[8]).in_flight == 1
     del gateway.accounts[7]
     assert list(captured(gateway, 8000.6, capture=capture).encoded_accounts()) == [8]
@@ -324,20 +331,20 @@
     def asked(me):  # never zero: without a request the account would not be decoded
         return 0.5 if me == 0 else 0.02
 
-    ring = helpers.Ring(plan=Plan(rate=6.0, burst=30.0, name="small"))
+    ring = helpers.FakeTier(plan=Plan(rate=6.0, burst=30.0, name="small"))
     ring.run(6, ask=asked)
-    snapshots, before = {}, ring.slices()
+    snapshots, before = {}, ring.quota_shares()
     assert max(before.values()) > 0.45  # supply has moved to the demand
     for me in (0, 1, 2, 0):
         snapshots[me] = captured(ring.gateways[me], ring.now)
         ring.run(0.8, ask=asked)  # more exchanges, which the snapshot does not have
         del ring.gateways[me]
         ring.run(0.7)
-        s = helpers.settings(me, 3, plans=(ring.plan,))
-        restored = RestoredState(snapshots[me], 1.5, ring.now, s, lambda name: "", Counter())
-        made = ring.gateways[me] = Gateway(s, seed=9)
-        made.restore(restored)
-        ring.take(me, made.handle(ring.now, [helpers.servers("a", "b", "c")]))
+        gateway_settings = helpers.settings(me, 3, plans=(ring.plan,))
+        restored = RestoredState(snapshots[me], 1.5, ring.now, gateway_settings, lambda name: "", Counter())
+        gateway = ring.gateways[me] = Gateway(gateway_settings, seed=9)
+        gateway.restore(restored)
+        ring.process_actions(me, gateway.handle(ring.now, [helpers.servers("a", "b", "c")]))
         ring.run(3, ask=asked)
-        assert sum(ring.slices().values()) == pytest.approx(1.0, abs=0.02)
-    assert max(ring.slices().values()) > 0.45
+        assert sum(ring.quota_shares().values()) == pytest.approx(1.0, abs=0.02)
+    assert max(ring.quota_shares().values()) > 0.45
--- a/tests/persistence/test_store.py
+++ b/tests/persistence/test_store.py
@@ -18,14 +18,16 @@
 
 
 def numbered_parts(generation):
-    """Return the parts of a snapshot that contains its generation, as the slowness of its backends."""
-    servers = tuple(samples.BACKEND._replace(backend=f"s-{i}", slowness=float(generation)) for i in range(40))
+    """Return the parts of a snapshot that contains its generation, as the latency ratio of its backends."""
+    servers = tuple(
+        samples.BACKEND._replace(backend=f"s-{i}", latency_ratio=float(generation)) for i in range(40)
+    )
     return samples.parts(generation, head=msgspec.structs.replace(samples.HEAD, servers=servers))
 
 
 def generation_of(snapshot):
-    (slowness,) = {s.slowness for s in snapshot.head.servers}
-    return int(slowness)
+    (latency_ratio,) = {s.latency_ratio for s in snapshot.head.servers}
+    return int(latency_ratio)
 
 
 def test_no_crash_state_loads_a_damaged_file_or_loses_a_durable_generation(tmp_path):
@@ -166,15 +168,15 @@
 
 
 def test_a_second_process_of_one_name_cannot_use_the_folder_until_the_first_ends(tmp_path):
-    one, other = SnapshotStore(str(tmp_path)), SnapshotStore(str(tmp_path))
-    one.write(numbered_parts)
+    first, second = SnapshotStore(str(tmp_path)), SnapshotStore(str(tmp_path))
+    first.write(numbered_parts)
     with pytest.raises(FolderLockedError):
-        other.open()
+        second.open()
     with pytest.raises(FolderLockedError):
-        other.write(numbered_parts)
-    one.close()
-    assert other.write(numbered_parts) == 2
-    other.close()
+        second.write(numbered_parts)
+    first.close()
+    assert second.write(numbered_parts) == 2
+    second.close()
 
 
 @pytest.mark.parametrize("name", ["n0", "../../etc", ".", "", "a/b", "halle-ä"])
@@ -189,8 +191,8 @@
     failing = ""
     number = errno.ENOSPC
 
-    def fail_if_selected(self, what):
-        if what == FailingFolder.failing:
+    def fail_if_selected(self, operation):
+        if operation == FailingFolder.failing:
             raise OSError(self.number, os.strerror(self.number))
 
     def create(self, name):
--- a/tests/test_bodies.py
+++ b/tests/test_bodies.py
@@ -25,8 +25,8 @@
     UpdateKind,
 )
 from corkdeal.net import (
-    answers,
     backend_connection,
+    backend_replies,
     config,
     gateway,
     invariants,
@@ -35,11 +35,11 @@
     response_stream,
 )
 from corkdeal.net.budget import Budget
-from corkdeal.net.resp import WHOLE, command
+from corkdeal.net.resp import MAX_INLINE_VALUE, encode_command
 
 from .net_world import SETTINGS, Program, served
 
-LONG = WHOLE + 1
+LONG = MAX_INLINE_VALUE + 1
 
 
 def split_at(raw, at):
@@ -57,7 +57,7 @@
         [
             bulk(0),
             bulk(5),
-            bulk(WHOLE),
+            bulk(MAX_INLINE_VALUE),
             bulk(LONG, b"\r"),
             b"*3\r\n" + bulk(LONG) + b"$-1\r\n$5\r\nqps=1\r\n",
             b"*3\r\n*3\r\n" + bulk(LONG, b"\n") + b":1\r\n" + bulk(2 * LONG) + b"$-1\r\n$-1\r\n",
@@ -100,7 +100,7 @@
     offset, _tempDataBuffer, _tempDataLen, connected = 0, (), 0, True
 
     def __init__(self):
-        self.taken, self.room, self.dataBuffer = bytearray(), 1 << 40, b""
+        self.taken, self.free_space, self.dataBuffer = bytearray(), 1 << 40, b""
         self.producerPaused = self.reading_paused = self.closed = self.aborted = False
         self.producer = None
 
@@ -122,16 +122,21 @@
         return -1
 
     def sendmsg(self, parts):
-        data = b"".join(parts)[: self.room]
+        data = b"".join(parts)[: self.free_space]
         if not data:
             raise BlockingIOError
         self.taken += data
-        self.room -= len(data)
+        self.free_space -= len(data)
         return len(data)
 
     def write(self, data):
         self.dataBuffer += data
-        if self.producer and self.streaming and len(self.dataBuffer) > WHOLE and not self.producerPaused:
+        if (
+            self.producer
+            and self.streaming
+            and len(self.dataBuffer) > MAX_INLINE_VALUE
+            and not self.producerPaused
+        ):
             self.producerPaused = True
             self.producer.pauseProducing()
 
@@ -141,7 +146,7 @@
     def take(self):
         """The peer reads all and has free space again."""
         self.taken += self.dataBuffer
-        self.dataBuffer, self.room = b"", 1 << 40
+        self.dataBuffer, self.free_space = b"", 1 << 40
         if self.producer and (self.producerPaused or not self.streaming):
             self.producerPaused = False
             self.producer.resumeProducing()
@@ -171,12 +176,12 @@
     def __init__(self):
         self.reactor = MemoryReactorClock()
         raw = json.dumps({"listen": "127.0.0.1:1", "discovery": "127.0.0.1:2", "settings": SETTINGS}).encode()
-        self.gateway = gateway.Gateway(self.reactor, config.read(raw, {}))
+        self.gateway = gateway.Gateway(self.reactor, config.parse_config(raw, {}))
         self.gateway.now = self.gateway.pool.now = self.gateway.descriptors.now = self.reactor.seconds
         self.gateway.timers.now = self.reactor.seconds
         entry = Endpoint("a", EndpointState.READY)
-        self.gateway.feed(EndpointUpdate(UpdateKind.COMPLETE, (entry,)))
-        self.gateway.pool.told("a", True, ("127.0.0.1", 3))
+        self.gateway.handle_event(EndpointUpdate(UpdateKind.COMPLETE, (entry,)))
+        self.gateway.pool.update_endpoint("a", True, ("127.0.0.1", 3))
         self.client_connection = gateway.client_connection.ClientConnection(self.gateway)
         self.client = FakeTransport()
         self.client_connection.makeConnection(self.client)
@@ -188,7 +193,7 @@
     def ask(self, rid):
         """Send one request; return the backend connection of its attempt, and its transport."""
         params = b"c=look,t=large,d=3000,units=1,spread=1,first=0"
-        self.client_connection.dataReceived(command(b"API.READ", b"%016x" % 7, b"%016x" % rid, params))
+        self.client_connection.dataReceived(encode_command(b"API.READ", b"%016x" % 7, b"%016x" % rid, params))
         return self.establish()
 
     def establish(self):
@@ -207,36 +212,36 @@
 
 @given(st.lists(st.integers(0, 10**6), max_size=8), st.lists(st.integers(0, 3), max_size=12))
 def test_a_value_arrives_whole_whatever_the_cuts_and_however_the_client_takes_it(at, takes):
-    pair = GatewayWithClient()
-    first, _ = pair.ask(1)
-    conn, wire = pair.ask(2)  # its reply has to wait for that of the first
-    pair.client.room = 1000
+    harness = GatewayWithClient()
+    first, _ = harness.ask(1)
+    conn, wire = harness.ask(2)  # its reply has to wait for that of the first
+    harness.client.free_space = 1000
     pieces, held, takes = deque(split_at(HEAD + VALUE + TAIL, at)), 0, deque(takes)
     while pieces:
         if wire.reading_paused:
             if not first.attempt:
-                pair.client.take()
-                pair.client.room = takes.popleft() * LONG if takes else 0
+                harness.client.take()
+                harness.client.free_space = takes.popleft() * LONG if takes else 0
             else:
                 first.dataReceived(served())
             continue
         conn.dataReceived(pieces.popleft())
-        held = max(held, len(pair.client.dataBuffer))
+        held = max(held, len(harness.client.dataBuffer))
     if first.attempt:
         first.dataReceived(served())
-    pair.client.take()
-    assert bytes(pair.client.taken) == bulk(1) + VALUE
-    assert pair.outcomes() == [Status.OK] * 2
-    assert held <= 2 * len(max(split_at(HEAD + VALUE + TAIL, at), key=len)) + WHOLE
-    assert not pair.client_connection.pending_replies and not pair.gateway.rpcs
+    harness.client.take()
+    assert bytes(harness.client.taken) == bulk(1) + VALUE
+    assert harness.outcomes() == [Status.OK] * 2
+    assert held <= 2 * len(max(split_at(HEAD + VALUE + TAIL, at), key=len)) + MAX_INLINE_VALUE
+    assert not harness.client_connection.pending_replies and not harness.gateway.rpcs
     gc.disable()  # must be freed without the garbage collector, which runs rarely in the gateway
     try:
-        conn, _ = pair.ask(3)
+        conn, _ = harness.ask(3)
         conn.dataReceived((HEAD + VALUE + TAIL)[:90000])
-        gone = weakref.ref(conn.response_stream)
+        stream_ref = weakref.ref(conn.response_stream)
         conn.dataReceived((HEAD + VALUE + TAIL)[90000:])
-        pair.client.take()
-        assert conn.response_stream is None and gone() is None
+        harness.client.take()
+        assert conn.response_stream is None and stream_ref() is None
     finally:
         gc.enable()
 
@@ -250,89 +255,91 @@
     ([HEAD + VALUE + b"junk\r\n"], Status.RESET, "backend_connection_malformed", False),
     ([HEAD + bulk(1) + VALUE], Status.RESET, "backend_connection_malformed", False),
     ([HEAD + b"*2\r\n:1\r\n" + VALUE], Status.RESET, "backend_connection_malformed", False),
-    ([HEAD + b"$%d\r\n" % (resp.MOST_VALUE + 1)], Status.RESET, "backend_connection_malformed", False),
+    ([HEAD + b"$%d\r\n" % (resp.MAX_VALUE + 1)], Status.RESET, "backend_connection_malformed", False),
 ]
 
 
-@pytest.mark.parametrize(("given", "status", "name", "gone"), BAD_REPLIES)
-def test_a_backend_that_spoils_a_long_answer_costs_that_answer_only(given, status, name, gone):
-    pair = GatewayWithClient()
-    conn, _ = pair.ask(1)
-    for what in given:
-        if what is None:
+@pytest.mark.parametrize(("events", "status", "name", "is_closed"), BAD_REPLIES)
+def test_a_backend_that_spoils_a_long_answer_costs_that_answer_only(events, status, name, is_closed):
+    harness = GatewayWithClient()
+    conn, _ = harness.ask(1)
+    for event in events:
+        if event is None:
             conn.connectionLost()
-        elif isinstance(what, float):
-            pair.reactor.advance(what)
+        elif isinstance(event, float):
+            harness.reactor.advance(event)
         else:
-            conn.dataReceived(what)
-    assert pair.outcomes()[0] is status
+            conn.dataReceived(event)
+    assert harness.outcomes()[0] is status
     assert invariants.counts[name] == 1
-    assert pair.client.closed is gone
-    assert bytes(pair.client.taken) in VALUE
+    assert harness.client.closed is is_closed
+    assert bytes(harness.client.taken) in VALUE
 
 
 def test_nothing_follows_a_value_that_is_not_whole():
-    pair = GatewayWithClient()
-    conn, _ = pair.ask(1)
-    other, _ = pair.ask(2)
+    harness = GatewayWithClient()
+    conn, _ = harness.ask(1)
+    other, _ = harness.ask(2)
     conn.dataReceived(HEAD + VALUE[:90000])
     conn.connectionLost()
     other.dataReceived(served())
-    assert bytes(pair.client.taken) == VALUE[:90000] and pair.client.closed
+    assert bytes(harness.client.taken) == VALUE[:90000] and harness.client.closed
 
 
-def test_what_was_begun_is_neither_timed_out_nor_sent_again_and_loads_no_server():
-    pair = GatewayWithClient()
-    conn, wire = pair.ask(1)
-    pair.reactor.advance(0.25)
+def test_a_reply_that_has_begun_is_neither_timed_out_nor_retried_and_loads_no_backend():
+    harness = GatewayWithClient()
+    conn, wire = harness.ask(1)
+    harness.reactor.advance(0.25)
     conn.dataReceived(HEAD + VALUE[:90000])
-    server = pair.gateway.decisions.backends.records["a"]
-    assert not server.in_flight and len(server.streaming) == 1
+    backend = harness.gateway.decisions.backends.records["a"]
+    assert not backend.in_flight and len(backend.streaming) == 1
     for _ in range(8):  # far past its deadline, a byte every second
-        pair.reactor.advance(1.0)
+        harness.reactor.advance(1.0)
         conn.dataReceived(b"v")
     conn.dataReceived(VALUE[90008:] + TAIL)
-    assert bytes(pair.client.taken) == VALUE
-    last = [e for e in pair.events if isinstance(e, AttemptEnded)][-1]
+    assert bytes(harness.client.taken) == VALUE
+    last = [e for e in harness.events if isinstance(e, AttemptEnded)][-1]
     assert (last.status, last.elapsed, last.report) == (Status.OK, 0.25, {"qps": 1.0})
-    assert not server.streaming and len(pair.reactor.tcpClients) == 1
+    assert not backend.streaming and len(harness.reactor.tcpClients) == 1
 
 
 def test_a_client_that_takes_nothing_ends_and_one_that_goes_away_frees_its_backend():
-    for leave in (False, True):
-        pair = GatewayWithClient()
-        conn, wire = pair.ask(1)
-        pair.client.room = 0
+    for is_closed in (False, True):
+        harness = GatewayWithClient()
+        conn, wire = harness.ask(1)
+        harness.client.free_space = 0
         conn.dataReceived(HEAD + VALUE[:90000])
         assert wire.reading_paused
-        if leave:
-            pair.client_connection.connectionLost()
+        if is_closed:
+            harness.client_connection.connectionLost()
         else:
             for _ in range(4):
-                pair.reactor.advance(response_stream.CLIENT_STALL_TIMEOUT)
-            assert pair.client.closed and invariants.counts["answer_not_taken"] == 1
-        assert conn.ended and pair.outcomes() == [Status.CANCELLED]
+                harness.reactor.advance(response_stream.CLIENT_STALL_TIMEOUT)
+            assert harness.client.closed and invariants.counts["answer_not_taken"] == 1
+        assert conn.ended and harness.outcomes() == [Status.CANCELLED]
 
 
-def test_a_probe_has_no_long_answer():
-    pair = GatewayWithClient()
-    pool = pair.gateway.pool
+def test_a_health_check_may_not_have_a_large_reply():
+    harness = GatewayWithClient()
+    pool = harness.gateway.pool
     pool.send(backend_connection.Attempt(None, 0, "a", 0.0, 9.0, [b"x"]))
-    conn, _ = pair.establish()
+    conn, _ = harness.establish()
     conn.dataReceived(VALUE)
     assert conn.ended and invariants.counts["backend_connection_malformed"] == 1
-    assert [e.status for e in pair.events if isinstance(e, HealthCheckResult)] == [Status.RESET]
-    assert dataclasses.is_dataclass(answers.Reply)
+    assert [e.status for e in harness.events if isinstance(e, HealthCheckResult)] == [Status.RESET]
+    assert dataclasses.is_dataclass(backend_replies.Reply)
 
 
 def test_a_slow_commands_wait_counts_from_its_last_byte():
-    pair = GatewayWithClient()
-    raw = command(b"API.READ", b"%016x" % 7, b"%016x" % 1, b"c=look,t=large,d=900,units=1,spread=1,first=0")
-    pair.client_connection.dataReceived(raw[:-2])
-    pair.reactor.advance(2.0)  # as long as a client may take
-    pair.gateway.descriptors.sweep()
-    pair.client_connection.dataReceived(raw[-2:])
-    (request,) = [e for e in pair.events if isinstance(e, Request)]
+    harness = GatewayWithClient()
+    raw = encode_command(
+        b"API.READ", b"%016x" % 7, b"%016x" % 1, b"c=look,t=large,d=900,units=1,spread=1,first=0"
+    )
+    harness.client_connection.dataReceived(raw[:-2])
+    harness.reactor.advance(2.0)  # as long as a client may take
+    harness.gateway.descriptors.sweep()
+    harness.client_connection.dataReceived(raw[-2:])
+    (request,) = [e for e in harness.events if isinstance(e, Request)]
     assert request.timeout == pytest.approx(0.9, abs=0.01)
 
 
@@ -340,7 +347,7 @@
     """Return a command with a large value."""
     params = b"c=%b,t=%b,d=%d%b,units=1,spread=1,first=0" % (cls, plan, d, more)
     customer = 1 if plan == b"small" else 7
-    return command(b"API.WRITE", b"%016x" % customer, b"%016x" % rid, params, b"b" * size)
+    return encode_command(b"API.WRITE", b"%016x" % customer, b"%016x" % rid, params, b"b" * size)
 
 
 def without_wait(raw):
@@ -349,70 +356,72 @@
 
 @given(st.lists(st.integers(0, 10**6), max_size=12), st.lists(st.integers(1, 3), max_size=9))
 def test_a_long_command_reaches_its_backend_whole_whatever_the_cuts(at, takes):
-    pair = GatewayWithClient()
+    harness = GatewayWithClient()
     raw = write()
     for piece in split_at(raw, at):
-        assert not pair.reactor.tcpClients  # nothing is sent before the last byte was received
-        pair.client_connection.dataReceived(piece)
-        pair.reactor.advance(0.01)
-    conn, wire = pair.reactor.tcpClients[-1][2].buildProtocol(None), FakeTransport()
-    wire.room = 1000
+        assert not harness.reactor.tcpClients  # nothing is sent before the last byte was received
+        harness.client_connection.dataReceived(piece)
+        harness.reactor.advance(0.01)
+    conn, wire = harness.reactor.tcpClients[-1][2].buildProtocol(None), FakeTransport()
+    wire.free_space = 1000
     conn.makeConnection(wire)
     for n in takes:
         wire.take()
-        wire.room = n * LONG
+        wire.free_space = n * LONG
     wire.take()
     assert without_wait(wire.taken) == without_wait(raw)
-    assert pair.gateway.budget.total >= 3 * LONG  # until its reply, since it may have to be retried
+    assert harness.gateway.budget.total >= 3 * LONG  # until its reply, since it may have to be retried
     conn.dataReceived(served())
-    assert bytes(pair.client.taken) == bulk(1) and pair.outcomes() == [Status.OK]
-    assert pair.gateway.budget.total == 0
+    assert bytes(harness.client.taken) == bulk(1) and harness.outcomes() == [Status.OK]
+    assert harness.gateway.budget.total == 0
 
 
 def test_a_long_command_that_broke_off_is_sent_again_and_counts_as_never_come():
-    pair = GatewayWithClient()
+    harness = GatewayWithClient()
     # may be retried only because it can't have run
-    pair.client_connection.dataReceived(write(cls=b"pay", more=b""))
-    conn, wire = pair.reactor.tcpClients[-1][2].buildProtocol(None), FakeTransport()
-    wire.room = LONG
+    harness.client_connection.dataReceived(write(cls=b"pay", more=b""))
+    conn, wire = harness.reactor.tcpClients[-1][2].buildProtocol(None), FakeTransport()
+    wire.free_space = LONG
     conn.makeConnection(wire)
     conn.connectionLost()
-    assert pair.outcomes() == [Status.CONNECT_FAILED]
-    again, whole = pair.establish()
-    assert again is not conn and without_wait(whole.taken) == without_wait(write(cls=b"pay", more=b""))
+    assert harness.outcomes() == [Status.CONNECT_FAILED]
+    second_conn, second_wire = harness.establish()
+    assert second_conn is not conn and without_wait(second_wire.taken) == without_wait(
+        write(cls=b"pay", more=b"")
+    )
 
 
 def test_a_connection_that_breaks_under_a_long_command_never_had_it_whole():
-    pair = GatewayWithClient()
-    pair.client_connection.dataReceived(write())
-    conn, wire = pair.reactor.tcpClients[-1][2].buildProtocol(None), FakeTransport()
+    harness = GatewayWithClient()
+    harness.client_connection.dataReceived(write())
+    conn, wire = harness.reactor.tcpClients[-1][2].buildProtocol(None), FakeTransport()
     wire.sendmsg = unittest.mock.Mock(side_effect=BrokenPipeError)
     conn.makeConnection(wire)
     assert wire.aborted and wire.sendmsg.call_count == 1
     conn.connectionLost()
-    assert pair.outcomes() == [Status.CONNECT_FAILED]
+    assert harness.outcomes() == [Status.CONNECT_FAILED]
 
 
 EARLY_REPLIES = [(b"-BUSY\r\n", Status.REJECTED), (served(), Status.RESET), (HEAD + VALUE, Status.RESET)]
 
 
-@pytest.mark.parametrize(("answer", "status"), EARLY_REPLIES)
-def test_an_answer_to_a_command_that_is_not_whole_ends_its_connection(answer, status):
-    pair = GatewayWithClient()
-    pair.client_connection.dataReceived(write())
-    conn, wire = pair.reactor.tcpClients[-1][2].buildProtocol(None), FakeTransport()
-    wire.room = LONG
+@pytest.mark.parametrize(("reply", "status"), EARLY_REPLIES)
+def test_an_answer_to_a_command_that_is_not_whole_ends_its_connection(reply, status):
+    harness = GatewayWithClient()
+    harness.client_connection.dataReceived(write())
+    conn, wire = harness.reactor.tcpClients[-1][2].buildProtocol(None), FakeTransport()
+    wire.free_space = LONG
     conn.makeConnection(wire)
-    conn.dataReceived(answer)
-    assert pair.outcomes() == [status] and conn.ended and wire.aborted
-    assert not pair.client.taken.startswith(b"$")
+    conn.dataReceived(reply)
+    assert harness.outcomes() == [status] and conn.ended and wire.aborted
+    assert not harness.client.taken.startswith(b"$")
 
 
-PING, PONG = command(b"PING"), b"+PONG\r\n"
-BAD = [  # a command with a large value, and the reply before that to PING
-    (command(b"ECHO", b"x" * LONG), b"-ERR only the last"),
-    (command(b"PING", b"x" * LONG, b"x" * LONG), b"-ERR only the last"),
-    (command(b"API.READ", b"x" * LONG, b"1", b"c=look"), b"-ERR only the last"),
+PING, PONG = encode_command(b"PING"), b"+PONG\r\n"
+BAD_COMMANDS = [  # a command with a large value, and the reply before that to PING
+    (encode_command(b"ECHO", b"x" * LONG), b"-ERR only the last"),
+    (encode_command(b"PING", b"x" * LONG, b"x" * LONG), b"-ERR only the last"),
+    (encode_command(b"API.READ", b"x" * LONG, b"1", b"c=look"), b"-ERR only the last"),
     (write().replace(b"API.WRITE", b"API.WROTE"), b"-ERR only the last"),
     (write().replace(b"*5", b"*6") + b"$1\r\nx\r\n", b"-ERR only the last"),
     (write().replace(b"c=note", b"c=nope"), b"-ERR unknown class"),
@@ -420,118 +429,126 @@
 ]
 
 
-@pytest.mark.parametrize(("raw", "answer"), BAD)
-def test_a_bad_command_with_a_long_value_is_read_past_and_the_client_connection_stays(raw, answer):
+@pytest.mark.parametrize(("raw", "reply"), BAD_COMMANDS)
+def test_a_bad_command_with_a_long_value_is_read_past_and_the_client_connection_stays(raw, reply):
     for size in (len(raw), 5000):
-        pair = GatewayWithClient()
+        harness = GatewayWithClient()
         for i in range(0, len(raw), size):
-            pair.client_connection.dataReceived(raw[i : i + size])
-        pair.client_connection.dataReceived(PING)
-        assert pair.client.taken.startswith(answer) and pair.client.taken.endswith(PONG)
-        assert bytes(pair.client.taken).count(b"\r\n") == 2
-        assert not pair.gateway.reader.open and pair.gateway.budget.total == 0 and not pair.reactor.tcpClients
+            harness.client_connection.dataReceived(raw[i : i + size])
+        harness.client_connection.dataReceived(PING)
+        assert harness.client.taken.startswith(reply) and harness.client.taken.endswith(PONG)
+        assert bytes(harness.client.taken).count(b"\r\n") == 2
+        assert (
+            not harness.gateway.command_parser.open_ids
+            and harness.gateway.budget.total == 0
+            and not harness.reactor.tcpClients
+        )
 
 
 def test_what_is_beyond_a_quota_is_refused_at_the_head_and_read_past():
-    pair = GatewayWithClient()
+    harness = GatewayWithClient()
     for rid in range(2):  # the burst that the plan allows
-        pair.client_connection.dataReceived(write(rid, plan=b"small"))
+        harness.client_connection.dataReceived(write(rid, plan=b"small"))
     raw = write(9, plan=b"small")
-    pair.client_connection.dataReceived(raw[:300])
+    harness.client_connection.dataReceived(raw[:300])
     assert invariants.counts["refused_at_head"] == 1
-    pair.establish()[0].dataReceived(served())
-    assert not pair.client.taken  # the reply to the first is still pending
-    pair.client_connection.dataReceived(raw[300:] + PING)
-    assert len(pair.reactor.tcpClients) == 2 and pair.gateway.operators.tally["busy"] == 1
+    harness.establish()[0].dataReceived(served())
+    assert not harness.client.taken  # the reply to the first is still pending
+    harness.client_connection.dataReceived(raw[300:] + PING)
+    assert len(harness.reactor.tcpClients) == 2 and harness.gateway.operators.counters["busy"] == 1
 
 
 INCOMPLETE_BODIES = [  # event in the middle of a body, what the client reads, counter
-    (lambda pair: pair.client_connection.readConnectionLost(), b"", "command_cut_short"),
-    (lambda pair: pair.client_connection.connectionLost(), b"", None),
+    (lambda harness: harness.client_connection.readConnectionLost(), b"", "command_cut_short"),
+    (lambda harness: harness.client_connection.connectionLost(), b"", None),
     (
-        lambda pair: pair.reactor.pump([request_stream.RATE_CHECK_INTERVAL] * 2),
+        lambda harness: harness.reactor.pump([request_stream.RATE_CHECK_INTERVAL] * 2),
         b"-ERR timeout",
         "body_stalled",
     ),
     (
-        lambda pair: pair.client_connection.dataReceived(b"b" * 3 * LONG),
+        lambda harness: harness.client_connection.dataReceived(b"b" * 3 * LONG),
         b"-ERR Protocol error",
         "client_connection_malformed",
     ),
 ]
 
 
-@pytest.mark.parametrize(("leave", "answer", "name"), INCOMPLETE_BODIES)
-def test_a_body_that_does_not_come_whole_costs_its_own_command(leave, answer, name):
-    pair = GatewayWithClient()
-    pair.client_connection.dataReceived(write()[:LONG])
-    assert pair.gateway.reader.open
-    pair.reactor.advance(0.1)
-    leave(pair)
-    assert bytes(pair.client.taken).startswith(answer) and bool(answer) == bool(pair.client.taken)
+@pytest.mark.parametrize(("interrupt", "reply", "name"), INCOMPLETE_BODIES)
+def test_a_body_that_does_not_come_whole_costs_its_own_command(interrupt, reply, name):
+    harness = GatewayWithClient()
+    harness.client_connection.dataReceived(write()[:LONG])
+    assert harness.gateway.command_parser.open_ids
+    harness.reactor.advance(0.1)
+    interrupt(harness)
+    assert bytes(harness.client.taken).startswith(reply) and bool(reply) == bool(harness.client.taken)
     assert not name or invariants.counts[name] == 1
-    assert not pair.gateway.reader.open and pair.gateway.budget.total == 0 and not pair.gateway.rpcs
-    pair.reactor.advance(60.0)  # no timer of the command has any further effect
-    assert not pair.reactor.tcpClients
+    assert (
+        not harness.gateway.command_parser.open_ids
+        and harness.gateway.budget.total == 0
+        and not harness.gateway.rpcs
+    )
+    harness.reactor.advance(60.0)  # no timer of the command has any further effect
+    assert not harness.reactor.tcpClients
 
 
 def test_a_body_that_comes_whole_after_its_client_has_left_is_refused_and_kept_no_longer():
-    pair, raw = GatewayWithClient(), write()
-    pair.client_connection.dataReceived(raw[:LONG])
-    pair.client_connection.stop_attempts()
-    assert pair.gateway.budget.total > 0
-    pair.client_connection.dataReceived(raw[LONG:])
-    assert bytes(pair.client.taken) == b"-BUSY\r\n"
-    assert pair.gateway.budget.total == 0 and not pair.gateway.reader.open
+    harness, raw = GatewayWithClient(), write()
+    harness.client_connection.dataReceived(raw[:LONG])
+    harness.client_connection.stop_attempts()
+    assert harness.gateway.budget.total > 0
+    harness.client_connection.dataReceived(raw[LONG:])
+    assert bytes(harness.client.taken) == b"-BUSY\r\n"
+    assert harness.gateway.budget.total == 0 and not harness.gateway.command_parser.open_ids
 
 
 def test_an_attempt_of_a_request_that_is_answered_does_not_begin_once_its_connection_comes_up():
-    pair = GatewayWithClient()
+    harness = GatewayWithClient()
     params = b"c=look,t=large,d=3000,units=1,spread=1,first=0"
-    pair.client_connection.dataReceived(command(b"API.READ", b"%016x" % 7, b"%016x" % 1, params))
-    rpc = pair.gateway.rpcs[1]
-    pair.gateway.answer(1, [b"-ERR failed\r\n"])
-    pair.client_connection.connectionLost()
-    pair.client.connected = False
-    _, wire = pair.establish()
-    assert not wire.taken and rpc.attempt is None and not pair.gateway.out
-    assert [e.status for e in pair.events if isinstance(e, AttemptEnded)] == [Status.ABANDONED]
+    harness.client_connection.dataReceived(encode_command(b"API.READ", b"%016x" % 7, b"%016x" % 1, params))
+    rpc = harness.gateway.rpcs[1]
+    harness.gateway.answer(1, [b"-ERR failed\r\n"])
+    harness.client_connection.connectionLost()
+    harness.client.connected = False
+    _, wire = harness.establish()
+    assert not wire.taken and rpc.attempt is None and not harness.gateway.attempts_in_flight
+    assert [e.status for e in harness.events if isinstance(e, AttemptEnded)] == [Status.ABANDONED]
 
 
 def test_a_body_without_room_waits_then_is_refused_and_an_answer_without_room_waits():
-    pair = GatewayWithClient()
-    budget = pair.gateway.budget
-    hog = BudgetHolder(budget)
-    pair.client_connection.dataReceived(write(1, size=2 * LONG)[:LONG])
-    other = gateway.client_connection.ClientConnection(pair.gateway)
+    harness = GatewayWithClient()
+    budget = harness.gateway.budget
+    holder = BudgetHolder(budget)
+    harness.client_connection.dataReceived(write(1, size=2 * LONG)[:LONG])
+    other = gateway.client_connection.ClientConnection(harness.gateway)
     other.makeConnection(FakeTransport())
     other.dataReceived(write(2, size=2 * LONG)[:LONG])
-    asker = gateway.client_connection.ClientConnection(pair.gateway)
-    asker.makeConnection(taker := FakeTransport())
-    asker.dataReceived(command(b"API.READ", b"%016x" % 7, b"%016x" % 3, b"c=look,t=large,d=3000"))
-    conn, wire = pair.establish()
-    budget.hold(hog, budget.high)
-    assert other.paused and not pair.client_connection.paused  # the oldest body may be completed
+    reader = gateway.client_connection.ClientConnection(harness.gateway)
+    reader.makeConnection(reader_transport := FakeTransport())
+    reader.dataReceived(encode_command(b"API.READ", b"%016x" % 7, b"%016x" % 3, b"c=look,t=large,d=3000"))
+    conn, wire = harness.establish()
+    budget.set_held(holder, budget.high_mark)
+    assert other.paused and not harness.client_connection.paused  # the oldest body may be completed
     conn.dataReceived(HEAD + VALUE)
-    assert wire.reading_paused and not taker.taken
-    pair.reactor.advance(request_stream.MEMORY_TIMEOUT)
+    assert wire.reading_paused and not reader_transport.taken
+    harness.reactor.advance(request_stream.MEMORY_TIMEOUT)
     assert other.transport.taken.startswith(b"-BUSY 500") and not other.paused
-    budget.hold(hog, 0)
-    assert bytes(taker.taken) == VALUE and not wire.reading_paused
+    budget.set_held(holder, 0)
+    assert bytes(reader_transport.taken) == VALUE and not wire.reading_paused
 
 
 class BudgetHolder:
     """A holder of the memory budget that only records its size."""
 
     def __init__(self, budget, body=False):
-        self.budget, self.kept, self.is_held_back = budget, 0, False
+        self.budget, self.held_bytes, self.is_held_back = budget, 0, False
         if body:
-            budget.join(self)
+            budget.add_body(self)
 
-    def hold_back(self):
+    def pause_for_space(self):
         self.is_held_back = True
 
-    def go_on(self):
+    def resume_with_space(self):
         self.is_held_back = False
 
 
@@ -540,33 +557,39 @@
 
 @given(STEPS)
 def test_the_budget_is_never_passed_and_somebody_always_moves(steps):
-    budget, bodies, whole, answers_ = Budget(3 * resp.MOST_VALUE), [], [], []
-    for what, n in steps:
-        pick = lambda some, n=n: some[n % len(some)] if some else None  # noqa: E731
-        if what == "join":
+    budget, bodies, complete, replies = Budget(3 * resp.MAX_VALUE), [], [], []
+    for step, n in steps:
+        pick = lambda holders, n=n: holders[n % len(holders)] if holders else None  # noqa: E731
+        if step == "join":
             bodies.append(BudgetHolder(budget, body=True))
-        elif what == "answer" and not budget.full:
-            answers_.append(BudgetHolder(budget))
-            budget.hold(answers_[-1], WHOLE)
-        elif what == "taken" and (one := pick(answers_)):
-            answers_.remove(one)
-            budget.hold(one, 0)
-        elif what == "grow":  # all bodies that may grow, piece by piece, some until complete
+        elif step == "answer" and not budget.is_full:
+            replies.append(BudgetHolder(budget))
+            budget.set_held(replies[-1], MAX_INLINE_VALUE)
+        elif step == "taken" and (holder := pick(replies)):
+            replies.remove(holder)
+            budget.set_held(holder, 0)
+        elif step == "grow":  # all bodies that may grow, piece by piece, some until complete
             for _ in range(n):
-                for one in [b for b in bodies if not b.is_held_back]:
-                    if not one.is_held_back and one.kept < resp.MOST_VALUE:
-                        budget.hold(one, min(resp.MOST_VALUE, one.kept + WHOLE))
-        elif what == "whole" and (one := next((b for b in bodies if b.kept == resp.MOST_VALUE), None)):
-            bodies.remove(one)
-            whole.append(one)
-            budget.whole(one)
-        elif what == "drop" and (one := pick(bodies + whole)):
-            (bodies if one in bodies else whole).remove(one)
-            budget.whole(one)
-            budget.hold(one, 0)
-        assert budget.total == sum(h.kept for h in bodies + whole + answers_) <= budget.most + 2 * WHOLE
+                for holder in [b for b in bodies if not b.is_held_back]:
+                    if not holder.is_held_back and holder.held_bytes < resp.MAX_VALUE:
+                        budget.set_held(holder, min(resp.MAX_VALUE, holder.held_bytes + MAX_INLINE_VALUE))
+        elif step == "whole" and (
+            holder := next((b for b in bodies if b.held_bytes == resp.MAX_VALUE), None)
+        ):
+            bodies.remove(holder)
+            complete.append(holder)
+            budget.remove_body(holder)
+        elif step == "drop" and (holder := pick(bodies + complete)):
+            (bodies if holder in bodies else complete).remove(holder)
+            budget.remove_body(holder)
+            budget.set_held(holder, 0)
+        assert (
+            budget.total
+            == sum(h.held_bytes for h in bodies + complete + replies)
+            <= budget.limit + 2 * MAX_INLINE_VALUE
+        )
         assert not bodies or any(not b.is_held_back for b in bodies)
-        assert budget.full or budget.total > budget.low or not any(b.is_held_back for b in bodies)
+        assert budget.is_full or budget.total > budget.low_mark or not any(b.is_held_back for b in bodies)
 
 
 class LongValues(Program):
--- a/tests/test_net_departures.py
+++ b/tests/test_net_departures.py
@@ -17,16 +17,16 @@
 
 from corkdeal.decisions.events import Endpoint, EndpointState, EndpointUpdate, UpdateKind
 from corkdeal.net import client_connection, config, gateway, invariants, tcp_state, timers
-from corkdeal.net.resp import command
+from corkdeal.net.resp import encode_command
 
-from .net_world import PATIENCE, SETTINGS, Moments, served
+from .net_world import SETTINGS, WAIT_TIMEOUT, ControlledProgram, served
 from .test_bodies import FakeTransport
 
 BUSY, FAILED = b"BUSY", b"ERR failed"
 STOPPED = 0.3  # s that the process is stopped after a client's close; no attempt may start after 0.1
 
 
-class Departures(Moments):
+class Departures(ControlledProgram):
     """No attempt starts for a client that has disconnected, after a short grace period."""
 
     def test_while_the_connection_to_its_backend_comes_up(self):
@@ -49,10 +49,10 @@
         self.assertEqual(other.read(), [BUSY])  # by now the reset has been handled too
         staying = self.client()
         self.ask(staying, b"pay", d=80000, rid=3, body=b"of one who stays")
-        listener.settimeout(PATIENCE)
+        listener.settimeout(WAIT_TIMEOUT)
         while True:  # sockets that filled the queue, abandoned connections, then one with a request
             conn = listener.accept()[0]
-            conn.settimeout(PATIENCE)
+            conn.settimeout(WAIT_TIMEOUT)
             if data := conn.recv(65536, socket.MSG_DONTWAIT) if self.has_bytes(conn) else b"":
                 break
         self.assertIn(b"of one who stays", data)
@@ -117,7 +117,7 @@
     def test_behind_so_many_others_that_its_client_connection_is_not_read(self):
         self.patient()
         client, many = self.client(), 900  # not all read at once; the rest fits the kernel's buffer
-        client.send(b"".join(command(*self.words(b"look", d=80000, rid=rid)) for rid in range(many)))
+        client.send(b"".join(encode_command(*self.words(b"look", d=80000, rid=rid)) for rid in range(many)))
         client.sock.shutdown(socket.SHUT_WR)
         for _ in range(many):
             self.assertTrue(client.read()[0].startswith(BUSY))
@@ -126,7 +126,7 @@
     def test_a_reset_of_a_client_connection_that_is_not_read(self):
         self.patient()
         client, marker, staying = self.client(), self.client(), self.client()
-        client.send(b"".join(command(*self.words(b"look", d=80000, rid=rid)) for rid in range(900)))
+        client.send(b"".join(encode_command(*self.words(b"look", d=80000, rid=rid)) for rid in range(900)))
         self.ask(marker, d=80000, rid=5000, customer=8)
         self.ask(staying, b"pay", d=80000, rid=5001, customer=9, body=b"y")
         client.reset()
@@ -160,17 +160,17 @@
         self.start()  # without a backend it is held; after 1 s it would be rejected with a retry-after
         client = self.client()
         self.ask(client, b"pay", d=4000, body=b"x")
-        client.send(command(b"PING"))
+        client.send(encode_command(b"PING"))
         self.process.send_signal(signal.SIGTERM)
         self.line("draining")
         client.sock.shutdown(socket.SHUT_WR)
         self.assertEqual(client.read(), [BUSY])
         self.assertEqual(client.read(), [b"PONG"])
         self.assertIsNone(client.read())
-        self.assertEqual(self.process.wait(PATIENCE), 0)
+        self.assertEqual(self.process.wait(WAIT_TIMEOUT), 0)
 
 
-class StoppedProcess(Moments):
+class StoppedProcess(ControlledProgram):
     """A client disconnects while the process is stopped; an event that starts an attempt is handled first."""
 
     def leave(self, client, reset):
@@ -193,9 +193,9 @@
         for rid, client in enumerate(clients):
             self.ask(client, d=80000, rid=1000 + rid)
         asked = [self.world.next() for _ in clients]
-        self.assertEqual({each.backend.name for each in asked}, {"a", "b"})
-        for each in asked:
-            each.conn.send(served())
+        self.assertEqual({request.backend.name for request in asked}, {"a", "b"})
+        for request in asked:
+            request.conn.send(served())
         for client in clients:
             self.assertEqual(client.read(), [b"v"])
 
@@ -232,7 +232,7 @@
         stopped = time.monotonic()
         self.leave(client, reset)
         self.thaw(after=2.6, since=stopped)  # late enough to time out, early enough for a retry
-        self.assertTrue(asked.ended.wait(PATIENCE))
+        self.assertTrue(asked.ended.wait(WAIT_TIMEOUT))
         if not reset:
             self.assertIn(client.read(), ([BUSY], [FAILED]))
         self.nothing_sent()
@@ -248,10 +248,10 @@
         self.patient()
         client = self.client()
         self.ask(client, b"pay", d=80000, body=b"x")
-        client.send(command(b"PING"))
+        client.send(encode_command(b"PING"))
         self.freeze()
-        listener.settimeout(PATIENCE)
-        fillers = {each.getsockname() for each in self.filling}
+        listener.settimeout(WAIT_TIMEOUT)
+        fillers = {connection.getsockname() for connection in self.filling}
         while (accepted := listener.accept())[1] in fillers:
             self.addCleanup(accepted[0].close)
         self.addCleanup(accepted[0].close)
@@ -259,7 +259,7 @@
         self.thaw(after=STOPPED, since=time.monotonic())
         if not reset:
             self.assertEqual(client.read(), [BUSY])
-        accepted[0].settimeout(PATIENCE)
+        accepted[0].settimeout(WAIT_TIMEOUT)
         self.assertFalse(self.received(accepted[0]))
 
     @staticmethod
@@ -279,7 +279,7 @@
     def test_a_request_is_read_with_a_fin_behind_it(self):
         self.patient(a={})
         client = self.client()
-        client.send(command(b"PING"))
+        client.send(encode_command(b"PING"))
         self.assertEqual(client.read(), [b"PONG"])
         self.freeze()
         self.ask(client, b"pay", d=80000, body=b"x")
@@ -291,10 +291,10 @@
     def test_requests_are_read_with_others_and_a_fin_unread_behind_them(self):
         self.patient(a={})
         client, many = self.client(), 900  # more than are read at once, or before some are answered
-        client.send(command(b"PING"))
+        client.send(encode_command(b"PING"))
         self.assertEqual(client.read(), [b"PONG"])
         self.freeze()
-        client.send(b"".join(command(*self.words(b"look", d=80000, rid=rid)) for rid in range(many)))
+        client.send(b"".join(encode_command(*self.words(b"look", d=80000, rid=rid)) for rid in range(many)))
         self.leave(client, reset=False)
         self.thaw(after=STOPPED, since=time.monotonic())
         for _ in range(many):
@@ -306,7 +306,7 @@
         clients = []
         for _ in range(200):  # each sends at once: of so many, a connection silent for 0.25 s is closed
             clients.append(self.client())
-            clients[-1].send(command(b"PING"))
+            clients[-1].send(encode_command(b"PING"))
             self.assertEqual(clients[-1].read(), [b"PONG"])
         self.freeze()
         for rid, client in enumerate(clients):
@@ -330,26 +330,26 @@
     def setUp(self):
         self.reactor = MemoryReactorClock()
         raw = json.dumps({"listen": "127.0.0.1:1", "discovery": "127.0.0.1:2", "settings": SETTINGS}).encode()
-        self.gateway = gateway.Gateway(self.reactor, config.read(raw, {}))
+        self.gateway = gateway.Gateway(self.reactor, config.parse_config(raw, {}))
         self.gateway.now = self.gateway.pool.now = self.gateway.descriptors.now = self.reactor.seconds
         self.gateway.timers.now = self.reactor.seconds
-        self.ours, self.theirs = socket.socketpair()
-        self.addCleanup(self.ours.close)
-        self.addCleanup(self.theirs.close)
+        self.near_end, self.far_end = socket.socketpair()
+        self.addCleanup(self.near_end.close)
+        self.addCleanup(self.far_end.close)
         self.connection = client_connection.ClientConnection(self.gateway)
         self.wire = FakeTransport()
-        self.wire.fileno, self.wire.getsockopt = self.ours.fileno, self.ours.getsockopt
+        self.wire.fileno, self.wire.getsockopt = self.near_end.fileno, self.near_end.getsockopt
         self.connection.makeConnection(self.wire)
         invariants.counts.clear()
 
     def add_backend(self):
         """Add a ready backend."""
-        self.gateway.pool.told("a", True, ("127.0.0.1", 3))
-        self.gateway.feed(EndpointUpdate(UpdateKind.COMPLETE, (Endpoint("a", EndpointState.READY),)))
+        self.gateway.pool.update_endpoint("a", True, ("127.0.0.1", 3))
+        self.gateway.handle_event(EndpointUpdate(UpdateKind.COMPLETE, (Endpoint("a", EndpointState.READY),)))
 
     def ask(self, rid=1):
         params = b"c=look,t=large,d=3000,units=1,spread=1,first=0"
-        self.connection.dataReceived(command(b"API.READ", b"%016x" % 7, b"%016x" % rid, params))
+        self.connection.dataReceived(encode_command(b"API.READ", b"%016x" % 7, b"%016x" % rid, params))
 
     def establish(self):
         """Establish the backend connection opened last; return what is written on it."""
@@ -359,7 +359,7 @@
 
     def test_a_request_that_comes_with_the_end_of_sending_still_gets_its_attempt(self):
         self.add_backend()
-        self.theirs.shutdown(socket.SHUT_WR)
+        self.far_end.shutdown(socket.SHUT_WR)
         self.ask()
         self.connection.readConnectionLost()
         self.reactor.advance(client_connection.HALF_CLOSE_GRACE / 2)
@@ -370,7 +370,7 @@
     def test_a_connection_to_a_backend_that_comes_up_after_the_grace_gets_nothing(self):
         self.add_backend()
         self.ask()
-        self.theirs.shutdown(socket.SHUT_WR)
+        self.far_end.shutdown(socket.SHUT_WR)
         self.connection.check_paused()
         self.reactor.rightNow += client_connection.HALF_CLOSE_GRACE  # without running timers
         self.assertEqual(self.establish(), b"")
@@ -379,7 +379,7 @@
     def test_a_reset_ends_an_attempt_that_still_connects_at_once(self):
         self.add_backend()
         self.ask()
-        self.theirs.close()  # closes both directions, which the kernel reports as a closed connection
+        self.far_end.close()  # closes both directions, which the kernel reports as a closed connection
         self.assertEqual(self.establish(), b"")
         self.assertTrue(self.wire.aborted)
         self.assertFalse(self.gateway.rpcs)
@@ -387,7 +387,7 @@
     def test_a_late_turn_counts_an_end_as_having_come_before_it(self):
         self.ask()  # held, as there is no backend
         self.add_backend()
-        self.theirs.shutdown(socket.SHUT_WR)
+        self.far_end.shutdown(socket.SHUT_WR)
         self.reactor.advance(STOPPED)  # the timer of the held request is late
         self.assertFalse(self.reactor.tcpClients)
         self.assertEqual(bytes(self.wire.taken), b"-BUSY\r\n")
@@ -396,8 +396,8 @@
         self.ask()
         self.reactor.advance(STOPPED)  # an earlier late iteration has no effect
         self.add_backend()
-        self.theirs.shutdown(socket.SHUT_WR)
-        self.reactor.pump([timers.LATE_LEAST / 2] * 100)
+        self.far_end.shutdown(socket.SHUT_WR)
+        self.reactor.pump([timers.MIN_REPORTED_LATENESS / 2] * 100)
         self.assertEqual(len(self.reactor.tcpClients), 1)
 
     def test_on_a_connection_that_is_not_read_it_counts_from_the_last_look(self):
@@ -405,8 +405,8 @@
             self.ask(rid)
         self.assertTrue(self.connection.paused)
         self.add_backend()
-        self.theirs.shutdown(socket.SHUT_WR)
-        self.reactor.pump([timers.LATE_LEAST / 2] * 100)
+        self.far_end.shutdown(socket.SHUT_WR)
+        self.reactor.pump([timers.MIN_REPORTED_LATENESS / 2] * 100)
         self.assertFalse(self.reactor.tcpClients)
         self.assertEqual(self.wire.taken.count(b"-BUSY"), client_connection.MAX_PENDING_REPLIES)
 
@@ -416,46 +416,46 @@
 
     def setUp(self):
         with socket.create_server(("127.0.0.1", 0)) as listener:
-            self.theirs = socket.create_connection(listener.getsockname())
-            self.ours = listener.accept()[0]
-        self.addCleanup(self.ours.close)
-        self.addCleanup(self.theirs.close)
+            self.far_end = socket.create_connection(listener.getsockname())
+            self.near_end = listener.accept()[0]
+        self.addCleanup(self.near_end.close)
+        self.addCleanup(self.far_end.close)
 
     def wait_for(self, state):
-        until = time.monotonic() + PATIENCE
-        while tcp_state.peer_state(self.ours) is not state:
-            self.assertLess(time.monotonic(), until)
+        deadline = time.monotonic() + WAIT_TIMEOUT
+        while tcp_state.peer_state(self.near_end) is not state:
+            self.assertLess(time.monotonic(), deadline)
 
     def test_a_fin_behind_unread_bytes_and_then_a_reset(self):
-        self.theirs.sendall(b"unread")
-        self.assertIs(tcp_state.peer_state(self.ours), tcp_state.PeerState.OPEN)
-        self.assertIsNone(tcp_state.since_fin(self.ours))
-        self.theirs.shutdown(socket.SHUT_WR)
+        self.far_end.sendall(b"unread")
+        self.assertIs(tcp_state.peer_state(self.near_end), tcp_state.PeerState.OPEN)
+        self.assertIsNone(tcp_state.seconds_since_fin(self.near_end))
+        self.far_end.shutdown(socket.SHUT_WR)
         self.wait_for(tcp_state.PeerState.HALF_CLOSED)
-        self.theirs.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, b"\1\0\0\0\0\0\0\0")
-        self.theirs.close()
+        self.far_end.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, b"\1\0\0\0\0\0\0\0")
+        self.far_end.close()
         self.wait_for(tcp_state.PeerState.CLOSED)
 
     def test_a_fin_is_dated_by_its_own_arrival(self):
-        self.theirs.sendall(b"long before")
+        self.far_end.sendall(b"long before")
         time.sleep(2 * STOPPED)
         ended = time.monotonic()
-        self.theirs.shutdown(socket.SHUT_WR)
+        self.far_end.shutdown(socket.SHUT_WR)
         self.wait_for(tcp_state.PeerState.HALF_CLOSED)
         time.sleep(STOPPED)
-        age = tcp_state.since_fin(self.ours)
+        age = tcp_state.seconds_since_fin(self.near_end)
         self.assertLessEqual(age, time.monotonic() - ended + client_connection.KERNEL_TICK)
         self.assertGreaterEqual(age, STOPPED - client_connection.KERNEL_TICK)
-        self.assertGreaterEqual(tcp_state.since_last_data(self.ours) - age, STOPPED)
+        self.assertGreaterEqual(tcp_state.seconds_since_last_data(self.near_end) - age, STOPPED)
 
     def test_a_socket_whose_kernel_dates_nothing(self):
-        ours, theirs = socket.socketpair()
-        self.addCleanup(ours.close)
-        theirs.close()
-        self.assertIsNone(tcp_state.since_fin(ours))
-        self.assertIsNone(tcp_state.since_last_data(ours))
-        ours.close()
-        self.assertIs(tcp_state.peer_state(ours), tcp_state.PeerState.OPEN)
+        near_end, far_end = socket.socketpair()
+        self.addCleanup(near_end.close)
+        far_end.close()
+        self.assertIsNone(tcp_state.seconds_since_fin(near_end))
+        self.assertIsNone(tcp_state.seconds_since_last_data(near_end))
+        near_end.close()
+        self.assertIs(tcp_state.peer_state(near_end), tcp_state.PeerState.OPEN)
 
 
 class ReleaseDepartures(Departures):
--- a/tests/test_net_ops.py
+++ b/tests/test_net_ops.py
@@ -15,14 +15,14 @@
 from corkdeal.net import manual_overrides, ops
 from corkdeal.net.invariants import counts
 
-from .net_world import PATIENCE, Program, served
+from .net_world import WAIT_TIMEOUT, Program, served
 from .ports import reserve_address
 
 
 class FakeOperators:
     """A fake of the gateway's operator interface that records the changes made through it."""
 
-    ready = True
+    is_ready = True
 
     def __init__(self):
         self.changes = []
@@ -74,10 +74,10 @@
 
 def test_held_out_drains_whatever_the_list_says_and_comes_back_cold(tmp_path):
     held = manual_overrides.ManualOverrides("n0", str(tmp_path))
-    assert held.enter("a") and not held.enter("a")  # held out twice
-    assert held.overlay([entry("a"), entry("b")]) == (entry("a", EndpointState.DRAINING), entry("b"))
-    assert held.exit("a", 50.0) and not held.exit("a", 60.0)  # one exit ends both
-    assert held.overlay([entry("a"), entry("a", started=70.0)]) == (
+    assert held.hold_out("a") and not held.hold_out("a")  # held out twice
+    assert held.apply_all([entry("a"), entry("b")]) == (entry("a", EndpointState.DRAINING), entry("b"))
+    assert held.let_back("a", 50.0) and not held.let_back("a", 60.0)  # one exit ends both
+    assert held.apply_all([entry("a"), entry("a", started=70.0)]) == (
         entry("a", started=50.0),
         entry("a", started=70.0),
     )
@@ -85,15 +85,15 @@
 
 def test_the_next_process_holds_the_same_backends_out(tmp_path):
     first = manual_overrides.ManualOverrides("n0", str(tmp_path))
-    first.enter("a")
-    first.enter("b")
-    first.exit("b", 12.5)
+    first.hold_out("a")
+    first.hold_out("b")
+    first.let_back("b", 12.5)
     second = manual_overrides.ManualOverrides("n0", str(tmp_path))
     second.load()
-    assert (second.out, second.back) == ({"a"}, {"b": 12.5})
+    assert (second.held_out, second.returned_at) == ({"a"}, {"b": 12.5})
     other = manual_overrides.ManualOverrides("n1", str(tmp_path))
     other.load()
-    assert other.out == set()
+    assert other.held_out == set()
     with open(other.path, "wb") as file:  # an invalid file is ignored and counted
         file.write(b'{"format":1,"out":[3],"back":{}}')
     before, lines = counts["held_out_unreadable"], []
@@ -102,21 +102,26 @@
         other.load()
     finally:
         logs.configure(None)
-    assert other.out == set() and counts["held_out_unreadable"] == before + 1
+    assert other.held_out == set() and counts["held_out_unreadable"] == before + 1
     assert lines == [("held_out_unreadable", other.path)]  # the line names the file
 
 
 def test_two_processes_apply_overrides_made_at_either(tmp_path):
     old, new = (manual_overrides.ManualOverrides("n0", str(tmp_path)) for _ in range(2))
-    assert old.follow() == new.follow() == set()  # no file yet
-    old.enter("a")
-    assert (new.follow(), new.out, new.follow(), old.follow()) == ({"a"}, {"a"}, set(), set())
-    new.enter("b")
-    new.exit("a", 7.0)
-    assert (old.follow(), old.out, old.back) == ({"a", "b"}, {"b"}, {"a": 7.0})
+    assert old.reload_if_replaced() == new.reload_if_replaced() == set()  # no file yet
+    old.hold_out("a")
+    assert (new.reload_if_replaced(), new.held_out, new.reload_if_replaced(), old.reload_if_replaced()) == (
+        {"a"},
+        {"a"},
+        set(),
+        set(),
+    )
+    new.hold_out("b")
+    new.let_back("a", 7.0)
+    assert (old.reload_if_replaced(), old.held_out, old.returned_at) == ({"a", "b"}, {"b"}, {"a": 7.0})
     with open(old.path, "wb") as file:  # damaged: the backends stay held out
         file.write(b"{")
-    assert (old.follow(), old.out) == (set(), {"b"})
+    assert (old.reload_if_replaced(), old.held_out) == (set(), {"b"})
 
 
 class OperationsTests:
@@ -130,7 +135,7 @@
 
     def call(self, method, path):
         host, port = self.ops.split(":")
-        conn = http.client.HTTPConnection(host, int(port), timeout=PATIENCE)
+        conn = http.client.HTTPConnection(host, int(port), timeout=WAIT_TIMEOUT)
         conn.request(method, path)
         answer = conn.getresponse()
         self.addCleanup(conn.close)
@@ -138,7 +143,7 @@
 
     def wait_for_list(self, count):
         """Wait until `count` backends are listed, since clients may be accepted before the first list."""
-        until = time.monotonic() + PATIENCE
+        until = time.monotonic() + WAIT_TIMEOUT
         while self.call("GET", "/status/metrics")[1]["app_hosts_listed"] < count:
             self.assertLess(time.monotonic(), until)
             time.sleep(0.01)
@@ -153,14 +158,14 @@
     def test_a_caller_that_stays_silent_or_halfway_delays_no_other(self):
         self.start_ops(a={})
         host, port = self.ops.split(":")
-        silent = socket.create_connection((host, int(port)), PATIENCE)
-        halfway = socket.create_connection((host, int(port)), PATIENCE)
+        silent = socket.create_connection((host, int(port)), WAIT_TIMEOUT)
+        halfway = socket.create_connection((host, int(port)), WAIT_TIMEOUT)
         halfway.sendall(b"GET /sta")
         self.addCleanup(silent.close)
         self.addCleanup(halfway.close)
         self.assertEqual(self.call("GET", "/status"), (200, {"word": "YES", "state": "serving"}))
         self.assertEqual(self.call("GET", "/nowhere")[0], 404)
-        bad = socket.create_connection((host, int(port)), PATIENCE)
+        bad = socket.create_connection((host, int(port)), WAIT_TIMEOUT)
         self.addCleanup(bad.close)
         bad.sendall(b"NOT HTTP AT ALL\r\n\r\n")
         self.assertTrue(bad.recv(100).startswith(b"HTTP/1.1 400"))
@@ -169,9 +174,9 @@
         self.start_ops(a={})
         folder = f"/proc/{self.process.pid}/fd"
         before, (host, port) = len(os.listdir(folder)), self.ops.split(":")
-        crowd = [socket.create_connection((host, int(port)), PATIENCE) for _ in range(40)]
-        for each in crowd:
-            self.addCleanup(each.close)
+        crowd = [socket.create_connection((host, int(port)), WAIT_TIMEOUT) for _ in range(40)]
+        for caller in crowd:
+            self.addCleanup(caller.close)
         self.assertEqual(self.call("GET", "/status")[0], 200)  # queued behind them
         self.assertLessEqual(len(os.listdir(folder)), before + ops.MAX_CONNECTIONS)
         with contextlib.suppress(ConnectionResetError):
--- a/tests/test_net_parsers.py
+++ b/tests/test_net_parsers.py
@@ -60,9 +60,9 @@
         b"$-2\r\n",
         b"$3\r\nabcd\r\n",
         b"*65\r\n",
-        b"$%d\r\n" % (resp.MOST_VALUE + 1),
+        b"$%d\r\n" % (resp.MAX_VALUE + 1),
         b"*2\r\n*32\r\n*32\r\n",
-        b"*9\r\n" + (b"$%d\r\n%b\r\n" % (resp.WHOLE, b"a" * resp.WHOLE)) * 5,
+        b"*9\r\n" + (b"$%d\r\n%b\r\n" % (resp.MAX_INLINE_VALUE, b"a" * resp.MAX_INLINE_VALUE)) * 5,
         b"+" + b"a" * 4096,
     ]
 
@@ -81,7 +81,7 @@
 
     def test_malformed(self):
         for raw in self.BAD:
-            with self.subTest(raw[:20]), self.assertRaises(resp.Malformed):
+            with self.subTest(raw[:20]), self.assertRaises(resp.MalformedError):
                 parser = resp.Parser()
                 parser.feed(raw)
                 parser.next()
@@ -95,7 +95,7 @@
             (b"qps=x,latency_ms=2", {"latency_ms": 2.0}),
             (b"qps=1_0,latency_ms= 2,qps=-3", {}),
         ]:
-            self.assertEqual(resp.report_of(raw, names), report)
+            self.assertEqual(resp.parse_load_report(raw, names), report)
 
     def test_replies(self):
         S = Status
@@ -127,7 +127,7 @@
             b"$1\r\nv\r\n",
             b"-BUSYBODY\r\n",
         ):
-            with self.subTest(raw), self.assertRaises(resp.Malformed):
+            with self.subTest(raw), self.assertRaises(resp.MalformedError):
                 parser = resp.Parser()
                 parser.feed(raw)
                 backend_connection.read_reply(parser.next())
@@ -138,11 +138,11 @@
 
     def read(self, params, *more, name=b"API.READ", customer=b"%016x" % 7, rid=b"%016x" % 1):
         parser = resp.Parser()
-        parser.feed(resp.command(name, customer, rid, params, *more))
-        return self.reader.read(parser.next(), 10.0)
+        parser.feed(resp.encode_command(name, customer, rid, params, *more))
+        return self.command_parser.parse(parser.next(), 10.0)
 
     def setUp(self):
-        self.reader = rpc.Reader(config.settings_of(SETTINGS))
+        self.command_parser = rpc.CommandParser(config.parse_settings_object(SETTINGS))
 
     def test_good_ones(self):
         got = self.read(self.GOOD).request
@@ -163,7 +163,7 @@
             (b"large", (b"no",)),
         ):
             for new in bad:
-                with self.subTest(new), self.assertRaises(rpc.BadRequest):
+                with self.subTest(new), self.assertRaises(rpc.BadRequestError):
                     self.read(self.GOOD.replace(old, new))
         for more in (
             {"customer": b"7"},
@@ -173,23 +173,23 @@
             {"rid": b"+" + b"1" * 15},
             {"name": b"API.WRITE"},
         ):
-            with self.subTest(more), self.assertRaises(rpc.BadRequest):
+            with self.subTest(more), self.assertRaises(rpc.BadRequestError):
                 self.read(self.GOOD, **more)
-        with self.assertRaises(rpc.BadRequest):
+        with self.assertRaises(rpc.BadRequestError):
             self.read(self.GOOD, b"body")  # API.READ has no body
-        self.assertFalse(self.reader.open)
+        self.assertFalse(self.command_parser.open_ids)
 
     def test_the_id_of_an_open_request_is_refused(self):
         self.read(self.GOOD)
-        with self.assertRaises(rpc.BadRequest):
+        with self.assertRaises(rpc.BadRequestError):
             self.read(self.GOOD)
-        self.reader.open.discard(1)
+        self.command_parser.open_ids.discard(1)
         self.read(self.GOOD)
 
 
 class Lists(unittest.TestCase):
     def setUp(self):
-        self.settings = config.settings_of(SETTINGS)
+        self.settings = config.parse_settings_object(SETTINGS)
 
     def test_a_list_in_the_modules_terms(self):
         result = discovery_snapshot.parse_list(LIST, self.settings)
@@ -220,7 +220,7 @@
 
 class Configurations(unittest.TestCase):
     def test_what_is_left_out_has_a_default(self):
-        got = config.read(json.dumps({**GIVEN, "known": LIST}).encode(), {})
+        got = config.parse_config(json.dumps({**GIVEN, "known": LIST}).encode(), {})
         self.assertEqual(
             (got.name, got.listen, got.sockets, got.seed, got.peers),
             ("gateway", ("127.0.0.1", 6379), 1024, 0x8C1F, ()),
@@ -229,7 +229,9 @@
         self.assertEqual(got.settings.report_fields, ("latency_ms", "qps"))
         self.assertEqual(got.known.revision, 4)
         bare = {k: v for k, v in GIVEN.items() if k != "listen"}
-        self.assertEqual(config.read(json.dumps(bare).encode(), {"RELAY_LISTEN": "127.0.0.1:1"}).listen[1], 1)
+        self.assertEqual(
+            config.parse_config(json.dumps(bare).encode(), {"RELAY_LISTEN": "127.0.0.1:1"}).listen[1], 1
+        )
 
     def test_messages_name_the_key(self):
         for path, value, key in [
@@ -250,7 +252,7 @@
             ("limits", 4, "limits"),
         ]:
             with self.subTest(path, value=value), self.assertRaisesRegex(config.ConfigError, key):
-                config.read(json.dumps(changed(GIVEN, path, value)).encode(), {})
+                config.parse_config(json.dumps(changed(GIVEN, path, value)).encode(), {})
 
     def test_the_program_ends_with_one_line_and_2(self):
         for env in ({}, {"RELAY_CONFIG": "/no/such/file"}, {"RELAY_CONFIG": str(ROOT / "README.md")}):
@@ -265,9 +267,9 @@
 class Limits(unittest.TestCase):
     def setUp(self):
         self.reactor = MemoryReactorClock()
-        given = config.read(json.dumps({**GIVEN, "known": LIST}).encode(), {})
+        given = config.parse_config(json.dumps({**GIVEN, "known": LIST}).encode(), {})
         self.gateway = gateway.Gateway(self.reactor, dataclasses.replace(given, sockets=256))
-        self.gateway.feed(EndpointUpdate(UpdateKind.CACHED, given.known.entries))
+        self.gateway.handle_event(EndpointUpdate(UpdateKind.CACHED, given.known.entries))
         invariants.counts.clear()
 
     def client_connection(self):
@@ -287,21 +289,21 @@
     def test_a_request_not_read_yet_and_one_likely_under_way_keep_a_client_connection_from_closing(self):
         self.use_reactor_clock()
         new, asked, idle = [self.client_connection() for _ in range(3)]
-        for each in (asked, idle):
-            each.dataReceived(b"*1\r\n$4\r\nPING\r\n")
-            ours, theirs = socket.socketpair()
-            self.addCleanup(ours.close)
-            self.addCleanup(theirs.close)
-            each.transport.getHandle = lambda ours=ours: ours
-            if each is asked:
-                theirs.sendall(b"*1\r\n$4\r\nPING\r\n")
-        for each in (new, asked, idle):
-            each.close_when_idle()
+        for connection in (asked, idle):
+            connection.dataReceived(b"*1\r\n$4\r\nPING\r\n")
+            near_end, far_end = socket.socketpair()
+            self.addCleanup(near_end.close)
+            self.addCleanup(far_end.close)
+            connection.transport.getHandle = lambda near_end=near_end: near_end
+            if connection is asked:
+                far_end.sendall(b"*1\r\n$4\r\nPING\r\n")
+        for connection in (new, asked, idle):
+            connection.close_when_idle()
         self.assertEqual([c.transport.disconnecting for c in (new, asked, idle)], [False, False, True])
         # they are read, served and then closed
-        for each in (new, asked):
-            each.transport.getHandle = lambda each=each: each.transport
-            each.dataReceived(b"*1\r\n$4\r\nPING\r\n")
+        for connection in (new, asked):
+            connection.transport.getHandle = lambda connection=connection: connection.transport
+            connection.dataReceived(b"*1\r\n$4\r\nPING\r\n")
         self.assertEqual([c.transport.disconnecting for c in (new, asked)], [True, True])
         silent = self.client_connection()
         silent.close_when_idle()
@@ -321,8 +323,8 @@
         self.add_request(busy)
         self.reactor.advance(descriptors_module.COMMAND_TIMEOUT + 0.1)
         descriptors.sweep()
-        for each in (silent, half):
-            self.assertIn(b"-ERR timeout", each.transport.value())
+        for connection in (silent, half):
+            self.assertIn(b"-ERR timeout", connection.transport.value())
         self.reactor.advance(client_connection_module.LINGER)
         self.assertEqual(self.gateway.client_connections - {silent}, {idle, busy})
         self.assertTrue(silent.transport.disconnecting)
@@ -336,8 +338,8 @@
         self.serve_request(idle)
         pinged.dataReceived(b"*1\r\n$4\r\nPING\r\n")
         crowd = [self.client_connection() for _ in range(descriptors.limit // 8)]
-        for each in crowd:
-            self.add_request(each)
+        for connection in crowd:
+            self.add_request(connection)
         self.reactor.advance(descriptors_module.MIN_SILENT_TIME + 0.01)
         descriptors.sweep()
         ended = [c.transport.disconnecting for c in (idle, pinged, silent)]
@@ -354,15 +356,15 @@
         self.serve_request(idle)
         self.reactor.advance(descriptors_module.MIN_IDLE_TIME)
         silent = [self.client_connection() for _ in range(most - 2)]
-        for each in silent[::2]:  # a PING does not protect a connection from eviction
-            each.dataReceived(b"*1\r\n$4\r\nPING\r\n")
+        for connection in silent[::2]:  # a PING does not protect a connection from eviction
+            connection.dataReceived(b"*1\r\n$4\r\nPING\r\n")
         self.reactor.advance(descriptors_module.MIN_SILENT_TIME)
-        for left in (most - 3, most - 4):  # first those without a request so far
+        for expected_count in (most - 3, most - 4):  # first those without a request so far
             new = self.client_connection()
             self.assertEqual(new.transport.value(), b"")
-            self.assertEqual(len(self.gateway.client_connections & set(silent)), left)
-        for each in self.gateway.client_connections - {idle}:
-            self.add_request(each)
+            self.assertEqual(len(self.gateway.client_connections & set(silent)), expected_count)
+        for connection in self.gateway.client_connections - {idle}:
+            self.add_request(connection)
         self.client_connection()
         self.assertFalse(idle in self.gateway.client_connections)  # then the connection idle for longest
         refused = self.client_connection()  # but none that has work
@@ -370,14 +372,14 @@
         self.assertEqual(len(self.gateway.client_connections), most)  # it is closed within the same iteration
 
     def test_answers_to_a_flood_go_out_together_and_end_it(self):
-        made, sent = self.client_connection(), []
-        made.transport.sendmsg = lambda parts: sent.append(parts) or sum(map(len, parts))
-        made.dataReceived(b"*1\r\n$8\r\nAPI.READ\r\n" * 500)  # must not cause a write for each
+        connection, sent = self.client_connection(), []
+        connection.transport.sendmsg = lambda parts: sent.append(parts) or sum(map(len, parts))
+        connection.dataReceived(b"*1\r\n$8\r\nAPI.READ\r\n" * 500)  # must not cause a write for each
         self.assertEqual((len(sent), len(sent[0])), (1, client_connection_module.MAX_BAD_REQUESTS))
-        made.dataReceived(b"*1\r\n$4\r\nPING\r\n" * 500)
+        connection.dataReceived(b"*1\r\n$4\r\nPING\r\n" * 500)
         self.assertEqual(len(sent), 1)
         pings = self.client_connection()  # sendmsg accepts at most 1024 parts
-        pings.transport.sendmsg = made.transport.sendmsg
+        pings.transport.sendmsg = connection.transport.sendmsg
         pings.dataReceived(b"*1\r\n$4\r\nPING\r\n" * 1500)
         self.assertEqual((len(sent[1]), len(sent[1][0])), (1, 1500 * 7))
 
@@ -386,7 +388,7 @@
         connection, _ = self.establish()
         attempt.rpc = rpc = types.SimpleNamespace(body=None)
         pool.on_finish = lambda attempt, reply: self.assertIs(attempt.rpc, rpc)
-        pool.told("a", False, ("127.0.0.1", 1))
+        pool.update_endpoint("a", False, ("127.0.0.1", 1))
         connection.dataReceived(b"*3\r\n$1\r\nv\r\n$-1\r\n$-1\r\n")
         self.assertEqual((pool.open, pool.idle, pool.addresses, attempt.rpc), (set(), {}, {}, None))
 
@@ -396,10 +398,10 @@
         pool.send(backend_connection.Attempt(None, 0, "a", 0.0, 9.0, [b"x"]))
         self.assertEqual(self.ended, [Status.ABANDONED])
 
-    def test_an_exception_in_the_module_costs_its_request_only(self):
+    def test_an_exception_in_the_decisions_costs_its_request_only(self):
         self.gateway.decisions.handle = lambda now, events: 1 / 0
         self.gateway.decisions.actions = []
-        answers = []
+        replies = []
         rpc = type(
             "R",
             (),
@@ -409,11 +411,13 @@
                 "attempt": None,
                 "release": lambda _: None,
                 "done": False,
-                "client_connection": type("C", (), {"answer": lambda _, rpc, reply: answers.append(reply)})(),
+                "client_connection": type(
+                    "C", (), {"set_reply": lambda _, rpc, reply: replies.append(reply)}
+                )(),
             },
         )()
-        self.gateway.take(rpc)
-        self.assertEqual((answers, self.gateway.rpcs), ([[b"-ERR failed\r\n"]], {}))
+        self.gateway.accept_rpc(rpc)
+        self.assertEqual((replies, self.gateway.rpcs), ([[b"-ERR failed\r\n"]], {}))
         self.assertEqual(invariants.counts["module_failed"], 1)
 
     def connecting_attempt(self):
@@ -421,7 +425,7 @@
         self.ended = []
         finished = lambda attempt, reply: self.ended.append(reply.status)  # noqa: E731
         accept = lambda *_: True  # noqa: E731
-        pool = backend_connection.Pool(
+        pool = backend_connection.BackendPool(
             self.reactor,
             self.gateway.settings,
             1,
@@ -432,7 +436,7 @@
             accept,
             self.gateway.budget,
         )
-        pool.told("a", True, ("127.0.0.1", 1))
+        pool.update_endpoint("a", True, ("127.0.0.1", 1))
         pool.send(attempt := backend_connection.Attempt(None, 0, "a", 0.0, 9.0, [b"x"]))
         return pool, attempt
 
@@ -452,7 +456,7 @@
     def test_an_attempt_still_connecting_ends_when_its_backend_drains(self):
         # a send counts from its first byte, which could follow the drain grace
         pool, _ = self.connecting_attempt()
-        pool.told("a", False, ("127.0.0.1", 1))
+        pool.update_endpoint("a", False, ("127.0.0.1", 1))
         self.assertEqual((self.ended, pool.open), ([Status.CONNECT_FAILED], set()))
         self.assertEqual(self.establish()[1].value(), b"")
 
@@ -464,10 +468,10 @@
         self.assertEqual((self.ended, pool.open), ([Status.ABANDONED], set()))
 
     def test_outcomes_by_where_the_connection_broke(self):
-        for left, status in ((b"", Status.RESET), (b"rest", Status.CONNECT_FAILED)):
+        for unsent, status in ((b"", Status.RESET), (b"rest", Status.CONNECT_FAILED)):
             self.connecting_attempt()
             connection, transport = self.establish()
-            transport.dataBuffer = left
+            transport.dataBuffer = unsent
             connection.connectionLost()
             self.assertEqual(self.ended, [status])
 
@@ -489,7 +493,7 @@
         pool.send(backend_connection.Attempt(None, 0, "a", 0.0, 9.0, [b"y"]))
         self.assertEqual(len(self.reactor.tcpClients), 2)
 
-    def test_one_that_goes_for_another_frees_its_descriptor_in_the_same_turn(self):
+    def test_an_evicted_connection_frees_its_descriptor_in_the_same_reactor_iteration(self):
         pool, _ = self.connecting_attempt()
         connection, transport = self.establish()
         transport.abortConnection = lambda: None  # Twisted's acts in the next reactor iteration only
--- a/tests/test_net_moments.py
+++ b/tests/test_net_races.py
@@ -17,15 +17,15 @@
 import tomllib
 import unittest
 
-from corkdeal.net.resp import command
+from corkdeal.net.resp import encode_command
 from corkdeal.persistence import handover_files, store
 
-from .net_world import PATIENCE, ROOT, SETTINGS, Moments, World, served
+from .net_world import ROOT, SETTINGS, WAIT_TIMEOUT, ControlledProgram, FakeServices, served
 
 GONE = b"ERR failed"
 
 
-class Shutdown(Moments):
+class Shutdown(ControlledProgram):
     """A shutdown loses no request that arrived, and ends before the process would be killed."""
 
     def test_connections_that_wait_in_the_kernel_are_served(self):
@@ -42,12 +42,12 @@
             self.world.next().conn.send(served())
         for client in clients:
             self.assertEqual(client.read(), [b"v"])
-        self.assertEqual(self.process.wait(PATIENCE), 0)
+        self.assertEqual(self.process.wait(WAIT_TIMEOUT), 0)
 
     def test_a_request_in_the_reactor_iteration_of_the_last_answer_is_served(self):
         self.start(a={})
         client, idle = self.client(), self.client()
-        idle.send(command(b"PING"))
+        idle.send(encode_command(b"PING"))
         self.assertEqual(idle.read(), [b"PONG"])
         self.ask(client, d=4000)
         asked = self.world.next()
@@ -61,15 +61,15 @@
         self.world.next().conn.send(served(b"second"))
         self.assertEqual(client.read(), [b"second"])
         self.assertIsNone(client.read())
-        self.assertEqual(self.process.wait(PATIENCE), 0)
+        self.assertEqual(self.process.wait(WAIT_TIMEOUT), 0)
 
     def test_what_is_still_open_is_answered_before_the_kill(self):
         settings = copy.deepcopy(SETTINGS)
-        for each in settings["classes"]:
-            each.update(aim_us=600_000, deadline_us=600_000)  # so SIGKILL is due 1.3 s after SIGTERM
+        for request_class in settings["classes"]:
+            request_class.update(aim_us=600_000, deadline_us=600_000)  # so SIGKILL is due 1.3 s after SIGTERM
         self.start(config={"settings": settings}, a={}, b={}, c={}, d={})
         client, waiting, idle = self.client(), self.client(), self.client()
-        idle.send(command(b"PING"))
+        idle.send(encode_command(b"PING"))
         self.assertEqual(idle.read(), [b"PONG"])
         self.ask(client, b"pay", d=80000, body=b"x")
         self.ask(waiting, b"pay", d=80000, rid=2, body=b"y")
@@ -83,8 +83,8 @@
         self.assertEqual(client.read(), [GONE])
         self.assertEqual(client.read(), [GONE])
         self.assertEqual(waiting.read(), [GONE])
-        self.assertEqual(self.process.wait(PATIENCE), 0)
-        self.assertTrue(all(each.ended.wait(PATIENCE) for each in (first, second, third)))
+        self.assertEqual(self.process.wait(WAIT_TIMEOUT), 0)
+        self.assertTrue(all(asked.ended.wait(WAIT_TIMEOUT) for asked in (first, second, third)))
 
     def test_signals_that_come_twice_or_late_change_nothing(self):
         self.start(a={})
@@ -96,15 +96,15 @@
         self.line("reloaded")
         asked.conn.send(served())
         self.assertEqual(client.read(), [b"v"])
-        self.assertEqual(self.process.wait(PATIENCE), 0)
+        self.assertEqual(self.process.wait(WAIT_TIMEOUT), 0)
 
 
-class EarlyReload(Moments):
+class EarlyReload(ControlledProgram):
     """SIGHUP arrives before the gateway object exists."""
 
     def run_program(self):
         """Start it with its configuration in a pipe; change the file and send SIGHUP while it reads that."""
-        self.other = World()
+        self.other = FakeServices()
         self.addCleanup(self.other.close)
         first = self.path.read_text()
         self.path.unlink()
@@ -131,7 +131,7 @@
     def test_the_reload_is_carried_out_once_the_gateway_exists(self):
         self.start(a={})
         self.seen("reloaded")
-        self.assertIsNotNone(self.other.calls.get(timeout=PATIENCE))
+        self.assertIsNotNone(self.other.calls.get(timeout=WAIT_TIMEOUT))
 
 
 class DeployCommand(unittest.TestCase):
@@ -147,14 +147,14 @@
                 ["/bin/sh", "-c", run],
                 capture_output=True,
                 text=True,
-                timeout=PATIENCE,
+                timeout=WAIT_TIMEOUT,
                 cwd=ROOT,
                 env={"PATH": f"{folder}:/usr/bin:/bin"},
             )
         self.assertEqual((done.returncode, done.stdout), (0, "lives\n"))
 
 
-class ReloadDuringHandoverWait(Moments):
+class ReloadDuringHandoverWait(ControlledProgram):
     """SIGHUP arrives while a successor waits for a handover that its predecessor never makes."""
 
     build = ("-O",)
@@ -194,53 +194,55 @@
             self.assertEqual(client.read(), [b"v"])
 
 
-class UnreadBytes(Moments):
+class UnreadBytes(ControlledProgram):
     """A client connection with unread bytes is not closed as idle."""
 
-    def open_clients(self, many, spoken):
-        """Open client connections; with `spoken`, each has sent a PING, otherwise nothing."""
-        clients = [self.client() for _ in range(many)]
-        for client in clients if spoken else ():
-            client.send(command(b"PING"))
+    def open_clients(self, count, send_ping):
+        """Open client connections; with `send_ping`, each has sent a PING, otherwise nothing."""
+        clients = [self.client() for _ in range(count)]
+        for client in clients if send_ping else ():
+            client.send(encode_command(b"PING"))
             self.assertEqual(client.read(), [b"PONG"])
         return clients
 
     def test_a_silent_client_connection_whose_first_command_has_come(self):
         self.start(a={})
         probe = self.client()
-        clients = self.open_clients(40, spoken=False)  # enough to shorten the timeout of silent connections
-        probe.send(command(b"PING"))
+        clients = self.open_clients(
+            40, send_ping=False
+        )  # enough to shorten the timeout of silent connections
+        probe.send(encode_command(b"PING"))
         self.assertEqual(probe.read(), [b"PONG"])
         self.freeze()
         stopped = time.monotonic()
         for client in clients:
-            client.send(command(b"PING"))
+            client.send(encode_command(b"PING"))
         self.thaw(after=0.4, since=stopped)
         for client in clients:
             self.assertEqual(client.read(), [b"PONG"])
 
     def test_the_rest_of_a_command_that_has_come(self):
         self.start(a={})
-        client, whole = self.client(), command(b"PING")
-        client.send(command(b"PING") + whole[:9])
+        client, ping = self.client(), encode_command(b"PING")
+        client.send(encode_command(b"PING") + ping[:9])
         self.assertEqual(client.read(), [b"PONG"])
         self.freeze()
         stopped = time.monotonic()
-        client.send(whole[9:])
+        client.send(ping[9:])
         self.thaw(after=2.7, since=stopped)
         self.assertEqual(client.read(), [b"PONG"])
 
     def test_one_that_would_be_closed_for_another(self):
         self.start(config={"limits": {"sockets": 33}}, a={})
-        clients = self.open_clients(8, spoken=True)  # all that may be open beside one backend connection
+        clients = self.open_clients(8, send_ping=True)  # all that may be open beside one backend connection
         self.freeze()
         stopped = time.monotonic()
         other = self.client()  # needs an idle connection to be closed
-        clients[0].send(command(b"ECHO", b"still here"))  # idle for longest, but with unread bytes
+        clients[0].send(encode_command(b"ECHO", b"still here"))  # idle for longest, but with unread bytes
         self.thaw(after=0.4, since=stopped)
         self.assertEqual(clients[0].read(), [b"still here"])
         self.assertIsNone(clients[1].read())
-        other.send(command(b"PING"))
+        other.send(encode_command(b"PING"))
         self.assertEqual(other.read(), [b"PONG"])
 
 
--- a/tests/test_net_rules.py
+++ b/tests/test_net_rules.py
@@ -6,9 +6,9 @@
 import socket
 import time
 
-from corkdeal.net.resp import MOST_VALUE, WHOLE, command
+from corkdeal.net.resp import MAX_INLINE_VALUE, MAX_VALUE, encode_command
 
-from .net_world import Moments, Program, World, served
+from .net_world import ControlledProgram, FakeServices, Program, served
 from .ports import reserve_port
 
 
@@ -35,9 +35,9 @@
         self.start(a={})
         client, body = self.client(), bytes(range(256)) * 256
         words = self.words(b"note", rid=2**63 + 5, more=b",k=5c0f6e1a2b3d4c59", body=body)
-        whole = command(*words)
-        client.send(whole[:90])  # in two pieces, so that the head arrives incomplete
-        client.send(whole[90:])
+        encoded = encode_command(*words)
+        client.send(encoded[:90])  # in two pieces, so that the head arrives incomplete
+        client.send(encoded[90:])
         asked = self.world.next()
         self.assertEqual(asked.words[:3] + asked.words[4:], words[:3] + words[4:])
         sent = words[3].replace(b"d=3000", b"d=%b" % asked.params[b"d"])
@@ -47,22 +47,26 @@
 
     def test_resends_as_the_class_permits(self):
         self.start(a={"cell": 1}, b={"cell": 2}, c={"cell": 1})
-        for cls, more, stays in ((b"look", b"", None), (b"note", b",k=ab", 1), (b"pay", b"", 0)):
-            with self.subTest(cls):
+        for class_name, more, stays_in_cell in (
+            (b"look", b"", None),
+            (b"note", b",k=ab", 1),
+            (b"pay", b"", 0),
+        ):
+            with self.subTest(class_name):
                 client = self.client()
-                self.ask(client, cls, more=more, body=b"x" if stays is not None else None)
+                self.ask(client, class_name, more=more, body=b"x" if stays_in_cell is not None else None)
                 first = self.world.next()
                 first.conn.end()
-                if cls == b"pay":
+                if class_name == b"pay":
                     self.assertEqual(client.read(), [b"ERR failed"])
                     continue
-                if stays and first.backend.name == "b":  # the only backend of its cell
+                if stays_in_cell and first.backend.name == "b":  # the only backend of its cell
                     again = self.world.next()
                     self.assertEqual(again.backend.name, "b")
                 else:
                     again = self.world.next()
                     self.assertIsNot(again.backend, first.backend)
-                    if stays:
+                    if stays_in_cell:
                         self.assertEqual(again.backend.entry["cell"], first.backend.entry["cell"])
                 self.assertEqual(again.words[:3], first.words[:3])
                 again.conn.send(served())
@@ -140,10 +144,12 @@
     def test_peers_get_updates_and_malformed_datagrams_are_dropped(self):
         self.start(a={})
         client = self.client()
-        client.send(command(*self.words(b"look")[:3], b"c=look,t=large,d=900,units=1,spread=2,first=0"))
+        client.send(
+            encode_command(*self.words(b"look")[:3], b"c=look,t=large,d=900,units=1,spread=2,first=0")
+        )
         host, port = self.udp.split(":")
-        for junk in (b"junk", b"", b"x" * 257):
-            self.peer.sendto(junk, (host, int(port)))
+        for payload in (b"junk", b"", b"x" * 257):
+            self.peer.sendto(payload, (host, int(port)))
         datagram, sender = self.peer.recvfrom(2048)
         self.assertEqual(f"{sender[0]}:{sender[1]}", self.udp)
         self.assertLessEqual(len(datagram), 256)
@@ -156,14 +162,14 @@
         self.start(a={}, b={})
         client = self.client()
         client.send(
-            b"".join(command(*self.words(b"pay", rid=rid, body=b"%d" % rid)) for rid in range(3))
-            + command(b"PING")
-            + command(b"NOSUCH")
+            b"".join(encode_command(*self.words(b"pay", rid=rid, body=b"%d" % rid)) for rid in range(3))
+            + encode_command(b"PING")
+            + encode_command(b"NOSUCH")
         )
         client.sock.shutdown(1)
         asked = sorted((self.world.next() for _ in range(3)), key=lambda a: a.words[2], reverse=True)
-        for each in asked:
-            each.conn.send(served(each.words[4]))
+        for attempt in asked:
+            attempt.conn.send(served(attempt.words[4]))
         self.assertEqual(
             [client.read() for _ in range(5)], [[b"0"], [b"1"], [b"2"], [b"PONG"], [b"ERR unknown command"]]
         )
@@ -187,7 +193,7 @@
             b"GET / HTTP/1.1\r\n\r\n",
             b"*1\r\n:5\r\n",
             b"*2\r\n$4\r\nPING\r\n$-1\r\n",
-            b"*1\r\n$%d\r\n" % (MOST_VALUE + 1),
+            b"*1\r\n$%d\r\n" % (MAX_VALUE + 1),
             b"*100\r\n",
             b"*" + b"9" * 5000,
             b"*1\r\n$3\r\nPING\r\n",
@@ -197,13 +203,13 @@
                 client.send(raw)
                 self.assertTrue(client.read()[0].startswith(b"ERR"))
                 self.assertIsNone(client.read())
-        other.send(command(b"PING"))
+        other.send(encode_command(b"PING"))
         self.assertEqual(other.read(), [b"PONG"])
 
     def test_a_long_pipeline_is_served_to_its_end(self):
         self.start(a={})
         client = self.client()  # sends more commands than a connection may have unanswered
-        client.send(b"".join(command(*self.words(b"look", customer=1, rid=rid)) for rid in range(600)))
+        client.send(b"".join(encode_command(*self.words(b"look", customer=1, rid=rid)) for rid in range(600)))
         for _ in range(2):
             self.world.next().conn.send(served())
         answers = [client.read()[0] for _ in range(600)]
@@ -216,9 +222,9 @@
         client.sock.settimeout(1.0)
         with self.assertRaises(TimeoutError):  # otherwise its answers would fill the gateway's memory
             while sent < 200_000_000:
-                sent += client.sock.send(command(b"ECHO", b"x" * WHOLE))
+                sent += client.sock.send(encode_command(b"ECHO", b"x" * MAX_INLINE_VALUE))
         other = self.client()
-        other.send(command(b"PING"))
+        other.send(encode_command(b"PING"))
         self.assertEqual(other.read(), [b"PONG"])
 
     def test_bad_requests_get_an_error_and_the_client_connection_stays(self):
@@ -235,10 +241,10 @@
             b"c=look,t=large,d=9,units=nan",
         ):
             with self.subTest(params):
-                client.send(command(*good[:3], params))
+                client.send(encode_command(*good[:3], params))
                 self.assertTrue(client.read()[0].startswith(b"ERR"))
         for words in (good[:2], [good[0], b"zz", *good[2:]], [*good, b"x", b"x"]):
-            client.send(command(*words))
+            client.send(encode_command(*words))
             self.assertTrue(client.read()[0].startswith(b"ERR"))
 
     def test_dead_backend_is_a_failed_connect_and_a_stale_connection_a_reset(self):
@@ -260,7 +266,7 @@
 
     def test_reload_moves_the_watch_and_disturbs_no_rpc(self):
         self.start(a={})  # without a handler, SIGHUP would end the process and lose accepted requests
-        other, client = World(), self.client()
+        other, client = FakeServices(), self.client()
         self.addCleanup(other.close)
         other.add("b")
         self.ask(client, b"pay", body=b"x")
@@ -302,7 +308,7 @@
     def test_planned_end_does_not_wait_for_a_command_that_never_comes_whole(self):
         self.start(a={})
         client = self.client()
-        client.send(command(b"PING") + b"*1\r\n$4\r\nPI")
+        client.send(encode_command(b"PING") + b"*1\r\n$4\r\nPI")
         self.assertEqual(client.read(), [b"PONG"])
         self.process.send_signal(signal.SIGTERM)
         self.assertTrue(client.read()[0].startswith(b"ERR timeout"))
@@ -327,7 +333,7 @@
     build = ("-O",)
 
 
-class AddressInUse(Moments):
+class AddressInUse(ControlledProgram):
     """An address that another process still uses when the gateway starts."""
 
     def run_program(self):
@@ -351,7 +357,7 @@
         client = self.client()
         words = self.words(b"look", more=b",spread=2")
         words[3] = words[3].replace(b",spread=1", b"")
-        client.send(command(*words))
+        client.send(encode_command(*words))
         self.world.next().conn.send(served())
         self.assertEqual(client.read(), [b"v"])
         _, sender = self.peer.recvfrom(2048)  # sent from the port that it has got by now
--- a/tests/test_standin.py
+++ b/tests/test_standin.py
@@ -12,8 +12,8 @@
 
 from corkdeal.experiment import summary
 from corkdeal.standin import clients
+from corkdeal.standin.backends import BackendModel, FakeBackend
 from corkdeal.standin.discovery import Discovery
-from corkdeal.standin.servers import Model, Server
 
 
 async def send_request(server, number=1):
@@ -31,12 +31,12 @@
 
 def with_server(work, **more):
     async def play(script):
-        server = Server(Model("s", "north-hall", **more), lambda: work, lambda a: None)
+        server = FakeBackend(BackendModel("s", "north-hall", **more), lambda: work, lambda a: None)
         await server.start()
         try:
             return await script(server)
         finally:
-            server.die()
+            server.crash()
 
     return play
 
@@ -53,7 +53,7 @@
     async def script(server):
         server.up_since = time.time()
         await asyncio.gather(*(send_request(server, n) for n in range(10)))
-        return server.fallen
+        return server.has_crashed
 
     assert asyncio.run(with_server(0.5, cores=1, queue=99)(script))
     assert not asyncio.run(with_server(0.001, cores=1, queue=99)(script))
@@ -101,7 +101,7 @@
     one, other = ([(a.at, a.customer.id, a.gateway) for a in each] for each in made)
     assert one == other
     assert all((a.gateway - a.customer.first) % 3 < a.customer.spread for a in made[0])
-    inside = sum(min(c.rate, c.asks) for c in {a.customer.id: a.customer for a in made[0]}.values())
+    inside = sum(min(c.rate, c.request_rate) for c in {a.customer.id: a.customer for a in made[0]}.values())
     assert inside == pytest.approx(30, rel=0.4)
 
 
@@ -110,7 +110,7 @@
     at = [0.0] * 7 + [10.0, 10.0]  # a burst of 5.6: five within, two beyond; refilled later
     seen = [SimpleNamespace(at=a, customer=7, request=i) for i, a in enumerate(at)]
     seen += [SimpleNamespace(at=0.1, customer=7, request=0), SimpleNamespace(at=0.0, customer=9, request=50)]
-    booked = clients.books(seen, who)  # a second attempt and an unknown customer are not counted
+    booked = clients.classify_by_quota(seen, who)  # a second attempt and an unknown customer are not counted
     assert [over for _, over, _ in booked] == [False] * 5 + [True] * 2 + [False] * 2
 
 
--- a/tests/tier/test_history.py
+++ b/tests/tier/test_history.py
@@ -2,26 +2,26 @@
 
 import pytest
 
-from corkdeal.standin.history import Attempt, Away, History, Quota, Told, Try, check
+from corkdeal.standin.history import BackendAttempt, ClientAttempt, Downtime, History, Quota, SentList, check
 
 QUOTAS = {7: Quota(rate=1.0, burst=3.0, bound=0.0)}
 
 
-def history(tries=(), attempts=(), told=(), away=()):
+def history(client_attempts=(), attempts=(), sent_lists=(), downtimes=()):
     result = History()
-    result.tries = {t.id: t for t in tries}
-    result.attempts, result.away = list(attempts), list(away)
-    for gateway, *rest in told:
-        result.told[gateway].append(Told(*rest))
+    result.client_attempts = {t.id: t for t in client_attempts}
+    result.attempts, result.downtimes = list(attempts), list(downtimes)
+    for gateway, *rest in sent_lists:
+        result.sent_lists[gateway].append(SentList(*rest))
     return result
 
 
 def client_attempt(*answers):
-    return Try(1, 7, 0, 1.0, 1.0, 3.0, [(at, "$") for at in answers])
+    return ClientAttempt(1, 7, 0, 1.0, 1.0, 3.0, [(at, "$") for at in answers])
 
 
 def burst(count, gap):
-    return [Attempt(10 + n * gap, "s", 0, n, 7) for n in range(count)]
+    return [BackendAttempt(10 + n * gap, "s", 0, n, 7) for n in range(count)]
 
 
 LISTS = [(0, 0.0, frozenset("ab")), (0, 5.0, frozenset("b"))]
@@ -33,14 +33,20 @@
         (history([client_attempt(2.0)]), None),
         (history([client_attempt(2.0, 2.1)]), "one final answer"),
         (history([client_attempt()]), "one final answer"),
-        (history([client_attempt()], away=[Away(0, 2.0, 9.0)]), None),
-        (history([client_attempt()], away=[Away(1, 2.0, 9.0)]), "one final answer"),
-        (history(attempts=[Attempt(1.0, "a", 0, 1, 7)]), None),
-        (history(attempts=[Attempt(1.0, "a", 0, 1, 7, "b")]), "never two attempts at once"),
-        (history(attempts=[Attempt(5.2, "a", 0, 1, 7)], told=LISTS), None),
-        (history(attempts=[Attempt(5.3, "a", 0, 1, 7)], told=LISTS), "nothing new to a server told away"),
-        (history(attempts=[Attempt(9.0, "b", 0, 1, 7)], told=LISTS), None),
-        (history(attempts=[Attempt(9.0, "c", 0, 1, 7)], told=LISTS), "nothing new to a server told away"),
+        (history([client_attempt()], downtimes=[Downtime(0, 2.0, 9.0)]), None),
+        (history([client_attempt()], downtimes=[Downtime(1, 2.0, 9.0)]), "one final answer"),
+        (history(attempts=[BackendAttempt(1.0, "a", 0, 1, 7)]), None),
+        (history(attempts=[BackendAttempt(1.0, "a", 0, 1, 7, "b")]), "never two attempts at once"),
+        (history(attempts=[BackendAttempt(5.2, "a", 0, 1, 7)], sent_lists=LISTS), None),
+        (
+            history(attempts=[BackendAttempt(5.3, "a", 0, 1, 7)], sent_lists=LISTS),
+            "nothing new to a server told away",
+        ),
+        (history(attempts=[BackendAttempt(9.0, "b", 0, 1, 7)], sent_lists=LISTS), None),
+        (
+            history(attempts=[BackendAttempt(9.0, "c", 0, 1, 7)], sent_lists=LISTS),
+            "nothing new to a server told away",
+        ),
         (history(attempts=burst(3, 0.0)), None),
         (history(attempts=burst(20, 1.0)), None),
         (history(attempts=burst(4, 0.0)), "units within quota"),
--- a/tests/zones/test_zones.py
+++ b/tests/zones/test_zones.py
@@ -6,9 +6,9 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from corkdeal.experiment.cuts import HALLS, TROUBLES, Day
+from corkdeal.experiment.zone_outage import CONDITIONS, ZONES, OutageSimulation
 from corkdeal.zones import tiers
-from corkdeal.zones.nets import Net, Nets
+from corkdeal.zones.nets import ZoneLookup, ZoneNetwork
 from corkdeal.zones.tiers import Zone, ZoneDistances
 
 
@@ -26,22 +26,22 @@
     ],
 )
 def test_the_longest_prefix_counts(address, zone):
-    nets = Nets(
+    nets = ZoneLookup(
         [
-            Net("10.1.0.0/16", "north"),
-            Net("10.1.9.0/24", "east"),
-            Net("2001:db8::/32", "south"),
-            Net("2001:db8:1::/48", "north"),
+            ZoneNetwork("10.1.0.0/16", "north"),
+            ZoneNetwork("10.1.9.0/24", "east"),
+            ZoneNetwork("2001:db8::/32", "south"),
+            ZoneNetwork("2001:db8:1::/48", "north"),
         ]
     )
-    assert nets.invalid == [] and nets.hall_of(address) == zone
+    assert nets.invalid == [] and nets.zone_of(address) == zone
 
 
 class Position:
     def __init__(self, line):
         self.line = line
 
-    def at(self):
+    def position(self):
         return self.line, 2
 
 
@@ -59,13 +59,15 @@
     ],
 )
 def test_an_invalid_network_is_reported_with_its_position(nets, reason):
-    made = Nets([Net(text, "north", Position(i + 1)) for i, text in enumerate(nets)])
-    assert reason in made.invalid[0].reason and made.invalid[0].net.place.at() == (len(nets), 2)
+    lookup = ZoneLookup([ZoneNetwork(text, "north", Position(i + 1)) for i, text in enumerate(nets)])
+    assert reason in lookup.invalid[0].reason and lookup.invalid[0].net.place.position() == (len(nets), 2)
 
 
 def test_a_network_of_another_zone_between_gives_the_inner_one_an_effect():
-    made = Nets([Net("10.0.0.0/8", "a"), Net("10.1.0.0/16", "b"), Net("10.1.1.0/24", "a")])
-    assert made.invalid == [] and made.hall_of("10.1.1.1") == "a" and made.hall_of("10.1.2.1") == "b"
+    lookup = ZoneLookup(
+        [ZoneNetwork("10.0.0.0/8", "a"), ZoneNetwork("10.1.0.0/16", "b"), ZoneNetwork("10.1.1.0/24", "a")]
+    )
+    assert lookup.invalid == [] and lookup.zone_of("10.1.1.1") == "a" and lookup.zone_of("10.1.2.1") == "b"
 
 
 NETS = st.dictionaries(
@@ -81,12 +83,12 @@
 
 @given(NETS, st.lists(st.integers(0, 2**32 - 1), max_size=20))
 def test_look_ups_agree_with_a_walk_over_all_nets(nets, addresses):
-    made = Nets([Net(str(net), hall) for net, hall in nets.items()])
+    lookup = ZoneLookup([ZoneNetwork(str(net), hall) for net, hall in nets.items()])
     for number in [*addresses, *(int(n.network_address) for n in nets)]:
         address = ipaddress.ip_address(number)
         holding = [n for n in nets if address in n]
         best = nets[max(holding, key=lambda n: n.prefixlen)] if holding else None
-        assert made.hall_of(str(address)) == best
+        assert lookup.zone_of(str(address)) == best
 
 
 def test_tiers_are_ordered_by_distance_over_two_levels():
@@ -105,41 +107,43 @@
             ZoneDistances.build(zones, invalid)
 
 
-NORTH, EAST, SOUTH = HALLS
+NORTH, EAST, SOUTH = ZONES
 
 
 @pytest.mark.parametrize("seed", range(5))
 def test_a_cut_is_declared_once_and_soon(seed):
-    day = Day(seed)
-    day.run(10)
-    assert day.declared == []
-    day.cut = {EAST}
-    day.run(15)
-    assert [h for _, h in day.declared] == [EAST] == day.losses.lost_zones() and day.declared[0][0] < 11.5
-    day.cut = set()
-    day.losses.mark_reachable(EAST)
-    day.run(25)
-    assert len(day.declared) == 1
+    simulation = OutageSimulation(seed)
+    simulation.run(10)
+    assert simulation.declared_outages == []
+    simulation.zones_down = {EAST}
+    simulation.run(15)
+    assert [h for _, h in simulation.declared_outages] == [
+        EAST
+    ] == simulation.detector.lost_zones() and simulation.declared_outages[0][0] < 11.5
+    simulation.zones_down = set()
+    simulation.detector.mark_reachable(EAST)
+    simulation.run(25)
+    assert len(simulation.declared_outages) == 1
 
 
 @pytest.mark.parametrize("seed", range(5))
-@pytest.mark.parametrize("kind", TROUBLES)
+@pytest.mark.parametrize("kind", CONDITIONS)
 def test_other_faults_are_not_declared_a_cut(seed, kind):
-    day = Day(seed)
-    day.run(10)
-    day.trouble(kind)
-    day.run(40)
-    assert day.declared == []
+    simulation = OutageSimulation(seed)
+    simulation.run(10)
+    simulation.start_condition(kind)
+    simulation.run(40)
+    assert simulation.declared_outages == []
 
 
 def test_two_of_three_zones_can_be_lost_but_none_is_without_any_reply():
-    day = Day(1)
-    day.run(10)
-    day.cut = {NORTH, EAST}
-    day.run(14)
-    assert day.losses.lost_zones() == [EAST, NORTH]
-    isolated = Day(2)
+    simulation = OutageSimulation(1)
+    simulation.run(10)
+    simulation.zones_down = {NORTH, EAST}
+    simulation.run(14)
+    assert simulation.detector.lost_zones() == [EAST, NORTH]
+    isolated = OutageSimulation(2)
     isolated.run(10)
-    isolated.cut = set(HALLS)  # the gateway itself is cut off
+    isolated.zones_down = set(ZONES)  # the gateway itself is cut off
     isolated.run(20)
-    assert isolated.losses.lost_zones() == []
+    assert isolated.detector.lost_zones() == []
