--- a/corkdeal/experiment/crash_test.py
+++ b/corkdeal/experiment/crash_test.py
@@ -32,7 +32,8 @@
 def check_state(state_folder: str, min_generation: int) -> tuple[int, int]:
     """Load the state in a folder; returns the newest generation and the number of its accounts.
 
-    Raises `Broken` if a file is damaged or the generation is below `least`, that of the previous check.
+    Raises `InvalidState` if a file is damaged or the generation is below `min_generation`, that of the
+    previous check.
     """
     store = SnapshotStore(state_folder)
     store.open()
@@ -57,7 +58,7 @@
 async def kill_repeatedly(
     gateway: fleet.Gateway, discovery: Discovery, state_folder: str, kill_count: int, rng: random.Random
 ) -> dict[str, int]:
-    """Start and kill one gateway `times` times, and check its state after each kill."""
+    """Start and kill one gateway `kill_count` times, and check its state after each kill."""
     generation = generation_count = load_count = max_accounts = 0
     for _ in range(kill_count):
         await gateway.start(discovery.document())
@@ -82,7 +83,7 @@
 
 
 async def run(kill_count: int, gateway_count: int, seed: int) -> dict[str, Any]:
-    """Kill `kills` times in all, spread evenly over a tier of `together` gateways."""
+    """Kill `kill_count` times in all, spread evenly over a tier of `gateway_count` gateways."""
     folder, rng = pathlib.Path(tempfile.mkdtemp(prefix="kills-")), random.Random(seed)
     servers = [
         FakeBackend(BackendModel(f"s-{i}", fleet.ZONES[i % 3]), gamma_work(rng, 0.02, 0.5), lambda a: None)
--- a/corkdeal/experiment/tier.py
+++ b/corkdeal/experiment/tier.py
@@ -172,7 +172,7 @@
     # Steps
 
     def select(self, selection: str, count: int, population: Iterable[int] | None = None) -> list[int]:
-        """The members of a selection; a percentage draws from `pool`, by default from all."""
+        """The members of a selection; a percentage draws from `population`, by default from all."""
         candidates = list(range(count)) if population is None else list(population)
         if selection.endswith("%"):
             size = max(1, round(count * int(selection[:-1]) / 100))
--- a/corkdeal/experiment/variants.py
+++ b/corkdeal/experiment/variants.py
@@ -140,7 +140,7 @@
 
 
 def report(path: str, runs: list[dict[str, Any]]) -> None:
-    """Write the fields in `KEPT` of all runs, and their violations by rule, for docs/reports."""
+    """Write the fields in `REPORTED_FIELDS` of all runs, and their violations by rule, for docs/reports."""
     reported = []
     for run in runs:
         violations: dict[str, int] = {}
